--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -40,6 +40,7 @@
 
 mod aims;
 mod cloud;
+mod digest;
 mod faults;
 mod looks;
 mod production;
@@ -298,6 +299,8 @@
 pub struct World {
     pub t: u64,
     pub base: Instant,
+    /// Of all that controllers send.
+    pub digest: digest::Digest,
     pub random: StdRng,
     pub queue: BinaryHeap<Reverse<(u64, u64)>>,
     pub due: HashMap<u64, Due>,
@@ -393,6 +396,7 @@
         let mut world = World {
             t: 0,
             base: Instant::now(),
+            digest: digest::Digest::new(seed),
             random: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             due: HashMap::new(),
@@ -518,6 +522,7 @@
                 self.step(due);
             }
         }
+        self.digest_store();
     }
 
     pub fn step(&mut self, due: Due) {
@@ -667,6 +672,7 @@
     pub fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
         let incarnation = self.incarnation[node];
         for effect in effects {
+            self.digest.effect(self.t, node, &effect);
             match effect {
                 Effect::Reply(ticket, response) => match self.tickets[node].remove(&ticket) {
                     Some(Ticket::Hello(machine, id))
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -131,7 +131,9 @@
     }
 
     pub fn commit(&mut self, txn: wire::Txn) -> StateReply {
-        match self.store.commit(txn, self.limits) {
+        let outcome = self.store.commit(txn, self.limits);
+        self.digest.committed(self.t, self.store.rev, outcome.is_ok());
+        match outcome {
             Ok(rev) => {
                 self.wake_follows();
                 StateReply::Committed(rev)
