--- /dev/null
+++ b/tests/wire_format/mesh.rs
@@ -0,0 +1,236 @@
+//! Messages between controllers: postcard, in frames and as text by way of the store.
+
+use crate::golden_bytes;
+use crate::protocol::{attempt, orders, report, task};
+use crate::sample::Sample;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
+use tokio::time::timeout;
+use troutspindle::delivery::{Delivery, DeliveryResult};
+use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
+use troutspindle::membership::{Member, Membership};
+use troutspindle::mesh::{MeshMessage, PeerExtra, dial, from_text, in_pieces, serve, to_text};
+use troutspindle::relay::{FullReport, RelayedOrder, RelayedReport, Verdict};
+use troutspindle::wire;
+
+const TOKEN: Token = Token(41);
+
+fn sender() -> NodeName {
+    NodeName::new("n-1")
+}
+
+fn jobs() -> Vec<JobId> {
+    ["wk-000412", "wk-000413"].map(JobId::new).to_vec()
+}
+
+fn machine(number: u32) -> MachineId {
+    MachineId::new(&format!("i-{number:06}"))
+}
+
+fn status(extra: PeerExtra) -> MeshMessage {
+    MeshMessage::PeerStatus {
+        from: sender(),
+        seq: 300,
+        leading: Some(TOKEN),
+        state_lost: true,
+        ack: (TOKEN, 301),
+        up_ms: 70_000,
+        answered_for_leader: vec![(machine(1), 1500), (machine(3), 16)],
+        worker_ms: Some(12),
+        extra,
+    }
+}
+
+fn plain_status() -> MeshMessage {
+    MeshMessage::PeerStatus {
+        from: sender(),
+        seq: 1,
+        leading: None,
+        state_lost: false,
+        ack: (Token(0), 0),
+        up_ms: 0,
+        answered_for_leader: Vec::new(),
+        worker_ms: None,
+        extra: PeerExtra::default(),
+    }
+}
+
+fn extra() -> PeerExtra {
+    PeerExtra { protocol: 1, room: 700 }
+}
+
+fn grant() -> MeshMessage {
+    MeshMessage::Grant {
+        seq: 300,
+        token: TOKEN,
+        number: 301,
+        barred: vec![machine(1), machine(2)],
+        lent: vec![machine(3)],
+    }
+}
+
+fn plain_grant() -> MeshMessage {
+    MeshMessage::Grant { seq: 1, token: TOKEN, number: 0, barred: Vec::new(), lent: Vec::new() }
+}
+
+fn pledge(cancelled: Vec<JobId>) -> MeshMessage {
+    MeshMessage::Pledge { from: sender(), seq: 300, token: TOKEN, cancelled }
+}
+
+fn running() -> MeshMessage {
+    let counts = jobs().into_iter().zip([16, 300]).collect();
+    MeshMessage::Running { token: TOKEN, counts }
+}
+
+fn cancelling(jobs: Vec<JobId>) -> MeshMessage {
+    MeshMessage::Cancelling { from: sender(), seq: 300, jobs }
+}
+
+fn promised() -> MeshMessage {
+    let zones = vec![vec!["a".into(), "b".into()], Vec::new()];
+    MeshMessage::Promised {
+        from: sender(),
+        seq: 300,
+        under: Revision(70_000),
+        jobs: jobs(),
+        placed: Some((Revision(70_001), zones)),
+    }
+}
+
+fn plain_promised() -> MeshMessage {
+    MeshMessage::Promised {
+        from: sender(),
+        seq: 1,
+        under: Revision(0),
+        jobs: Vec::new(),
+        placed: None,
+    }
+}
+
+fn sharing(members: Vec<Member>) -> MeshMessage {
+    MeshMessage::Sharing { from: sender(), token: TOKEN, members: Membership(members) }
+}
+
+fn members() -> Vec<Member> {
+    let member = |name: &str, zone: &str, weight| Member {
+        name: NodeName::new(name),
+        zone: zone.into(),
+        weight,
+    };
+    vec![member("n-1", "a", 1000), member("n-2", "b", 400)]
+}
+
+fn full_report() -> FullReport {
+    FullReport::from(report())
+}
+
+fn reports() -> MeshMessage {
+    let same =
+        RelayedReport::Same { machine: machine(1), session: 300, before: 70_000, seq: 70_001 };
+    let reports = vec![RelayedReport::Full(full_report()), same];
+    MeshMessage::Reports { from: sender(), token: TOKEN, batch: 301, reports }
+}
+
+fn verdicts() -> MeshMessage {
+    let relayed = orders().into_iter().map(RelayedOrder::from).collect();
+    let verdicts = vec![(0, Verdict::Orders(relayed)), (300, Verdict::SendFull)];
+    MeshMessage::Verdicts { token: TOKEN, batch: 301, verdicts }
+}
+
+fn deliver() -> MeshMessage {
+    let command = Delivery {
+        number: 302,
+        machine: machine(1),
+        address: "10.1.0.232:9000".parse().unwrap(),
+        session: Some(300),
+        orders: vec![
+            RelayedOrder::Start(task(), attempt()),
+            RelayedOrder::Stop(task(), attempt(), 7.5),
+            RelayedOrder::Forget(task(), attempt()),
+        ],
+    };
+    let question = Delivery {
+        number: 303,
+        address: "[::1]:9000".parse().unwrap(),
+        session: None,
+        orders: Vec::new(),
+        ..command.clone()
+    };
+    MeshMessage::Deliver { from: sender(), token: TOKEN, commands: vec![command, question] }
+}
+
+fn delivered() -> MeshMessage {
+    let results = vec![
+        (302, DeliveryResult::Report(full_report())),
+        (303, DeliveryResult::NotSent),
+        (304, DeliveryResult::Unknown),
+    ];
+    MeshMessage::Delivered { token: TOKEN, results }
+}
+
+fn message(name: &'static str, value: &MeshMessage) -> Sample {
+    let text = to_text(value).expect("a message serializes");
+    Sample::read_by(name, wire::unhex(&text).expect("hexadecimal"), value, |bytes| {
+        from_text(&wire::hex(bytes))
+    })
+}
+
+pub fn samples() -> Vec<Sample> {
+    let text = to_text(&grant()).expect("a message serializes");
+    vec![
+        // What stands behind a status in its frame is not part of its text.
+        message("mesh-status", &status(PeerExtra::default())),
+        message("mesh-status-plain", &plain_status()),
+        message("mesh-grant", &grant()),
+        message("mesh-grant-plain", &plain_grant()),
+        message("mesh-pledge", &pledge(jobs())),
+        message("mesh-pledge-plain", &pledge(Vec::new())),
+        message("mesh-running", &running()),
+        message("mesh-cancelling", &cancelling(jobs())),
+        message("mesh-cancelling-plain", &cancelling(Vec::new())),
+        message("mesh-promised", &promised()),
+        message("mesh-promised-plain", &plain_promised()),
+        message("mesh-sharing", &sharing(members())),
+        message("mesh-sharing-plain", &sharing(Vec::new())),
+        message("mesh-reports", &reports()),
+        message("mesh-verdicts", &verdicts()),
+        message("mesh-deliver", &deliver()),
+        message("mesh-delivered", &delivered()),
+        Sample::written("mesh-pieces", in_pieces(&text, 300, 80).join("\n")),
+    ]
+}
+
+/// A frame that carries a status, with what [`extra`] is written as behind it.
+fn status_frame() -> Vec<u8> {
+    let body = [golden_bytes("mesh-status"), vec![0x01, 0xbc, 0x05]].concat();
+    let length = u32::try_from(body.len()).unwrap();
+    [&length.to_be_bytes()[..], &body].concat()
+}
+
+#[tokio::test]
+async fn a_frame_is_a_length_the_message_and_what_else_a_status_tells() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let (to_peer, outgoing) = mpsc::channel(1);
+    tokio::spawn(dial(address, outgoing, watch::Sender::default()));
+    to_peer.send(status(extra())).await.unwrap();
+    let (mut stream, _) = listener.accept().await.unwrap();
+    let mut frame = vec![0; status_frame().len()];
+    timeout(Duration::from_secs(10), stream.read_exact(&mut frame)).await.unwrap().unwrap();
+    assert_eq!(wire::hex(&frame), wire::hex(&status_frame()));
+}
+
+#[tokio::test]
+async fn a_frame_is_read_and_acknowledged_with_one_byte() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let (received, mut messages) = mpsc::unbounded_channel();
+    tokio::spawn(serve(listener, received));
+    let mut stream = TcpStream::connect(address).await.unwrap();
+    stream.write_all(&status_frame()).await.unwrap();
+    let read = timeout(Duration::from_secs(10), messages.recv()).await.unwrap();
+    assert_eq!(read, Some(status(extra())));
+    assert_eq!(stream.read_u8().await.unwrap(), 1);
+}
--- /dev/null
+++ b/tests/wire_format/operators.rs
@@ -0,0 +1,140 @@
+//! What operators ask and are answered, in JSON.
+
+use crate::golden_bytes;
+use crate::sample::Sample;
+use std::collections::BTreeMap;
+use troutspindle::ids::JobId;
+use troutspindle_estimates::Grade;
+use troutspindle_protocol::ops::{
+    AtRisk, DEMAND_FIELD, DemandLine, Drain, DrainKind, DrainName, DrainOrder, Drains, GroupDemand,
+    Question, RiskyJob, Starving, StarvingGroup,
+};
+
+const KEY: &str = "a key of sixteen or more";
+
+fn drain_order(kind: DrainKind) -> DrainOrder {
+    DrainOrder {
+        key: KEY.into(),
+        kind,
+        name: "a".into(),
+        by_s: Some(600.5),
+        author: "ana".into(),
+        reason: "cooling".into(),
+    }
+}
+
+fn drain() -> Drain {
+    Drain {
+        kind: DrainKind::Machine,
+        name: "i-000231".into(),
+        by_in_s: Some(-1.5),
+        since_s: 30.25,
+        author: "ana".into(),
+        reason: "cooling".into(),
+        left: Some(7),
+        stuck: Some(2),
+    }
+}
+
+fn plain_drain() -> Drain {
+    Drain { kind: DrainKind::Controller, by_in_s: None, left: None, stuck: None, ..drain() }
+}
+
+fn at_risk() -> AtRisk {
+    let job = RiskyJob {
+        job: JobId::new("wk-000412"),
+        class: "nightly".into(),
+        team: "team-a".into(),
+        late: 0.75,
+        due_in_s: 300.5,
+        done_in_s: 400.25,
+        done_tasks: 7,
+        tasks: 20,
+        grade: "sure".into(),
+    };
+    AtRisk {
+        leader: "n-1".into(),
+        jobs: vec![job],
+        warned: 4,
+        warned_late: 3,
+        warned_in_time: 2,
+        late_unwarned: 1,
+    }
+}
+
+fn starving() -> Starving {
+    let group = StarvingGroup {
+        class: "nightly".into(),
+        team: "team-a".into(),
+        held: 1.5,
+        floor: 2.5,
+        needed: 3.5,
+        waits_for: BTreeMap::from([("room".into(), 12), ("its team's limit".into(), 3)]),
+    };
+    Starving {
+        leader: "n-1".into(),
+        scarce_for_s: Some(60.5),
+        machines: 31.25,
+        nothing_to_rent: true,
+        groups: vec![group],
+    }
+}
+
+fn demand() -> DemandLine {
+    let group = GroupDemand {
+        class: "nightly".into(),
+        team: "team-a".into(),
+        service: true,
+        ordinary: false,
+        held: 1.5,
+        waiting: 2.5,
+        came: 3.5,
+        floor: 4.5,
+    };
+    DemandLine {
+        token: 41,
+        at_s: 60.5,
+        ordinary: 30.25,
+        spot: 12.75,
+        exhausted: true,
+        scarce: false,
+        groups: vec![group],
+    }
+}
+
+pub fn samples() -> Vec<Sample> {
+    let name = DrainName { key: KEY.into(), kind: DrainKind::Controller, name: "n-1".into() };
+    vec![
+        Sample::json("ops-question", &Question { key: KEY.into() }),
+        Sample::json("ops-drain-zone", &drain_order(DrainKind::Zone)),
+        Sample::json("ops-drain-machine", &drain_order(DrainKind::Machine)),
+        Sample::json("ops-drain-controller", &drain_order(DrainKind::Controller)),
+        Sample::json("ops-undrain", &name),
+        Sample::json("ops-drains", &Drains { drains: vec![drain(), plain_drain()] }),
+        Sample::json("ops-drains-none", &Drains::default()),
+        Sample::json("ops-at-risk", &at_risk()),
+        Sample::json("ops-at-risk-none", &AtRisk::default()),
+        Sample::json("ops-starving", &starving()),
+        Sample::json("ops-starving-none", &Starving::default()),
+        Sample::json("ops-demand", &demand()),
+        Sample::json("ops-demand-none", &DemandLine::default()),
+        Sample::written("ops-demand-field", DEMAND_FIELD),
+    ]
+}
+
+#[test]
+fn a_drain_order_needs_no_time_author_or_reason() {
+    let mut order: serde_json::Value =
+        serde_json::from_slice(&golden_bytes("ops-drain-zone")).unwrap();
+    let fields = order.as_object_mut().unwrap();
+    assert!(["by_s", "author", "reason"].iter().all(|field| fields.remove(*field).is_some()));
+    let order: DrainOrder = serde_json::from_value(order).unwrap();
+    assert_eq!((order.by_s, order.author, order.reason), (None, String::new(), String::new()));
+}
+
+/// The grade in an answer is the name of the variant in lower case.
+#[test]
+fn grades_keep_the_names_that_operators_see() {
+    let shown = [Grade::Unknown, Grade::Thin, Grade::Sure].map(|grade| format!("{grade:?}"));
+    assert_eq!(shown.map(|name| name.to_lowercase()), ["unknown", "thin", "sure"]);
+}
--- /dev/null
+++ b/tests/wire_format/protocol.rs
@@ -0,0 +1,273 @@
+//! Messages of users, workers, the cloud and the state service.
+
+use crate::golden_bytes;
+use crate::sample::Sample;
+use troutspindle::ids::{Attempt, JobId, LeaseId, MachineId, NodeName, Revision, TaskId, Token};
+use troutspindle::wire::{
+    self, Change, CloudError, Committed, Data, Flavor, Flavors, Guard, Hire, JobName, JobSpec,
+    JobStatus, JobView, LeaseLife, LeaseName, Listed, ListedState, MachineNames, MachinePage,
+    Misdirected, News, Order, Orders, Page, Report, ReportedTask, Row, Shape, TaskState, Txn,
+    Urgency, Write,
+};
+
+pub fn task() -> TaskId {
+    TaskId { job: JobId::new("wk-000412"), index: 17 }
+}
+
+pub fn attempt() -> Attempt {
+    Attempt::new(Token(41), 5)
+}
+
+pub fn job_spec() -> JobSpec {
+    JobSpec {
+        id: JobId::new("wk-000412"),
+        class: "nightly".into(),
+        team: "team-a".into(),
+        shape: Shape::Gang,
+        urgency: Urgency::Low,
+        tasks: 20,
+        cpus: 1.5,
+        gpus: 0.25,
+        ram_gb: 3.1,
+        image: "img-07".into(),
+        image_gb: 1.2,
+        flavors: Some(vec!["g8".into(), "c16".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        expect_s: 40.5,
+        checkpoint_s: 10.25,
+        save_s: 2.75,
+        due_s: Some(300.5),
+        needs: Some(vec![JobId::new("wk-1"), JobId::new("wk-2")]),
+    }
+}
+
+/// With nothing that may be missing.
+pub fn plain_job_spec() -> JobSpec {
+    JobSpec {
+        shape: Shape::Array,
+        urgency: Urgency::Production,
+        one_zone: false,
+        spread: true,
+        spot: false,
+        flavors: None,
+        zone: None,
+        due_s: None,
+        needs: None,
+        ..job_spec()
+    }
+}
+
+fn job_view(status: JobStatus) -> JobView {
+    JobView { id: JobId::new("wk-000412"), status, done: 7, running: 3 }
+}
+
+fn reported(state: TaskState) -> ReportedTask {
+    ReportedTask { task: task(), attempt: attempt(), state, why: None, saved: None }
+}
+
+pub fn report() -> Report {
+    let failed = ReportedTask {
+        why: Some("killed".into()),
+        saved: Some(true),
+        ..reported(TaskState::Exited)
+    };
+    let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
+    Report {
+        machine: MachineId::new("i-000231"),
+        address: "10.1.0.232:9000".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 300,
+        seq: 70_000,
+        token: Token(41),
+        notice_s: Some(12.5),
+        tasks: states.map(reported).into_iter().chain([failed]).collect(),
+    }
+}
+
+fn plain_report() -> Report {
+    Report { address: String::new(), spot: false, notice_s: None, tasks: Vec::new(), ..report() }
+}
+
+pub fn orders() -> Vec<Order> {
+    let (task, attempt) = (task(), attempt());
+    vec![
+        Order::Start { task: task.clone(), attempt },
+        Order::Stop { task: task.clone(), attempt, grace_s: 7.5 },
+        Order::Forget { task, attempt },
+    ]
+}
+
+pub fn flavor() -> Flavor {
+    Flavor {
+        name: "g8".into(),
+        cpus: 96.5,
+        gpus: 8.0,
+        ram_gb: 768.25,
+        cache_gb: 200.5,
+        fetch_gb_per_s: 0.3,
+        price: 10.1,
+        spot_price: 4.5,
+        boot_s: 75.25,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+fn plain_flavor() -> Flavor {
+    Flavor { cache_gb: 0.0, fetch_gb_per_s: 0.0, ..flavor() }
+}
+
+pub fn hire() -> Hire {
+    Hire { request: "r-41-7".into(), flavor: "g8".into(), zone: "a".into(), spot: true, count: 50 }
+}
+
+pub fn machines() -> Vec<MachineId> {
+    ["i-000231", "i-000232"].map(MachineId::new).to_vec()
+}
+
+fn listed(status: ListedState) -> Listed {
+    Listed {
+        machine: MachineId::new("i-000231"),
+        address: Some("10.1.0.232:9000".into()),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        status,
+        age_s: 31.25,
+    }
+}
+
+fn plain_listed() -> Listed {
+    Listed { address: None, spot: false, age_s: 0.0, ..listed(ListedState::Starting) }
+}
+
+pub fn transaction() -> Txn {
+    Txn {
+        guards: vec![
+            Guard { key: "t/j/wk-1".into(), rev: Revision(0) },
+            Guard { key: "t/a/leader".into(), rev: Revision(70_000) },
+        ],
+        writes: vec![
+            Write::Put { key: "t/a/p/n-1".into(), data: Data::Bool(true), hold: Some(LeaseId(9)) },
+            Write::Put { key: "t/e/07".into(), data: Data::from("text"), hold: None },
+            Write::Delete { key: "t/d/wk-1/0".into() },
+        ],
+    }
+}
+
+fn row() -> Row {
+    Row { key: "t/a/token".into(), data: Data::from(41), rev: Revision(12) }
+}
+
+fn changes() -> Vec<Change> {
+    let put = Change {
+        put: Some("t/a/token".into()),
+        delete: None,
+        data: Some(Data::from(41)),
+        rev: Revision(12),
+    };
+    let delete =
+        Change { put: None, delete: Some("t/a/leader".into()), data: None, rev: Revision(13) };
+    vec![put, delete]
+}
+
+pub fn samples() -> Vec<Sample> {
+    [users(), workers(), cloud(), state(), names()].into_iter().flatten().collect()
+}
+
+fn users() -> Vec<Sample> {
+    let job_name = JobName { id: JobId::new("wk-000412") };
+    let name_alone = Data::Map(vec![(Data::from("nameId"), Data::from("wk-000412"))]);
+    vec![
+        Sample::cbor("job-spec", &job_spec()),
+        Sample::cbor("job-spec-plain", &plain_job_spec()),
+        Sample::cbor("shapes", &vec![Shape::Array, Shape::Service, Shape::Gang]),
+        Sample::cbor(
+            "urgencies",
+            &vec![Urgency::Production, Urgency::High, Urgency::Normal, Urgency::Low],
+        ),
+        Sample::read_by("job-name", wire::encode(&name_alone), &job_name, |bytes| {
+            wire::decode::<JobName>(bytes).ok()
+        }),
+        Sample::cbor("job-view-queued", &job_view(JobStatus::Queued)),
+        Sample::cbor("job-view-running", &job_view(JobStatus::Running)),
+        Sample::cbor("job-view-done", &job_view(JobStatus::Done)),
+        Sample::cbor("job-view-cancelled", &job_view(JobStatus::Cancelled)),
+    ]
+}
+
+fn workers() -> Vec<Sample> {
+    let answer = Orders { token: Token(41), session: None, orders: orders() };
+    let command = Orders { session: Some(300), ..answer.clone() };
+    vec![
+        Sample::cbor("report", &report()),
+        Sample::cbor("report-plain", &plain_report()),
+        Sample::cbor_without("report-least", &plain_report(), &["address", "recallS", "legs"]),
+        Sample::cbor("orders-answer", &answer),
+        Sample::cbor("orders-command", &command),
+        Sample::cbor("misdirected", &Misdirected { leader: "n-1".into() }),
+    ]
+}
+
+fn cloud() -> Vec<Sample> {
+    let page = MachinePage { machines: vec![listed(ListedState::Running)], truncated: true };
+    let states = [ListedState::Starting, ListedState::Running, ListedState::Failed];
+    let last = MachinePage { machines: states.map(listed).to_vec(), truncated: false };
+    vec![
+        Sample::cbor("flavors", &Flavors { flavors: vec![flavor(), plain_flavor()] }),
+        Sample::cbor_without("flavor-least", &plain_flavor(), &["cacheGb", "pullGbPerS"]),
+        Sample::cbor("hire", &hire()),
+        Sample::cbor("cloud-error", &CloudError { error: "no capacity".into() }),
+        Sample::cbor("machine-names", &MachineNames { machines: machines() }),
+        Sample::cbor("machine-page", &page),
+        Sample::cbor("machine-page-states", &last),
+        Sample::cbor_without("machine-page-least", &last, &["truncated"]),
+        Sample::cbor_without("listed-least", &plain_listed(), &["address", "heldS"]),
+    ]
+}
+
+fn state() -> Vec<Sample> {
+    let committed = Committed { rev: Revision(70_000), failed: vec!["t/j/wk-1".into()] };
+    let page = Page { rows: vec![row()], truncated: true, rev: Revision(70_000) };
+    let whole = Page { truncated: false, ..page.clone() };
+    let done = Committed { failed: Vec::new(), ..committed.clone() };
+    vec![
+        Sample::cbor("transaction", &transaction()),
+        Sample::cbor("committed", &committed),
+        Sample::cbor_without("committed-least", &done, &["failed"]),
+        Sample::cbor("page", &page),
+        Sample::cbor_without("page-least", &whole, &["truncated"]),
+        Sample::cbor("news", &News { rev: Revision(70_000), news: changes() }),
+        Sample::cbor("lease-life", &LeaseLife { ttl_ms: 6000 }),
+        Sample::cbor("lease-name", &LeaseName { lease: LeaseId(9) }),
+    ]
+}
+
+fn names() -> Vec<Sample> {
+    vec![
+        Sample::cbor("name-job", &JobId::new("wk-000412")),
+        Sample::cbor("name-machine", &MachineId::new("i-000231")),
+        Sample::cbor("name-controller", &NodeName::new("n-1")),
+        Sample::cbor("name-task", &task()),
+        Sample::cbor("number-token", &Token(41)),
+        Sample::cbor("number-revision", &Revision(70_000)),
+        Sample::cbor("number-attempt", &attempt()),
+        Sample::cbor("number-lease", &LeaseId(9)),
+    ]
+}
+
+/// A peer may write whole amounts as integers, and fields that nobody knows yet.
+#[test]
+fn whole_amounts_and_unknown_fields_are_read() {
+    let whole = |value: &Data| value.as_float().map_or_else(|| value.clone(), |_| Data::from(4));
+    let Data::Map(fields) = wire::decode(&golden_bytes("flavor-least")).unwrap() else { panic!() };
+    let fields = fields.iter().map(|(key, value)| (key.clone(), whole(value)));
+    let fields = fields.chain([(Data::from("later"), Data::from("x"))]).collect();
+    let read: Flavor = wire::decode(&wire::encode(&Data::Map(fields))).unwrap();
+    let four = Flavor { cpus: 4.0, gpus: 4.0, ram_gb: 4.0, boot_s: 4.0, ..plain_flavor() };
+    assert_eq!(read, Flavor { price: 4.0, spot_price: 4.0, ..four });
+}
--- /dev/null
+++ b/tests/wire_format/requests.rs
@@ -0,0 +1,68 @@
+//! Requests to the state service and the cloud, and the paths under which controllers are asked.
+
+use crate::protocol::{hire, machines, transaction};
+use crate::sample::Sample;
+use std::time::Duration;
+use troutspindle::api::{Route, route};
+use troutspindle::cloud::{CloudCall, Kind};
+use troutspindle::http::{Method, Request};
+use troutspindle::ids::{JobId, LeaseId, Revision};
+use troutspindle::state::StateCall;
+
+/// Method and target in a line, and the body behind it.
+fn request(name: &'static str, request: &Request) -> Sample {
+    let method = match request.method {
+        Method::Get => "GET",
+        Method::Post => "POST",
+        Method::Delete => "DELETE",
+        Method::Other => panic!("{name} has a method of its own"),
+    };
+    let line = format!("{method} {}\n", request.target);
+    Sample::written(name, [line.as_bytes(), &request.body].concat())
+}
+
+fn state(name: &'static str, call: &StateCall) -> Sample {
+    request(name, &call.request().0)
+}
+
+fn cloud(name: &'static str, call: &CloudCall) -> Sample {
+    request(name, &call.request())
+}
+
+pub fn samples() -> Vec<Sample> {
+    let follow = StateCall::Follow { after: Revision(70_000), wait: Duration::from_millis(2500) };
+    let kind = Kind { flavor: 1, zone: 2, spot: true };
+    vec![
+        state("state-commit", &StateCall::Commit(transaction())),
+        state("state-follow", &follow),
+        state("state-range-first", &StateCall::Range { after: None }),
+        state("state-range-next", &StateCall::Range { after: Some("t/j/wk-1".into()) }),
+        state("state-new-lease", &StateCall::NewLease(Duration::from_millis(6000))),
+        state("state-touch", &StateCall::Touch(LeaseId(9))),
+        state("state-drop-lease", &StateCall::DropLease(LeaseId(9))),
+        cloud("cloud-flavors", &CloudCall::Flavors),
+        cloud("cloud-hire", &CloudCall::Hire(kind, hire())),
+        cloud("cloud-delete", &CloudCall::Delete(machines())),
+        cloud("cloud-list-first", &CloudCall::List { after: String::new() }),
+        cloud("cloud-list-next", &CloudCall::List { after: "i-000231".into() }),
+    ]
+}
+
+#[test]
+fn every_path_leads_where_it_always_did() {
+    let ask =
+        |method, target: &str| route(&Request { method, target: target.into(), body: Vec::new() });
+    let job = || JobId::new("wk-000412");
+    assert_eq!(ask(Method::Get, "/up"), Route::Up);
+    assert_eq!(ask(Method::Post, "/hello"), Route::Hello);
+    assert_eq!(ask(Method::Post, "/api/jobs"), Route::Submit);
+    assert_eq!(ask(Method::Get, "/api/jobs/wk-000412"), Route::Poll(job()));
+    assert_eq!(ask(Method::Post, "/api/jobs/wk-000412/abort"), Route::Abort(job()));
+    assert_eq!(ask(Method::Post, "/ops/jobs/at-risk"), Route::AtRisk);
+    assert_eq!(ask(Method::Post, "/ops/jobs/starving"), Route::Starving);
+    assert_eq!(ask(Method::Post, "/ops/drain"), Route::Drain);
+    assert_eq!(ask(Method::Post, "/ops/undrain"), Route::Undrain);
+    assert_eq!(ask(Method::Post, "/ops/drains"), Route::Drains);
+    assert_eq!(ask(Method::Get, "/ops/drains"), Route::Unknown);
+    assert_eq!(ask(Method::Get, "/hello"), Route::WrongMethod);
+}
--- /dev/null
+++ b/tests/wire_format/stored.rs
@@ -0,0 +1,446 @@
+//! Records and keys at the state service, as they are written and as they are read.
+
+use crate::golden_bytes;
+use crate::protocol::{flavor, job_spec, plain_job_spec};
+use crate::sample::Sample;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
+use troutspindle::election::Election;
+use troutspindle::heartbeat::{Heartbeat, heartbeat_key};
+use troutspindle::ids::{JobId, LeaseId, MachineId, NodeName, Revision, Token};
+use troutspindle::jobs::{self, Accept, Jobs};
+use troutspindle::records::{
+    CHUNK_PREFIX, JOB_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, Parts, Phase, Record,
+    VERSION_PREFIX, VersionRecord, chunk_key, job_key, part_key, piece_key, tag, version_key,
+};
+use troutspindle::settings::KeptLimits;
+use troutspindle::state::{
+    Cache, ESTIMATES_PREFIX, FLAVOR_PREFIX, FLAVORS_KEY, HEARTBEAT_PREFIX, LEADER_KEY,
+    LeaderRecord, MACHINE_PREFIX, MachineRecord, PREFIX, RELAY_PREFIX, StateCall, StateCore,
+    StateReply, TOKEN_KEY,
+};
+use troutspindle::wire::{self, Data, JobSpec, JobStatus, Page, Row, Txn, Write};
+use troutspindle_estimates::{Bucket, Current, Learner, Profile};
+use troutspindle_protocol::ops::DrainKind;
+
+const ACCEPTED_MS: u64 = 1_700_000_000_000;
+const ENDED_MS: u64 = 1_700_000_300_000;
+const FIRST: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
+const SECOND: Layout = Layout { format: 2, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
+/// So small that a description takes several parts.
+const SECOND_SMALL: Layout = Layout { value_max: 300, ..SECOND };
+
+fn job() -> JobId {
+    JobId::new("wk-000412")
+}
+
+fn node() -> NodeName {
+    NodeName::new("n-1")
+}
+
+fn machine_record() -> MachineRecord {
+    MachineRecord {
+        address: "10.1.0.232:9000".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+    }
+}
+
+fn leader_record() -> LeaderRecord {
+    LeaderRecord { node: node(), token: Token(41) }
+}
+
+fn version_record() -> VersionRecord {
+    VersionRecord { format: 2, chunk: 16_384 }
+}
+
+fn drain_record(kind: DrainKind) -> DrainRecord {
+    DrainRecord {
+        kind,
+        name: "a".into(),
+        by_ms: Some(ENDED_MS),
+        at_ms: ACCEPTED_MS,
+        author: "ana".into(),
+        reason: "cooling".into(),
+    }
+}
+
+fn plain_drain_record() -> DrainRecord {
+    DrainRecord {
+        by_ms: None,
+        author: String::new(),
+        reason: String::new(),
+        ..drain_record(DrainKind::Zone)
+    }
+}
+
+/// With every field, which no job has.
+fn full_record() -> Record {
+    Record {
+        p: Phase::Cancelled,
+        at: ACCEPTED_MS,
+        s: Some(Arc::new(job_spec())),
+        d: "8102".into(),
+        n: 7,
+        w: Some(("team-a".into(), 1.5, 0.25, 3.1)),
+        e: Some(ENDED_MS),
+        t: Some(13),
+        x: Some(Parts { tag: "0123456789abcdef".into(), count: 3 }),
+    }
+}
+
+fn plain_record(phase: Phase) -> Record {
+    Record { p: phase, ..Record::live(0, None) }
+}
+
+fn change(name: &'static str, change: &jobs::Change) -> Sample {
+    let transaction = Txn { guards: change.guards.clone(), writes: change.writes.clone() };
+    Sample::cbor(name, &transaction)
+}
+
+/// Takes in what a change wrote, all under one revision.
+fn apply(jobs: &mut Jobs, change: &jobs::Change, rev: u64) {
+    for write in &change.writes {
+        let Write::Put { key, data, .. } = write else { continue };
+        match key.strip_prefix(JOB_PREFIX) {
+            Some(id) => jobs.put_job(JobId::new(id), data, Revision(rev)),
+            None => assert!(jobs.put_beside(key, Some(data), Revision(rev)), "{key}"),
+        }
+    }
+}
+
+/// A job's life, with every change that it is written by.
+struct Life {
+    jobs: Jobs,
+    layout: Layout,
+    rev: u64,
+    samples: Vec<Sample>,
+}
+
+impl Life {
+    fn new(layout: Layout) -> Life {
+        Life { jobs: Jobs::new(layout.chunk), layout, rev: 0, samples: Vec::new() }
+    }
+
+    fn commit(&mut self, name: &'static str, written: &jobs::Change) {
+        self.rev += 1;
+        self.samples.push(change(name, written));
+        apply(&mut self.jobs, written, self.rev);
+    }
+
+    /// The parts of its description, if there are any, and its record.
+    fn accept(&mut self, parts_name: Option<&'static str>, name: &'static str, spec: &JobSpec) {
+        let spec = Arc::new(spec.clone());
+        let begin = jobs::accept(&spec, ACCEPTED_MS, &self.layout, &self.jobs);
+        let record = match (begin, parts_name) {
+            (Accept::Record(record), None) => record,
+            (Accept::Parts(parts), Some(parts_name)) => {
+                self.commit(parts_name, &parts);
+                match jobs::accept(&spec, ACCEPTED_MS, &self.layout, &self.jobs) {
+                    Accept::Record(record) => record,
+                    Accept::Parts(_) => panic!("{name}: more parts"),
+                }
+            }
+            _ => panic!("{name}: in parts or not"),
+        };
+        self.commit(name, &record);
+        let live = self.jobs.get(&spec.id).unwrap().live().unwrap();
+        assert_eq!((&*live.spec, live.accepted_ms), (&*spec, ACCEPTED_MS), "{name}");
+    }
+
+    fn complete(&mut self, name: &'static str, tasks: &[u32], second_runs: u64) {
+        let known = self.jobs.get(&job()).unwrap();
+        let completion =
+            jobs::complete(&job(), known, tasks, second_runs, ENDED_MS, &self.layout).unwrap();
+        self.commit(name, &completion.change);
+        let known = self.jobs.get(&job()).unwrap();
+        let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_done(*task));
+        assert!(known.live().is_none_or(done), "{name}");
+    }
+
+    fn cancel(&mut self, name: &'static str) {
+        let known = self.jobs.get(&job()).unwrap();
+        let cancellation = jobs::cancel(&job(), known, ENDED_MS, &self.layout).unwrap();
+        self.commit(name, &cancellation);
+        assert_eq!(self.over().map(|(status, _)| status), Some(JobStatus::Cancelled));
+    }
+
+    fn tidy(&mut self, name: &'static str) {
+        let (writes, _): (Vec<Write>, Vec<Revision>) = self.jobs.tidy(100).into_iter().unzip();
+        self.samples.push(change(name, &jobs::Change { guards: Vec::new(), writes }));
+    }
+
+    fn over(&self) -> Option<(JobStatus, u64)> {
+        self.jobs.get(&job()).unwrap().over()
+    }
+}
+
+fn first_layout() -> Vec<Sample> {
+    let mut life = Life::new(FIRST);
+    life.accept(None, "job-first-accept", &JobSpec { needs: None, ..job_spec() });
+    let all: Vec<u32> = (0..20).collect();
+    life.complete("job-first-done", &all, 3);
+    life.samples
+}
+
+fn small_job() -> Vec<Sample> {
+    let mut life = Life::new(SECOND);
+    life.accept(None, "job-accept", &JobSpec { needs: None, ..job_spec() });
+    life.complete("job-some-done", &[0, 7, 19], 0);
+    let all: Vec<u32> = (0..20).collect();
+    life.complete("job-done", &all, 3);
+    assert_eq!(life.over(), Some((JobStatus::Done, 20)));
+    life.samples
+}
+
+fn cancelled_job() -> Vec<Sample> {
+    let mut life = Life::new(SECOND);
+    life.accept(None, "job-plain-accept", &plain_job_spec());
+    let next = JobSpec { id: JobId::new("wk-000500"), needs: Some(vec![job()]), ..job_spec() };
+    life.accept(None, "job-needing-accept", &next);
+    life.complete("job-plain-some-done", &[1], 0);
+    life.cancel("job-cancelled");
+    life.tidy("job-needing-cancelled");
+    life.samples
+}
+
+fn large_job() -> Vec<Sample> {
+    let mut life = Life::new(SECOND_SMALL);
+    let spec = JobSpec { tasks: 10_000, needs: None, ..job_spec() };
+    life.accept(Some("job-large-parts"), "job-large-accept", &spec);
+    life.complete("job-large-pieces", &[0, 4095, 4096, 9999], 0);
+    life.cancel("job-large-cancelled");
+    life.tidy("job-large-tidied");
+    life.samples
+}
+
+fn records() -> Vec<Sample> {
+    vec![
+        Sample::stored("record-full", &full_record()),
+        Sample::stored("record-live", &plain_record(Phase::Live)),
+        Sample::stored("record-done", &plain_record(Phase::Done)),
+        Sample::cbor_without("record-least", &plain_record(Phase::Cancelled), &["at", "n"]),
+        Sample::stored("record-machine", &machine_record()),
+        Sample::stored("record-leader", &leader_record()),
+        Sample::stored("record-version", &version_record()),
+        Sample::stored("record-flavor", &flavor()),
+        Sample::stored("record-flavors", &vec![flavor()]),
+        Sample::stored("record-drain-zone", &drain_record(DrainKind::Zone)),
+        Sample::stored("record-drain-machine", &drain_record(DrainKind::Machine)),
+        Sample::stored("record-drain-controller", &drain_record(DrainKind::Controller)),
+        Sample::cbor_without(
+            "record-drain-least",
+            &plain_drain_record(),
+            &["by_ms", "author", "reason"],
+        ),
+        Sample::written("record-drain-taken-back", wire::encode(&TAKEN_BACK)),
+    ]
+}
+
+fn keys() -> Vec<Sample> {
+    vec![
+        Sample::written("key-all", PREFIX),
+        Sample::written("key-leader", LEADER_KEY),
+        Sample::written("key-token", TOKEN_KEY),
+        Sample::written("key-flavors", FLAVORS_KEY),
+        Sample::written("key-flavor", FLAVOR_PREFIX),
+        Sample::written("key-machine", MACHINE_PREFIX),
+        Sample::written("key-heartbeats", HEARTBEAT_PREFIX),
+        Sample::written("key-heartbeat", heartbeat_key(&node())),
+        Sample::written("key-estimates", ESTIMATES_PREFIX),
+        Sample::written("key-relay", RELAY_PREFIX),
+        Sample::written("key-versions", VERSION_PREFIX),
+        Sample::written("key-version", version_key(&node())),
+        Sample::written("key-jobs", JOB_PREFIX),
+        Sample::written("key-job", job_key(&job())),
+        Sample::written("key-chunks", CHUNK_PREFIX),
+        Sample::written("key-chunk", chunk_key(&job(), 3)),
+        Sample::written("key-pieces", PIECE_PREFIX),
+        Sample::written("key-piece", piece_key(&job(), 3)),
+        Sample::written("key-parts", PART_PREFIX),
+        Sample::written("key-part", part_key(&job(), "0123456789abcdef", 3)),
+        Sample::written("key-drains", DRAIN_PREFIX),
+        Sample::written("key-drain-zone", drains::key(DrainKind::Zone, "a")),
+        Sample::written("key-drain-machine", drains::key(DrainKind::Machine, "a")),
+        Sample::written("key-drain-controller", drains::key(DrainKind::Controller, "a")),
+        Sample::written("tag-flavor", tag(&"g8".to_owned())),
+    ]
+}
+
+/// The state service's client when it has read these rows, under revisions from 1 on.
+fn loaded(rows: Vec<(String, Data)>, now: Instant) -> StateCore {
+    let limits = KeptLimits {
+        rps: 150.0,
+        write_rps: 60.0,
+        txn_ops: 12,
+        value_max: 14_000,
+        first_max: 14_000,
+        chunk: 16_384,
+    };
+    let mut core = StateCore::new(limits, vec![node()], 0, now);
+    core.poll(now);
+    let (id, call) = core.calls.pop_front().expect("it reads pages first");
+    assert!(matches!(call, StateCall::Range { after: None }));
+    let rows = (1..).zip(rows).map(|(rev, (key, data))| Row { key, data, rev: Revision(rev) });
+    let page = Page { rows: rows.collect(), truncated: false, rev: Revision(100) };
+    core.on_reply(id, StateReply::Page(page), now);
+    assert!(core.cache.loaded);
+    core
+}
+
+fn committed(call: StateCall) -> Txn {
+    let StateCall::Commit(transaction) = call else { panic!("not a commit: {call:?}") };
+    transaction
+}
+
+/// What a controller writes to lead, to show that it lives, and to tell what it reads.
+fn controllers() -> Vec<Sample> {
+    let now = Instant::now();
+    let lease = StateReply::Lease(LeaseId(9));
+    let cache: Cache = loaded(vec![(TOKEN_KEY.into(), Data::from(40))], now).cache;
+
+    let mut election = Election::new(node(), 0, 0, now);
+    let asking = election.poll(&cache, false, now).remove(0);
+    let (mut calls, _) = election.on_reply(&asking, now, &lease, &cache, now);
+    let campaign = committed(calls.remove(0));
+
+    let mut heartbeat = Heartbeat::new(&node(), now);
+    let version = (version_record(), Revision(12));
+    let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
+    heartbeat.on_reply(&asking, now, &lease, now);
+    let first_beat = committed(heartbeat.poll(Revision(0), Some(&version), now).unwrap());
+
+    let mut core = loaded(Vec::new(), now);
+    core.tell_version();
+    core.calls.clear();
+    core.poll(now + Duration::from_secs(5));
+    let told = core.calls.into_iter().map(|(_, call)| call);
+    let told = told.filter(|call| matches!(call, StateCall::Commit(_))).map(committed).next();
+    vec![
+        Sample::cbor("commit-campaign", &campaign),
+        Sample::cbor("commit-heartbeat", &first_beat),
+        Sample::cbor("commit-version", &told.expect("it tells its version")),
+    ]
+}
+
+/// The values that a leader writes when it has seen two runs of one job.
+fn estimates() -> Vec<Sample> {
+    let profile = Profile {
+        job: "wk-000412",
+        class: "nightly",
+        team: "team-a",
+        image: "img-07",
+        size: [1_500_000, 0, 3_000_000],
+        expect_s: 40.0,
+        tasks: 20,
+    };
+    let mut shown = Current::default();
+    [30.0, 40.0, 50.0].into_iter().for_each(|run_s| shown.ended(run_s));
+    let mut learner = Learner::default();
+    learner.learn(&profile, &shown, 490_000);
+    learner.learn(&profile, &shown, 490_024);
+    let names = ["estimates-1", "estimates-2", "estimates-3", "estimates-4"];
+    let writes = (0..).step_by(60_000).map_while(|ms| learner.keeper.poll(41, 14_000, ms));
+    let writes: Vec<_> = writes.collect();
+    assert_eq!(writes.len(), names.len());
+    let value = |(name, write): (&'static str, troutspindle_estimates::Write)| {
+        let bucket = Bucket::decode(&write.value).expect("readable estimates");
+        let line = format!("{:02x}:{}", write.bucket, write.value);
+        let stamp_and_runs = |bucket: &Bucket| {
+            (bucket.stamp, bucket.len(), bucket.runs().copied().collect::<Vec<_>>())
+        };
+        let expected = stamp_and_runs(&bucket);
+        Sample::read_by(name, line, &expected, move |bytes| {
+            let (_, text) = std::str::from_utf8(bytes).ok()?.split_once(':')?;
+            Some(stamp_and_runs(&Bucket::decode(text).ok()?))
+        })
+    };
+    names.into_iter().zip(writes).map(value).collect()
+}
+
+pub fn samples() -> Vec<Sample> {
+    let groups = [
+        records(),
+        keys(),
+        first_layout(),
+        small_job(),
+        cancelled_job(),
+        large_job(),
+        controllers(),
+        estimates(),
+    ];
+    groups.into_iter().flatten().collect()
+}
+
+fn golden_data(name: &str) -> Data {
+    wire::decode(&golden_bytes(name)).unwrap()
+}
+
+/// A controller that starts finds each record under its key.
+#[test]
+fn records_are_found_under_their_keys() {
+    let drain_key = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
+    let row = |key: &str, data: Data| (key.to_owned(), data);
+    let rows = vec![
+        row("t/a/leader", golden_data("record-leader")),
+        row("t/a/token", Data::from(41)),
+        row("t/a/flavors", golden_data("record-flavors")),
+        row("t/a/f/0123456789abcdef", golden_data("record-flavor")),
+        row("t/a/p/n-1", Data::Bool(true)),
+        row("t/a/v/n-1", golden_data("record-version")),
+        row("t/e/1f", Data::from("learned")),
+        row("t/m/i-000231", golden_data("record-machine")),
+        row("t/x/n-2/n-1", Data::from("00")),
+        row(&drain_key, golden_data("record-drain-zone")),
+    ];
+    let core = loaded(rows, Instant::now());
+    let cache = core.cache;
+    assert_eq!(cache.leader, Some((leader_record(), Revision(1))));
+    assert_eq!(cache.token, (Token(41), Revision(2)));
+    assert_eq!(cache.flavors, (vec![flavor()], Revision(3)));
+    assert_eq!(cache.flavor_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
+    assert_eq!(cache.heartbeats.get(&node()), Some(&Revision(5)));
+    assert_eq!(cache.versions.get(&node()), Some(&(version_record(), Revision(6))));
+    assert_eq!(cache.estimates.get(&0x1f), Some(&(Some("learned".into()), Revision(7))));
+    let machine = cache.machines.get(&MachineId::new("i-000231"));
+    assert_eq!(machine, Some(&(machine_record(), Revision(8))));
+    assert_eq!(cache.relayed, [("n-2/n-1".into(), "00".into())]);
+    let drain = cache.drains.get(&drain_key);
+    assert_eq!(drain, Some(&(drain_record(DrainKind::Zone), Revision(10))));
+}
+
+/// Each change of a large job, read from the fixture in the order in which it was committed.
+#[test]
+fn a_large_job_is_read_from_what_was_written_of_it() {
+    let mut jobs = Jobs::new(SECOND_SMALL.chunk);
+    for (rev, name) in (1..).zip(["job-large-parts", "job-large-accept", "job-large-pieces"]) {
+        let written: Txn = wire::decode(&golden_bytes(name)).unwrap();
+        let change = jobs::Change { guards: written.guards, writes: written.writes };
+        apply(&mut jobs, &change, rev);
+    }
+    let live = jobs.get(&job()).unwrap().live().unwrap();
+    assert_eq!(*live.spec, JobSpec { tasks: 10_000, needs: None, ..job_spec() });
+    let done: Vec<u32> = (0..10_000).filter(|task| live.is_done(*task)).collect();
+    assert_eq!((live.accepted_ms, done), (ACCEPTED_MS, vec![0, 4095, 4096, 9999]));
+}
+
+/// Records of jobs that are over, read from the fixture.
+#[test]
+fn a_job_that_is_over_is_read_with_what_may_still_run_of_it() {
+    for (name, over, left) in
+        [("job-done", (JobStatus::Done, 20), 3), ("job-cancelled", (JobStatus::Cancelled, 1), 19)]
+    {
+        let written: Txn = wire::decode(&golden_bytes(name)).unwrap();
+        let mut jobs = Jobs::new(SECOND.chunk);
+        let change = jobs::Change { guards: written.guards, writes: written.writes };
+        apply(&mut jobs, &change, 1);
+        let known = jobs.get(&job()).unwrap();
+        assert_eq!((known.over(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
+        let jobs::JobBody::Over { rest: Some(rest), .. } = &known.body else { panic!("{name}") };
+        assert_eq!((&*rest.team, rest.tasks), ("team-a", Some(left)), "{name}");
+        assert_eq!((rest.need.cpu, rest.need.gpu, rest.need.ram), (1_500_000, 250_000, 3_100_000));
+    }
+}
