--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -12,16 +12,16 @@
 use tokio::time::Instant;
 use troutspindle::clock::Wall;
 use troutspindle::cloud::CloudCall;
-use troutspindle::delivery::Direct;
+use troutspindle::controller::{Effect, Event, FIRST_TICKET, Node};
 use troutspindle::http::{Method, Request, Response};
 use troutspindle::ids::{Attempt, LeaseId, MachineId, Revision, TaskId, Token};
-use troutspindle::node::{Effect, Event, FIRST_TICKET, Node};
 use troutspindle::settings::Settings;
-use troutspindle::state::{StateCall, StateReply};
+use troutspindle::store::{StateCall, StateReply};
 use troutspindle::wire::{
     self, Change, Flavor, Flavors, JobSpec, Listed, ListedState, MachineNames, MachinePage, News,
     Order, Orders, Page, Report, ReportedTask, Shape, TaskState, Urgency, Write,
 };
+use troutspindle::workers::command_delivery::Direct;
 
 /// Count. Machines if none are named.
 const MACHINES: usize = 571;
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -6,13 +6,13 @@
 use tokio::time::Instant;
 use troutspindle::clock::Wall;
 use troutspindle::cloud::{CloudCore, CloudEvent, Kind};
-use troutspindle::fleet::Life;
 use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
-use troutspindle::records::{self, Record};
 use troutspindle::scheduler::Scheduler;
 use troutspindle::settings::Settings;
-use troutspindle::state::StateCore;
+use troutspindle::store::StateCore;
+use troutspindle::store::records::{self, Record};
 use troutspindle::wire::{Flavor, JobSpec, Order, Report, ReportedTask, Shape, TaskState, Urgency};
+use troutspindle::workers::machine::Life;
 
 const MACHINES: u64 = 1400;
 const WAITING: u64 = 100_000;
--- a/crates/estimates/benches/estimates.rs
+++ b/crates/runtime-estimates/benches/estimates.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BatchSize, Criterion, Throughput, criterion_group, criterion_main};
 use std::hint::black_box;
-use troutspindle_estimates::{Current, Learner, Profile, remaining};
+use troutspindle_runtime_estimates::{Current, Learner, Profile, remaining};
 
 const CLASSES: usize = 300;
 
--- a/crates/estimates/src/play.rs
+++ b/crates/runtime-estimates/src/play.rs
@@ -75,45 +75,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn centre(within: f64) -> Centre {
-        Centre { ln: 60f64.ln(), sd: 0.1, within }
-    }
-
-    #[test]
-    fn equal_tasks_end_in_rounds() {
-        let half = |running: &[f64], waiting: u64| {
-            remaining(&centre(0.02), running, waiting, 4).point(0.5)
-        };
-        assert!((half(&[], 8) / 120.0 - 1.0).abs() < 0.08);
-        assert!((half(&[], 9) / 180.0 - 1.0).abs() < 0.08);
-        let rest = remaining(&centre(0.02), &[45.0; 4], 0, 4);
-        let (low, half, high) = (rest.point(0.1), rest.point(0.5), rest.point(0.9));
-        assert!(low < half && half < high && (half - 15.0).abs() < 4.0, "{low} {half} {high}");
-        assert_eq!((rest.later_than(0.0), rest.later_than(100.0)), (1.0, 0.0));
-    }
-
-    /// What is reckoned as a stream ends when the same tasks played one by one do.
-    #[test]
-    fn a_large_array_ends_when_its_tasks_played_one_by_one_do() {
-        let mut random = StdRng::seed_from_u64(1);
-        let mut ends = vec![0.0f64; 40];
-        for _ in 0..20_000 {
-            let free = ends.iter().enumerate().min_by(|a, b| a.1.total_cmp(b.1)).unwrap().0;
-            ends[free] += (60f64.ln() + 0.5 * shape::point(random.random())).exp();
-        }
-        let last = ends.iter().copied().fold(0.0, f64::max);
-        let half = remaining(&centre(0.5), &[], 20_000, 40).point(0.5);
-        assert!((half / last - 1.0).abs() < 0.03, "{half} {last}");
-    }
-
-    #[test]
-    fn a_job_of_any_size_is_reckoned_at_once() {
-        let half = remaining(&centre(0.5), &[1.0; 50], u64::MAX / 2, 64).point(0.5);
-        assert!(half.is_finite() && half > 1e15);
-        assert_eq!(remaining(&centre(0.5), &[], 0, 0).point(0.9), 0.0);
-        assert!(remaining(&centre(0.5), &[], 100_000, u64::MAX).point(0.5) < 2000.0);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/runtime-estimates/src/shape/tests.rs
@@ -0,0 +1,11 @@
+use super::*;
+
+#[test]
+fn a_point_looked_up_is_the_point_itself() {
+    for n in 1..10_000 {
+        let share = f64::from(n) / 10_000.0;
+        assert!((quick_point(share) - point(share)).abs() < 0.01, "{share}");
+        assert!((below(point(share)) - share).abs() < 1e-9);
+    }
+    assert!(quick_point(0.0).is_finite() && quick_point(1.0).is_finite());
+}
--- /dev/null
+++ b/crates/runtime-estimates/src/value/tests.rs
@@ -0,0 +1,71 @@
+use super::*;
+use proptest::prelude::*;
+
+fn bucket(histories: u64, runs: u32) -> Bucket {
+    let mut bucket = Bucket::default();
+    for key in 0..histories {
+        for n in 0..runs {
+            let hour = 490_000 + n * 24 + key as u32;
+            let run = Run::new(hour, (n * 977) as u16, 50, 3.7, 0.4, Some(4.1));
+            bucket.add(key.wrapping_mul(0x9e37_79b9_7f4a_7c15), run);
+        }
+    }
+    bucket.errors[0].add(0.3);
+    bucket
+}
+
+#[test]
+fn a_value_is_read_as_it_was_written_and_a_full_history_takes_less_than_600_bytes() {
+    let mut full = bucket(20, 60);
+    let text = full.encode(usize::MAX);
+    assert_eq!(Bucket::decode(&text).unwrap(), full);
+    assert!(text.len() / 20 < 600, "{}", text.len() / 20);
+    // Where values are small the least used are forgotten.
+    let text = full.encode(1800);
+    assert!(text.len() <= 1800);
+    let left = Bucket::decode(&text).unwrap();
+    assert!(left.len() >= 3, "{}", left.len());
+    assert!(left.histories.values().all(|known| known.newest() > 490_000 + 59 * 24 + 10));
+}
+
+#[test]
+fn no_number_of_classes_takes_more_than_a_bounded_memory() {
+    let many = bucket(100_000 / u64::from(BUCKETS), 1);
+    assert_eq!(many.len(), HISTORIES_MAX);
+}
+
+proptest! {
+    #[test]
+    fn no_value_does_harm(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<usize>(), flip in 1u8.., cut in 0usize..400) {
+        let _ = Bucket::decode(&BASE64.encode(&bytes));
+        // With a right sum over hostile bytes.
+        let mut body = vec![FORMAT];
+        body.extend(&bytes);
+        let sum = check(&body);
+        body.extend(sum);
+        if let Ok(bucket) = Bucket::decode(&BASE64.encode(&body)) {
+            for history in bucket.histories.values() {
+                prop_assert!(history.is_sane());
+                history.believe(1, Some(3.0));
+            }
+        }
+        let text = bucket(3, 5).encode(usize::MAX);
+        let mut bytes = BASE64.decode(&text).unwrap();
+        let at = at % bytes.len();
+        bytes[at] ^= flip;
+        prop_assert!(Bucket::decode(&BASE64.encode(&bytes)).is_err());
+        prop_assert!(Bucket::decode(&text[..cut.min(text.len() - 1)]).is_err());
+    }
+}
+
+#[test]
+fn a_later_layout_is_told_from_damage() {
+    let mut bytes = BASE64.decode(bucket(1, 1).encode(usize::MAX)).unwrap();
+    bytes.truncate(bytes.len() - 4);
+    bytes[0] = FORMAT + 1;
+    let sum = check(&bytes);
+    bytes.extend(sum);
+    assert_eq!(Bucket::decode(&BASE64.encode(bytes)), Err(Unreadable::Later(FORMAT + 1)));
+    assert_eq!(Bucket::decode("%%%"), Err(Unreadable::Damaged));
+    assert_eq!(Bucket::decode(""), Err(Unreadable::Damaged));
+}
--- a/crates/emulator/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -88,7 +88,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(FOUND),
         Err(error) => {
-            eprintln!("troutspindle-scale: {error}");
+            eprintln!("troutspindle-scale-test: {error}");
             ExitCode::from(FAILED)
         }
     }
--- a/crates/emulator/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle::state::Bucket;
+use troutspindle::store::Bucket;
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::MachineId;
 use troutspindle_protocol::wire::{
--- a/crates/emulator/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service by PROTOCOL over HTTP: the store of `troutspindle-standins` with real time, limits, follows
+//! The state service by PROTOCOL over HTTP: the store of `troutspindle-simulation` with real time, limits, follows
 //! and outages around it.
 
 use crate::constants::*;
@@ -8,11 +8,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle::state::{Bucket, LEADER_KEY, LeaderRecord};
+use troutspindle::store::{Bucket, LEADER_KEY, LeaderRecord};
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::{LeaseId, NodeName, Revision};
 use troutspindle_protocol::wire::{self, Committed, LeaseLife, LeaseName, Page, Row, Txn};
-use troutspindle_standins::{CommitError, Store};
+use troutspindle_simulation::{CommitError, Store};
 
 /// Count. Connections to the service, and requests read ahead.
 const CONNECTIONS: usize = 2000;
--- a/crates/emulator/tests/capacity_page.rs
+++ b/crates/scale-test/tests/capacity_page.rs
@@ -1,7 +1,7 @@
 //! The capacity page holds just what the reports beside it give.
 
 use std::path::PathBuf;
-use troutspindle_emulator::capacity::{read, tables};
+use troutspindle_scale_test::capacity::{read, tables};
 
 #[test]
 fn the_capacity_page_agrees_with_its_reports() {
--- a/crates/emulator/tests/fit.rs
+++ b/crates/scale-test/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Lines fitted to measured points.
 
-use troutspindle_emulator::capacity::fit;
+use troutspindle_scale_test::capacity::fit;
 
 #[test]
 fn a_line_is_found_with_its_residual() {
--- a/crates/emulator/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -3,12 +3,12 @@
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use troutspindle_emulator::report::Report;
-use troutspindle_emulator::scenario::Scenario;
+use troutspindle_scale_test::report::Report;
+use troutspindle_scale_test::scenario::Scenario;
 
 /// The controllers' program that was built beside this test.
 fn controller() -> PathBuf {
-    let scale = Path::new(env!("CARGO_BIN_EXE_troutspindle-scale"));
+    let scale = Path::new(env!("CARGO_BIN_EXE_troutspindle-scale-test"));
     let path = scale.with_file_name("troutspindle");
     assert!(path.is_file(), "{} is missing: run `cargo build` first", path.display());
     path
@@ -21,7 +21,7 @@
 fn run(name: &str, more: &[&str]) -> (std::process::Output, PathBuf) {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let out = dir.with_extension("report.json");
-    let output = Command::new(env!("CARGO_BIN_EXE_troutspindle-scale"))
+    let output = Command::new(env!("CARGO_BIN_EXE_troutspindle-scale-test"))
         .arg("run")
         .arg(scenario("small.yaml"))
         .arg("--controller")
@@ -74,7 +74,7 @@
     for text in ["controllers: from 1 to 20", "lease_s", "class service: cpus"] {
         assert!(found.contains(text), "{found}");
     }
-    let output = Command::new(env!("CARGO_BIN_EXE_troutspindle-scale"))
+    let output = Command::new(env!("CARGO_BIN_EXE_troutspindle-scale-test"))
         .args(["run", scenario("small.yaml").to_str().unwrap(), "--controller", "/nowhere"])
         .output()
         .unwrap();
--- a/crates/standins/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -8,10 +8,11 @@
 use crate::World;
 use std::fs::OpenOptions;
 use std::io::Write as _;
-use troutspindle::delivery::Direct;
+use troutspindle::controller::Effect;
 use troutspindle::http::{Method, Request, Response};
-use troutspindle::node::Effect;
-use troutspindle::{mesh, wire};
+use troutspindle::workers::command_delivery::Direct;
+use troutspindle::peers::mesh;
+use troutspindle::wire;
 use xxhash_rust::xxh3::Xxh3;
 
 /// Names the file to which digests are appended.
--- a/crates/standins/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -14,24 +14,24 @@
 pub use troutspindle::clock::Wall;
 pub use troutspindle::cloud::CloudCall;
 pub use troutspindle::constants::NO_CAPACITY;
-pub use troutspindle::delivery::Direct;
+pub use troutspindle::controller::{Effect, Event, Node};
 pub use troutspindle::drains::{self, DrainRecord};
 pub use troutspindle::http::{CallError, Method, Request, Response};
 pub use troutspindle::ids::{
     Attempt, JobId, LeaseId, MachineId, NodeName, Revision, TaskId, Token,
 };
-pub use troutspindle::mesh::MeshMessage;
-pub use troutspindle::node::{Effect, Event, Node};
-pub use troutspindle::records::json_len;
+pub use troutspindle::peers::mesh::MeshMessage;
 pub use troutspindle::settings::Settings;
-pub use troutspindle::state::{StateCall, StateReply};
+pub use troutspindle::store::records::json_len;
+pub use troutspindle::store::{StateCall, StateReply};
 pub use troutspindle::wire::{
     self, Change, Data, Flavor, Flavors, JobSpec, JobStatus, JobView, Listed, ListedState,
     MachineNames, MachinePage, Misdirected, News, Order, Orders, Page, Report, ReportedTask, Row,
     Shape, TaskState, Urgency, Write,
 };
-pub use troutspindle_estimates::Bucket;
+pub use troutspindle::workers::command_delivery::Direct;
 pub use troutspindle_protocol::ops::DrainKind;
+pub use troutspindle_runtime_estimates::Bucket;
 
 pub use aims::Aims;
 pub use faults::seeds_asked;
@@ -717,7 +717,7 @@
 
     pub fn mesh(&mut self, from: usize, to: &NodeName, message: MeshMessage) {
         let to: usize = to.as_str()[2..].parse().unwrap();
-        let text = troutspindle::mesh::to_text(&message).unwrap();
+        let text = troutspindle::peers::mesh::to_text(&message).unwrap();
         assert!(!self.old[to] || production::reads(&text), "production cannot read {message:?}");
         let copy = self.about_sharing(&message);
         let due = Due::Node(to, self.incarnation[to], Event::Mesh(message));
--- a/crates/spindlectl/src/ask.rs
+++ b/crates/troutspindlectl/src/ask.rs
@@ -21,7 +21,7 @@
     Shut(SocketAddr),
     #[error("{0}: does not lead; give all controllers, each with --controller")]
     NoLeader(SocketAddr),
-    #[error("{0}: another order came first; look at `spindlectl drains` and give yours again")]
+    #[error("{0}: another order came first; look at `troutspindlectl drains` and give yours again")]
     Conflict(SocketAddr),
     #[error(
         "{0}: knows no such thing to drain, or nothing of it is drained; names are those of the settings"
--- a/crates/spindlectl/src/cli.rs
+++ b/crates/troutspindlectl/src/cli.rs
@@ -12,7 +12,7 @@
 
 /// The operators' command of troutspindle.
 #[derive(Parser)]
-#[command(name = "spindlectl", version)]
+#[command(name = "troutspindlectl", version)]
 struct Cli {
     /// How results are written.
     #[arg(long, value_enum, default_value_t = Output::Text, global = true)]
@@ -323,7 +323,7 @@
             clap_complete::generate(
                 shell,
                 &mut Cli::command(),
-                "spindlectl",
+                "troutspindlectl",
                 &mut std::io::stdout(),
             );
             Ok(())
@@ -335,7 +335,7 @@
     match carry_out(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("spindlectl: {error}");
+            eprintln!("troutspindlectl: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/spindlectl/src/lib.rs
+++ b/crates/troutspindlectl/src/lib.rs
@@ -1,4 +1,4 @@
-//! `spindlectl`, the operators' own command: what heavy libraries are for (plots, reports, distributions)
+//! `troutspindlectl`, the operators' own command: what heavy libraries are for (plots, reports, distributions)
 //! lives here and never in the service.
 #![forbid(unsafe_code)]
 
--- a/crates/spindlectl/src/main.rs
+++ b/crates/troutspindlectl/src/main.rs
@@ -1,5 +1,5 @@
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
-    spindlectl::cli::run()
+    troutspindlectl::cli::run()
 }
--- a/crates/spindlectl/src/past.rs
+++ b/crates/troutspindlectl/src/past.rs
@@ -6,7 +6,7 @@
 use std::io::{BufRead, Write};
 use std::ops::Add;
 use std::path::Path;
-use troutspindle_estimates::Profile;
+use troutspindle_runtime_estimates::Profile;
 
 /// One job as it went.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
 
 #[derive(Debug, thiserror::Error)]
 pub enum PastError {
-    #[error("{0}: {1}; name a file that `spindlectl estimates generate` wrote")]
+    #[error("{0}: {1}; name a file that `troutspindlectl estimates generate` wrote")]
     File(String, std::io::Error),
     #[error("{0}, line {1}: {2}; each line is one job as JSON, see docs/estimates/operations.md")]
     Line(String, usize, serde_json::Error),
--- a/crates/spindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
-use troutspindle_estimates::{Current, Grade, Learner, hour_of, remaining};
+use troutspindle_runtime_estimates::{Current, Grade, Learner, hour_of, remaining};
 
 /// How estimates of one grade did.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -287,7 +287,7 @@
 fn place([p10, p50, p90]: &[f64; 3], truth: f64) -> f64 {
     let off = truth.ln() - p50.ln();
     let side = if off < 0.0 { p50.ln() - p10.ln() } else { p90.ln() - p50.ln() };
-    troutspindle_estimates::below(off / (side / 1.2816).max(1e-6))
+    troutspindle_runtime_estimates::below(off / (side / 1.2816).max(1e-6))
 }
 
 fn look_at(
@@ -363,31 +363,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::generate::generate;
-
-    /// What an estimate says must not depend on what comes after: a history cut short gives the same
-    /// figures for the days that it has.
-    #[test]
-    fn nothing_looks_ahead() {
-        let jobs = generate(3, 14, 10, || ());
-        let until = jobs.iter().position(|job| job.at_s > BEGIN_S + 9.0 * DAY_S).unwrap();
-        let (whole, part) = (replay(&jobs, || ()), replay(&jobs[..until], || ()));
-        assert_eq!(whole.days[..8], part.days[..8]);
-        assert!(part.without_history > 0);
-        assert_eq!(part.without_history, part.without_history_unknown);
-    }
-
-    #[test]
-    fn a_course_keeps_its_width_and_repeats_what_was_stopped() {
-        let mut job = generate(3, 2, 2, || ()).remove(0);
-        job.run_s = vec![10.0, 10.0, 10.0];
-        job.stopped = vec![(1, 4.0)];
-        (job.width, job.cancelled) = (2, None);
-        let course = course(&job);
-        assert_eq!(course.end_s, [10.0, 14.0, 20.0]);
-        let (shown, running, waiting) = course.look(&job, 11.0);
-        assert_eq!((shown.count(), running, waiting), (1, vec![7.0, 1.0], 0));
-    }
-}
+mod tests;
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,15 +1,15 @@
 //! Users' requests: a core that decides each answer from the cache, after a read-index sync or a
 //! commit where the answer needs one.
 
+use crate::admission::{Need, come_back_s};
 use crate::clock::Wall;
 use crate::constants::*;
-use crate::heartbeat::{Given, Missing, Promises};
 use crate::http::{Method, Request, Response};
 use crate::ids::{Amount, JobId, NodeName};
 use crate::jobs::{self, Accept, Job, Jobs};
-use crate::limits::{Need, come_back_s};
+use crate::leadership::controller_lease::{Given, Missing, Promises};
 use crate::settings::Settings;
-use crate::state::{Item, Origin, Outcome, Rank, StateCore};
+use crate::store::{Item, Origin, Outcome, Rank, StateCore};
 use crate::wire::{self, Flavor, JobName, JobSpec, JobStatus, JobView, Shape};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::ids::{NodeName, Revision};
-use crate::records::{self, FORMAT, VersionRecord};
-use crate::state::{FLAVORS_KEY, StateCall, StateEvent, StateReply};
+use crate::store::records::{self, FORMAT, VersionRecord};
+use crate::store::{FLAVORS_KEY, StateCall, StateEvent, StateReply};
 use crate::wire::Data;
 use std::time::Duration;
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -95,7 +95,7 @@
         // A task like all others: a future that the runtime blocks on has it look at sockets and timers once more
         // before it is polled, for each event.
         let serve = |runtime: Runtime| {
-            runtime.block_on(async { tokio::spawn(crate::node::run(settings)).await })?
+            runtime.block_on(async { tokio::spawn(crate::controller::run(settings)).await })?
         };
         match runtime.and_then(serve) {
             Ok(()) => ExitCode::SUCCESS,
--- a/src/node.rs
+++ b/src/controller.rs
@@ -1,27 +1,27 @@
 //! One controller: the cores put together, and the actor that carries their effects out.
 
+use crate::admission::{Ceiling, Inbox, Need, Pace, Sockets, come_back_s, read_together};
 use crate::api::{Api, Route, need, route};
 use crate::clock::Wall;
 use crate::cloud::{CloudCall, CloudCore, CloudEvent};
 use crate::constants::*;
-use crate::delegation::DelegatedLease;
-use crate::delivery::Direct;
 use crate::drains::{self, DrainRecord};
-use crate::election::{Election, ElectionEvent};
-use crate::heartbeat::Heartbeat;
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
 use crate::ids::{JobId, MachineId, NodeName, Revision, Token};
 use crate::jobs;
-use crate::limits::{Ceiling, Inbox, Need, Pace, Sockets, come_back_s, read_together};
-use crate::mesh::{self, MeshMessage, PeerExtra, Pieces};
-use crate::records;
+use crate::leadership::controller_lease::Heartbeat;
+use crate::leadership::delegation::DelegatedLease;
+use crate::leadership::election::{Election, ElectionEvent};
+use crate::peers::mesh::{self, MeshMessage, PeerExtra, Pieces};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
-use crate::state::{
+use crate::store::records;
+use crate::store::{
     FLAVOR_PREFIX, FLAVORS_KEY, Item, Origin, Outcome, RELAY_PREFIX, Rank, StateCall, StateCore,
     StateEvent, StateReply,
 };
 use crate::wire::{self, Data, Guard, Misdirected, Orders, Report, Write};
+use crate::workers::command_delivery::Direct;
 use foldhash::{HashMap, HashMapExt};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -35,7 +35,7 @@
 use tokio::time::Instant;
 use troutspindle_protocol::ops;
 
-use sharing::Sharing;
+use relayed_heartbeats::Sharing;
 
 /// What happens to a controller.
 #[derive(Debug)]
@@ -671,10 +671,10 @@
 }
 
 mod actor;
-mod operators;
-mod peers;
-mod reports;
-mod sharing;
+mod operator_requests;
+mod peer_messages;
+mod relayed_heartbeats;
+mod worker_heartbeats;
 
 pub use actor::run;
 
@@ -682,4 +682,4 @@
 mod tests;
 
 #[cfg(test)]
-mod sharing_tests;
+mod relayed_heartbeats_tests;
--- a/src/node/sharing.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -1,16 +1,16 @@
 //! Reports shared out among the controllers: who takes whose, and what passes between them and the leader.
 //!
 //! The leader permits it for a short term at a time where its own sockets or processor would not do, and tells who
-//! the members are. Members pass reports on ([`crate::relay`]) and send commands for it ([`crate::delivery`]).
+//! the members are. Members pass reports on ([`crate::peers::heartbeat_relay`]) and send commands for it ([`crate::workers::command_delivery`]).
 
-use super::reports::redirect;
+use super::worker_heartbeats::redirect;
 use super::*;
-use crate::delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
-use crate::limits::Load;
-use crate::membership::{self, Candidate, LeaderView, Membership, Redirects};
-use crate::mesh::PeerExtra;
-use crate::relay::{RelayedReport, ReportRelay, Verdict};
+use crate::admission::Load;
+use crate::peers::heartbeat_relay::{RelayedReport, ReportRelay, Verdict};
+use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
+use crate::peers::mesh::PeerExtra;
 use crate::settings::ShareReports;
+use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
 
 /// All that this controller knows of shared reports, in whatever role.
 pub(super) struct Sharing {
--- a/src/node/sharing_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -1,7 +1,7 @@
 //! Who passes reports on, and whose passed-on reports are answered.
 
 use super::*;
-use crate::relay::RelayedReport;
+use crate::peers::heartbeat_relay::RelayedReport;
 
 /// A controller with four others, which has read an empty store.
 fn node(now: Instant) -> Node {
@@ -114,7 +114,7 @@
     let now = Instant::now();
     let mut node = node(now);
     node.state.cache.token = (Token(5), Revision(3));
-    let command = |number: u64| crate::delivery::Delivery {
+    let command = |number: u64| crate::workers::command_delivery::Delivery {
         number,
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".parse().unwrap(),
@@ -133,8 +133,8 @@
 fn a_report_too_large_to_be_passed_on_is_answered() {
     let now = Instant::now();
     let mut node = node(now);
-    let member = crate::membership::Member { name: name(0), zone: "a".into(), weight: 1000 };
-    let members = crate::membership::Membership(vec![member]);
+    let member = crate::peers::membership::Member { name: name(0), zone: "a".into(), weight: 1000 };
+    let members = crate::peers::membership::Membership(vec![member]);
     node.sharing.relay.on_term(Token(1), name(0), members, now);
     let task = |index: u32| wire::ReportedTask {
         task: crate::ids::TaskId { job: JobId::new("wk-1"), index },
--- a/src/node/tests.rs
+++ b/src/controller/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::records::{FORMAT, VersionRecord};
+use crate::store::records::{FORMAT, VersionRecord};
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
 /// have come with the first's list of barred machines, and been acknowledged.
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -1,7 +1,7 @@
 //! Drains as they are kept at the state service: what operators ordered, until they take it back. Versions
 //! before this one pass the keys over and go on placing tasks there while they lead.
 
-use crate::records;
+use crate::store::records;
 use crate::wire::Data;
 use serde::{Deserialize, Serialize};
 use troutspindle_protocol::ops::DrainKind;
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,10 +1,12 @@
 //! Jobs as this process knows them, and how they change. How they are kept is in
-//! [`crate::records`], who waits for whom in [`crate::pipelines`].
+//! [`crate::store::records`], who waits for whom in [`crate::jobs::dag`].
+
+pub mod dag;
 
 use crate::constants::BODY_MAX;
 use crate::ids::{Amount, JobId, Revision};
-use crate::pipelines::{self, Fate, Links};
-use crate::records::{
+use crate::jobs::dag::{Fate, Links};
+use crate::store::records::{
     self, CHUNK_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, PIECE_TASKS, Parts, Phase, RECORD_TASKS,
     Record, data, job_key,
 };
@@ -470,7 +472,7 @@
         }
         let needs = live.needs().to_vec();
         let fate = |need: &JobId| self.all.get(need).map_or(Fate::Open, Job::fate);
-        let standing = pipelines::standing(needs.iter().map(fate));
+        let standing = dag::standing(needs.iter().map(fate));
         for need in needs.iter().filter(|need| fate(need) == Fate::Open) {
             self.links.add(id, need);
         }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -232,9 +232,9 @@
     assert_eq!(jobs.tidy(1000).len(), store.keys.len() - 1);
 }
 
-fn alone(job: &LiveJob) -> pipelines::Carried {
+fn alone(job: &LiveJob) -> dag::Carried {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
-    pipelines::Carried { urgency: job.spec.urgency, due_ms }
+    dag::Carried { urgency: job.spec.urgency, due_ms }
 }
 
 fn length_ms(job: &LiveJob) -> u64 {
@@ -242,7 +242,7 @@
 }
 
 /// The plain model of what is carried back: by recursion over all that need the job.
-fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> pipelines::Carried {
+fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::Carried {
     let mut carried = alone(live[id]);
     for (other, job) in live.iter().filter(|(_, job)| job.needs().contains(id)) {
         let after = plain_carried(other, live);
@@ -344,7 +344,7 @@
             let mut memo = BTreeMap::new();
             let live: BTreeMap<&JobId, &LiveJob> =
                 jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let carried = pipelines::carry_back(&live, alone, |_, job| length_ms(job));
+            let carried = dag::carry_back(&live, alone, |_, job| length_ms(job));
             for (id, job) in &live {
                 let found = carried.get(*id).copied().unwrap_or_else(|| alone(job));
                 proptest::prop_assert_eq!(found, plain_carried(id, &live), "job {}", id);
@@ -393,11 +393,11 @@
                 apply(&mut jobs, &change, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let alone = |job: &LiveJob| pipelines::Carried {
+            let alone = |job: &LiveJob| dag::Carried {
                 urgency: job.spec.urgency,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
-            let carried = pipelines::carry_back(&live, alone, |_, _| 10);
+            let carried = dag::carry_back(&live, alone, |_, _| 10);
             let first = carried[&name(0)];
             assert_eq!(first.urgency, wire::Urgency::Production);
             let layers = if needs(4999).len() == 1 { 4999 } else { 999 };
--- a/src/heartbeat.rs
+++ b/src/leadership/controller_lease.rs
@@ -10,8 +10,8 @@
 
 use crate::constants::*;
 use crate::ids::{JobId, LeaseId, NodeName, Revision};
-use crate::records::{self, VersionRecord};
-use crate::state::{Cache, HEARTBEAT_PREFIX, StateCall, StateReply};
+use crate::store::records::{self, VersionRecord};
+use crate::store::{Cache, HEARTBEAT_PREFIX, StateCall, StateReply};
 use crate::wire::{Data, Guard, Txn, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -281,7 +281,7 @@
             if let (Some((leader, zones)), Some(zone)) = (placed, zone_of(peer))
                 && !zones.contains(&zone)
             {
-                guards.insert(crate::state::LEADER_KEY.into(), *leader);
+                guards.insert(crate::store::LEADER_KEY.into(), *leader);
                 continue;
             }
             match rev {
--- a/src/heartbeat/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::records::{self, FORMAT, VersionRecord};
+use crate::store::records::{self, FORMAT, VersionRecord};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/src/election.rs
+++ b/src/leadership/election.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::*;
 use crate::ids::{LeaseId, NodeName, Revision, Token};
-use crate::state::{Cache, LEADER_KEY, LeaderRecord, StateCall, StateReply, TOKEN_KEY};
+use crate::store::{Cache, LEADER_KEY, LeaderRecord, StateCall, StateReply, TOKEN_KEY};
 use crate::wire::{Data, Guard, Txn, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,31 +1,22 @@
 //! troutspindle: a cluster scheduler that places tasks on rented machines by capped, indexed
-//! first fit, after the GRMU paper. See `docs/design.md`.
+//! first fit, after the GRMU paper. `docs/ARCHITECTURE.md` shows how the modules work together.
 #![forbid(unsafe_code)]
 
 pub use troutspindle_protocol::{http, ids, wire};
 
+pub mod admission;
 pub mod api;
 pub mod cli;
 pub mod clock;
 pub mod cloud;
 pub mod constants;
-pub mod delegation;
-pub mod delivery;
+pub mod controller;
 pub mod drains;
-pub mod election;
-pub mod faults;
-pub mod fleet;
-pub mod heartbeat;
 pub mod jobs;
-pub mod limits;
-pub mod membership;
-pub mod mesh;
-pub mod node;
-pub mod pipelines;
+pub mod leadership;
+pub mod peers;
 pub mod placement;
-pub mod records;
-pub mod relay;
-pub mod room_index;
 pub mod scheduler;
 pub mod settings;
-pub mod state;
+pub mod store;
+pub mod workers;
--- a/src/relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -7,7 +7,7 @@
 
 use crate::constants::*;
 use crate::ids::{Attempt, MachineId, NodeName, TaskId, Token};
-use crate::membership::Membership;
+use crate::peers::membership::Membership;
 use crate::wire::{Order, Orders, Report, ReportedTask, TaskState};
 use foldhash::{HashMap, HashMapExt};
 use serde::{Deserialize, Serialize};
--- a/src/relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::fleet::{Heard, Machine};
-use crate::membership::Member;
+use crate::peers::membership::Member;
 use crate::wire::TaskState;
+use crate::workers::machine::{Heard, Machine};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -6,21 +6,21 @@
 use crate::clock::Wall;
 use crate::cloud::{CloudCore, CloudEvent, Kind};
 use crate::constants::*;
-use crate::delegation::Delegations;
-use crate::delivery::Direct;
-use crate::faults::Evidence;
-use crate::fleet::{Entry, Fact, Heard, Life, Machine, OVER, Stop};
 use crate::ids::{Amount, Attempt, JobId, MachineId, NodeName, Revision, TaskId, Token};
+use crate::jobs::dag::Carried;
 use crate::jobs::{self, Job, JobBody, LiveJob};
-use crate::mesh::MeshMessage;
-use crate::pipelines::Carried;
+use crate::leadership::delegation::Delegations;
+use crate::peers::mesh::MeshMessage;
 use crate::placement::{self, Ask, Basket, Bin, Claim, Input, Offer, Rents};
 use crate::settings::Settings;
-use crate::state::{
+use crate::store::{
     Bucket, Cache, Item, LEADER_KEY, MACHINE_PREFIX, MachineRecord, Origin, Outcome, Rank,
     StateCore,
 };
 use crate::wire::{Data, Flavor, Guard, Order, Orders, Report, Shape, TaskState, Urgency, Write};
+use crate::workers::command_delivery::Direct;
+use crate::workers::failure_attribution::Evidence;
+use crate::workers::machine::{Entry, Fact, Heard, Life, Machine, OVER, Stop};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,33 +29,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_elastic::Widths;
+use troutspindle_elastic_width::Widths;
 
-mod asks;
-mod chains;
+mod autoscaling;
+mod consolidation;
+mod dependencies;
 pub mod drains;
-mod elastic;
-mod holders;
-mod keeping;
-mod learning;
-mod leftover;
-mod lost;
-mod moves;
+mod elastic_width;
+mod fair_share;
+mod garbage_collection;
+mod job_machines;
+mod orphaned_tasks;
+mod persistence;
+mod placement_requests;
 mod planning;
-mod relayed;
-mod renting;
-mod reports;
-mod shortage;
-mod stops;
-mod tidy;
+mod preemption;
+mod reconciliation;
+mod relayed_heartbeats;
+mod runtime_prediction;
+mod unreachable;
 
 use drains::Draining;
-use holders::Holders;
-use learning::Learning;
-use leftover::Leftover;
-use shortage::{Group, Shortage};
-use stops::Stoppable;
-use tidy::Tidy;
+use fair_share::{Group, Shortage};
+use garbage_collection::Tidy;
+use job_machines::Holders;
+use orphaned_tasks::Leftover;
+use preemption::Stoppable;
+use runtime_prediction::Learning;
 
 /// Why a task was stopped, where the reason is asked for later.
 const PREEMPTED: &str = "preempted";
--- a/src/scheduler/chains.rs
+++ b/src/scheduler/dependencies.rs
@@ -1,7 +1,7 @@
 //! Jobs that others wait for: what they inherit, and how much time is left for them.
 
 use super::*;
-use crate::pipelines;
+use crate::jobs::dag;
 
 impl Scheduler {
     /// The urgency by which a job is ordered, stops others and is spared: the highest of its own and
@@ -41,7 +41,7 @@
         let learned = self.settings.operator.estimates.due;
         let length_ms =
             |id: &JobId, job: &LiveJob| self.length(id, job, learned).as_millis() as u64;
-        let carried = pipelines::carry_back(&jobs, alone, length_ms);
+        let carried = dag::carry_back(&jobs, alone, length_ms);
         let before = std::mem::replace(&mut self.carried, carried);
         for (id, job) in live {
             let old = before.get(*id).map_or(job.spec.urgency, |carried| carried.urgency);
--- a/src/scheduler/elastic.rs
+++ b/src/scheduler/elastic_width.rs
@@ -1,7 +1,7 @@
 //! Elastic jobs: how many more tasks of them run than they are served anyway.
 
 use super::*;
-use troutspindle_elastic::Grower;
+use troutspindle_elastic_width::Grower;
 
 impl Scheduler {
     pub(super) fn since_began(&self, now: Instant) -> Duration {
--- a/src/scheduler/shortage.rs
+++ b/src/scheduler/fair_share.rs
@@ -5,9 +5,9 @@
 //! scarce it changes nothing. Nothing is stored: a new leader works it out from records and reports.
 
 use super::*;
+use troutspindle_fair_share::constants::MACHINE;
+use troutspindle_fair_share::{Demand, Room, Scarcity, Standing, Supply, Turn};
 use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
-use troutspindle_scarcity::constants::MACHINE;
-use troutspindle_scarcity::{Demand, Room, Scarcity, Standing, Supply, Turn};
 
 /// A class, numbered, and a team.
 pub(super) type Group = (u32, usize);
--- a/src/scheduler/holders.rs
+++ b/src/scheduler/job_machines.rs
@@ -4,8 +4,8 @@
 //! decided here or from a report that showed it, and both are noted. Without it the end of each job took a look at
 //! every machine, which was a sixth of a leader's time at 5,600 machines and 60 jobs a second.
 
-use crate::fleet::Machine;
 use crate::ids::{JobId, MachineId};
+use crate::workers::machine::Machine;
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -279,7 +279,7 @@
 
         let mut asks: Vec<Ask> = Vec::new();
         let mut sources: Vec<Source> = Vec::new();
-        let mut weights: Vec<Option<shortage::Weight>> = Vec::new();
+        let mut weights: Vec<Option<fair_share::Weight>> = Vec::new();
         let mut wake: Option<Instant> = None;
         let growth = self.growth(&live, now);
         // Elastic jobs beyond their least width come after all that is served as usual.
--- a/src/scheduler/stops.rs
+++ b/src/scheduler/preemption.rs
@@ -14,7 +14,7 @@
     loss: f64,
     save_s: f64,
     /// Where room is scarce: whose floor it counts towards, and how much it takes up.
-    of: Option<(shortage::Group, u64)>,
+    of: Option<(fair_share::Group, u64)>,
 }
 
 /// A machine with tasks that could make way, those first that lose least for their size.
@@ -35,7 +35,7 @@
 pub(super) struct Stoppable {
     sources: Option<Vec<Source>>,
     /// What may make way of each group, where room is scarce.
-    spare: shortage::Spare,
+    spare: fair_share::Spare,
     /// Asks for which nothing could make way: room for others alike was looked for in vain, and what
     /// could make way only gets less within a pass.
     hopeless: Vec<Ask>,
@@ -51,17 +51,17 @@
 }
 
 /// Whether a group has so much above its floor.
-fn has_spare(spare: &shortage::Spare, group: shortage::Group, room: u64) -> bool {
+fn has_spare(spare: &fair_share::Spare, group: fair_share::Group, room: u64) -> bool {
     spare.as_ref().is_none_or(|spare| spare.get(&group).is_some_and(|spare| *spare >= room))
 }
 
 /// Takes what these take up from what their groups have above their floors, if it is there for all.
 fn spare_takes(
-    spare: &mut shortage::Spare,
-    victims: impl Iterator<Item = (shortage::Group, u64)>,
+    spare: &mut fair_share::Spare,
+    victims: impl Iterator<Item = (fair_share::Group, u64)>,
 ) -> bool {
     let Some(spare) = spare else { return true };
-    let mut sums: BTreeMap<shortage::Group, u64> = BTreeMap::new();
+    let mut sums: BTreeMap<fair_share::Group, u64> = BTreeMap::new();
     victims.for_each(|(group, room)| *sums.entry(group).or_default() += room);
     if sums.iter().any(|(group, room)| spare.get(group).is_none_or(|left| left < room)) {
         return false;
@@ -118,9 +118,9 @@
             && live.spec.image_gb / rate > within_s * FETCH_SHARE
     }
 
-    fn sources(&self, spare: &shortage::Spare, cache: &Cache, now: Instant) -> Vec<Source> {
+    fn sources(&self, spare: &fair_share::Spare, cache: &Cache, now: Instant) -> Vec<Source> {
         let sizes: Vec<Amount> = (0..self.flavors.len()).map(|f| self.size(f)).collect();
-        let largest = shortage::largest(&sizes);
+        let largest = fair_share::largest(&sizes);
         let knows = self.settings.operator.estimates.make_way;
         let mut sources = Vec::new();
         for machine in self.machines.values().filter(|m| self.takes_work(m, now)) {
--- a/src/scheduler/relayed.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -4,7 +4,7 @@
 //! about a worker is decided anywhere else.
 
 use super::*;
-use crate::relay::{RelayedOrder, RelayedReport, Verdict};
+use crate::peers::heartbeat_relay::{RelayedOrder, RelayedReport, Verdict};
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
--- a/src/scheduler/learning.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -2,12 +2,12 @@
 //! has a switch of its own in the operators' settings.
 
 use super::*;
-use crate::state::ESTIMATES_PREFIX;
+use crate::store::ESTIMATES_PREFIX;
 use crate::wire::JobSpec;
-use troutspindle_estimates::{
+use troutspindle_protocol::ops::{AtRisk, RiskyJob};
+use troutspindle_runtime_estimates::{
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
 };
-use troutspindle_protocol::ops::{AtRisk, RiskyJob};
 
 /// What was seen of a job's run under this leader.
 #[derive(Debug)]
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::records;
 use crate::settings::plain_flavor as flavor;
+use crate::store::records;
 use crate::wire::{JobSpec, ReportedTask};
 use troutspindle_protocol::ops::Starving;
 
@@ -393,7 +393,7 @@
     let id = bench.job(id, Shape::Array, 4);
     let live = bench.state.cache.jobs.get(&id).and_then(Job::live).unwrap();
     let spec = &live.spec;
-    let profile = troutspindle_estimates::Profile {
+    let profile = troutspindle_runtime_estimates::Profile {
         job: "x",
         class: &spec.class,
         team: &spec.team,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -90,7 +90,7 @@
     /// The same by the limit in force. What the version before this one has to read cannot be made
     /// smaller, and no limit changes while it serves.
     pub first_max: usize,
-    /// Tasks to a chunk of the first layout of done marks ([`crate::records`]): a mark takes a quarter
+    /// Tasks to a chunk of the first layout of done marks ([`crate::store::records`]): a mark takes a quarter
     /// of a byte in hexadecimal, and a quarter of the value is planned for them. The version before
     /// this one reckons so, and does not know of limits to come.
     pub chunk: u32,
--- a/src/state.rs
+++ b/src/store.rs
@@ -1,13 +1,13 @@
 //! The state-service client: a core without clock or I/O that owns the cache, the budget, the
-//! read-index and the group commit. The actor in [`crate::node`] carries its calls out.
+//! read-index and the group commit. The actor in [`crate::controller`] carries its calls out.
 
 use crate::constants::*;
 use crate::drains::DRAIN_PREFIX;
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{JobId, LeaseId, MachineId, NodeName, Revision, Token};
 use crate::jobs::{self, Jobs};
-use crate::records::{self, FORMAT, Layout, VERSION_PREFIX, VersionRecord};
 use crate::settings::KeptLimits;
+use crate::store::records::{FORMAT, Layout, VERSION_PREFIX, VersionRecord};
 use crate::wire::{self, Committed, Data, Flavor, LeaseLife, LeaseName, Txn, Write};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use rand::rngs::StdRng;
@@ -18,6 +18,7 @@
 use tokio::time::Instant;
 
 mod cache;
+pub mod records;
 
 pub use cache::Cache;
 
--- a/src/state/cache.rs
+++ b/src/store/cache.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::drains::{self, DRAIN_PREFIX, DrainRecord};
-use crate::records::{JOB_PREFIX, VERSION_PREFIX};
+use crate::store::records::{JOB_PREFIX, VERSION_PREFIX};
 use troutspindle_protocol::ops::DrainKind;
 
 /// What this process knows of the state service's content.
--- a/src/records.rs
+++ b/src/store/records.rs
@@ -28,7 +28,7 @@
 pub const VERSION_PREFIX: &str = "t/a/v/";
 
 /// The newest format that this program reads and writes: 1 brought the second layout, 2 heartbeats
-/// ([`crate::heartbeat`]). Production knows none: 0.
+/// ([`crate::leadership::controller_lease`]). Production knows none: 0.
 pub const FORMAT: u32 = crate::constants::FORMAT_HEARTBEAT;
 
 /// Count. Tasks up to which the done marks stand in the job's record in both layouts.
@@ -210,19 +210,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_description_of_any_text_is_split_and_put_together_again() {
-        let mut spec = crate::jobs::plain_spec("wk-1", 3);
-        spec.class = "\"\\\u{1}ž😀".repeat(40);
-        spec.flavors = Some((0..32).map(|n| format!("{n}{}", "ü\"".repeat(60))).collect());
-        for most in [100, 700, 1900] {
-            let (_, parts) = spec_parts(&spec, most);
-            assert!(parts.iter().all(|part| json_len(part) <= most), "{most}");
-            let whole = spec_of(parts.iter().map(String::as_str)).unwrap();
-            assert_eq!(whole, spec);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/store/records/tests.rs
@@ -0,0 +1,14 @@
+use super::*;
+
+#[test]
+fn a_description_of_any_text_is_split_and_put_together_again() {
+    let mut spec = crate::jobs::plain_spec("wk-1", 3);
+    spec.class = "\"\\\u{1}ž😀".repeat(40);
+    spec.flavors = Some((0..32).map(|n| format!("{n}{}", "ü\"".repeat(60))).collect());
+    for most in [100, 700, 1900] {
+        let (_, parts) = spec_parts(&spec, most);
+        assert!(parts.iter().all(|part| json_len(part) <= most), "{most}");
+        let whole = spec_of(parts.iter().map(String::as_str)).unwrap();
+        assert_eq!(whole, spec);
+    }
+}
--- a/src/delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -6,7 +6,7 @@
 use crate::constants::*;
 use crate::http::CallError;
 use crate::ids::{MachineId, NodeName, Token};
-use crate::relay::{FullReport, RelayedOrder};
+use crate::peers::heartbeat_relay::{FullReport, RelayedOrder};
 use crate::wire::{Order, Orders, Report};
 use foldhash::{HashMap, HashMapExt};
 use serde::{Deserialize, Serialize};
--- a/tests/aimed.rs
+++ b/tests/aimed.rs
@@ -1,7 +1,7 @@
 //! Meetings brought about on purpose: the second trouble is aimed at the milliseconds in which the first one
 //! matters, and a day in which a trouble did not take effect fails. `docs/meetings.md` says what each is about.
 
-use troutspindle_standins::*;
+use troutspindle_simulation::*;
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,6 +1,6 @@
-//! Days of troubles with three controllers in the simulated world of `crates/standins`.
+//! Days of troubles with three controllers in the simulated world of `crates/simulation`.
 
-use troutspindle_standins::*;
+use troutspindle_simulation::*;
 
 /// Pipelines of five jobs, one after another: a first one, three that need it and a closing one.
 /// Of the last pipelines, first, middle or closing jobs are cancelled.
@@ -570,8 +570,11 @@
     let (author, reason) = ("an operator".into(), "new floor".into());
     let by_ms = by_ms.map(|ms| at_ms + ms);
     let record = DrainRecord { kind, name: name.into(), by_ms, at_ms, author, reason };
-    let put =
-        Write::Put { key: key.clone(), data: troutspindle::records::data(&record), hold: None };
+    let put = Write::Put {
+        key: key.clone(),
+        data: troutspindle::store::records::data(&record),
+        hold: None,
+    };
     let write = if on { put } else { Write::Delete { key: key.clone() } };
     let txn = wire::Txn { guards: vec![wire::Guard { key, rev }], writes: vec![write] };
     assert!(matches!(world.commit(txn), StateReply::Committed(_)));
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,7 +1,7 @@
 //! Two or three troubles meet: the second falls into each phase of the first (before it is noticed, while
 //! leases run, in the election, after the take-over). `docs/meetings.md` says what each meeting is about.
 
-use troutspindle_standins::*;
+use troutspindle_simulation::*;
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
 use troutspindle::jobs::{self, Accept, Jobs};
-use troutspindle::mesh;
-use troutspindle::records::{JOB_PREFIX, Layout};
-use troutspindle::state::{FLAVORS_KEY, LEADER_KEY, LeaderRecord, MachineRecord, TOKEN_KEY};
+use troutspindle::peers::mesh;
+use troutspindle::store::records::{JOB_PREFIX, Layout};
+use troutspindle::store::{FLAVORS_KEY, LEADER_KEY, LeaderRecord, MachineRecord, TOKEN_KEY};
 use troutspindle::wire::{self, Data, Flavor, JobSpec, JobStatus, Shape, Urgency, Write};
 
 /// While any controller of production may be there.
@@ -161,7 +161,10 @@
     for (number, lose) in [(1, false), (2, true), (3, false)] {
         let text = mesh::to_text(&message(number)).unwrap();
         let sent = mesh::in_pieces(&text, number, 1800);
-        assert!(sent.len() > 5 && sent.iter().all(|p| troutspindle::records::json_len(p) <= 1800));
+        assert!(
+            sent.len() > 5
+                && sent.iter().all(|p| troutspindle::store::records::json_len(p) <= 1800)
+        );
         let sent = sent.iter().enumerate().filter(|(n, _)| !(lose && *n == 2));
         let got: Vec<String> = sent.filter_map(|(_, piece)| pieces.take(piece)).collect();
         let whole: Vec<_> = got.iter().filter_map(|text| mesh::from_text(text)).collect();
--- a/tests/refused_leader.rs
+++ b/tests/refused_leader.rs
@@ -1,7 +1,7 @@
 //! The state service refuses the leader alone, another controller confirms cancellations, and then the
 //! service is down for all, longer than `cancel_s`, while workers go on reporting to the old leader.
 
-use troutspindle_standins::*;
+use troutspindle_simulation::*;
 
 const REFUSED_AT: u64 = 30_000;
 /// Longer than a cancelled job has, and than any bound of the controllers.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: faults are named, the example file equals the defaults.
 
-use troutspindle::limits::read_together;
+use troutspindle::admission::read_together;
 use troutspindle::settings::{Operator, Settings};
 
 const PLATFORM: &str = r#"{
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -1,7 +1,7 @@
 //! Reports shared out among the controllers, with troubles at the moments in which something passes between them.
 //! `docs/scale/design.md` has the sentences that are held here; each names its test.
 
-use troutspindle_standins::*;
+use troutspindle_simulation::*;
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -8,12 +8,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
-use troutspindle::delivery::{Delivery, DeliveryResult};
 use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
-use troutspindle::membership::{Member, Membership};
-use troutspindle::mesh::{MeshMessage, PeerExtra, dial, from_text, in_pieces, serve, to_text};
-use troutspindle::relay::{FullReport, RelayedOrder, RelayedReport, Verdict};
+use troutspindle::peers::heartbeat_relay::{FullReport, RelayedOrder, RelayedReport, Verdict};
+use troutspindle::peers::membership::{Member, Membership};
+use troutspindle::peers::mesh::{
+    MeshMessage, PeerExtra, dial, from_text, in_pieces, serve, to_text,
+};
 use troutspindle::wire;
+use troutspindle::workers::command_delivery::{Delivery, DeliveryResult};
 
 const TOKEN: Token = Token(41);
 
--- a/tests/wire_format/operators.rs
+++ b/tests/wire_format/operators.rs
@@ -4,11 +4,11 @@
 use crate::sample::Sample;
 use std::collections::BTreeMap;
 use troutspindle::ids::JobId;
-use troutspindle_estimates::Grade;
 use troutspindle_protocol::ops::{
     AtRisk, DEMAND_FIELD, DemandLine, Drain, DrainKind, DrainName, DrainOrder, Drains, GroupDemand,
     Question, RiskyJob, Starving, StarvingGroup,
 };
+use troutspindle_runtime_estimates::Grade;
 
 const KEY: &str = "a key of sixteen or more";
 
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -7,7 +7,7 @@
 use troutspindle::cloud::{CloudCall, Kind};
 use troutspindle::http::{Method, Request};
 use troutspindle::ids::{JobId, LeaseId, Revision};
-use troutspindle::state::StateCall;
+use troutspindle::store::StateCall;
 
 /// Method and target in a line, and the body behind it.
 fn request(name: &'static str, request: &Request) -> Sample {
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -7,23 +7,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
-use troutspindle::election::Election;
-use troutspindle::heartbeat::{Heartbeat, heartbeat_key};
 use troutspindle::ids::{JobId, LeaseId, MachineId, NodeName, Revision, Token};
 use troutspindle::jobs::{self, Accept, Jobs};
-use troutspindle::records::{
+use troutspindle::leadership::controller_lease::{Heartbeat, heartbeat_key};
+use troutspindle::leadership::election::Election;
+use troutspindle::settings::KeptLimits;
+use troutspindle::store::records::{
     CHUNK_PREFIX, JOB_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, Parts, Phase, Record,
     VERSION_PREFIX, VersionRecord, chunk_key, job_key, part_key, piece_key, tag, version_key,
 };
-use troutspindle::settings::KeptLimits;
-use troutspindle::state::{
+use troutspindle::store::{
     Cache, ESTIMATES_PREFIX, FLAVOR_PREFIX, FLAVORS_KEY, HEARTBEAT_PREFIX, LEADER_KEY,
     LeaderRecord, MACHINE_PREFIX, MachineRecord, PREFIX, RELAY_PREFIX, StateCall, StateCore,
     StateReply, TOKEN_KEY,
 };
 use troutspindle::wire::{self, Data, JobSpec, JobStatus, Page, Row, Txn, Write};
-use troutspindle_estimates::{Bucket, Current, Learner, Profile};
 use troutspindle_protocol::ops::DrainKind;
+use troutspindle_runtime_estimates::{Bucket, Current, Learner, Profile};
 
 const ACCEPTED_MS: u64 = 1_700_000_000_000;
 const ENDED_MS: u64 = 1_700_000_300_000;
@@ -346,7 +346,7 @@
     let writes = (0..).step_by(60_000).map_while(|ms| learner.keeper.poll(41, 14_000, ms));
     let writes: Vec<_> = writes.collect();
     assert_eq!(writes.len(), names.len());
-    let value = |(name, write): (&'static str, troutspindle_estimates::Write)| {
+    let value = |(name, write): (&'static str, troutspindle_runtime_estimates::Write)| {
         let bucket = Bucket::decode(&write.value).expect("readable estimates");
         let line = format!("{:02x}:{}", write.bucket, write.value);
         let stamp_and_runs = |bucket: &Bucket| {
