--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -10,18 +10,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::clock::Wall;
-use troutspindle::cloud::CloudCall;
-use troutspindle::controller::{Effect, Event, FIRST_TICKET, Node};
+use troutspindle::clock::WallClock;
+use troutspindle::cloud::CloudRequest;
+use troutspindle::controller::{Controller, Effect, Event, FIRST_TICKET};
 use troutspindle::http::{Method, Request, Response};
-use troutspindle::ids::{Attempt, LeaseId, MachineId, Revision, TaskId, Token};
+use troutspindle::ids::{Attempt, FencingToken, LeaseId, MachineId, Revision, TaskId};
 use troutspindle::settings::Settings;
-use troutspindle::store::{StateCall, StateReply};
+use troutspindle::store::{StoreRequest, StoreResponse};
 use troutspindle::wire::{
-    self, Change, Flavor, Flavors, JobSpec, Listed, ListedState, MachineNames, MachinePage, News,
-    Order, Orders, Page, Report, ReportedTask, Shape, TaskState, Urgency, Write,
+    self, Change, CommandBatch, Heartbeat, JobKind, JobSpec, ListedMachine, ListedMachineState,
+    MachineIds, MachinePage, MachineType, MachineTypes, Priority, RangeResponse, TaskState,
+    TaskStatus, WatchResponse, WorkerCommand, Write,
 };
-use troutspindle::workers::command_delivery::Direct;
+use troutspindle::workers::command_delivery::DirectCall;
 
 /// Count. Machines if none are named.
 const MACHINES: usize = 571;
@@ -45,30 +46,30 @@
 #[derive(Default)]
 struct Worker {
     seq: u64,
-    token: Token,
+    token: FencingToken,
     tasks: BTreeMap<TaskId, (Attempt, u64, bool)>,
 }
 
 impl Worker {
     /// Takes orders; a task fetches its image until the next report, runs for its time and has ended.
-    fn execute(&mut self, orders: &Orders, at: u64) {
+    fn execute(&mut self, orders: &CommandBatch, at: u64) {
         self.token = self.token.max(orders.token);
         for order in &orders.orders {
             match order {
-                Order::Start { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     self.tasks.entry(task.clone()).or_insert((*attempt, at, false));
                 }
-                Order::Stop { task, .. } => {
+                WorkerCommand::Stop { task, .. } => {
                     if let Some(run) = self.tasks.get_mut(task) {
                         run.2 = true;
                     }
                 }
-                Order::Forget { task, .. } => drop(self.tasks.remove(task)),
+                WorkerCommand::Forget { task, .. } => drop(self.tasks.remove(task)),
             }
         }
     }
 
-    fn report(&mut self, n: usize, at: u64) -> Report {
+    fn report(&mut self, n: usize, at: u64) -> Heartbeat {
         self.seq += 1;
         let shown = |(task, (attempt, began, halted)): (&TaskId, &(Attempt, u64, bool))| {
             let service = task.job.as_str() < "wk-001000";
@@ -79,15 +80,15 @@
                 _ => TaskState::Running,
             };
             let why = ended.then(|| if *halted { "halted" } else { "done" }.to_owned());
-            ReportedTask { task: task.clone(), attempt: *attempt, state, why, saved: None }
+            TaskStatus { task: task.clone(), attempt: *attempt, state, why, saved: None }
         };
-        Report {
+        Heartbeat {
             machine: name(n),
             address: format!("127.0.0.1:{}", 10_000 + n),
             flavor: "f".into(),
             zone: ["a", "b"][n % 2].into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: self.seq,
             token: self.token,
             notice_s: None,
@@ -105,8 +106,8 @@
         id: troutspindle::ids::JobId::new(&format!("wk-{n:06}")),
         class: "c".into(),
         team: "t".into(),
-        shape: if service { Shape::Service } else { Shape::Array },
-        urgency: if service { Urgency::Production } else { Urgency::High },
+        shape: if service { JobKind::Service } else { JobKind::Array },
+        urgency: if service { Priority::Production } else { Priority::High },
         tasks: TASKS,
         cpus: 4.0,
         gpus: 0.0,
@@ -122,20 +123,20 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         due_s: None,
-        needs: None,
+        depends_on: None,
     }
 }
 
 /// What comes next, in order of time; equal times in the order in which they were set.
 enum Due {
     Tick,
-    Report(usize),
+    Heartbeat(usize),
     Job(usize, bool),
     Event(&'static str, Box<Event>),
 }
 
 struct Day {
-    node: Node,
+    node: Controller,
     base: Instant,
     at: u64,
     due: BTreeMap<u64, Due>,
@@ -177,7 +178,7 @@
         match effect {
             Effect::Reply(ticket, response) => {
                 if let Some(n) = self.hello.remove(&ticket)
-                    && let Ok(orders) = wire::decode::<Orders>(&response.body)
+                    && let Ok(orders) = wire::decode::<CommandBatch>(&response.body)
                 {
                     self.workers[n].execute(&orders, self.at);
                 }
@@ -187,23 +188,23 @@
                 let response = Response::with(200, self.cloud(&call));
                 self.soon("cloud", Event::Cloud(id, Ok(response)));
             }
-            Effect::Direct(machine, _, direct) => {
+            Effect::DirectCall(machine, _, direct) => {
                 let n: usize = machine.as_str()[2..].parse().unwrap();
                 let sent = match direct {
-                    Direct::Do(orders) => Some(orders),
-                    Direct::Status => None,
+                    DirectCall::Do(orders) => Some(orders),
+                    DirectCall::Status => None,
                 };
                 sent.iter().for_each(|orders| self.workers[n].execute(orders, self.at));
                 let report = self.workers[n].report(n, self.at);
-                self.soon("answer to a call", Event::Direct(machine, sent, Ok(report)));
+                self.soon("answer to a call", Event::DirectCall(machine, sent, Ok(report)));
             }
             Effect::Mesh(..) => {}
         }
     }
 
-    fn store(&mut self, id: u64, call: StateCall) {
+    fn store(&mut self, id: u64, call: StoreRequest) {
         let reply = match call {
-            StateCall::Commit(txn) => {
+            StoreRequest::Commit(txn) => {
                 self.rev += 1;
                 let rev = Revision(self.rev);
                 for write in txn.writes {
@@ -218,36 +219,41 @@
                 }
                 if let Some((id, after)) = self.follow.take() {
                     let news = self.news_after(after);
-                    self.soon("news of the store", Event::State(id, StateReply::News(news)));
+                    self.soon(
+                        "news of the store",
+                        Event::State(id, StoreResponse::WatchResponse(news)),
+                    );
                 }
-                StateReply::Committed(rev)
+                StoreResponse::Committed(rev)
             }
-            StateCall::Follow { after, wait } if !wait.is_zero() && after.0 >= self.rev => {
+            StoreRequest::Follow { after, wait } if !wait.is_zero() && after.0 >= self.rev => {
                 self.follow = Some((id, after.0));
                 return;
             }
-            StateCall::Follow { after, .. } => {
-                let news = StateReply::News(self.news_after(after.0));
+            StoreRequest::Follow { after, .. } => {
+                let news = StoreResponse::WatchResponse(self.news_after(after.0));
                 return self.soon("news of the store", Event::State(id, news));
             }
-            StateCall::Range { .. } => {
-                StateReply::Page(Page { rows: vec![], truncated: false, rev: Revision(self.rev) })
-            }
-            StateCall::NewLease(_) => StateReply::Lease(LeaseId(7)),
-            StateCall::Touch(_) | StateCall::DropLease(_) => StateReply::Done,
+            StoreRequest::Range { .. } => StoreResponse::RangeResponse(RangeResponse {
+                rows: vec![],
+                truncated: false,
+                rev: Revision(self.rev),
+            }),
+            StoreRequest::NewLease(_) => StoreResponse::Lease(LeaseId(7)),
+            StoreRequest::Touch(_) | StoreRequest::DropLease(_) => StoreResponse::Done,
         };
         self.soon("answer of the store", Event::State(id, reply));
     }
 
-    fn news_after(&self, after: u64) -> News {
+    fn news_after(&self, after: u64) -> WatchResponse {
         let from = self.news.partition_point(|change| change.rev.0 <= after);
-        News { rev: Revision(self.rev), news: self.news[from..].to_vec() }
+        WatchResponse { rev: Revision(self.rev), news: self.news[from..].to_vec() }
     }
 
-    fn cloud(&self, call: &CloudCall) -> Vec<u8> {
+    fn cloud(&self, call: &CloudRequest) -> Vec<u8> {
         match call {
-            CloudCall::Flavors => wire::encode(&Flavors {
-                flavors: vec![Flavor {
+            CloudRequest::MachineTypes => wire::encode(&MachineTypes {
+                flavors: vec![MachineType {
                     name: "f".into(),
                     cpus: 16.0,
                     gpus: 0.0,
@@ -260,17 +266,17 @@
                     zones: vec!["a".into(), "b".into()],
                 }],
             }),
-            CloudCall::Hire(..) | CloudCall::Delete(_) => {
-                wire::encode(&MachineNames { machines: vec![] })
+            CloudRequest::RentalRequest(..) | CloudRequest::Delete(_) => {
+                wire::encode(&MachineIds { machines: vec![] })
             }
-            CloudCall::List { .. } => {
-                let row = |n: usize| Listed {
+            CloudRequest::List { .. } => {
+                let row = |n: usize| ListedMachine {
                     machine: name(n),
                     address: None,
                     flavor: "f".into(),
                     zone: ["a", "b"][n % 2].into(),
                     spot: false,
-                    status: ListedState::Running,
+                    status: ListedMachineState::Running,
                     age_s: self.at as f64 / 1000.0,
                 };
                 let machines = (0..self.workers.len()).map(row).collect();
@@ -295,12 +301,12 @@
                 let next = self.node.next_tick(now).saturating_duration_since(now);
                 self.set(self.at + (next.as_millis() as u64).max(1), Due::Tick);
             }
-            Due::Report(n) => {
+            Due::Heartbeat(n) => {
                 let body = wire::encode(&self.workers[n].report(n, self.at));
                 // The ticket is known before the answer, which comes at once.
                 self.hello.insert(FIRST_TICKET + self.ticket + 1, n);
                 self.request("report", "/hello", body);
-                self.set(self.at + REPORT, Due::Report(n));
+                self.set(self.at + REPORT, Due::Heartbeat(n));
             }
             Due::Job(n, service) => {
                 let body = wire::encode(&job(n, service));
@@ -315,7 +321,8 @@
     let machines = std::env::args().find_map(|arg| arg.parse().ok()).unwrap_or(MACHINES);
     let settings = Arc::new(Settings::parse(SETTINGS, None).expect("settings"));
     let base = Instant::now();
-    let node = Node::new(settings, 1, Wall { at: base, ms: 1_700_000_000_000 }).expect("node");
+    let node =
+        Controller::new(settings, 1, WallClock { at: base, ms: 1_700_000_000_000 }).expect("node");
     let mut day = Day {
         node,
         base,
@@ -332,7 +339,7 @@
     };
     day.set(1, Due::Tick);
     for n in 0..machines {
-        day.set(3000 + n as u64 * REPORT / machines as u64, Due::Report(n));
+        day.set(3000 + n as u64 * REPORT / machines as u64, Due::Heartbeat(n));
     }
     for n in 0..SERVICES {
         day.set(4000 + n as u64 * 50, Due::Job(n, true));
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -4,15 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::clock::Wall;
-use troutspindle::cloud::{CloudCore, CloudEvent, Kind};
-use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
+use troutspindle::clock::WallClock;
+use troutspindle::cloud::{CloudClient, CloudEvent, MachinePool};
+use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
 use troutspindle::settings::Settings;
-use troutspindle::store::StateCore;
+use troutspindle::store::StoreClient;
 use troutspindle::store::records::{self, Record};
-use troutspindle::wire::{Flavor, JobSpec, Order, Report, ReportedTask, Shape, TaskState, Urgency};
-use troutspindle::workers::machine::Life;
+use troutspindle::wire::{
+    Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
+};
+use troutspindle::workers::machine::MachineState;
 
 const MACHINES: u64 = 1400;
 const WAITING: u64 = 100_000;
@@ -22,8 +24,8 @@
 
 struct Leader {
     scheduler: Scheduler,
-    state: StateCore,
-    cloud: CloudCore,
+    state: StoreClient,
+    cloud: CloudClient,
     now: Instant,
     rev: u64,
     jobs: u64,
@@ -48,9 +50,9 @@
         let settings = Arc::new(Settings::parse(&text, Some("floor: 0.7")).expect("settings"));
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
-        let mut state = StateCore::new(limits, vec![NodeName::new("n")], 1, now);
+        let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.flavors = (
-            vec![Flavor {
+            vec![MachineType {
                 name: "f".into(),
                 cpus: 16.0,
                 gpus: 0.0,
@@ -64,10 +66,11 @@
             }],
             Revision(1),
         );
-        let wall = Wall { at: now, ms: 0 };
-        let scheduler = Scheduler::new(Token(1), Revision(2), settings, &state.cache, wall, now);
-        let mut cloud = CloudCore::new(5.0, now);
-        cloud.lead(Token(1), now);
+        let wall = WallClock { at: now, ms: 0 };
+        let scheduler =
+            Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
+        let mut cloud = CloudClient::new(5.0, now);
+        cloud.lead(FencingToken(1), now);
         let mut leader = Leader { scheduler, state, cloud, now, rev: 10, jobs: 0 };
         let full = MACHINES - FREE;
         for n in 0..full {
@@ -81,8 +84,8 @@
             let id = MachineId::new(&format!("i-{n:06}"));
             let running =
                 leader.scheduler.machines.get_mut(&id).map(|m| m.orders()).into_iter().flatten();
-            let show = |order: Order| match order {
-                Order::Start { task, attempt } => Some(ReportedTask {
+            let show = |order: WorkerCommand| match order {
+                WorkerCommand::Start { task, attempt } => Some(TaskStatus {
                     task,
                     attempt,
                     state: TaskState::Running,
@@ -108,8 +111,8 @@
             id: id.clone(),
             class: format!("c{}", self.jobs % 3),
             team: format!("t{team}"),
-            shape: Shape::Array,
-            urgency: Urgency::High,
+            shape: JobKind::Array,
+            urgency: Priority::High,
             tasks,
             cpus: 4.0,
             gpus: 0.0,
@@ -125,7 +128,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             due_s: None,
-            needs: None,
+            depends_on: None,
         };
         with(&mut spec);
         let record = records::data(&Record::live(self.jobs, Some(Arc::new(spec))));
@@ -133,23 +136,23 @@
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
 
-    fn report(&mut self, n: u64, seq: u64, tasks: Vec<ReportedTask>) {
-        let report = Report {
+    fn report(&mut self, n: u64, seq: u64, tasks: Vec<TaskStatus>) {
+        let report = Heartbeat {
             machine: MachineId::new(&format!("i-{n:06}")),
             address: "127.0.0.1:9000".into(),
             flavor: "f".into(),
             zone: ["a", "b", "c"][n as usize % 3].into(),
             spot: n.is_multiple_of(3),
-            session: 1,
+            agent_epoch: 1,
             seq,
-            token: Token(1),
+            token: FencingToken(1),
             notice_s: None,
             tasks,
         };
         self.scheduler.on_report(&report, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.machines.get_mut(&report.machine) {
             machine.recorded = true;
-            assert_eq!(machine.life, Life::Up);
+            assert_eq!(machine.life, MachineState::Up);
         }
     }
 
@@ -166,18 +169,18 @@
         ("1,000 arrays and 1,000 services while room is scarce", |leader| {
             for zone in 0..3 {
                 for spot in [true, false] {
-                    let refused = CloudEvent::Refused(Kind { flavor: 0, zone, spot });
+                    let refused = CloudEvent::Refused(MachinePool { flavor: 0, zone, spot });
                     leader.scheduler.on_cloud(refused, &leader.state.cache, leader.now);
                 }
             }
-            let listed = CloudEvent::Listed(Vec::new(), leader.now);
+            let listed = CloudEvent::ListedMachine(Vec::new(), leader.now);
             leader.scheduler.on_cloud(listed, &leader.state.cache, leader.now);
             for n in 0..1000 {
                 leader.job(n % TEAMS, 60, |_| {});
                 leader.job(n % TEAMS, 9, |spec| {
                     spec.class = "service".into();
-                    spec.shape = Shape::Service;
-                    spec.urgency = Urgency::Production;
+                    spec.shape = JobKind::Service;
+                    spec.urgency = Priority::Production;
                     spec.spread = true;
                     spec.spot = false;
                 });
@@ -193,7 +196,7 @@
             for _ in 0..5000 {
                 leader.job(0, WAITING / 5000, |spec| {
                     spec.team = "guest".into();
-                    spec.urgency = Urgency::Low;
+                    spec.urgency = Priority::Low;
                     spec.cpus = 0.5;
                     spec.ram_gb = 1.0;
                 });
@@ -202,8 +205,8 @@
         ("6,250 services of 16 replicas", |leader| {
             for n in 0..6250 {
                 leader.job(n % TEAMS, 16, |spec| {
-                    spec.shape = Shape::Service;
-                    spec.urgency = Urgency::Production;
+                    spec.shape = JobKind::Service;
+                    spec.urgency = Priority::Production;
                     spec.spread = true;
                     spec.spot = false;
                 });
--- a/crates/protocol/src/http/tests.rs
+++ b/crates/protocol/src/http/tests.rs
@@ -44,7 +44,7 @@
             let _ = parse_request(bytes);
             let _ = parse_response(bytes);
             let _ = dechunk(bytes, 100);
-            let _ = crate::wire::decode::<crate::wire::Report>(bytes);
+            let _ = crate::wire::decode::<crate::wire::Heartbeat>(bytes);
             let _ = crate::wire::decode::<crate::wire::JobSpec>(bytes);
         }
         Ok(())
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -31,7 +31,7 @@
 name_type!(/// A rented machine, as the cloud named it.
     MachineId);
 name_type!(/// A controller.
-    NodeName);
+    ControllerId);
 
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
@@ -46,7 +46,7 @@
 }
 
 number_type!(/// The fencing token: rises with each leadership.
-    Token);
+    FencingToken);
 number_type!(/// A revision of the state service; 0 stands for "does not exist".
     Revision);
 number_type!(/// An attempt at a task; never used twice.
@@ -56,7 +56,7 @@
 
 impl Attempt {
     /// Attempts of one leadership lie in a range of their own, so no two leaders share one.
-    pub fn new(token: Token, counter: u64) -> Attempt {
+    pub fn new(token: FencingToken, counter: u64) -> Attempt {
         Attempt((token.0 << ATTEMPT_BITS) | counter)
     }
 }
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,6 +1,6 @@
 //! The messages of PROTOCOL, in its words on the wire and in the field's terms here.
 
-use crate::ids::{Attempt, JobId, LeaseId, MachineId, Revision, TaskId, Token};
+use crate::ids::{Attempt, FencingToken, JobId, LeaseId, MachineId, Revision, TaskId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     #[serde(rename = "sweep")]
     Array,
     #[serde(rename = "service")]
@@ -59,7 +59,7 @@
 
 /// Declared from most to least urgent, so that the derived order is the order of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Urgency {
+pub enum Priority {
     #[serde(rename = "critical")]
     Production,
     #[serde(rename = "high")]
@@ -79,8 +79,8 @@
     pub class: String,
     #[serde(rename = "owner")]
     pub team: String,
-    pub shape: Shape,
-    pub urgency: Urgency,
+    pub shape: JobKind,
+    pub urgency: Priority,
     #[serde(rename = "legs")]
     pub tasks: u64,
     #[serde(rename = "vcpus", deserialize_with = "amount")]
@@ -117,7 +117,7 @@
     pub due_s: Option<f64>,
     /// Jobs that have to be done before a task of this one starts.
     #[serde(rename = "waitsOn", default, skip_serializing_if = "Option::is_none")]
-    pub needs: Option<Vec<JobId>>,
+    pub depends_on: Option<Vec<JobId>>,
 }
 
 /// Only the name, for requests whose other fields may be broken.
@@ -163,7 +163,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     #[serde(rename = "leg")]
     pub task: TaskId,
     #[serde(rename = "try")]
@@ -177,7 +177,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "spindle")]
     pub machine: MachineId,
     #[serde(default)]
@@ -188,20 +188,20 @@
     #[serde(rename = "lendable")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
     pub seq: u64,
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "recallS", default, deserialize_with = "no_or_amount")]
     pub notice_s: Option<f64>,
     #[serde(rename = "legs", default)]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum WorkerCommand {
     #[serde(rename = "run")]
     Start {
         #[serde(rename = "leg")]
@@ -228,23 +228,23 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Orders {
+pub struct CommandBatch {
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     /// Only in direct commands.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
-    pub orders: Vec<Order>,
+    pub agent_epoch: Option<u64>,
+    pub orders: Vec<WorkerCommand>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Misdirected {
+pub struct NotLeader {
     #[serde(rename = "foreman")]
     pub leader: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct MachineType {
     pub name: String,
     #[serde(rename = "vcpus", deserialize_with = "amount")]
     pub cpus: f64,
@@ -267,7 +267,7 @@
 }
 
 /// Takes newer descriptions of machine types in. Known types keep their place, since others refer to it.
-pub fn merge(known: &mut Vec<Flavor>, found: Vec<Flavor>) {
+pub fn merge(known: &mut Vec<MachineType>, found: Vec<MachineType>) {
     for flavor in found {
         match known.iter_mut().find(|f| f.name == flavor.name) {
             Some(old) => *old = flavor,
@@ -277,12 +277,12 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Flavors {
-    pub flavors: Vec<Flavor>,
+pub struct MachineTypes {
+    pub flavors: Vec<MachineType>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hire {
+pub struct RentalRequest {
     #[serde(rename = "hire")]
     pub request: String,
     pub flavor: String,
@@ -300,21 +300,21 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     #[serde(rename = "spindles")]
     pub machines: Vec<MachineId>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
+pub enum ListedMachineState {
     Starting,
     Running,
     Failed,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "nameId")]
     pub machine: MachineId,
     #[serde(default)]
@@ -324,7 +324,7 @@
     pub zone: String,
     #[serde(rename = "lendable")]
     pub spot: bool,
-    pub status: ListedState,
+    pub status: ListedMachineState,
     #[serde(rename = "heldS", default, deserialize_with = "amount")]
     pub age_s: f64,
 }
@@ -332,7 +332,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachinePage {
     #[serde(rename = "spindles")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(default)]
     pub truncated: bool,
 }
@@ -368,7 +368,7 @@
 pub type Data = ciborium::Value;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     pub key: String,
     #[serde(rename = "keyRev")]
     pub rev: Revision,
@@ -399,13 +399,13 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Txn {
-    pub guards: Vec<Guard>,
+pub struct Transaction {
+    pub guards: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Committed {
+pub struct CommitResponse {
     #[serde(rename = "storeRev")]
     pub rev: Revision,
     #[serde(default)]
@@ -413,7 +413,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     pub key: String,
     pub data: Data,
     #[serde(rename = "keyRev")]
@@ -421,8 +421,8 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Page {
-    pub rows: Vec<Row>,
+pub struct RangeResponse {
+    pub rows: Vec<KeyValue>,
     #[serde(default)]
     pub truncated: bool,
     #[serde(rename = "storeRev")]
@@ -442,20 +442,20 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     #[serde(rename = "storeRev")]
     pub rev: Revision,
     pub news: Vec<Change>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LeaseLife {
+pub struct LeaseTtl {
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LeaseName {
+pub struct LeaseCreated {
     #[serde(rename = "hold")]
     pub lease: LeaseId,
 }
--- a/crates/protocol/src/wire/tests.rs
+++ b/crates/protocol/src/wire/tests.rs
@@ -8,12 +8,12 @@
         vec![0x7b, 0x10, 0, 0, 0, 0, 0, 0, 0, b'a'],
         vec![0x81; 60_000],
     ] {
-        assert!(decode::<Report>(&bytes).is_err());
+        assert!(decode::<Heartbeat>(&bytes).is_err());
         assert!(decode::<Data>(&bytes).is_err());
     }
-    let mut twice = encode(&LeaseLife { ttl_ms: 5 });
+    let mut twice = encode(&LeaseTtl { ttl_ms: 5 });
     twice.push(0);
-    assert!(decode::<LeaseLife>(&twice).is_err());
+    assert!(decode::<LeaseTtl>(&twice).is_err());
 }
 
 #[test]
@@ -29,6 +29,6 @@
             .chain([(Data::from("halls"), Data::Array(vec![]))])
             .collect(),
     );
-    let flavor: Flavor = decode(&encode(&value)).unwrap();
+    let flavor: MachineType = decode(&encode(&value)).unwrap();
     assert_eq!(flavor.cpus, 4.0);
 }
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -18,7 +18,8 @@
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::MachineId;
 use troutspindle_protocol::wire::{
-    self, CloudError, Flavor, Flavors, Hire, Listed, ListedState, MachineNames, MachinePage,
+    self, CloudError, ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType,
+    MachineTypes, RentalRequest,
 };
 
 /// Name of the one machine type.
@@ -238,7 +239,7 @@
     fn flavors(&mut self) -> Response {
         self.count("types");
         let machine = &self.setup.machine;
-        let flavor = Flavor {
+        let flavor = MachineType {
             name: FLAVOR.into(),
             cpus: machine.cpus,
             gpus: 0.0,
@@ -250,17 +251,19 @@
             boot_s: machine.boot_s,
             zones: self.setup.zones.clone(),
         };
-        Response::with(200, wire::encode(&Flavors { flavors: vec![flavor] }))
+        Response::with(200, wire::encode(&MachineTypes { flavors: vec![flavor] }))
     }
 
     fn hire(&mut self, request: &Request, now: Instant) -> Response {
         self.count("rental");
-        let Ok(hire) = wire::decode::<Hire>(&request.body) else { return Response::empty(400) };
+        let Ok(hire) = wire::decode::<RentalRequest>(&request.body) else {
+            return Response::empty(400);
+        };
         let Some(zone) = self.setup.zones.iter().position(|zone| *zone == hire.zone) else {
             return Response::empty(400);
         };
         if let Some(machines) = self.hires.get(&hire.request) {
-            return Response::with(200, wire::encode(&MachineNames { machines: machines.clone() }));
+            return Response::with(200, wire::encode(&MachineIds { machines: machines.clone() }));
         }
         let room = (self.setup.capacity as usize).saturating_sub(self.alive());
         let count = room.min(hire.count as usize);
@@ -276,7 +279,7 @@
             .collect();
         self.counters.rented += count as u64;
         self.hires.insert(hire.request, machines.clone());
-        Response::with(200, wire::encode(&MachineNames { machines }))
+        Response::with(200, wire::encode(&MachineIds { machines }))
     }
 
     /// When a machine that is rented now comes up, if ever.
@@ -339,7 +342,7 @@
 
     fn delete(&mut self, request: &Request, reply: oneshot::Sender<Response>, now: Instant) {
         self.count("deletion");
-        let Ok(names) = wire::decode::<MachineNames>(&request.body) else {
+        let Ok(names) = wire::decode::<MachineIds>(&request.body) else {
             return self.send(reply, Response::empty(400));
         };
         let index = self.deletes.len();
@@ -414,7 +417,7 @@
         let after = MachineId::new(after);
         let shown = self.machines.range(after.clone()..).filter(|(id, _)| **id > after);
         let mut shown = shown.filter_map(|(_, machine)| machine.listed(as_of));
-        let machines: Vec<Listed> = shown.by_ref().take(LIST_ROWS).collect();
+        let machines: Vec<ListedMachine> = shown.by_ref().take(LIST_ROWS).collect();
         let truncated = shown.next().is_some();
         Response::with(200, wire::encode(&MachinePage { machines, truncated }))
     }
@@ -422,17 +425,17 @@
 
 impl Rented {
     /// As the list described it at that time; None: not listed.
-    fn listed(&self, as_of: Instant) -> Option<Listed> {
+    fn listed(&self, as_of: Instant) -> Option<ListedMachine> {
         if self.rented > as_of {
             return None;
         }
         let status = match self.life {
             Life::Gone(at) if at <= as_of => return None,
-            Life::Failed(at) if at + FAILED_SHOWS_AFTER <= as_of => ListedState::Failed,
-            _ if self.up_at.is_some_and(|at| at <= as_of) => ListedState::Running,
-            _ => ListedState::Starting,
+            Life::Failed(at) if at + FAILED_SHOWS_AFTER <= as_of => ListedMachineState::Failed,
+            _ if self.up_at.is_some_and(|at| at <= as_of) => ListedMachineState::Running,
+            _ => ListedMachineState::Starting,
         };
-        Some(Listed {
+        Some(ListedMachine {
             machine: self.facts.id.clone(),
             address: Some(self.facts.address.to_string()),
             flavor: FLAVOR.into(),
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use tokio::process::{Child, Command};
-use troutspindle_protocol::ids::NodeName;
+use troutspindle_protocol::ids::ControllerId;
 
 /// The controllers of a run.
 pub struct Controllers {
@@ -22,7 +22,7 @@
 
 /// One controller and its process, if it runs.
 pub struct Controller {
-    pub name: NodeName,
+    pub name: ControllerId,
     pub public: SocketAddr,
     child: Option<Child>,
 }
@@ -35,8 +35,8 @@
 }
 
 /// Name of a controller by its number.
-fn name_of(number: u32) -> NodeName {
-    NodeName::new(&format!("spindle-{number}"))
+fn name_of(number: u32) -> ControllerId {
+    ControllerId::new(&format!("spindle-{number}"))
 }
 
 fn loopback(port: u16) -> SocketAddr {
@@ -179,7 +179,7 @@
     }
 
     /// The number of a controller.
-    pub fn number_of(&self, name: &NodeName) -> Option<usize> {
+    pub fn number_of(&self, name: &ControllerId) -> Option<usize> {
         self.list.iter().position(|controller| controller.name == *name)
     }
 }
--- a/crates/scale-test/src/judge.rs
+++ b/crates/scale-test/src/judge.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
-use troutspindle_protocol::ids::{Attempt, JobId, MachineId, TaskId, Token};
+use troutspindle_protocol::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
 
 /// What users were told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,7 +87,7 @@
     arrivals: u64,
     judged_us: u64,
     /// The newest token that any worker saw, and the first start under it.
-    pub tokens: Vec<(Token, u64, Option<u64>)>,
+    pub tokens: Vec<(FencingToken, u64, Option<u64>)>,
     pub violations: Vec<Violation>,
     /// Events that came too late to be put in order.
     pub late: u64,
@@ -188,7 +188,7 @@
                 Happening::Ended(task, attempt, completed) => {
                     self.on_ended(&event.machine, &task, attempt, completed);
                 }
-                Happening::Token(token) => {
+                Happening::FencingToken(token) => {
                     if self.tokens.last().is_none_or(|(last, ..)| *last < token) {
                         self.tokens.push((token, event.at_us, None));
                     }
--- a/crates/scale-test/src/link.rs
+++ b/crates/scale-test/src/link.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use troutspindle_protocol::ids::{Attempt, JobId, MachineId, NodeName, TaskId, Token};
+use troutspindle_protocol::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, TaskId};
 
 /// Bytes. A frame larger than this is a fault of its sender.
 const FRAME_MAX: usize = 4 * 1024 * 1024;
@@ -29,7 +29,7 @@
 /// What all workers have in common.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSettings {
-    pub controllers: Vec<(NodeName, SocketAddr)>,
+    pub controllers: Vec<(ControllerId, SocketAddr)>,
     pub report_s: f64,
     pub lease_s: f64,
     pub flavor: String,
@@ -67,7 +67,7 @@
     /// It is not on the machine any more; whether it completed.
     Ended(TaskId, Attempt, bool),
     /// The highest token seen in this process rose.
-    Token(Token),
+    FencingToken(FencingToken),
 }
 
 /// With the microseconds since 1970 at which it happened.
--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -10,8 +10,10 @@
 use tokio::time::Instant;
 use troutspindle::store::{Bucket, LEADER_KEY, LeaderRecord};
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
-use troutspindle_protocol::ids::{LeaseId, NodeName, Revision};
-use troutspindle_protocol::wire::{self, Committed, LeaseLife, LeaseName, Page, Row, Txn};
+use troutspindle_protocol::ids::{ControllerId, LeaseId, Revision};
+use troutspindle_protocol::wire::{
+    self, CommitResponse, KeyValue, LeaseCreated, LeaseTtl, RangeResponse, Transaction,
+};
 use troutspindle_simulation::{CommitError, Store};
 
 /// Count. Connections to the service, and requests read ahead.
@@ -47,7 +49,7 @@
     pub keys: u64,
     pub key_bytes: u64,
     #[serde(skip)]
-    pub leader: Option<NodeName>,
+    pub leader: Option<ControllerId>,
 }
 
 struct Follow {
@@ -170,7 +172,7 @@
 
     fn commit(&mut self, body: &[u8], now: Instant) -> Response {
         self.count("commit");
-        let Ok(txn) = wire::decode::<Txn>(body) else { return Response::empty(400) };
+        let Ok(txn) = wire::decode::<Transaction>(body) else { return Response::empty(400) };
         let writes = txn.writes.len() as f64;
         if !self.writes.has(writes, now) {
             return Response::empty(429);
@@ -186,10 +188,10 @@
         match committed {
             Ok(rev) => {
                 self.wake_follows(now);
-                Response::with(200, wire::encode(&Committed { rev, failed: Vec::new() }))
+                Response::with(200, wire::encode(&CommitResponse { rev, failed: Vec::new() }))
             }
             Err(CommitError::Conflict(failed)) => {
-                Response::with(409, wire::encode(&Committed { rev, failed }))
+                Response::with(409, wire::encode(&CommitResponse { rev, failed }))
             }
             Err(CommitError::TooLarge | CommitError::NoSuchLease) => Response::empty(400),
         }
@@ -197,11 +199,11 @@
 
     fn new_lease(&mut self, body: &[u8]) -> Response {
         self.count("lease");
-        let Ok(life) = wire::decode::<LeaseLife>(body) else { return Response::empty(400) };
+        let Ok(life) = wire::decode::<LeaseTtl>(body) else { return Response::empty(400) };
         self.store.next_lease += 1;
         let lease = self.store.next_lease;
         self.store.leases.insert(lease, (life.ttl_ms, self.now_ms() + life.ttl_ms));
-        Response::with(200, wire::encode(&LeaseName { lease: LeaseId(lease) }))
+        Response::with(200, wire::encode(&LeaseCreated { lease: LeaseId(lease) }))
     }
 
     fn touch(&mut self, lease: u64) -> Response {
@@ -224,14 +226,17 @@
         let from = if after.is_empty() { prefix.clone() } else { after.clone() };
         let found = self.store.keys.range(from..).filter(|(key, _)| **key > after);
         let mut found = found.take_while(|(key, _)| key.starts_with(&prefix));
-        let taken = found.by_ref().take(most).map(|(key, (data, rev, _))| Row {
+        let taken = found.by_ref().take(most).map(|(key, (data, rev, _))| KeyValue {
             key: key.clone(),
             data: data.clone(),
             rev: Revision(*rev),
         });
-        let rows: Vec<Row> = taken.collect();
+        let rows: Vec<KeyValue> = taken.collect();
         let truncated = found.next().is_some();
-        Response::with(200, wire::encode(&Page { rows, truncated, rev: Revision(self.store.rev) }))
+        Response::with(
+            200,
+            wire::encode(&RangeResponse { rows, truncated, rev: Revision(self.store.rev) }),
+        )
     }
 
     fn follow(&mut self, request: &Request, reply: oneshot::Sender<Response>, now: Instant) {
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use crate::judge::{JobRules, JudgeEvent, Told};
 use crate::link::{JobFacts, ToWorkers, now_us};
-use crate::scenario::{Class, Kind, Priority, Scenario};
+use crate::scenario::{Class, Kind, Priority as ScenarioPriority, Scenario};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use troutspindle_protocol::http::{Client, Method, Request, Response};
 use troutspindle_protocol::ids::JobId;
-use troutspindle_protocol::wire::{self, JobSpec, JobStatus, JobView, Shape, Urgency};
+use troutspindle_protocol::wire::{self, JobKind, JobSpec, JobStatus, JobView, Priority};
 
 /// Count. Idle connections of all users together.
 const IDLE_CONNECTIONS: usize = 400;
@@ -195,12 +195,12 @@
     random: StdRng,
 }
 
-fn urgency(priority: Priority) -> Urgency {
+fn urgency(priority: ScenarioPriority) -> Priority {
     match priority {
-        Priority::Production => Urgency::Production,
-        Priority::High => Urgency::High,
-        Priority::Normal => Urgency::Normal,
-        Priority::Low => Urgency::Low,
+        ScenarioPriority::Production => Priority::Production,
+        ScenarioPriority::High => Priority::High,
+        ScenarioPriority::Normal => Priority::Normal,
+        ScenarioPriority::Low => Priority::Low,
     }
 }
 
@@ -221,7 +221,7 @@
             id: JobId::new(&format!("wk-{number:06}")),
             class: class.name.clone(),
             team: team_name(team),
-            shape: if service { Shape::Service } else { Shape::Array },
+            shape: if service { JobKind::Service } else { JobKind::Array },
             urgency: urgency(class.priority),
             tasks: u64::from(class.tasks),
             cpus: class.cpus,
@@ -238,7 +238,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             due_s: None,
-            needs: None,
+            depends_on: None,
         };
         let random = StdRng::seed_from_u64(scenario.seed ^ number);
         let cancel_after = cancels.then_some(life);
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ids::{Attempt, JobId, TaskId, Token};
-use troutspindle_protocol::wire::{Order, Orders, Report, ReportedTask, TaskState};
+use troutspindle_protocol::ids::{Attempt, FencingToken, JobId, TaskId};
+use troutspindle_protocol::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
 
 /// The jobs that a process of workers knows.
 pub type JobBook = HashMap<JobId, JobFacts>;
@@ -58,7 +58,7 @@
 
 /// What came of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportOutcome {
+pub enum HeartbeatOutcome {
     /// Answered; the worker stays with this controller.
     Accepted,
     /// Dropped: it belongs to an earlier session or carries a lower token.
@@ -70,9 +70,9 @@
     facts: MachineFacts,
     settings: WorkerSettings,
     random: StdRng,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
-    token: Token,
+    token: FencingToken,
     /// When the last answered report was sent, or the session began.
     renewed: Instant,
     /// When a change of the token was last reported as one.
@@ -98,9 +98,9 @@
             facts,
             settings,
             random,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
-            token: Token(0),
+            token: FencingToken(0),
             renewed: now,
             token_told: None,
             changed: true,
@@ -120,11 +120,11 @@
         &self.facts
     }
 
-    pub fn session(&self) -> u64 {
-        self.session
+    pub fn agent_epoch(&self) -> u64 {
+        self.agent_epoch
     }
 
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -155,7 +155,7 @@
     }
 
     fn end_session(&mut self, now: Instant) {
-        self.session += 1;
+        self.agent_epoch += 1;
         self.leases_lost += 1;
         self.renewed = now;
         self.changed = true;
@@ -199,7 +199,7 @@
     }
 
     /// The next report, if one is due and none is on its way.
-    pub fn take_report(&mut self, now: Instant) -> Option<Report> {
+    pub fn take_report(&mut self, now: Instant) -> Option<Heartbeat> {
         if self.in_flight || now < self.report_at() {
             return None;
         }
@@ -212,22 +212,22 @@
     }
 
     /// The state of the worker, with the next sequence number.
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|(id, task)| ReportedTask {
+        let tasks = self.tasks.iter().map(|(id, task)| TaskStatus {
             task: id.clone(),
             attempt: task.attempt,
             state: task.state,
             why: task.why.map(str::to_owned),
             saved: None,
         });
-        Report {
+        Heartbeat {
             machine: self.facts.id.clone(),
             address: self.facts.address.to_string(),
             flavor: self.settings.flavor.clone(),
             zone: self.facts.zone.clone(),
             spot: self.facts.spot,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.sequence,
             token: self.token,
             notice_s: None,
@@ -238,19 +238,19 @@
     /// The answer 200 to a report of that session, sent at `sent`.
     pub fn on_answer(
         &mut self,
-        (sent, session): (Instant, u64),
-        orders: &Orders,
+        (sent, agent_epoch): (Instant, u64),
+        orders: &CommandBatch,
         book: &JobBook,
         now: Instant,
-    ) -> ReportOutcome {
+    ) -> HeartbeatOutcome {
         self.in_flight = false;
-        if session != self.session || orders.token < self.token {
-            return ReportOutcome::Dropped;
+        if agent_epoch != self.agent_epoch || orders.token < self.token {
+            return HeartbeatOutcome::Dropped;
         }
         self.see(orders.token, now);
         self.renewed = self.renewed.max(sent);
         self.execute(&orders.orders, book, now);
-        ReportOutcome::Accepted
+        HeartbeatOutcome::Accepted
     }
 
     /// The report was refused or not answered: the next one goes elsewhere after this pause.
@@ -266,8 +266,8 @@
     }
 
     /// A direct command; false: refused, since the token is lower or the session another.
-    pub fn on_command(&mut self, orders: &Orders, book: &JobBook, now: Instant) -> bool {
-        if orders.token < self.token || orders.session != Some(self.session) {
+    pub fn on_command(&mut self, orders: &CommandBatch, book: &JobBook, now: Instant) -> bool {
+        if orders.token < self.token || orders.agent_epoch != Some(self.agent_epoch) {
             return false;
         }
         self.see(orders.token, now);
@@ -275,12 +275,12 @@
         true
     }
 
-    fn see(&mut self, token: Token, now: Instant) {
+    fn see(&mut self, token: FencingToken, now: Instant) {
         if token <= self.token {
             return;
         }
         self.token = token;
-        self.events.push(Happening::Token(token));
+        self.events.push(Happening::FencingToken(token));
         let half = self.lease() / 2;
         if self.token_told.is_none_or(|at| now > at + half) {
             self.token_told = Some(now);
@@ -288,12 +288,12 @@
         }
     }
 
-    fn execute(&mut self, orders: &[Order], book: &JobBook, now: Instant) {
+    fn execute(&mut self, orders: &[WorkerCommand], book: &JobBook, now: Instant) {
         for order in orders {
             match order {
-                Order::Start { task, attempt } => self.start(task, *attempt, book, now),
-                Order::Stop { task, attempt, .. } => self.stop(task, *attempt),
-                Order::Forget { task, attempt } => self.forget(task, *attempt),
+                WorkerCommand::Start { task, attempt } => self.start(task, *attempt, book, now),
+                WorkerCommand::Stop { task, attempt, .. } => self.stop(task, *attempt),
+                WorkerCommand::Forget { task, attempt } => self.forget(task, *attempt),
             }
         }
         self.advance(now);
--- a/crates/scale-test/src/worker_process.rs
+++ b/crates/scale-test/src/worker_process.rs
@@ -5,7 +5,7 @@
     FromWorkers, MachineFacts, ToWorkers, WorkerCounters, WorkerEvent, WorkerSettings, now_us,
     read_frame, write_frame,
 };
-use crate::worker::{JobBook, ReportOutcome, Worker};
+use crate::worker::{HeartbeatOutcome, JobBook, Worker};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use troutspindle_protocol::http::{self, CallError, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::MachineId;
-use troutspindle_protocol::wire::{self, Misdirected, Orders, Report};
+use troutspindle_protocol::wire::{self, CommandBatch, Heartbeat, NotLeader};
 
 /// Pause between two frames of events to the run.
 const EVENTS_EVERY: Duration = Duration::from_millis(100);
@@ -25,12 +25,12 @@
 const CONNECTIONS: usize = 64;
 const READ_AHEAD: usize = 16;
 
-type ReportResult = Result<(Response, Option<TcpStream>), CallError>;
+type HeartbeatResult = Result<(Response, Option<TcpStream>), CallError>;
 
 enum Event {
     Run(ToWorkers),
     /// A report of that worker, sent at that time in that session, came back.
-    Answer(usize, (Instant, u64), ReportResult),
+    Answer(usize, (Instant, u64), HeartbeatResult),
     Command(usize, Incoming),
 }
 
@@ -213,7 +213,7 @@
         }
     }
 
-    fn send_report(&mut self, index: usize, report: &Report, now: Instant) {
+    fn send_report(&mut self, index: usize, report: &Heartbeat, now: Instant) {
         let place = &mut self.places[index];
         let Some((_, address)) = self.settings.controllers.get(place.target) else { return };
         let (address, kept) = (*address, place.connection.take());
@@ -221,10 +221,10 @@
         self.counters.reports += 1;
         self.counters.report_bytes += body.len() as u64;
         let request = Request { method: Method::Post, target: "/hello".into(), body };
-        let (to, session) = (self.to.clone(), report.session);
+        let (to, agent_epoch) = (self.to.clone(), report.agent_epoch);
         tokio::spawn(async move {
             let result = http::exchange(kept, address, &request, now + REPORT_TIMEOUT).await;
-            let _ = to.send(Event::Answer(index, (now, session), result));
+            let _ = to.send(Event::Answer(index, (now, agent_epoch), result));
         });
     }
 
@@ -232,7 +232,7 @@
         &mut self,
         index: usize,
         sent: (Instant, u64),
-        result: ReportResult,
+        result: HeartbeatResult,
         now: Instant,
     ) {
         let place = &mut self.places[index];
@@ -266,17 +266,17 @@
 
     fn on_orders(&mut self, index: usize, sent: (Instant, u64), response: &Response, now: Instant) {
         let place = &mut self.places[index];
-        let Ok(orders) = wire::decode::<Orders>(&response.body) else {
+        let Ok(orders) = wire::decode::<CommandBatch>(&response.body) else {
             return self.next_target(index, now);
         };
         let outcome = place.worker.on_answer(sent, &orders, &self.book, now);
-        self.counters.dropped += u64::from(outcome == ReportOutcome::Dropped);
+        self.counters.dropped += u64::from(outcome == HeartbeatOutcome::Dropped);
     }
 
     fn on_redirect(&mut self, index: usize, response: &Response, now: Instant) {
         self.counters.redirects += 1;
         let place = &mut self.places[index];
-        let named = wire::decode::<Misdirected>(&response.body).ok();
+        let named = wire::decode::<NotLeader>(&response.body).ok();
         let named = named.and_then(|to| {
             let mut names = self.settings.controllers.iter();
             names.position(|(name, _)| name.as_str() == to.leader)
@@ -309,8 +309,8 @@
         self.counters.command_bytes += request.body.len() as u64;
         let status = match (request.method, request.target.as_str()) {
             (Method::Get, "/status") => 200,
-            (Method::Post, "/do") => match wire::decode::<Orders>(&request.body) {
-                Ok(orders) if orders.session.is_some() => {
+            (Method::Post, "/do") => match wire::decode::<CommandBatch>(&request.body) {
+                Ok(orders) if orders.agent_epoch.is_some() => {
                     if place.worker.on_command(&orders, &self.book, now) { 200 } else { 409 }
                 }
                 _ => 400,
--- a/crates/scale-test/src/worker_tests.rs
+++ b/crates/scale-test/src/worker_tests.rs
@@ -41,12 +41,12 @@
     TaskId::parse(text).unwrap()
 }
 
-fn start(text: &str, attempt: u64) -> Order {
-    Order::Start { task: task(text), attempt: Attempt(attempt) }
+fn start(text: &str, attempt: u64) -> WorkerCommand {
+    WorkerCommand::Start { task: task(text), attempt: Attempt(attempt) }
 }
 
-fn orders(token: u64, orders: Vec<Order>) -> Orders {
-    Orders { token: Token(token), session: Some(1), orders }
+fn orders(token: u64, orders: Vec<WorkerCommand>) -> CommandBatch {
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(1), orders }
 }
 
 #[test]
@@ -57,9 +57,9 @@
     let answered = now + Duration::from_secs(3);
     worker.on_answer((now, 1), &orders(1, vec![start("wk-2/0", 1)]), &book(), answered);
     worker.advance(now + Duration::from_secs(31));
-    assert_eq!(worker.session(), 1);
+    assert_eq!(worker.agent_epoch(), 1);
     worker.advance(now + Duration::from_millis(31_001));
-    assert_eq!((worker.session(), worker.leases_lost), (2, 1));
+    assert_eq!((worker.agent_epoch(), worker.leases_lost), (2, 1));
     assert!(worker.report().tasks.is_empty());
 }
 
@@ -69,11 +69,11 @@
     let (mut worker, book) = (worker(now), book());
     assert!(worker.on_command(&orders(5, vec![start("wk-1/0", 1)]), &book, now));
     assert!(!worker.on_command(&orders(4, vec![start("wk-1/1", 2)]), &book, now));
-    let other = Orders { session: Some(2), ..orders(6, vec![]) };
+    let other = CommandBatch { agent_epoch: Some(2), ..orders(6, vec![]) };
     assert!(!worker.on_command(&other, &book, now));
     worker.take_report(now).unwrap();
     let outcome = worker.on_answer((now, 1), &orders(4, vec![]), &book, now);
-    assert_eq!(outcome, ReportOutcome::Dropped);
+    assert_eq!(outcome, HeartbeatOutcome::Dropped);
     assert_eq!(worker.report().tasks.len(), 1);
 }
 
@@ -93,7 +93,7 @@
     worker.advance(now + Duration::from_secs(20));
     let done = worker.events.iter().filter(|event| matches!(event, Happening::Ended(.., true)));
     assert_eq!(done.count(), 2);
-    let forget = Order::Forget { task: task("wk-1/0"), attempt: Attempt(1) };
+    let forget = WorkerCommand::Forget { task: task("wk-1/0"), attempt: Attempt(1) };
     worker.on_command(&orders(1, vec![forget]), &book, now + Duration::from_secs(20));
     assert_eq!(worker.report().tasks.len(), 2);
 }
--- a/crates/simulation/src/aims.rs
+++ b/crates/simulation/src/aims.rs
@@ -129,9 +129,9 @@
     }
 
     /// Orders that come when their sender has long given up.
-    pub fn held_orders(&mut self, id: &MachineId, orders: Orders) {
+    pub fn held_orders(&mut self, id: &MachineId, orders: CommandBatch) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let valid = orders.token >= worker.token && orders.session == Some(worker.session);
+        let valid = orders.token >= worker.token && orders.agent_epoch == Some(worker.agent_epoch);
         if valid && !worker.gone {
             worker.token = orders.token;
             worker.changed = true;
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -3,22 +3,22 @@
 use super::*;
 
 impl World {
-    pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudCall) {
+    pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
         if self.on_island(node) {
             let gives_up = Event::Cloud(id, Err(CallError::Unknown));
-            return self.at(self.t + 4000, Due::Node(node, incarnation, gives_up));
+            return self.at(self.t + 4000, Due::Controller(node, incarnation, gives_up));
         }
         if self.cloud_out {
             let body = wire::encode(&wire::CloudError { error: "trouble".into() });
             let refusal = Ok(Response::with(503, body));
-            return self.soon(Due::Node(node, incarnation, Event::Cloud(id, refusal)));
+            return self.soon(Due::Controller(node, incarnation, Event::Cloud(id, refusal)));
         }
-        let rents = matches!(call, CloudCall::Hire(..));
+        let rents = matches!(call, CloudRequest::RentalRequest(..));
         let response = match call {
-            CloudCall::Flavors => Response::with(
+            CloudRequest::MachineTypes => Response::with(
                 200,
-                wire::encode(&Flavors {
-                    flavors: vec![Flavor {
+                wire::encode(&MachineTypes {
+                    flavors: vec![MachineType {
                         name: "f".into(),
                         cpus: 8.0,
                         gpus: 0.0,
@@ -32,7 +32,7 @@
                     }],
                 }),
             ),
-            CloudCall::Hire(kind, hire) => {
+            CloudRequest::RentalRequest(kind, hire) => {
                 let known = self.hired.get(&hire.request).cloned();
                 let alike = |w: &&Worker| !w.gone && w.zone == kind.zone && w.spot == kind.spot;
                 let held = self.workers.values().filter(alike).count();
@@ -46,10 +46,10 @@
                         (0..room).map(|_| self.rent(kind.zone, kind.spot)).collect()
                     });
                     self.hired.insert(hire.request, machines.clone());
-                    Response::with(200, wire::encode(&MachineNames { machines }))
+                    Response::with(200, wire::encode(&MachineIds { machines }))
                 }
             }
-            CloudCall::Delete(machines) => {
+            CloudRequest::Delete(machines) => {
                 for machine in machines {
                     if let Some(worker) = self.workers.get_mut(&machine)
                         && !worker.gone
@@ -62,17 +62,17 @@
                 }
                 Response::empty(200)
             }
-            CloudCall::List { .. } => {
+            CloudRequest::List { .. } => {
                 let t = self.t;
                 let rows = self.workers.iter().filter(|(_, w)| !w.gone && w.up_at + 2000 <= t);
                 let machines = rows
-                    .map(|(id, worker)| Listed {
+                    .map(|(id, worker)| ListedMachine {
                         machine: id.clone(),
                         address: Some("127.0.0.1:7".into()),
                         flavor: "f".into(),
                         zone: ZONES[worker.zone].into(),
                         spot: worker.spot,
-                        status: ListedState::Running,
+                        status: ListedMachineState::Running,
                         age_s: (t - worker.up_at) as f64 / 1000.0,
                     })
                     .collect();
@@ -83,10 +83,11 @@
         if rents && self.aims.quick_boots {
             // The machines are up and report before whoever rented them hears of them.
             let late = self.t + self.random.random_range(300..3000);
-            return self.at(late, Due::Node(node, incarnation, Event::Cloud(id, Ok(response))));
+            return self
+                .at(late, Due::Controller(node, incarnation, Event::Cloud(id, Ok(response))));
         }
         let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
-        self.soon(Due::Node(node, incarnation, Event::Cloud(id, result)));
+        self.soon(Due::Controller(node, incarnation, Event::Cloud(id, result)));
     }
 
     pub fn rent(&mut self, zone: usize, spot: bool) -> MachineId {
@@ -107,9 +108,9 @@
                 spot,
                 up_at,
                 gone: false,
-                session: 1,
+                agent_epoch: 1,
                 seq: 0,
-                token: Token(0),
+                token: FencingToken(0),
                 renewed: up_at,
                 target: self.random.random_range(0..self.nodes.len()),
                 asked: None,
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -10,9 +10,9 @@
 use std::io::Write as _;
 use troutspindle::controller::Effect;
 use troutspindle::http::{Method, Request, Response};
-use troutspindle::workers::command_delivery::Direct;
 use troutspindle::peers::mesh;
 use troutspindle::wire;
+use troutspindle::workers::command_delivery::DirectCall;
 use xxhash_rust::xxh3::Xxh3;
 
 /// Names the file to which digests are appended.
@@ -72,11 +72,11 @@
             Effect::Reply(ticket, response) => trace.response(at_ms, node, *ticket, response),
             Effect::State(_, call) => trace.request("state", at_ms, node, &call.request().0),
             Effect::Cloud(_, call) => trace.request("cloud", at_ms, node, &call.request()),
-            Effect::Direct(machine, address, direct) => {
+            Effect::DirectCall(machine, address, direct) => {
                 let target = format!("{machine} {address}");
                 let body = match direct {
-                    Direct::Status => Vec::new(),
-                    Direct::Do(orders) => wire::encode(orders),
+                    DirectCall::Status => Vec::new(),
+                    DirectCall::Do(orders) => wire::encode(orders),
                 };
                 trace.add("direct", at_ms, &[node, target.as_bytes(), &body]);
             }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -125,7 +125,7 @@
     /// Whoever led, crashed or wrote late: values are whole, and no run counts more tasks than its job has.
     pub fn check_learned(&self) -> usize {
         let kept = self.store.keys.range("t/e/".to_owned().."t/e0".to_owned());
-        let arrays = self.jobs.values().filter(|job| job.spec.shape != Shape::Service);
+        let arrays = self.jobs.values().filter(|job| job.spec.shape != JobKind::Service);
         let most = arrays.map(|job| job.spec.tasks).max().unwrap_or(0);
         let mut runs = 0;
         for (key, (data, ..)) in kept {
@@ -155,7 +155,7 @@
         for (number, job) in &world.jobs {
             let cancelled = job.told_cancelled.is_some();
             match job.spec.shape {
-                Shape::Service if !cancelled => {
+                JobKind::Service if !cancelled => {
                     assert_eq!(world.running(*number), 4, "seed {seed}: service {number}");
                 }
                 _ => assert!(job.told_done || cancelled, "seed {seed}: {number} is not over"),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -11,25 +11,25 @@
 pub use std::sync::Arc;
 pub use std::time::Duration;
 pub use tokio::time::Instant;
-pub use troutspindle::clock::Wall;
-pub use troutspindle::cloud::CloudCall;
+pub use troutspindle::clock::WallClock;
+pub use troutspindle::cloud::CloudRequest;
 pub use troutspindle::constants::NO_CAPACITY;
-pub use troutspindle::controller::{Effect, Event, Node};
+pub use troutspindle::controller::{Controller, Effect, Event};
 pub use troutspindle::drains::{self, DrainRecord};
 pub use troutspindle::http::{CallError, Method, Request, Response};
 pub use troutspindle::ids::{
-    Attempt, JobId, LeaseId, MachineId, NodeName, Revision, TaskId, Token,
+    Attempt, ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision, TaskId,
 };
-pub use troutspindle::peers::mesh::MeshMessage;
+pub use troutspindle::peers::mesh::PeerMessage;
 pub use troutspindle::settings::Settings;
 pub use troutspindle::store::records::json_len;
-pub use troutspindle::store::{StateCall, StateReply};
+pub use troutspindle::store::{StoreRequest, StoreResponse};
 pub use troutspindle::wire::{
-    self, Change, Data, Flavor, Flavors, JobSpec, JobStatus, JobView, Listed, ListedState,
-    MachineNames, MachinePage, Misdirected, News, Order, Orders, Page, Report, ReportedTask, Row,
-    Shape, TaskState, Urgency, Write,
+    self, Change, CommandBatch, Data, Heartbeat, JobKind, JobSpec, JobStatus, JobView, KeyValue,
+    ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes,
+    NotLeader, Priority, RangeResponse, TaskState, TaskStatus, WatchResponse, WorkerCommand, Write,
 };
-pub use troutspindle::workers::command_delivery::Direct;
+pub use troutspindle::workers::command_delivery::DirectCall;
 pub use troutspindle_protocol::ops::DrainKind;
 pub use troutspindle_runtime_estimates::Bucket;
 
@@ -132,14 +132,14 @@
 pub enum Due {
     Tick(usize),
     /// A message reaches the node, if the incarnation it was meant for still runs.
-    Node(usize, u32, Event),
-    State(usize, u32, u64, StateCall),
+    Controller(usize, u32, Event),
+    State(usize, u32, u64, StoreRequest),
     /// A transaction is carried out of which nobody waits for the answer any more.
-    LateWrite(wire::Txn),
+    LateWrite(wire::Transaction),
     /// A transaction of this node, and of its call with that number, is carried out and answered.
-    SlowWrite(usize, u32, u64, wire::Txn),
-    Cloud(usize, u32, u64, CloudCall),
-    Direct(usize, u32, MachineId, Direct),
+    SlowWrite(usize, u32, u64, wire::Transaction),
+    Cloud(usize, u32, u64, CloudRequest),
+    DirectCall(usize, u32, MachineId, DirectCall),
     /// A report reaches a node.
     Hello(usize, MachineId, Vec<u8>, u64),
     HelloAnswer(MachineId, u64, Response),
@@ -155,7 +155,7 @@
     /// Users send odd requests as long as that trouble lasts.
     Odd,
     /// Orders straight to a worker that were held up, whose sender has given up.
-    HeldOrders(MachineId, Orders),
+    HeldOrders(MachineId, CommandBatch),
     Restart(usize),
     LeaseCheck,
     /// The node gets round to what is first in its line.
@@ -259,9 +259,9 @@
     pub spot: bool,
     pub up_at: u64,
     pub gone: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
-    pub token: Token,
+    pub token: FencingToken,
     pub renewed: u64,
     pub target: usize,
     pub asked: Option<(u64, u64, u64)>,
@@ -305,7 +305,7 @@
     pub queue: BinaryHeap<Reverse<(u64, u64)>>,
     pub due: HashMap<u64, Due>,
     pub next_due: u64,
-    pub nodes: Vec<Option<Node>>,
+    pub nodes: Vec<Option<Controller>>,
     /// Nodes that run the version before this one.
     pub old: Vec<bool>,
     pub limits: (usize, usize),
@@ -455,7 +455,7 @@
         };
         for node in 0..count {
             let wall = world.wall();
-            world.nodes.push(Node::new(
+            world.nodes.push(Controller::new(
                 settings_sharing(count, node, old, world.floor, share),
                 seed * 10 + node as u64,
                 wall,
@@ -470,8 +470,8 @@
         self.base + Duration::from_millis(self.t)
     }
 
-    pub fn wall(&self) -> Wall {
-        Wall { at: self.now(), ms: 1_700_000_000_000 + self.t }
+    pub fn wall(&self) -> WallClock {
+        WallClock { at: self.now(), ms: 1_700_000_000_000 + self.t }
     }
 
     pub fn at(&mut self, t: u64, due: Due) {
@@ -527,7 +527,7 @@
 
     pub fn step(&mut self, due: Due) {
         if let Due::Tick(node)
-        | Due::Node(node, ..)
+        | Due::Controller(node, ..)
         | Due::Hello(node, ..)
         | Due::Look(node, ..)
         | Due::UserAsks(node, ..) = &due
@@ -542,7 +542,7 @@
             }
         }
         if let Due::Tick(node)
-        | Due::Node(node, ..)
+        | Due::Controller(node, ..)
         | Due::Hello(node, ..)
         | Due::Look(node, ..)
         | Due::UserAsks(node, ..) = &due
@@ -572,10 +572,10 @@
                 self.tell(node, Event::Tick);
                 self.at(self.t + 40, Due::Tick(node));
             }
-            Due::Node(node, incarnation, event) => {
+            Due::Controller(node, incarnation, event) => {
                 if self.slow_node == Some(node) && self.random.random_bool(0.7) {
                     let later = self.t + self.random.random_range(1..150);
-                    self.at(later, Due::Node(node, incarnation, event));
+                    self.at(later, Due::Controller(node, incarnation, event));
                 } else if self.incarnation[node] == incarnation {
                     self.tell(node, event);
                 }
@@ -587,7 +587,7 @@
                 self.slow_write(node, incarnation, id, txn);
             }
             Due::Cloud(node, incarnation, id, call) => self.cloud(node, incarnation, id, call),
-            Due::Direct(node, incarnation, machine, direct) => {
+            Due::DirectCall(node, incarnation, machine, direct) => {
                 self.direct(node, incarnation, machine, direct);
             }
             Due::Hello(node, machine, body, id) => {
@@ -627,7 +627,7 @@
             Due::Restart(node) => {
                 self.down[node] = false;
                 let seed = self.random.random();
-                self.nodes[node] = Node::new(
+                self.nodes[node] = Controller::new(
                     settings_sharing(
                         self.nodes.len(),
                         node,
@@ -698,8 +698,8 @@
                 },
                 Effect::State(id, call) => self.soon(Due::State(node, incarnation, id, call)),
                 Effect::Cloud(id, call) => self.soon(Due::Cloud(node, incarnation, id, call)),
-                Effect::Direct(machine, _, direct) => {
-                    self.soon(Due::Direct(node, incarnation, machine, direct));
+                Effect::DirectCall(machine, _, direct) => {
+                    self.soon(Due::DirectCall(node, incarnation, machine, direct));
                 }
                 Effect::Mesh(peer, message) => self.mesh(node, &peer, message),
             }
@@ -715,12 +715,12 @@
         }
     }
 
-    pub fn mesh(&mut self, from: usize, to: &NodeName, message: MeshMessage) {
+    pub fn mesh(&mut self, from: usize, to: &ControllerId, message: PeerMessage) {
         let to: usize = to.as_str()[2..].parse().unwrap();
         let text = troutspindle::peers::mesh::to_text(&message).unwrap();
         assert!(!self.old[to] || production::reads(&text), "production cannot read {message:?}");
         let copy = self.about_sharing(&message);
-        let due = Due::Node(to, self.incarnation[to], Event::Mesh(message));
+        let due = Due::Controller(to, self.incarnation[to], Event::Mesh(message));
         let alone = [Some(from), Some(to)].contains(&self.alone);
         if self.no_mesh || alone || self.mute == Some(from) || self.unhearing == Some(to) {
             return;
@@ -732,19 +732,19 @@
             if let Some(copy) = copy {
                 let later = self.t + self.random.random_range(500..9000);
                 let event = Event::Mesh(copy);
-                self.at(later, Due::Node(to, self.incarnation[to], event));
+                self.at(later, Due::Controller(to, self.incarnation[to], event));
             }
             self.soon(due);
         }
     }
 
     /// Counts messages about shared reports, and copies some of them.
-    fn about_sharing(&mut self, message: &MeshMessage) -> Option<MeshMessage> {
+    fn about_sharing(&mut self, message: &PeerMessage) -> Option<PeerMessage> {
         let what = match message {
-            MeshMessage::Reports { .. } => "reports passed on",
-            MeshMessage::Verdicts { .. } => "verdicts passed back",
-            MeshMessage::Deliver { .. } => "commands passed on",
-            MeshMessage::Delivered { .. } => "results passed back",
+            PeerMessage::Reports { .. } => "reports passed on",
+            PeerMessage::Verdicts { .. } => "verdicts passed back",
+            PeerMessage::Deliver { .. } => "commands passed on",
+            PeerMessage::Delivered { .. } => "results passed back",
             _ => return None,
         };
         self.aims.took_effect(what);
--- a/crates/simulation/src/production.rs
+++ b/crates/simulation/src/production.rs
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum MeshMessage {
+pub enum PeerMessage {
     Beat {
         from: String,
         seq: u64,
@@ -75,7 +75,7 @@
 /// Whether production reads the message as it was meant.
 pub fn reads(text: &str) -> bool {
     let Some(bytes) = troutspindle::wire::unhex(text) else { return false };
-    let message: Result<MeshMessage, _> = postcard::from_bytes(&bytes);
+    let message: Result<PeerMessage, _> = postcard::from_bytes(&bytes);
     message.is_ok_and(|message| postcard::to_stdvec(&message).is_ok_and(|same| same == bytes))
 }
 
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -5,82 +5,86 @@
 
 impl World {
     /// A transaction that took its time is carried out, and answered.
-    pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Txn) {
+    pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
         let refuses = self.store.out || self.refused == Some(node);
-        let reply = if refuses { StateReply::Refused } else { self.commit(txn) };
-        self.at(self.t + 3, Due::Node(node, incarnation, Event::State(id, reply)));
+        let reply = if refuses { StoreResponse::Refused } else { self.commit(txn) };
+        self.at(self.t + 3, Due::Controller(node, incarnation, Event::State(id, reply)));
     }
 
-    pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StateCall) {
+    pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
         if self.on_island(node) || self.alone == Some(node) {
-            let gives_up = Event::State(id, StateReply::Unknown);
-            if matches!(call, StateCall::Commit(_)) {
+            let gives_up = Event::State(id, StoreResponse::Unknown);
+            if matches!(call, StoreRequest::Commit(_)) {
                 // Held back, and applied when the cut ends.
                 self.held.push(Due::State(node, incarnation, id, call));
             }
-            return self.at(self.t + 1500, Due::Node(node, incarnation, gives_up));
+            return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
         }
         if self.late_writes
             && !self.store.out
             && self.refused != Some(node)
-            && matches!(call, StateCall::Commit(_))
+            && matches!(call, StoreRequest::Commit(_))
             && self.random.random_range(0..3) == 0
         {
-            let StateCall::Commit(txn) = call else { return };
+            let StoreRequest::Commit(txn) = call else { return };
             let later = self.t + self.random.random_range(2000..12_000);
             self.at(later, Due::LateWrite(txn));
-            let gives_up = Event::State(id, StateReply::Unknown);
-            return self.at(self.t + 1500, Due::Node(node, incarnation, gives_up));
+            let gives_up = Event::State(id, StoreResponse::Unknown);
+            return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
         }
         let reply = if self.store.out || self.refused == Some(node) {
-            if let StateCall::Follow { after, wait } = &call
+            if let StoreRequest::Follow { after, wait } = &call
                 && !wait.is_zero()
             {
                 let until = self.t + wait.as_millis() as u64;
                 self.store.waiting.push((node, incarnation, id, after.0, until));
                 return;
             }
-            StateReply::Refused
+            StoreResponse::Refused
         } else {
             match call {
-                StateCall::Follow { after, wait } => {
+                StoreRequest::Follow { after, wait } => {
                     if !wait.is_zero() && self.store.rev <= after.0 {
                         let until = self.t + wait.as_millis() as u64;
                         self.store.waiting.push((node, incarnation, id, after.0, until));
                         return;
                     }
-                    StateReply::News(self.news_for(node, after.0))
+                    StoreResponse::WatchResponse(self.news_for(node, after.0))
                 }
-                StateCall::Range { .. } => {
-                    let rows = self.store.keys.iter().map(|(key, (data, rev, _))| Row {
+                StoreRequest::Range { .. } => {
+                    let rows = self.store.keys.iter().map(|(key, (data, rev, _))| KeyValue {
                         key: key.clone(),
                         data: data.clone(),
                         rev: Revision(*rev),
                     });
-                    let mut rows: Vec<Row> = rows.collect();
+                    let mut rows: Vec<KeyValue> = rows.collect();
                     if self.old[node] {
                         rows.iter_mut().for_each(|row| row.data = self.shown(&row.key, &row.data));
                     }
-                    StateReply::Page(Page { rows, truncated: false, rev: Revision(self.store.rev) })
+                    StoreResponse::RangeResponse(RangeResponse {
+                        rows,
+                        truncated: false,
+                        rev: Revision(self.store.rev),
+                    })
                 }
-                StateCall::NewLease(life) => {
+                StoreRequest::NewLease(life) => {
                     self.store.next_lease += 1;
                     let ms = life.as_millis() as u64;
                     self.store.leases.insert(self.store.next_lease, (ms, self.t + ms));
-                    StateReply::Lease(LeaseId(self.store.next_lease))
+                    StoreResponse::Lease(LeaseId(self.store.next_lease))
                 }
-                StateCall::Touch(lease) => match self.store.leases.get_mut(&lease.0) {
+                StoreRequest::Touch(lease) => match self.store.leases.get_mut(&lease.0) {
                     Some((ms, until)) => {
                         *until = self.t + *ms;
-                        StateReply::Done
+                        StoreResponse::Done
                     }
-                    None => StateReply::Gone,
+                    None => StoreResponse::Gone,
                 },
-                StateCall::DropLease(lease) => {
+                StoreRequest::DropLease(lease) => {
                     self.end_lease(lease.0);
-                    StateReply::Done
+                    StoreResponse::Done
                 }
-                StateCall::Commit(mut txn) => {
+                StoreRequest::Commit(mut txn) => {
                     for write in txn.writes.iter_mut().filter(|_| self.old[node]) {
                         if let Write::Put { data, .. } = write {
                             *data = as_production(data);
@@ -90,8 +94,9 @@
                         Carried::Usual => self.commit(txn),
                         Carried::Unheard => {
                             self.commit(txn);
-                            let gives_up = Event::State(id, StateReply::Unknown);
-                            return self.at(self.t + 1500, Due::Node(node, incarnation, gives_up));
+                            let gives_up = Event::State(id, StoreResponse::Unknown);
+                            return self
+                                .at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
                         }
                         Carried::Later(ms) => {
                             return self
@@ -103,8 +108,8 @@
         };
         // Now and then an answer gets lost after the deed.
         let lost = self.random.random_range(0..200) == 0;
-        let reply = if lost { StateReply::Unknown } else { reply };
-        self.soon(Due::Node(node, incarnation, Event::State(id, reply)));
+        let reply = if lost { StoreResponse::Unknown } else { reply };
+        self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
     }
 
     /// What a node of the old version makes of a value: it has to be able to read it, and drops the
@@ -120,7 +125,7 @@
         as_production(data)
     }
 
-    pub fn news_for(&self, node: usize, after: u64) -> News {
+    pub fn news_for(&self, node: usize, after: u64) -> WatchResponse {
         let mut news = self.news(after);
         for change in news.news.iter_mut().filter(|_| self.old[node]) {
             if let (Some(key), Some(data)) = (&change.put, &mut change.data) {
@@ -130,24 +135,24 @@
         news
     }
 
-    pub fn commit(&mut self, txn: wire::Txn) -> StateReply {
+    pub fn commit(&mut self, txn: wire::Transaction) -> StoreResponse {
         let outcome = self.store.commit(txn, self.limits);
         self.digest.committed(self.t, self.store.rev, outcome.is_ok());
         match outcome {
             Ok(rev) => {
                 self.wake_follows();
-                StateReply::Committed(rev)
+                StoreResponse::Committed(rev)
             }
-            Err(CommitError::Conflict(failed)) => StateReply::Conflict(failed),
+            Err(CommitError::Conflict(failed)) => StoreResponse::Conflict(failed),
             Err(CommitError::TooLarge) => {
                 self.too_large += 1;
-                StateReply::Invalid
+                StoreResponse::Invalid
             }
-            Err(CommitError::NoSuchLease) => StateReply::Invalid,
+            Err(CommitError::NoSuchLease) => StoreResponse::Invalid,
         }
     }
 
-    pub fn news(&self, after: u64) -> News {
+    pub fn news(&self, after: u64) -> WatchResponse {
         self.store.news(after)
     }
 
@@ -162,8 +167,8 @@
             .extract_if(.., |w| self.refused != Some(w.0) && (w.3 < rev || w.4 <= t))
             .collect();
         for (node, incarnation, id, after, _) in ready {
-            let reply = StateReply::News(self.news_for(node, after));
-            self.soon(Due::Node(node, incarnation, Event::State(id, reply)));
+            let reply = StoreResponse::WatchResponse(self.news_for(node, after));
+            self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
         }
     }
 
--- a/crates/simulation/src/store_core.rs
+++ b/crates/simulation/src/store_core.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use troutspindle::ids::Revision;
 use troutspindle::store::records::json_len;
-use troutspindle::wire::{Change, Data, News, Txn, Write};
+use troutspindle::wire::{Change, Data, Transaction, WatchResponse, Write};
 
 /// A value with the revision of its last change and the lease that it is attached to.
 type Stored = (Data, u64, Option<u64>);
@@ -41,7 +41,7 @@
     /// Applies a transaction whose guards hold, within limits of (writes, bytes of a value).
     pub fn commit(
         &mut self,
-        txn: Txn,
+        txn: Transaction,
         (ops, bytes): (usize, usize),
     ) -> Result<Revision, CommitError> {
         let failed: Vec<String> = txn
@@ -85,14 +85,14 @@
     }
 
     /// All changes later than a revision.
-    pub fn news(&self, after: u64) -> News {
+    pub fn news(&self, after: u64) -> WatchResponse {
         let first = self.log.partition_point(|(rev, ..)| *rev <= after);
         let news = self.log[first..].iter().map(|(rev, key, data)| {
             let (put, delete) =
                 if data.is_some() { (Some(key.clone()), None) } else { (None, Some(key.clone())) };
             Change { put, delete, data: data.clone(), rev: Revision(*rev) }
         });
-        News { rev: Revision(self.rev), news: news.collect() }
+        WatchResponse { rev: Revision(self.rev), news: news.collect() }
     }
 
     /// Ends a lease and removes the keys that are attached to it.
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -9,8 +9,8 @@
             id: JobId::new(&format!("wk-{number}")),
             class: if service { "s" } else { "c" }.into(),
             team: "t".into(),
-            shape: if service { Shape::Service } else { Shape::Array },
-            urgency: if service { Urgency::Production } else { Urgency::High },
+            shape: if service { JobKind::Service } else { JobKind::Array },
+            urgency: if service { Priority::Production } else { Priority::High },
             tasks,
             cpus: 2.0,
             gpus: 0.0,
@@ -26,7 +26,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             due_s: None,
-            needs: None,
+            depends_on: None,
         };
         let job = UserJob {
             spec,
@@ -55,8 +55,8 @@
         }
         let over = job.told_done || job.told_cancelled.is_some();
         let id = job.spec.id.clone();
-        let needs: Vec<u64> = job.spec.needs.iter().flatten().map(Self::number).collect();
-        if needs.iter().any(|need| !self.jobs[need].accepted) {
+        let depends_on: Vec<u64> = job.spec.depends_on.iter().flatten().map(Self::number).collect();
+        if depends_on.iter().any(|need| !self.jobs[need].accepted) {
             return self.at(t + 200, Due::User(number));
         }
         let (kind, request) = if !job.accepted {
@@ -133,7 +133,7 @@
             let all_done = (0..job.spec.tasks as u32).all(|index| {
                 self.finished.contains_key(&TaskId { job: job.spec.id.clone(), index })
             });
-            if view.status == JobStatus::Done && (!all_done || job.spec.shape == Shape::Service) {
+            if view.status == JobStatus::Done && (!all_done || job.spec.shape == JobKind::Service) {
                 wrong.push(format!("not_done: {}", job.spec.id));
             }
             let open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
@@ -170,7 +170,7 @@
         for (number, job) in &self.jobs {
             let cancelled = job.told_cancelled.is_some();
             let whole = self.running(*number) as u64 == job.spec.tasks;
-            let outlasts = job.spec.shape == Shape::Service || job.spec.expect_s > 60.0;
+            let outlasts = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
             let what = if self.t > job.last_good + 75_000 {
                 "forgotten: nobody is told of it"
             } else if job.abort_at.is_some() && !cancelled && !job.told_done {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -13,7 +13,7 @@
             return self.at(t + 100, Due::Worker(id));
         }
         if t > worker.renewed + LEASE_MS {
-            worker.session += 1;
+            worker.agent_epoch += 1;
             worker.tasks.clear();
             worker.renewed = t;
             worker.changed = true;
@@ -63,8 +63,8 @@
             worker.next_report = t + REPORT_MS;
             worker.seq += 1;
             let report = Self::report(&id, worker);
-            let (seq, session, target) = (worker.seq, worker.session, worker.target);
-            worker.asked = Some((seq, session, t));
+            let (seq, agent_epoch, target) = (worker.seq, worker.agent_epoch, worker.target);
+            worker.asked = Some((seq, agent_epoch, t));
             let body = wire::encode(&report);
             if self.late_reports && self.random.random_range(0..3) == 0 {
                 // Nobody reads the answer to a copy: it bears a number that no question has.
@@ -78,21 +78,21 @@
         self.at(t + 100, Due::Worker(id));
     }
 
-    pub fn report(id: &MachineId, worker: &Worker) -> Report {
-        let tasks = worker.tasks.iter().map(|(task, running)| ReportedTask {
+    pub fn report(id: &MachineId, worker: &Worker) -> Heartbeat {
+        let tasks = worker.tasks.iter().map(|(task, running)| TaskStatus {
             task: task.clone(),
             attempt: running.attempt,
             state: running.state,
             why: running.why.clone(),
             saved: None,
         });
-        Report {
+        Heartbeat {
             machine: id.clone(),
             address: "127.0.0.1:7".into(),
             flavor: "f".into(),
             zone: ZONES[worker.zone].into(),
             spot: worker.spot,
-            session: worker.session,
+            agent_epoch: worker.agent_epoch,
             seq: worker.seq,
             token: worker.token,
             notice_s: None,
@@ -103,7 +103,7 @@
     pub fn hello_answer(&mut self, id: MachineId, seq: u64, response: Response) {
         let t = self.t;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let Some((asked, session, since)) = worker.asked else { return };
+        let Some((asked, agent_epoch, since)) = worker.asked else { return };
         if asked != seq || worker.gone {
             return;
         }
@@ -112,7 +112,7 @@
         }
         worker.asked = None;
         if response.status != 200 {
-            match wire::decode::<Misdirected>(&response.body) {
+            match wire::decode::<NotLeader>(&response.body) {
                 Ok(to) if response.status == 421 => {
                     worker.target = to.leader[2..].parse().unwrap();
                     worker.next_report = t + 300;
@@ -124,8 +124,8 @@
             }
             return;
         }
-        let orders: Orders = wire::decode(&response.body).unwrap();
-        if session != worker.session || orders.token < worker.token {
+        let orders: CommandBatch = wire::decode(&response.body).unwrap();
+        if agent_epoch != worker.agent_epoch || orders.token < worker.token {
             return;
         }
         worker.changed |= orders.token > worker.token;
@@ -134,23 +134,23 @@
         self.execute(&id, orders.orders);
     }
 
-    pub fn direct(&mut self, node: usize, incarnation: u32, id: MachineId, direct: Direct) {
+    pub fn direct(&mut self, node: usize, incarnation: u32, id: MachineId, direct: DirectCall) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let sent = match &direct {
-            Direct::Do(orders) => Some(orders.clone()),
-            Direct::Status => None,
+            DirectCall::Do(orders) => Some(orders.clone()),
+            DirectCall::Status => None,
         };
-        let unknown = Event::Direct(id.clone(), sent.clone(), Err(CallError::Unknown));
+        let unknown = Event::DirectCall(id.clone(), sent.clone(), Err(CallError::Unknown));
         if worker.gone || worker.up_at > self.t {
-            return self.at(self.t + 3000, Due::Node(node, incarnation, unknown));
+            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
         let zone = worker.zone;
         if self.deaf_zone == Some(zone) {
-            return self.at(self.t + 3000, Due::Node(node, incarnation, unknown));
+            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
         if self.apart(node, zone) || self.hung_zone == Some(zone) {
-            self.held.push(Due::Direct(node, incarnation, id, direct));
-            return self.at(self.t + 3000, Due::Node(node, incarnation, unknown));
+            self.held.push(Due::DirectCall(node, incarnation, id, direct));
+            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
         let held = self.aims.held_commands && self.random.random_range(0..3) == 0;
         if held && self.random.random() {
@@ -159,11 +159,11 @@
                 let later = self.t + self.random.random_range(1000..9000);
                 self.at(later, Due::HeldOrders(id, orders));
             }
-            return self.at(self.t + 3000, Due::Node(node, incarnation, unknown));
+            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let valid = sent.as_ref().is_none_or(|orders| {
-            orders.token >= worker.token && orders.session == Some(worker.session)
+            orders.token >= worker.token && orders.agent_epoch == Some(worker.agent_epoch)
         });
         if let (Some(orders), true) = (&sent, valid) {
             worker.token = orders.token;
@@ -174,16 +174,16 @@
         let report = Self::report(&id, worker);
         if held {
             // It was carried out, and its answer is held up.
-            return self.at(self.t + 3000, Due::Node(node, incarnation, unknown));
+            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
-        self.soon(Due::Node(node, incarnation, Event::Direct(id, sent, Ok(report))));
+        self.soon(Due::Controller(node, incarnation, Event::DirectCall(id, sent, Ok(report))));
     }
 
-    pub fn execute(&mut self, id: &MachineId, orders: Vec<Order>) {
+    pub fn execute(&mut self, id: &MachineId, orders: Vec<WorkerCommand>) {
         for order in orders {
             match order {
-                Order::Start { task, attempt } => self.start(id, task, attempt),
-                Order::Stop { task, attempt, .. } => {
+                WorkerCommand::Start { task, attempt } => self.start(id, task, attempt),
+                WorkerCommand::Stop { task, attempt, .. } => {
                     let worker = self.workers.get_mut(id).unwrap();
                     if let Some(running) = worker.tasks.get_mut(&task)
                         && running.attempt == attempt
@@ -194,7 +194,7 @@
                         worker.changed = true;
                     }
                 }
-                Order::Forget { task, attempt } => {
+                WorkerCommand::Forget { task, attempt } => {
                     let worker = self.workers.get_mut(id).unwrap();
                     if worker
                         .tasks
@@ -231,7 +231,7 @@
         worker.images.push(spec.image.clone());
         let ready_at = if warm { t } else { t + 1500 };
         let done = self.finished.contains_key(&task);
-        let ends_at = (spec.shape == Shape::Array && !long).then_some(if done {
+        let ends_at = (spec.shape == JobKind::Array && !long).then_some(if done {
             ready_at
         } else {
             ready_at + run_ms
@@ -247,7 +247,7 @@
         worker.changed = true;
         self.starts += 1;
         // The rules.
-        for need in spec.needs.iter().flatten() {
+        for need in spec.depends_on.iter().flatten() {
             let tasks = self.jobs[&Self::number(need)].spec.tasks as u32;
             let done = |index| self.finished.contains_key(&TaskId { job: need.clone(), index });
             if !(0..tasks).all(done) {
@@ -304,8 +304,8 @@
         let mut all = vec![number];
         let mut at = 0;
         while at < all.len() {
-            let needs = self.jobs[&all[at]].spec.needs.iter().flatten();
-            let new: Vec<u64> = needs.map(Self::number).filter(|n| !all.contains(n)).collect();
+            let depends_on = self.jobs[&all[at]].spec.depends_on.iter().flatten();
+            let new: Vec<u64> = depends_on.map(Self::number).filter(|n| !all.contains(n)).collect();
             all.extend(new);
             at += 1;
         }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -4,7 +4,7 @@
 //! Cores without clock or I/O. They own no request's meaning: who is a worker and who a user is told to them.
 
 use crate::constants::*;
-use crate::settings::{Resources, Settings, ShareReports};
+use crate::settings::{Resources, Settings, ShardHeartbeats};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -67,7 +67,7 @@
 /// How many machines a leader can hold: by sockets and memory, and by its processor where that shows to
 /// fall behind for long.
 #[derive(Debug)]
-pub struct Ceiling {
+pub struct MachineLimit {
     /// By sockets of one controller, and by memory.
     by_sockets: u32,
     by_memory: u32,
@@ -80,14 +80,14 @@
     until: Instant,
 }
 
-impl Ceiling {
-    pub fn new(resources: &Resources, now: Instant) -> Ceiling {
+impl MachineLimit {
+    pub fn new(resources: &Resources, now: Instant) -> MachineLimit {
         let by_sockets = Sockets::new(resources).machines;
         let bytes = resources.memory_mb * 1e6 * MACHINE_MEMORY_SHARE;
         // Settings that name no limit have none.
         let by_memory = if bytes > 0.0 { (bytes / MACHINE_BYTES) as u32 } else { u32::MAX };
         let fixed = by_sockets.min(by_memory);
-        Ceiling {
+        MachineLimit {
             by_sockets,
             by_memory,
             fixed,
@@ -145,7 +145,7 @@
 pub struct Load {
     machines_by_sockets: f64,
     machines_by_processor: f64,
-    wanted: ShareReports,
+    wanted: ShardHeartbeats,
     shared: bool,
 }
 
@@ -167,9 +167,9 @@
         let share = machines as f64 / least.clamp(1.0, SHARE_WORKERS / SHARE_ABOVE);
         self.shared = share > if self.shared { SHARE_BELOW } else { SHARE_ABOVE };
         match self.wanted {
-            ShareReports::Auto => self.shared,
-            ShareReports::Always => true,
-            ShareReports::Never => false,
+            ShardHeartbeats::Auto => self.shared,
+            ShardHeartbeats::Always => true,
+            ShardHeartbeats::Never => false,
         }
     }
 }
@@ -177,14 +177,14 @@
 /// How busy a process is, as far as it can tell by itself: what handling events takes of the time that passes, which
 /// does not contain what the system does for it.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct LoadEstimator {
     pub events: u32,
     busy: Duration,
     /// The latest tick.
     pub late: Duration,
 }
 
-impl Pace {
+impl LoadEstimator {
     pub fn handled(&mut self, took: Duration) {
         self.events += 1;
         self.busy += took;
@@ -222,14 +222,14 @@
 
 /// Requests that wait to be handled.
 #[derive(Debug)]
-pub struct Inbox<T> {
+pub struct AdmissionQueue<T> {
     queues: [VecDeque<(T, Instant)>; 3],
     most: usize,
 }
 
-impl<T> Inbox<T> {
-    pub fn new(most: usize) -> Inbox<T> {
-        Inbox { queues: Default::default(), most }
+impl<T> AdmissionQueue<T> {
+    pub fn new(most: usize) -> AdmissionQueue<T> {
+        AdmissionQueue { queues: Default::default(), most }
     }
 
     pub fn len(&self) -> usize {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -24,10 +24,10 @@
 #[test]
 fn a_ceiling_comes_down_where_a_leader_falls_behind_and_rises_again() {
     let start = Instant::now();
-    let mut ceiling = Ceiling::new(&RESOURCES, start);
+    let mut ceiling = MachineLimit::new(&RESOURCES, start);
     let full = ceiling.most();
     let mut now = start;
-    let mut play = |ceiling: &mut Ceiling, machines: u32, late: bool, seconds: u64| {
+    let mut play = |ceiling: &mut MachineLimit, machines: u32, late: bool, seconds: u64| {
         for _ in 0..seconds * 5 {
             now += Duration::from_millis(200);
             ceiling.look(machines, late, now);
@@ -50,7 +50,7 @@
 #[test]
 fn what_is_needed_most_goes_first_and_what_is_needed_least_is_refused() {
     let mut random = StdRng::seed_from_u64(24);
-    let mut inbox = Inbox::new(20);
+    let mut inbox = AdmissionQueue::new(20);
     let mut plain: Vec<(Need, u32)> = Vec::new();
     let now = Instant::now();
     for n in 0..5000 {
--- a/src/api.rs
+++ b/src/api.rs
@@ -2,15 +2,15 @@
 //! commit where the answer needs one.
 
 use crate::admission::{Need, come_back_s};
-use crate::clock::Wall;
+use crate::clock::WallClock;
 use crate::constants::*;
 use crate::http::{Method, Request, Response};
-use crate::ids::{Amount, JobId, NodeName};
+use crate::ids::{Amount, ControllerId, JobId};
 use crate::jobs::{self, Accept, Job, Jobs};
-use crate::leadership::controller_lease::{Given, Missing, Promises};
+use crate::leadership::controller_lease::{CancellationAcks, Given, Missing};
 use crate::settings::Settings;
-use crate::store::{Item, Origin, Outcome, Rank, StateCore};
-use crate::wire::{self, Flavor, JobName, JobSpec, JobStatus, JobView, Shape};
+use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
+use crate::wire::{self, JobKind, JobName, JobSpec, JobStatus, JobView, MachineType};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -96,40 +96,44 @@
             .all(amount)
         && spec.flavors.as_ref().is_none_or(|list| list.len() <= 32 && list.iter().all(|f| text(f)))
         && spec.zone.as_ref().is_none_or(|zone| text(zone))
-        && spec.needs.as_ref().is_none_or(|list| list.iter().all(|id| valid_id(id.as_str())))
+        && spec.depends_on.as_ref().is_none_or(|list| list.iter().all(|id| valid_id(id.as_str())))
 }
 
 /// A submission in the form in which it is kept: each job that it waits for is named once.
 fn normal(mut spec: JobSpec) -> JobSpec {
-    if let Some(needs) = &mut spec.needs {
+    if let Some(depends_on) = &mut spec.depends_on {
         let mut seen = HashSet::new();
-        needs.retain(|id| seen.insert(id.clone()));
+        depends_on.retain(|id| seen.insert(id.clone()));
     }
-    spec.needs.take_if(|needs| needs.is_empty());
+    spec.depends_on.take_if(|depends_on| depends_on.is_empty());
     spec
 }
 
 /// Why a job can never wait for what it names, if it can't. One that was accepted a moment ago may
 /// not be known here yet.
 fn unfit_need(spec: &JobSpec, known: &Jobs) -> Option<&'static str> {
-    spec.needs.iter().flatten().find_map(|id| match known.get(id).map(|job| job.live()) {
+    spec.depends_on.iter().flatten().find_map(|id| match known.get(id).map(|job| job.live()) {
         None if known.is_unreadable(id) => None,
         None => Some("waits for a job that was never accepted"),
-        Some(Some(live)) if live.spec.shape == Shape::Service => Some("waits for a service"),
+        Some(Some(live)) if live.spec.shape == JobKind::Service => Some("waits for a service"),
         Some(_) => None,
     })
 }
 
 /// Why the job can never run, if it can't.
-fn impossible(spec: &JobSpec, settings: &Settings, flavors: &[Flavor]) -> Option<&'static str> {
+fn impossible(
+    spec: &JobSpec,
+    settings: &Settings,
+    flavors: &[MachineType],
+) -> Option<&'static str> {
     let params = &settings.platform.params;
     let Some(team) = params.teams.iter().find(|team| team.name == spec.team) else {
         return Some("unknown team");
     };
     let need = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
     let at_once = match spec.shape {
-        Shape::Array => 1,
-        Shape::Service | Shape::Gang => spec.tasks,
+        JobKind::Array => 1,
+        JobKind::Service | JobKind::Gang => spec.tasks,
     };
     if !need.times(at_once).fits(&team.most()) {
         return Some("beyond its team's limit");
@@ -174,7 +178,7 @@
 
 pub struct Api {
     settings: Arc<Settings>,
-    pub wall: Wall,
+    pub wall: WallClock,
     waiting: BTreeMap<u64, Waiting>,
     /// Tasks that run, by job, as the leader last told.
     pub running: BTreeMap<JobId, u32>,
@@ -183,23 +187,23 @@
     pub cancelled: Vec<(JobId, Instant)>,
     pub latency_ms: hdrhistogram::Histogram<u64>,
     pub refused: u64,
-    pub promises: Promises,
+    pub promises: CancellationAcks,
     /// What this controller promised to stop, or is about to cancel itself.
     pub given: Given,
     /// Whom to ask for which promise, and when each was asked last.
-    pub asks: Vec<(NodeName, JobId)>,
-    asked: HashMap<(NodeName, JobId), Instant>,
+    pub asks: Vec<(ControllerId, JobId)>,
+    asked: HashMap<(ControllerId, JobId), Instant>,
 }
 
 pub type Answer = (u64, Response);
 
 impl Api {
-    pub fn new(settings: Arc<Settings>, wall: Wall) -> Option<Api> {
+    pub fn new(settings: Arc<Settings>, wall: WallClock) -> Option<Api> {
         let platform = &settings.platform;
         let workers = &platform.params.workers;
         let peers = platform.others.iter().map(|peer| peer.host_name.clone()).collect();
         Some(Api {
-            promises: Promises::new(peers, workers.lease_s, workers.cancel_s),
+            promises: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
             given: Given::default(),
             asks: Vec::new(),
             asked: HashMap::new(),
@@ -237,7 +241,7 @@
         ticket: u64,
         route: Route,
         body: &[u8],
-        state: &mut StateCore,
+        state: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
         let wish = match route {
@@ -297,7 +301,7 @@
         if direct { self.act(ticket, false, state, now) } else { self.sync(ticket, state) }
     }
 
-    fn sync(&self, ticket: u64, state: &mut StateCore) -> Option<Response> {
+    fn sync(&self, ticket: u64, state: &mut StoreClient) -> Option<Response> {
         match self.waiting.get(&ticket).map(|waiting| &waiting.wish) {
             Some(Wish::Poll(_)) => state.sync(ticket),
             _ => state.sync_soon(ticket),
@@ -310,7 +314,7 @@
         &mut self,
         ticket: u64,
         fresh: bool,
-        state: &mut StateCore,
+        state: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
         let waiting = self.waiting.get(&ticket)?;
@@ -329,7 +333,7 @@
                 let layout = state.layout();
                 // An old leader would start it before what it waits for is done. Another controller
                 // may know already that there is none any more.
-                let early = spec.needs.is_some() && !layout.second();
+                let early = spec.depends_on.is_some() && !layout.second();
                 let unfit = impossible(spec, &self.settings, flavors)
                     .or_else(|| unfit_need(spec, &state.cache.jobs));
                 if !fresh && (early || unfit.is_some()) {
@@ -357,7 +361,7 @@
             }
             (Wish::Abort(_), Some(job)) if job.live().is_some() => {
                 let change = jobs::cancel(&id, job, self.wall.ms(now), &state.layout())?;
-                let zone_of = |peer: &NodeName| self.zone_of(peer);
+                let zone_of = |peer: &ControllerId| self.zone_of(peer);
                 match self.promises.guards(&id, &state.cache, zone_of, now) {
                     Ok(guards) => {
                         // Should it be applied late, this controller may be the one cut off by then.
@@ -380,7 +384,7 @@
         if let Some(waiting) = self.waiting.get_mut(&ticket) {
             waiting.committing = true;
             waiting.synced |= fresh;
-            let names = matches!(&waiting.wish, Wish::Submit(spec) if spec.needs.is_some());
+            let names = matches!(&waiting.wish, Wish::Submit(spec) if spec.depends_on.is_some());
             if names && !waiting.synced {
                 state.sync_soon(ticket);
             }
@@ -389,7 +393,7 @@
         None
     }
 
-    fn zone_of(&self, peer: &NodeName) -> Option<String> {
+    fn zone_of(&self, peer: &ControllerId) -> Option<String> {
         let others = &self.settings.platform.others;
         others.iter().find(|other| other.host_name == *peer).map(|other| other.location.clone())
     }
@@ -403,7 +407,7 @@
         now: Instant,
     ) -> Option<Response> {
         let peers = match &missing {
-            Missing::Promises(peers) => peers.clone(),
+            Missing::CancellationAcks(peers) => peers.clone(),
             // The leader may know that the job has nothing where that one is.
             Missing::Time => {
                 let others = &self.settings.platform.others;
@@ -429,7 +433,7 @@
     }
 
     /// Looks again at cancellations that wait for promises.
-    pub fn on_promised(&mut self, state: &mut StateCore, now: Instant) -> Vec<Answer> {
+    pub fn on_promised(&mut self, state: &mut StoreClient, now: Instant) -> Vec<Answer> {
         let due = self.waiting.iter().filter(|(_, w)| w.promises_until.is_some());
         let due: Vec<u64> = due.map(|(ticket, _)| *ticket).collect();
         let mut answers = Vec::new();
@@ -454,7 +458,7 @@
     pub fn on_synced(
         &mut self,
         ticket: u64,
-        state: &mut StateCore,
+        state: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
         if let Some(waiting) = self.waiting.get_mut(&ticket)
@@ -470,7 +474,7 @@
         &mut self,
         ticket: u64,
         outcome: Outcome,
-        state: &mut StateCore,
+        state: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
         self.waiting.get_mut(&ticket)?.committing = false;
@@ -488,7 +492,7 @@
             return self.act(ticket, false, state, now);
         }
         if let Wish::Submit(spec) = &waiting.wish
-            && spec.needs.is_some()
+            && spec.depends_on.is_some()
             && !waiting.synced
         {
             self.waiting.get_mut(&ticket)?.accepted = true;
@@ -513,7 +517,7 @@
     }
 
     /// Answers what has waited too long, and everything if the store was lost.
-    pub fn tick(&mut self, state: &StateCore, now: Instant) -> Vec<Answer> {
+    pub fn tick(&mut self, state: &StoreClient, now: Instant) -> Vec<Answer> {
         let lost = state.lost(now);
         let late: Vec<u64> = self
             .waiting
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::ids::{NodeName, Revision};
+use crate::ids::{ControllerId, Revision};
 use crate::store::records::{self, FORMAT, VersionRecord};
-use crate::store::{FLAVORS_KEY, StateCall, StateEvent, StateReply};
+use crate::store::{FLAVORS_KEY, StoreEvent, StoreRequest, StoreResponse};
 use crate::wire::Data;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 /// The core with a state service that does all it is told and knows what is given.
 struct Asked {
     api: Api,
-    state: StateCore,
+    state: StoreClient,
     rev: u64,
     now: Instant,
     syncs: u32,
@@ -32,21 +32,21 @@
     fn new(told: usize) -> Asked {
         let now = Instant::now();
         let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
-        let names = ["n-0", "n-1"].map(NodeName::new).to_vec();
+        let names = ["n-0", "n-1"].map(ControllerId::new).to_vec();
         let limits = settings.platform.params.state.kept();
-        let mut state = StateCore::new(limits, names.clone(), 1, now);
+        let mut state = StoreClient::new(limits, names.clone(), 1, now);
         state.poll(now);
         let (id, _) = state.calls.pop_front().unwrap();
-        let row = |key: String, data| wire::Row { key, data, rev: Revision(1) };
+        let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
         let flavors = records::data(&vec![crate::settings::plain_flavor()]);
         let version = VersionRecord { format: FORMAT, chunk: 16_384 };
         let told = names.iter().take(told);
         let told = told.map(|n| row(records::version_key(n), records::data(&version)));
         let mut rows = vec![row(FLAVORS_KEY.into(), flavors)];
         rows.extend(told);
-        let page = wire::Page { rows, truncated: false, rev: Revision(1) };
-        state.on_reply(id, StateReply::Page(page), now);
-        let api = Api::new(settings, Wall { at: now, ms: 5 }).unwrap();
+        let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
+        state.on_reply(id, StoreResponse::RangeResponse(page), now);
+        let api = Api::new(settings, WallClock { at: now, ms: 5 }).unwrap();
         Asked { api, state, rev: 1, now, syncs: 0 }
     }
 
@@ -61,16 +61,16 @@
             let calls: Vec<_> = self.state.calls.drain(..).collect();
             for (id, call) in calls {
                 let reply = match call {
-                    StateCall::Follow { wait, .. } if !wait.is_zero() => StateReply::Refused,
-                    StateCall::Commit(txn) => {
+                    StoreRequest::Follow { wait, .. } if !wait.is_zero() => StoreResponse::Refused,
+                    StoreRequest::Commit(txn) => {
                         assert!(txn.writes.len() <= 12);
                         self.rev += 1;
-                        StateReply::Committed(Revision(self.rev))
+                        StoreResponse::Committed(Revision(self.rev))
                     }
                     _ => {
                         self.syncs += 1;
                         let rev = Revision(self.rev);
-                        StateReply::News(wire::News { rev, news: vec![] })
+                        StoreResponse::WatchResponse(wire::WatchResponse { rev, news: vec![] })
                     }
                 };
                 self.state.on_reply(id, reply, self.now);
@@ -78,8 +78,8 @@
             while let Some(event) = self.state.events.pop_front() {
                 let (api, state) = (&mut self.api, &mut self.state);
                 let answer = match event {
-                    StateEvent::Synced(10) => api.on_synced(10, state, self.now),
-                    StateEvent::Outcome(Origin::User(10), outcome) => {
+                    StoreEvent::Synced(10) => api.on_synced(10, state, self.now),
+                    StoreEvent::Outcome(Origin::User(10), outcome) => {
                         api.on_outcome(10, outcome, state, self.now)
                     }
                     _ => None,
@@ -91,9 +91,9 @@
         }
     }
 
-    fn submit(&mut self, id: &str, shape: Shape, needs: &[&str]) -> u16 {
-        let needs = Some(needs.iter().map(|id| JobId::new(id)).collect());
-        let spec = JobSpec { shape, needs, ..jobs::plain_spec(id, 2) };
+    fn submit(&mut self, id: &str, shape: JobKind, depends_on: &[&str]) -> u16 {
+        let depends_on = Some(depends_on.iter().map(|id| JobId::new(id)).collect());
+        let spec = JobSpec { shape, depends_on, ..jobs::plain_spec(id, 2) };
         self.ask(&wire::encode(&spec)).status
     }
 }
@@ -101,29 +101,33 @@
 #[test]
 fn a_job_may_wait_for_what_was_accepted_and_for_nothing_else() {
     let mut asked = Asked::new(2);
-    assert_eq!(asked.submit("wk-1", Shape::Array, &[]), 201);
-    assert_eq!(asked.submit("wk-2", Shape::Service, &[]), 201);
-    assert_eq!(asked.submit("wk-3", Shape::Array, &["wk-1", "wk-1"]), 201);
+    assert_eq!(asked.submit("wk-1", JobKind::Array, &[]), 201);
+    assert_eq!(asked.submit("wk-2", JobKind::Service, &[]), 201);
+    assert_eq!(asked.submit("wk-3", JobKind::Array, &["wk-1", "wk-1"]), 201);
     // Accepted without one; the answer then waits for news of what it names.
     let synced = asked.syncs;
     assert_eq!(synced, 1);
     let job = asked.state.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
-    assert_eq!((job.needs().len(), job.open), (1, 1));
+    assert_eq!((job.depends_on().len(), job.open), (1, 1));
     // Never accepted, itself, a service: for good, but only once the store has been asked.
-    for (n, needs) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
-        assert_eq!(asked.submit("wk-4", Shape::Array, &["wk-1", needs]), 422, "{needs}");
+    for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
+        assert_eq!(
+            asked.submit("wk-4", JobKind::Array, &["wk-1", depends_on]),
+            422,
+            "{depends_on}"
+        );
         assert_eq!(asked.syncs, synced + n as u32 + 1);
     }
-    assert_eq!(asked.submit("wk-4", Shape::Array, &["job-1"]), 400);
+    assert_eq!(asked.submit("wk-4", JobKind::Array, &["job-1"]), 400);
     // A repeat is known whatever it says now.
-    assert_eq!(asked.submit("wk-3", Shape::Array, &["wk-9"]), 200);
+    assert_eq!(asked.submit("wk-3", JobKind::Array, &["wk-9"]), 200);
     // As many as a body may name, in a record far larger than a value.
     let many: Vec<String> = (0..3000).map(|n| format!("wk-{}", n + 100)).collect();
     for id in &many {
-        assert_eq!(asked.submit(id, Shape::Array, &[]), 201);
+        assert_eq!(asked.submit(id, JobKind::Array, &[]), 201);
     }
     let names: Vec<&str> = many.iter().map(String::as_str).collect();
-    assert_eq!(asked.submit("wk-5", Shape::Array, &names), 201);
+    assert_eq!(asked.submit("wk-5", JobKind::Array, &names), 201);
 }
 
 #[test]
@@ -131,8 +135,8 @@
     let mut asked = Asked::new(2);
     let spec = jobs::plain_spec("wk-1", 2);
     let Data::Map(fields) = records::data(&spec) else { panic!() };
-    let with = |needs: Data| {
-        let fields = fields.iter().cloned().chain([(Data::from("waitsOn"), needs)]);
+    let with = |depends_on: Data| {
+        let fields = fields.iter().cloned().chain([(Data::from("waitsOn"), depends_on)]);
         wire::encode(&Data::Map(fields.collect()))
     };
     let wrong = [
@@ -142,8 +146,8 @@
         Data::Array(vec![Data::Null]),
         Data::Map(vec![]),
     ];
-    for needs in wrong {
-        assert_eq!(asked.ask(&with(needs.clone())).status, 400, "{needs:?}");
+    for depends_on in wrong {
+        assert_eq!(asked.ask(&with(depends_on.clone())).status, 400, "{depends_on:?}");
     }
     assert_eq!(asked.ask(&with(Data::Null)).status, 201);
     assert_eq!(asked.ask(&with(Data::Array(vec![]))).status, 200);
@@ -154,8 +158,9 @@
 #[test]
 fn a_job_that_waits_is_refused_while_any_controller_may_be_old() {
     let mut asked = Asked::new(1);
-    assert_eq!(asked.submit("wk-1", Shape::Array, &[]), 201);
-    let spec = JobSpec { needs: Some(vec![JobId::new("wk-1")]), ..jobs::plain_spec("wk-2", 2) };
+    assert_eq!(asked.submit("wk-1", JobKind::Array, &[]), 201);
+    let spec =
+        JobSpec { depends_on: Some(vec![JobId::new("wk-1")]), ..jobs::plain_spec("wk-2", 2) };
     let answer = asked.ask(&wire::encode(&spec));
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s.is_some());
@@ -169,7 +174,7 @@
     let settings = crate::settings::plain(teams);
     let flavors = [crate::settings::plain_flavor()];
     let judge = |team: &str, cpus: f64, tasks: u64| {
-        let (team, shape) = (team.to_owned(), Shape::Service);
+        let (team, shape) = (team.to_owned(), JobKind::Service);
         let spec = JobSpec { team, cpus, shape, ..jobs::plain_spec("wk-1", tasks) };
         impossible(&spec, &settings, &flavors)
     };
@@ -296,7 +301,7 @@
         JobSpec { flavors: Some(vec![]), ..spec() },
         JobSpec { flavors: Some(vec!["unknown".into()]), ..spec() },
         JobSpec { zone: Some("nowhere".into()), ..spec() },
-        JobSpec { shape: Shape::Service, tasks: 9, cpus: 1.0, ..spec() },
+        JobSpec { shape: JobKind::Service, tasks: 9, cpus: 1.0, ..spec() },
     ];
     let mut asked = Asked::new(2);
     for spec in &never {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -5,16 +5,16 @@
 use tokio::time::Instant;
 
 #[derive(Debug, Clone, Copy)]
-pub struct Wall {
+pub struct WallClock {
     pub at: Instant,
     /// Milliseconds since 1970.
     pub ms: u64,
 }
 
-impl Wall {
-    pub fn read(now: Instant) -> Wall {
+impl WallClock {
+    pub fn read(now: Instant) -> WallClock {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        Wall { at: now, ms: since.map_or(0, |t| t.as_millis() as u64) }
+        WallClock { at: now, ms: since.map_or(0, |t| t.as_millis() as u64) }
     }
     pub fn ms(&self, now: Instant) -> u64 {
         let before = self.at.saturating_duration_since(now).as_millis() as u64;
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,9 +2,11 @@
 
 use crate::constants::*;
 use crate::http::{CallError, Method, Request, Response};
-use crate::ids::{MachineId, Token};
+use crate::ids::{FencingToken, MachineId};
 use crate::store::Bucket;
-use crate::wire::{self, Flavor, Flavors, Hire, Listed, MachineNames, MachinePage};
+use crate::wire::{
+    self, ListedMachine, MachineIds, MachinePage, MachineType, MachineTypes, RentalRequest,
+};
 use foldhash::{HashMap, HashMapExt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -12,50 +14,50 @@
 
 /// Type, zone and kind, as indices into the catalogue and the zones, and whether it is spot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Kind {
+pub struct MachinePool {
     pub flavor: usize,
     pub zone: usize,
     pub spot: bool,
 }
 
 #[derive(Debug, Clone)]
-pub enum CloudCall {
-    Flavors,
-    Hire(Kind, Hire),
+pub enum CloudRequest {
+    MachineTypes,
+    RentalRequest(MachinePool, RentalRequest),
     Delete(Vec<MachineId>),
     List { after: String },
 }
 
 #[derive(Debug)]
 pub enum CloudEvent {
-    Flavors(Vec<Flavor>),
-    Hired(Kind, Vec<MachineId>),
-    Refused(Kind),
+    MachineTypes(Vec<MachineType>),
+    Hired(MachinePool, Vec<MachineId>),
+    Refused(MachinePool),
     Deleted(Vec<MachineId>),
     /// A whole listing, and when its first page was asked for.
-    Listed(Vec<Listed>, Instant),
+    ListedMachine(Vec<ListedMachine>, Instant),
 }
 
-impl CloudCall {
+impl CloudRequest {
     pub fn request(&self) -> Request {
         let post =
             |target: &str, body| Request { method: Method::Post, target: target.to_owned(), body };
         let get = |target: String| Request { method: Method::Get, target, body: Vec::new() };
         match self {
-            CloudCall::Flavors => get("/flavors".into()),
-            CloudCall::Hire(_, hire) => post("/hosts", wire::encode(hire)),
-            CloudCall::Delete(machines) => {
-                post("/hosts/delete", wire::encode(&MachineNames { machines: machines.clone() }))
+            CloudRequest::MachineTypes => get("/flavors".into()),
+            CloudRequest::RentalRequest(_, hire) => post("/hosts", wire::encode(hire)),
+            CloudRequest::Delete(machines) => {
+                post("/hosts/delete", wire::encode(&MachineIds { machines: machines.clone() }))
             }
-            CloudCall::List { after } if after.is_empty() => get("/hosts?most=500".into()),
-            CloudCall::List { after } => get(format!("/hosts?after={after}&most=500")),
+            CloudRequest::List { after } if after.is_empty() => get("/hosts?most=500".into()),
+            CloudRequest::List { after } => get(format!("/hosts?after={after}&most=500")),
         }
     }
 }
 
 struct Open {
-    kind: Kind,
-    hire: Hire,
+    kind: MachinePool,
+    hire: RentalRequest,
     next: Instant,
     in_flight: bool,
     /// A request keeps its content once it may have been executed.
@@ -65,12 +67,12 @@
 #[derive(Default)]
 struct Listing {
     asked: Option<Instant>,
-    found: Vec<Listed>,
+    found: Vec<ListedMachine>,
 }
 
-pub struct CloudCore {
+pub struct CloudClient {
     bucket: Bucket,
-    token: Token,
+    token: FencingToken,
     counter: u64,
     hires: BTreeMap<u64, Open>,
     deletes: BTreeMap<MachineId, Instant>,
@@ -80,20 +82,20 @@
     list_at: Instant,
     flavors_in_flight: bool,
     flavors_at: Instant,
-    calls: HashMap<u64, (CloudCall, Option<u64>, Instant)>,
+    calls: HashMap<u64, (CloudRequest, Option<u64>, Instant)>,
     next_call: u64,
     rest_until: Instant,
     /// Its last answer was that it is out as a whole.
     is_out: bool,
-    pub out: VecDeque<(u64, CloudCall)>,
+    pub out: VecDeque<(u64, CloudRequest)>,
 }
 
-impl CloudCore {
-    pub fn new(rps: f64, now: Instant) -> CloudCore {
-        CloudCore {
+impl CloudClient {
+    pub fn new(rps: f64, now: Instant) -> CloudClient {
+        CloudClient {
             // Other controllers may have spent of the same budget just before.
             bucket: Bucket::new(rps * STATE_BUDGET, 1.0, now),
-            token: Token(0),
+            token: FencingToken(0),
             counter: 0,
             hires: BTreeMap::new(),
             deletes: BTreeMap::new(),
@@ -112,7 +114,7 @@
     }
 
     /// A new leadership: request names carry its token and so are never used twice.
-    pub fn lead(&mut self, token: Token, now: Instant) {
+    pub fn lead(&mut self, token: FencingToken, now: Instant) {
         self.token = token;
         self.hires.clear();
         self.deletes.clear();
@@ -120,7 +122,7 @@
         self.list_at = now;
     }
 
-    pub fn hire(&mut self, kind: Kind, flavor: &str, zone: &str, count: u32, now: Instant) {
+    pub fn hire(&mut self, kind: MachinePool, flavor: &str, zone: &str, count: u32, now: Instant) {
         let mut left = count;
         // Calls are few: what is wanted of a kind while its request waits goes along with it.
         for open in self.hires.values_mut().filter(|open| open.kind == kind && !open.sent) {
@@ -132,7 +134,7 @@
             let count = left.min(HIRE_MAX);
             left -= count;
             self.counter += 1;
-            let hire = Hire {
+            let hire = RentalRequest {
                 request: format!("r-{}-{}", self.token, self.counter),
                 flavor: flavor.to_owned(),
                 zone: zone.to_owned(),
@@ -150,7 +152,7 @@
     }
 
     /// Machines of a kind asked for without an answer yet.
-    pub fn pending(&self) -> Vec<(Kind, u32)> {
+    pub fn pending(&self) -> Vec<(MachinePool, u32)> {
         self.hires.values().map(|open| (open.kind, open.hire.count)).collect()
     }
 
@@ -158,7 +160,7 @@
         self.deletes.entry(machine.clone()).or_insert(now);
     }
 
-    fn send(&mut self, call: CloudCall, hire: Option<u64>, now: Instant) {
+    fn send(&mut self, call: CloudRequest, hire: Option<u64>, now: Instant) {
         self.bucket.take(1.0, now);
         self.next_call += 1;
         self.calls.insert(self.next_call, (call.clone(), hire, now));
@@ -181,7 +183,7 @@
                     .collect();
                 if !due.is_empty() {
                     self.delete_in_flight = true;
-                    self.send(CloudCall::Delete(due), None, now);
+                    self.send(CloudRequest::Delete(due), None, now);
                 }
             }
             let mut due: Vec<(u32, u64)> = self
@@ -198,7 +200,7 @@
                 if let Some(open) = self.hires.get_mut(&n) {
                     open.in_flight = true;
                     open.sent = true;
-                    let call = CloudCall::Hire(open.kind, open.hire.clone());
+                    let call = CloudRequest::RentalRequest(open.kind, open.hire.clone());
                     self.send(call, Some(n), now);
                 }
             }
@@ -207,12 +209,12 @@
                 self.listing.asked.get_or_insert(now);
                 let after = self.listing.found.last();
                 let after = after.map(|m| m.machine.to_string()).unwrap_or_default();
-                self.send(CloudCall::List { after }, None, now);
+                self.send(CloudRequest::List { after }, None, now);
             }
         }
         if !self.flavors_in_flight && now >= self.flavors_at && self.bucket.has(1.0, now) {
             self.flavors_in_flight = true;
-            self.send(CloudCall::Flavors, None, now);
+            self.send(CloudRequest::MachineTypes, None, now);
         }
     }
 
@@ -235,23 +237,23 @@
             self.rest_until = now + STATE_RETRY;
         }
         match call {
-            CloudCall::Flavors => {
+            CloudRequest::MachineTypes => {
                 self.flavors_in_flight = false;
                 self.flavors_at = now + STATE_RETRY * 4;
                 if status == 200
-                    && let Ok(found) = wire::decode::<Flavors>(&body)
+                    && let Ok(found) = wire::decode::<MachineTypes>(&body)
                 {
                     self.flavors_at = now + FLAVORS_EVERY;
-                    events.push(CloudEvent::Flavors(found.flavors));
+                    events.push(CloudEvent::MachineTypes(found.flavors));
                 }
             }
-            CloudCall::Hire(kind, _) => {
+            CloudRequest::RentalRequest(kind, _) => {
                 let Some(n) = hire else { return events };
                 if !self.hires.contains_key(&n) {
                     return events;
                 }
                 if status == 200
-                    && let Ok(found) = wire::decode::<MachineNames>(&body)
+                    && let Ok(found) = wire::decode::<MachineIds>(&body)
                 {
                     let asked = self.hires.remove(&n).map_or(0, |open| open.hire.count as usize);
                     let short = found.machines.len() < asked;
@@ -272,7 +274,7 @@
                     open.next = now + STATE_RETRY * 2;
                 }
             }
-            CloudCall::Delete(machines) => {
+            CloudRequest::Delete(machines) => {
                 self.delete_in_flight = false;
                 if status == 200 {
                     for machine in &machines {
@@ -287,7 +289,7 @@
                     }
                 }
             }
-            CloudCall::List { .. } => {
+            CloudRequest::List { .. } => {
                 self.list_in_flight = false;
                 match wire::decode::<MachinePage>(&body) {
                     Ok(page) if status == 200 => {
@@ -296,7 +298,7 @@
                         if !more {
                             let listing = std::mem::take(&mut self.listing);
                             self.list_at = now + LIST_EVERY;
-                            events.push(CloudEvent::Listed(
+                            events.push(CloudEvent::ListedMachine(
                                 listing.found,
                                 listing.asked.unwrap_or(now),
                             ));
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-const KIND: Kind = Kind { flavor: 0, zone: 0, spot: true };
+const KIND: MachinePool = MachinePool { flavor: 0, zone: 0, spot: true };
 
 fn refusal(error: &str) -> Result<Response, CallError> {
     let body = wire::encode(&wire::CloudError { error: error.into() });
     Ok(Response::with(503, body))
 }
 
-fn hire_sent(core: &mut CloudCore, now: Instant) -> (u64, String) {
+fn hire_sent(core: &mut CloudClient, now: Instant) -> (u64, String) {
     core.poll(true, now);
     let found = core.out.drain(..).find_map(|(id, call)| match call {
-        CloudCall::Hire(_, hire) => Some((id, hire.request)),
+        CloudRequest::RentalRequest(_, hire) => Some((id, hire.request)),
         _ => None,
     });
     found.expect("a hire was sent")
@@ -19,8 +19,8 @@
 #[test]
 fn a_hire_without_an_answer_keeps_its_name_and_a_new_one_gets_another() {
     let now = Instant::now();
-    let mut core = CloudCore::new(100.0, now);
-    core.lead(Token(3), now);
+    let mut core = CloudClient::new(100.0, now);
+    core.lead(FencingToken(3), now);
     core.hire(KIND, "f", "z", 2, now);
     let (id, name) = hire_sent(&mut core, now);
     assert!(core.on_reply(id, Err(CallError::Unknown), now).is_empty());
@@ -30,7 +30,7 @@
     assert_eq!(name, again);
     let refused = core.on_reply(id, refusal(NO_CAPACITY), later);
     assert!(matches!(refused[..], [CloudEvent::Refused(KIND)]));
-    core.lead(Token(4), later);
+    core.lead(FencingToken(4), later);
     core.hire(KIND, "f", "z", 1, later);
     assert_ne!(hire_sent(&mut core, later).1, name);
 }
@@ -38,8 +38,8 @@
 #[test]
 fn what_waits_for_a_call_goes_as_one_request_and_an_outage_is_no_refusal() {
     let now = Instant::now();
-    let mut core = CloudCore::new(100.0, now);
-    core.lead(Token(3), now);
+    let mut core = CloudClient::new(100.0, now);
+    core.lead(FencingToken(3), now);
     core.hire(KIND, "f", "z", 2, now);
     core.hire(KIND, "f", "z", HIRE_MAX, now);
     assert_eq!(core.pending(), [(KIND, HIRE_MAX), (KIND, 2)]);
@@ -54,15 +54,15 @@
 #[test]
 fn a_deletion_is_repeated_until_it_is_answered() {
     let now = Instant::now();
-    let mut core = CloudCore::new(100.0, now);
+    let mut core = CloudClient::new(100.0, now);
     core.delete(&MachineId::new("i-1"), now);
     core.poll(true, now);
-    let id = core.out.iter().find(|(_, c)| matches!(c, CloudCall::Delete(_))).unwrap().0;
+    let id = core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).unwrap().0;
     assert!(core.on_reply(id, Err(CallError::NotSent), now).is_empty());
     core.out.clear();
     core.poll(true, now + STATE_RETRY * 3);
     let (id, _) =
-        core.out.iter().find(|(_, c)| matches!(c, CloudCall::Delete(_))).cloned().unwrap();
+        core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).cloned().unwrap();
     let events = core.on_reply(id, Ok(Response::empty(200)), now);
     assert!(matches!(&events[..], [CloudEvent::Deleted(m)] if m.len() == 1));
 }
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -142,7 +142,7 @@
 pub const RESIGN_REST: Duration = Duration::from_secs(15);
 
 /// Count. PROTOCOL starts a worker's sessions at this.
-pub const FIRST_SESSION: u64 = 1;
+pub const FIRST_AGENT_EPOCH: u64 = 1;
 /// Timeout of a direct command to a worker.
 pub const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
 /// A report is late after so many of its intervals: PROTOCOL varies each by a quarter.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,27 +1,29 @@
 //! One controller: the cores put together, and the actor that carries their effects out.
 
-use crate::admission::{Ceiling, Inbox, Need, Pace, Sockets, come_back_s, read_together};
+use crate::admission::{
+    AdmissionQueue, LoadEstimator, MachineLimit, Need, Sockets, come_back_s, read_together,
+};
 use crate::api::{Api, Route, need, route};
-use crate::clock::Wall;
-use crate::cloud::{CloudCall, CloudCore, CloudEvent};
+use crate::clock::WallClock;
+use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
 use crate::constants::*;
 use crate::drains::{self, DrainRecord};
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
-use crate::ids::{JobId, MachineId, NodeName, Revision, Token};
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use crate::jobs;
-use crate::leadership::controller_lease::Heartbeat;
+use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::{Election, ElectionEvent};
-use crate::peers::mesh::{self, MeshMessage, PeerExtra, Pieces};
+use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use crate::store::records;
 use crate::store::{
-    FLAVOR_PREFIX, FLAVORS_KEY, Item, Origin, Outcome, RELAY_PREFIX, Rank, StateCall, StateCore,
-    StateEvent, StateReply,
+    FLAVOR_PREFIX, FLAVORS_KEY, Item, Origin, Outcome, RELAY_PREFIX, Rank, StoreClient, StoreEvent,
+    StoreRequest, StoreResponse,
 };
-use crate::wire::{self, Data, Guard, Misdirected, Orders, Report, Write};
-use crate::workers::command_delivery::Direct;
+use crate::wire::{self, CommandBatch, Data, Heartbeat, NotLeader, Precondition, Write};
+use crate::workers::command_delivery::DirectCall;
 use foldhash::{HashMap, HashMapExt};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -41,10 +43,10 @@
 #[derive(Debug)]
 pub enum Event {
     Http(u64, Request),
-    State(u64, StateReply),
+    State(u64, StoreResponse),
     Cloud(u64, Result<Response, CallError>),
-    Direct(MachineId, Option<Orders>, Result<Report, CallError>),
-    Mesh(MeshMessage),
+    DirectCall(MachineId, Option<CommandBatch>, Result<Heartbeat, CallError>),
+    Mesh(PeerMessage),
     Tick,
 }
 
@@ -54,7 +56,7 @@
             Event::Http(..) => "request",
             Event::State(..) => "state service",
             Event::Cloud(..) => "cloud",
-            Event::Direct(..) => "worker",
+            Event::DirectCall(..) => "worker",
             Event::Mesh(_) => "controller",
             Event::Tick => "tick",
         }
@@ -65,10 +67,10 @@
 #[derive(Debug)]
 pub enum Effect {
     Reply(u64, Response),
-    State(u64, StateCall),
-    Cloud(u64, CloudCall),
-    Direct(MachineId, SocketAddr, Direct),
-    Mesh(NodeName, MeshMessage),
+    State(u64, StoreRequest),
+    Cloud(u64, CloudRequest),
+    DirectCall(MachineId, SocketAddr, DirectCall),
+    Mesh(ControllerId, PeerMessage),
 }
 
 struct PeerView {
@@ -90,24 +92,24 @@
 /// Tickets of users' requests begin here.
 pub const FIRST_TICKET: u64 = 10;
 
-pub struct Node {
+pub struct Controller {
     settings: Arc<Settings>,
-    pub state: StateCore,
+    pub state: StoreClient,
     pub election: Election,
-    cloud: CloudCore,
+    cloud: CloudClient,
     pub scheduler: Option<Scheduler>,
     api: Api,
-    peers: HashMap<NodeName, PeerView>,
+    peers: HashMap<ControllerId, PeerView>,
     /// When a worker last reported here, and to any other controller as far as they told.
     worker_here: Option<Instant>,
     worker_elsewhere: Option<Instant>,
     delegated_lease: DelegatedLease,
-    heartbeat: Heartbeat,
+    heartbeat: ControllerLease,
     /// Relayed messages of which some pieces have come.
-    pieces: HashMap<NodeName, Pieces>,
+    pieces: HashMap<ControllerId, Pieces>,
     started: Instant,
     /// The highest token under which another controller told that it leads, and who that was.
-    leads: Option<(Token, NodeName)>,
+    leads: Option<(FencingToken, ControllerId)>,
     /// When anything was handled last, and when this process last went on after standing still.
     handled: Instant,
     woke: Instant,
@@ -125,9 +127,9 @@
     /// When the next tick was due.
     tick_due: Instant,
     sockets: Sockets,
-    ceiling: Ceiling,
+    ceiling: MachineLimit,
     /// How busy and how late this process was since the last line of counts.
-    pace: Pace,
+    pace: LoadEstimator,
     /// Public connections that are open, and whether workers' take up most of them.
     open: usize,
     crowded: bool,
@@ -135,23 +137,23 @@
     pub out: Vec<Effect>,
 }
 
-impl Node {
-    pub fn new(settings: Arc<Settings>, seed: u64, wall: Wall) -> Option<Node> {
+impl Controller {
+    pub fn new(settings: Arc<Settings>, seed: u64, wall: WallClock) -> Option<Controller> {
         let p = &settings.platform;
         let now = wall.at;
         let others = p.others.iter().map(|peer| peer.host_name.clone());
         let names = std::iter::once(p.host_name.clone()).chain(others).collect();
-        Some(Node {
-            state: StateCore::new(p.params.state.kept(), names, seed, now),
+        Some(Controller {
+            state: StoreClient::new(p.params.state.kept(), names, seed, now),
             election: Election::new(p.host_name.clone(), p.others.len(), seed, now),
-            cloud: CloudCore::new(p.params.cloud.rps, now),
+            cloud: CloudClient::new(p.params.cloud.rps, now),
             scheduler: None,
             api: Api::new(settings.clone(), wall)?,
             peers: HashMap::new(),
             worker_here: None,
             worker_elsewhere: None,
             delegated_lease: DelegatedLease::default(),
-            heartbeat: Heartbeat::new(&p.host_name, now),
+            heartbeat: ControllerLease::new(&p.host_name, now),
             pieces: HashMap::new(),
             started: now,
             leads: None,
@@ -170,8 +172,8 @@
             format: None,
             tick_due: now,
             sockets: Sockets::new(&p.params.resources),
-            ceiling: Ceiling::new(&p.params.resources, now),
-            pace: Pace::default(),
+            ceiling: MachineLimit::new(&p.params.resources, now),
+            pace: LoadEstimator::default(),
             open: 0,
             crowded: false,
             sharing: Sharing::new(seed >> 2, &settings),
@@ -181,7 +183,7 @@
     }
 
     /// Told the time of day anew now and then, since the steady clock drifts.
-    pub fn set_wall(&mut self, wall: Wall) {
+    pub fn set_wall(&mut self, wall: WallClock) {
         self.api.wall = wall;
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.wall = wall;
@@ -215,7 +217,7 @@
             Event::State(id, reply) => self.state.on_reply(id, reply, now),
             Event::Cloud(id, reply) => {
                 for event in self.cloud.on_reply(id, reply, now) {
-                    if let CloudEvent::Flavors(found) = &event {
+                    if let CloudEvent::MachineTypes(found) = &event {
                         self.on_flavors(found.clone());
                     }
                     if let Some(scheduler) = &mut self.scheduler {
@@ -223,7 +225,7 @@
                     }
                 }
             }
-            Event::Direct(machine, sent, result) => {
+            Event::DirectCall(machine, sent, result) => {
                 if !self.sharing.forwarded.end(&machine, sent.as_ref(), &result, now) {
                     self.on_direct(&machine, sent.as_ref(), result, now);
                 }
@@ -238,8 +240,8 @@
     fn on_direct(
         &mut self,
         machine: &MachineId,
-        sent: Option<&Orders>,
-        result: Result<Report, CallError>,
+        sent: Option<&CommandBatch>,
+        result: Result<Heartbeat, CallError>,
         now: Instant,
     ) {
         if let Some(scheduler) = &mut self.scheduler
@@ -298,9 +300,9 @@
     /// leads, and users go to it. The last one that could serve goes on, drained or not.
     fn stands_aside(&self, now: Instant) -> bool {
         let cache = &self.state.cache;
-        let drained = |name: &NodeName| cache.is_controller_drained(name);
+        let drained = |name: &ControllerId| cache.is_controller_drained(name);
         let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < STATE_LOST;
-        let serves = |(name, view): (&NodeName, &PeerView)| {
+        let serves = |(name, view): (&ControllerId, &PeerView)| {
             fresh(view) && !view.state_lost && !drained(name)
         };
         !cache.drains.is_empty()
@@ -324,7 +326,7 @@
         }
     }
 
-    fn on_flavors(&mut self, found: Vec<wire::Flavor>) {
+    fn on_flavors(&mut self, found: Vec<wire::MachineType>) {
         // The catalogue is kept at the store, so that a controller started while the cloud is
         // out can still judge submissions. It only grows: records refer to it.
         let (known, rev) = self.state.cache.flavors.clone();
@@ -347,11 +349,11 @@
     }
 
     fn push_flavors(&mut self, key: String, data: Data, rev: Revision) {
-        let origin = Origin::Flavors(key.clone());
+        let origin = Origin::MachineTypes(key.clone());
         if self.state.has_item(&origin) {
             return;
         }
-        let guards = vec![Guard { key: key.clone(), rev }];
+        let guards = vec![Precondition { key: key.clone(), rev }];
         let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
         self.state.push(Item { rank: Rank::Rest, origin, change });
     }
@@ -365,7 +367,7 @@
             if self.asked.len() > 20 {
                 self.asked.pop_front();
             }
-            let beat = MeshMessage::PeerStatus {
+            let beat = PeerMessage::PeerStatus {
                 from: self.settings.platform.host_name.clone(),
                 seq: self.mesh_seq,
                 leading: self.scheduler.as_ref().and(self.election.token()),
@@ -409,7 +411,7 @@
             let counts = running.iter().map(|(id, n)| (id.clone(), *n)).take(1500).collect();
             let token = scheduler.token;
             self.api.running = running;
-            self.broadcast(&MeshMessage::Running { token, counts });
+            self.broadcast(&PeerMessage::Running { token, counts });
         }
         self.resign_if_cut_off(now);
         if self.stands_aside(now) {
@@ -589,33 +591,33 @@
         self.state.set_leading(false, now);
     }
 
-    fn on_state(&mut self, event: StateEvent, now: Instant) {
+    fn on_state(&mut self, event: StoreEvent, now: Instant) {
         match event {
-            StateEvent::Loaded => {
+            StoreEvent::Loaded => {
                 tracing::info!(jobs = self.state.cache.jobs.all.len(), "cache is loaded");
             }
-            StateEvent::Changed(ids) => {
+            StoreEvent::Changed(ids) => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.on_jobs(&ids, &self.state.cache, now);
                 }
             }
-            StateEvent::Synced(TAKE_OVER) => self.take_over(now),
-            StateEvent::Synced(PROBE) => self.probe_in_flight = false,
-            StateEvent::Synced(ticket) => {
+            StoreEvent::Synced(TAKE_OVER) => self.take_over(now),
+            StoreEvent::Synced(PROBE) => self.probe_in_flight = false,
+            StoreEvent::Synced(ticket) => {
                 if let Some(response) = self.api.on_synced(ticket, &mut self.state, now) {
                     self.reply(ticket, response);
                 }
             }
-            StateEvent::Outcome(Origin::Operator(ticket), outcome) => {
+            StoreEvent::Outcome(Origin::Operator(ticket), outcome) => {
                 self.on_ordered(ticket, outcome);
             }
-            StateEvent::Outcome(Origin::User(ticket), outcome) => {
+            StoreEvent::Outcome(Origin::User(ticket), outcome) => {
                 let answer = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 if let Some(response) = answer {
                     self.reply(ticket, response);
                 }
             }
-            StateEvent::Outcome(origin, outcome) => {
+            StoreEvent::Outcome(origin, outcome) => {
                 if outcome != Outcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
@@ -623,10 +625,10 @@
                     scheduler.on_outcome(&origin, outcome, &mut self.state);
                 }
             }
-            StateEvent::Heartbeat(call, sent, reply) => {
+            StoreEvent::ControllerLease(call, sent, reply) => {
                 self.heartbeat.on_reply(&call, sent, &reply, now);
             }
-            StateEvent::Election(call, sent, reply) => {
+            StoreEvent::Election(call, sent, reply) => {
                 let (calls, event) =
                     self.election.on_reply(&call, sent, &reply, &self.state.cache, now);
                 for call in calls {
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -19,7 +19,7 @@
     tokio::spawn(http::serve(public, sockets.public, together, http_tx, count_tx));
     let (mesh_tx, mut mesh_rx) = mpsc::unbounded_channel();
     tokio::spawn(mesh::serve(mesh_listener, mesh_tx));
-    let mut dialers: HashMap<NodeName, mpsc::Sender<MeshMessage>> = HashMap::new();
+    let mut dialers: HashMap<ControllerId, mpsc::Sender<PeerMessage>> = HashMap::new();
     let mut traffic = MeshTraffic::new(Instant::now());
     for peer in &platform.others {
         let (tx, rx) = mpsc::channel(32);
@@ -31,12 +31,13 @@
     let mut idle_most = sockets.ours(0).0;
     let always = vec![platform.external.state, platform.external.cloud];
     let client = Client::start(idle_most, always);
-    let mut wall = Wall::read(Instant::now());
-    let Some(mut node) = Node::new(settings.clone(), rand::random(), wall) else {
+    let mut wall = WallClock::read(Instant::now());
+    let Some(mut node) = Controller::new(settings.clone(), rand::random(), wall) else {
         return Err(std::io::Error::other("histogram bounds"));
     };
     let mut replies: HashMap<u64, (oneshot::Sender<Response>, Need)> = HashMap::new();
-    let mut requests: Inbox<(u64, Request, OwnedSemaphorePermit)> = Inbox::new(USER_QUEUE_MAX);
+    let mut requests: AdmissionQueue<(u64, Request, OwnedSemaphorePermit)> =
+        AdmissionQueue::new(USER_QUEUE_MAX);
     let mut arrived: Vec<Incoming> = Vec::new();
     let mut next_ticket = FIRST_TICKET;
     let mut tick_at = Instant::now();
@@ -94,7 +95,7 @@
             client.keep_most(idle);
         }
         if now >= wall.at + WALL_EVERY {
-            wall = Wall::read(now);
+            wall = WallClock::read(now);
             node.set_wall(wall);
         }
         let kind = event.kind();
@@ -138,11 +139,11 @@
                         let _ = events.send(Event::Cloud(id, result));
                     });
                 }
-                Effect::Direct(machine, address, direct) => {
+                Effect::DirectCall(machine, address, direct) => {
                     let (client, events) = (client.clone(), events.clone());
                     let within = match direct {
-                        Direct::Status => STATUS_TIMEOUT,
-                        Direct::Do(_) => WORKER_TIMEOUT,
+                        DirectCall::Status => STATUS_TIMEOUT,
+                        DirectCall::Do(_) => WORKER_TIMEOUT,
                     };
                     tokio::spawn(async move {
                         let event =
@@ -204,14 +205,14 @@
     client: &Client,
     machine: MachineId,
     address: SocketAddr,
-    direct: Direct,
+    direct: DirectCall,
     until: Instant,
 ) -> Event {
     let (request, sent) = match direct {
-        Direct::Status => {
+        DirectCall::Status => {
             (Request { method: Method::Get, target: "/status".into(), body: Vec::new() }, None)
         }
-        Direct::Do(orders) => {
+        DirectCall::Do(orders) => {
             let body = wire::encode(&orders);
             (Request { method: Method::Post, target: "/do".into(), body }, Some(orders))
         }
@@ -221,5 +222,5 @@
             200 | 409 => wire::decode(&response.body).map_err(|_| CallError::Unknown),
             _ => Err(CallError::NotSent),
         });
-    Event::Direct(machine, sent, result)
+    Event::DirectCall(machine, sent, result)
 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// What an operator asks, if it shows the key. Whoever does not know that learns not even that there
     /// is such a path.
     pub(super) fn opened<T: DeserializeOwned>(
@@ -108,7 +108,7 @@
             return Some(Response::later(503));
         }
         let rev = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
-        let guards = vec![Guard { key: key.clone(), rev }];
+        let guards = vec![Precondition { key: key.clone(), rev }];
         let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
         self.state.push(Item { rank: Rank::Awaited, origin: Origin::Operator(ticket), change });
         None
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// A later leader than the store told of so far, which spoke for itself a moment ago.
-    pub(super) fn later_leader(&self, now: Instant) -> Option<&NodeName> {
+    pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         let (token, node) = self.leads.as_ref()?;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
         (*token > self.state.cache.token.0 && self.peers.get(node).is_some_and(near))
@@ -15,7 +15,7 @@
     /// (PROTOCOL), so the promise costs nothing even if the cancellation never comes.
     pub(super) fn on_cancelling(
         &mut self,
-        (from, seq): (NodeName, u64),
+        (from, seq): (ControllerId, u64),
         jobs: Vec<JobId>,
         direct: bool,
         now: Instant,
@@ -28,10 +28,10 @@
         });
         let me = self.settings.platform.host_name.clone();
         let under = self.heartbeat.revision();
-        self.send(&from, MeshMessage::Promised { from: me, seq, under, jobs, placed }, direct);
+        self.send(&from, PeerMessage::Promised { from: me, seq, under, jobs, placed }, direct);
     }
 
-    pub(super) fn send(&mut self, to: &NodeName, message: MeshMessage, direct: bool) {
+    pub(super) fn send(&mut self, to: &ControllerId, message: PeerMessage, direct: bool) {
         if direct {
             self.out.push(Effect::Mesh(to.clone(), message));
         } else {
@@ -41,7 +41,7 @@
 
     /// Asks other controllers for promises, over the mesh or, where that is cut, by way of the store.
     pub(super) fn ask_promises(&mut self, now: Instant) {
-        let mut by_peer: BTreeMap<NodeName, Vec<JobId>> = BTreeMap::new();
+        let mut by_peer: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
         for (peer, job) in std::mem::take(&mut self.api.asks) {
             jobs.insert(job.clone());
@@ -70,14 +70,14 @@
             self.mesh_seq += 1;
             let seq = self.mesh_seq;
             self.api.promises.ask(seq, now);
-            self.send(&peer, MeshMessage::Cancelling { from, seq, jobs }, near);
+            self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, near);
         }
     }
 
     /// A message of another controller, straight from it (`direct`) or by way of the store.
-    pub(super) fn on_mesh(&mut self, message: MeshMessage, direct: bool, now: Instant) {
+    pub(super) fn on_mesh(&mut self, message: PeerMessage, direct: bool, now: Instant) {
         match message {
-            MeshMessage::PeerStatus {
+            PeerMessage::PeerStatus {
                 from,
                 seq,
                 leading,
@@ -131,7 +131,7 @@
                     && self.pledge(token, &from, now)
                 {
                     let cancelled = self.api.cancelled.iter().map(|(id, _)| id.clone());
-                    let pledge = MeshMessage::Pledge {
+                    let pledge = PeerMessage::Pledge {
                         from: self.settings.platform.host_name.clone(),
                         seq,
                         token,
@@ -140,7 +140,7 @@
                     self.out.push(Effect::Mesh(from, pledge));
                 }
             }
-            MeshMessage::Pledge { from, seq, token, cancelled } => {
+            PeerMessage::Pledge { from, seq, token, cancelled } => {
                 let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
                 let ours = self.election.token() == Some(token);
                 if let (Some(asked), true) = (asked, ours) {
@@ -148,7 +148,7 @@
                     self.election.pledged_by(&from, asked);
                 }
             }
-            MeshMessage::Grant { seq, token, number, barred, lent } => {
+            PeerMessage::Grant { seq, token, number, barred, lent } => {
                 if !direct {
                     self.sharing.heard_by_store(token, now);
                 }
@@ -158,10 +158,10 @@
                     self.delegated_lease.take((token, number), lists, direct, asked, now);
                 }
             }
-            MeshMessage::Cancelling { from, seq, jobs } => {
+            PeerMessage::Cancelling { from, seq, jobs } => {
                 self.on_cancelling((from, seq), jobs, direct, now);
             }
-            MeshMessage::Promised { from, seq, under, jobs, placed } => {
+            PeerMessage::Promised { from, seq, under, jobs, placed } => {
                 self.api.promises.promised(&from, seq, under, &jobs);
                 if let Some((leader, zones)) = placed {
                     for (id, zones) in jobs.iter().zip(zones) {
@@ -170,20 +170,20 @@
                 }
                 self.look_at_promises(now);
             }
-            MeshMessage::Sharing { from, token, members } => {
+            PeerMessage::Sharing { from, token, members } => {
                 self.on_sharing(from, token, members, now);
             }
-            MeshMessage::Reports { from, token, batch, reports } => {
+            PeerMessage::Reports { from, token, batch, reports } => {
                 self.on_reports(&from, (token, batch), reports, now);
             }
-            MeshMessage::Verdicts { token, batch, verdicts } => {
+            PeerMessage::Verdicts { token, batch, verdicts } => {
                 self.on_verdicts(token, batch, verdicts, now);
             }
-            MeshMessage::Deliver { from, token, commands } => {
+            PeerMessage::Deliver { from, token, commands } => {
                 self.on_deliver(&from, token, commands, now);
             }
-            MeshMessage::Delivered { token, results } => self.on_delivered(token, results, now),
-            MeshMessage::Running { token, counts } => {
+            PeerMessage::Delivered { token, results } => self.on_delivered(token, results, now),
+            PeerMessage::Running { token, counts } => {
                 if token >= self.state.cache.token.0 && self.scheduler.is_none() {
                     self.api.running = counts.into_iter().collect();
                 }
@@ -193,7 +193,7 @@
 
     /// Whether we promise a leader that asks not to campaign. All controllers read heartbeats by then, or it
     /// is not asked for its own.
-    pub(super) fn pledge(&mut self, token: Token, to: &NodeName, now: Instant) -> bool {
+    pub(super) fn pledge(&mut self, token: FencingToken, to: &ControllerId, now: Instant) -> bool {
         let cache = &self.state.cache;
         let shown =
             self.state.layout().format < FORMAT_HEARTBEAT || cache.heartbeats.contains_key(to);
@@ -207,7 +207,7 @@
     }
 
     /// A follower that does not hear its leader asks for a grant by way of the store.
-    pub(super) fn relay_status(&mut self, beat: &MeshMessage, now: Instant) {
+    pub(super) fn relay_status(&mut self, beat: &PeerMessage, now: Instant) {
         let Some((leader, _)) = &self.state.cache.leader else { return };
         let leader = leader.node.clone();
         let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
@@ -222,11 +222,11 @@
         self.relay(&leader, beat);
     }
 
-    pub(super) fn relay(&mut self, to: &NodeName, message: &MeshMessage) {
+    pub(super) fn relay(&mut self, to: &ControllerId, message: &PeerMessage) {
         let Some(text) = mesh::to_text(message) else { return };
         let layout = self.state.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.settings.platform.host_name);
-        let busy = |state: &StateCore, n| state.has_item(&Origin::Relay(to.clone(), n));
+        let busy = |state: &StoreClient, n| state.has_item(&Origin::Relay(to.clone(), n));
         let mut values = vec![(key.clone(), text)];
         if !layout.fits(&values[0].1) {
             if !layout.second() || busy(&self.state, 1) {
@@ -244,7 +244,8 @@
         let whole = values.len() == 1;
         for (n, some) in values.chunks(layout.txn_ops).enumerate() {
             let rev = |key: &String| self.state.cache.relays.get(key).copied().unwrap_or_default();
-            let guard = |(key, _): &(String, String)| Guard { key: key.clone(), rev: rev(key) };
+            let guard =
+                |(key, _): &(String, String)| Precondition { key: key.clone(), rev: rev(key) };
             let guards = some.iter().map(guard).collect();
             let write = |(key, text): &(String, String)| Write::Put {
                 key: key.clone(),
@@ -267,7 +268,7 @@
                 continue;
             }
             let whole = match piece {
-                Some(_) => self.pieces.entry(NodeName::new(from)).or_default().take(&text),
+                Some(_) => self.pieces.entry(ControllerId::new(from)).or_default().take(&text),
                 None => Some(text),
             };
             if let Some(message) = whole.and_then(|text| mesh::from_text(&text)) {
@@ -276,7 +277,7 @@
         }
     }
 
-    pub(super) fn broadcast(&mut self, message: &MeshMessage) {
+    pub(super) fn broadcast(&mut self, message: &PeerMessage) {
         for peer in &self.settings.platform.others {
             self.out.push(Effect::Mesh(peer.host_name.clone(), message.clone()));
         }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -6,15 +6,15 @@
 use super::worker_heartbeats::redirect;
 use super::*;
 use crate::admission::Load;
-use crate::peers::heartbeat_relay::{RelayedReport, ReportRelay, Verdict};
+use crate::peers::heartbeat_relay::{HeartbeatRelay, RelayedHeartbeat, Verdict};
 use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
 use crate::peers::mesh::PeerExtra;
-use crate::settings::ShareReports;
+use crate::settings::ShardHeartbeats;
 use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
 
 /// All that this controller knows of shared reports, in whatever role.
 pub(super) struct Sharing {
-    pub(super) relay: ReportRelay,
+    pub(super) relay: HeartbeatRelay,
     pub(super) deliveries: Deliveries,
     pub(super) forwarded: ForwardedCommands,
     /// As the leader: whether reports are shared, and by whom.
@@ -26,13 +26,13 @@
     /// As the leader: when others last passed reports on, as far as it permitted that.
     shared_at: Option<Instant>,
     /// The leader that sent a message by way of the store last, and when.
-    by_store: Option<(Token, Instant)>,
+    by_store: Option<(FencingToken, Instant)>,
 }
 
 impl Sharing {
     pub(super) fn new(first: u64, settings: &Settings) -> Sharing {
         Sharing {
-            relay: ReportRelay::new(first),
+            relay: HeartbeatRelay::new(first),
             deliveries: Deliveries::new(first),
             forwarded: ForwardedCommands::new(),
             load: Load::new(settings),
@@ -56,7 +56,7 @@
     }
 
     /// A leader sent something by way of the store: it lives, and does not reach this controller otherwise.
-    pub(super) fn heard_by_store(&mut self, token: Token, now: Instant) {
+    pub(super) fn heard_by_store(&mut self, token: FencingToken, now: Instant) {
         self.by_store = Some((token, now));
     }
 
@@ -72,7 +72,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What this controller tells of itself beside its status.
     pub(super) fn peer_extra(&self) -> PeerExtra {
         if self.settings.operator.hold_format {
@@ -84,7 +84,7 @@
     }
 
     /// Whether a peer understands messages about shared reports, and was heard a moment ago.
-    fn shares(&self, name: &NodeName, now: Instant) -> bool {
+    fn shares(&self, name: &ControllerId, now: Instant) -> bool {
         let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < MEMBER_FRESH;
         let known = self.peers.get(name);
         known.is_some_and(|view| view.extra.protocol >= MESH_PROTOCOL && fresh(view))
@@ -93,7 +93,7 @@
     /// Whether this controller may share reports out at all.
     fn may_share(&self) -> bool {
         let operator = &self.settings.operator;
-        !operator.hold_format && operator.share_reports != ShareReports::Never
+        !operator.hold_format && operator.share_reports != ShardHeartbeats::Never
     }
 
     /// How many other controllers could take reports, those included that are away for a moment.
@@ -126,7 +126,7 @@
             return;
         }
         let (from, members) = (self.settings.platform.host_name.clone(), &self.sharing.members);
-        let message = MeshMessage::Sharing { from, token, members: members.clone() };
+        let message = PeerMessage::Sharing { from, token, members: members.clone() };
         for peer in self.settings.platform.others.iter().map(|peer| &peer.host_name) {
             if self.shares(peer, now) {
                 self.out.push(Effect::Mesh(peer.clone(), message.clone()));
@@ -137,7 +137,7 @@
     /// Who takes reports.
     pub(super) fn find_members(&mut self, machines: usize, now: Instant) -> Membership {
         let platform = &self.settings.platform;
-        let drained = |name: &NodeName| self.state.cache.is_controller_drained(name);
+        let drained = |name: &ControllerId| self.state.cache.is_controller_drained(name);
         let candidates = platform.others.iter().filter_map(|peer| {
             let view = self.peers.get(&peer.host_name)?;
             let (name, zone) = (peer.host_name.clone(), peer.location.clone());
@@ -160,7 +160,7 @@
     }
 
     /// The controller to which a worker is to be sent from here.
-    pub(super) fn other_owner(&mut self, report: &Report, now: Instant) -> Option<NodeName> {
+    pub(super) fn other_owner(&mut self, report: &Heartbeat, now: Instant) -> Option<ControllerId> {
         let me = &self.settings.platform.host_name;
         let members = match &self.scheduler {
             Some(_) => &self.sharing.members,
@@ -179,7 +179,7 @@
     pub(super) fn share_report(
         &mut self,
         ticket: u64,
-        report: Report,
+        report: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
         let newest = self.state.cache.token.0;
@@ -207,13 +207,13 @@
     }
 
     /// Holds a report to pass it on; one that is too large is answered as if it could not be passed on.
-    fn hold_or_answer(&mut self, ticket: u64, report: Report, now: Instant) -> Option<Response> {
+    fn hold_or_answer(&mut self, ticket: u64, report: Heartbeat, now: Instant) -> Option<Response> {
         let large = self.sharing.relay.hold(ticket, report, now)?;
         Some(self.answer_without_leader(&large, now))
     }
 
     /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
-    fn leader_apart(&self, now: Instant) -> Option<NodeName> {
+    fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
         let (leader, _) = self.state.cache.leader.as_ref()?;
         let lapsed = self.sharing.relay.lapsed(leader.token, now)?;
         let silence = match self.peers.get(&leader.node) {
@@ -232,8 +232,8 @@
 
     pub(super) fn on_sharing(
         &mut self,
-        from: NodeName,
-        token: Token,
+        from: ControllerId,
+        token: FencingToken,
         members: Membership,
         now: Instant,
     ) {
@@ -245,9 +245,9 @@
     /// A batch of reports for this leader.
     pub(super) fn on_reports(
         &mut self,
-        from: &NodeName,
-        (token, batch): (Token, u64),
-        reports: Vec<RelayedReport>,
+        from: &ControllerId,
+        (token, batch): (FencingToken, u64),
+        reports: Vec<RelayedHeartbeat>,
         now: Instant,
     ) {
         if !self.may_act(now) {
@@ -258,7 +258,7 @@
         };
         match scheduler.on_relayed(from, reports, &self.state.cache, now) {
             Some(verdicts) => {
-                let message = MeshMessage::Verdicts { token, batch, verdicts };
+                let message = PeerMessage::Verdicts { token, batch, verdicts };
                 self.out.push(Effect::Mesh(from.clone(), message));
             }
             None => {
@@ -270,7 +270,7 @@
 
     pub(super) fn on_verdicts(
         &mut self,
-        token: Token,
+        token: FencingToken,
         batch: u64,
         verdicts: Vec<(u32, Verdict)>,
         now: Instant,
@@ -283,8 +283,8 @@
     /// A leader has this controller send commands.
     pub(super) fn on_deliver(
         &mut self,
-        from: &NodeName,
-        token: Token,
+        from: &ControllerId,
+        token: FencingToken,
         commands: Vec<Delivery>,
         now: Instant,
     ) {
@@ -296,13 +296,13 @@
                 continue;
             }
             let (machine, address) = (delivery.machine.clone(), delivery.address);
-            self.out.push(Effect::Direct(machine, address, delivery.into_direct(token)));
+            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct(token)));
         }
     }
 
     pub(super) fn on_delivered(
         &mut self,
-        token: Token,
+        token: FencingToken,
         results: Vec<(u64, DeliveryResult)>,
         now: Instant,
     ) {
@@ -326,13 +326,13 @@
             let relay = relay.filter(|_| self.sharing.deliveries.under_way() < DELIVERIES_MOST);
             match relay.filter(|name| self.shares(name, now)).cloned() {
                 Some(by) => self.sharing.deliveries.push(&by, (machine, address), direct, now),
-                None => self.out.push(Effect::Direct(machine, address, direct)),
+                None => self.out.push(Effect::DirectCall(machine, address, direct)),
             }
         }
         let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
         let me = self.settings.platform.host_name.clone();
         for (to, commands) in self.sharing.deliveries.take_frames() {
-            let message = MeshMessage::Deliver { from: me.clone(), token, commands };
+            let message = PeerMessage::Deliver { from: me.clone(), token, commands };
             self.out.push(Effect::Mesh(to, message));
         }
     }
@@ -343,7 +343,7 @@
         for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
             let (token, reports) = (batch.token, batch.reports);
             let message =
-                MeshMessage::Reports { from: from.clone(), token, batch: batch.number, reports };
+                PeerMessage::Reports { from: from.clone(), token, batch: batch.number, reports };
             self.out.push(Effect::Mesh(batch.leader, message));
         }
         for overdue in self.sharing.relay.take_overdue(now) {
@@ -356,7 +356,7 @@
         }
         self.sharing.relay.forget_beyond(self.sockets.public * 2);
         for (to, token, results) in self.sharing.forwarded.take_results(now) {
-            self.out.push(Effect::Mesh(to, MeshMessage::Delivered { token, results }));
+            self.out.push(Effect::Mesh(to, PeerMessage::Delivered { token, results }));
         }
         for (machine, sent, result) in self.sharing.deliveries.take_overdue(now) {
             self.on_direct(&machine, sent.as_ref(), result, now);
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -1,14 +1,14 @@
 //! Who passes reports on, and whose passed-on reports are answered.
 
 use super::*;
-use crate::peers::heartbeat_relay::RelayedReport;
+use crate::peers::heartbeat_relay::RelayedHeartbeat;
 
 /// A controller with four others, which has read an empty store.
-fn node(now: Instant) -> Node {
+fn node(now: Instant) -> Controller {
     node_that("always", now)
 }
 
-fn node_that(shares: &str, now: Instant) -> Node {
+fn node_that(shares: &str, now: Instant) -> Controller {
     let other = |n: u16| {
         let port = 10 + n;
         format!(r#"{{"host_name":"m-{n}","location":"a","peer_addr":"127.0.0.1:{port}"}}"#)
@@ -25,31 +25,31 @@
     );
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
-    let mut node = Node::new(settings, 1, Wall { at: now, ms: 5 }).unwrap();
+    let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
     node
 }
 
-fn report(tasks: Vec<wire::ReportedTask>) -> Report {
-    Report {
+fn report(tasks: Vec<wire::TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".into(),
         flavor: "f".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq: 1,
-        token: Token(1),
+        token: FencingToken(1),
         notice_s: None,
         tasks,
     }
 }
 
-fn name(n: u16) -> NodeName {
-    NodeName::new(&format!("m-{n}"))
+fn name(n: u16) -> ControllerId {
+    ControllerId::new(&format!("m-{n}"))
 }
 
-fn heard(node: &mut Node, n: u16, at: Instant, state_lost: bool, protocol: u8) {
+fn heard(node: &mut Controller, n: u16, at: Instant, state_lost: bool, protocol: u8) {
     let extra = PeerExtra { protocol, room: 900 };
     let view = PeerView { heard: at, state_lost, up: Duration::from_secs(60), extra };
     node.peers.insert(name(n), view);
@@ -67,7 +67,7 @@
     heard(&mut node, 2, start, false, MESH_PROTOCOL);
     heard(&mut node, 3, now, false, 0);
     let members = node.find_members(5, now);
-    let names: Vec<&NodeName> = members.0.iter().map(|member| &member.name).collect();
+    let names: Vec<&ControllerId> = members.0.iter().map(|member| &member.name).collect();
     assert_eq!(names, [&name(0), &name(1)]);
     // One that is away for a moment counts where it is asked how many could hold workers; one that understands nothing
     // of it does not.
@@ -95,13 +95,13 @@
     let now = Instant::now();
     let mut node = node(now);
     let report = report(Vec::new());
-    let (settings, wall) = (node.settings.clone(), Wall { at: now, ms: 5 });
+    let (settings, wall) = (node.settings.clone(), WallClock { at: now, ms: 5 });
     let cache = &node.state.cache;
-    node.scheduler = Some(Scheduler::new(Token(1), Revision(2), settings, cache, wall, now));
+    node.scheduler = Some(Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, now));
     heard(&mut node, 0, now, false, MESH_PROTOCOL);
     assert!(!node.may_act(now));
-    let reports = vec![RelayedReport::Full(report.into())];
-    node.on_reports(&name(0), (Token(1), 7), reports, now);
+    let reports = vec![RelayedHeartbeat::Full(report.into())];
+    node.on_reports(&name(0), (FencingToken(1), 7), reports, now);
     assert!(node.out.is_empty(), "{:?}", node.out);
     assert!(node.scheduler.as_ref().is_some_and(|scheduler| scheduler.reports == 0));
     node.tell_sharing(now);
@@ -113,17 +113,17 @@
 fn a_command_of_an_earlier_leader_is_left_out() {
     let now = Instant::now();
     let mut node = node(now);
-    node.state.cache.token = (Token(5), Revision(3));
+    node.state.cache.token = (FencingToken(5), Revision(3));
     let command = |number: u64| crate::workers::command_delivery::Delivery {
         number,
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".parse().unwrap(),
-        session: Some(1),
+        agent_epoch: Some(1),
         orders: Vec::new(),
     };
-    node.on_deliver(&name(0), Token(4), vec![command(1)], now);
+    node.on_deliver(&name(0), FencingToken(4), vec![command(1)], now);
     assert!(node.out.is_empty());
-    node.on_deliver(&name(0), Token(5), vec![command(2), command(2)], now);
+    node.on_deliver(&name(0), FencingToken(5), vec![command(2), command(2)], now);
     assert_eq!(node.out.len(), 1);
 }
 
@@ -135,8 +135,8 @@
     let mut node = node(now);
     let member = crate::peers::membership::Member { name: name(0), zone: "a".into(), weight: 1000 };
     let members = crate::peers::membership::Membership(vec![member]);
-    node.sharing.relay.on_term(Token(1), name(0), members, now);
-    let task = |index: u32| wire::ReportedTask {
+    node.sharing.relay.on_term(FencingToken(1), name(0), members, now);
+    let task = |index: u32| wire::TaskStatus {
         task: crate::ids::TaskId { job: JobId::new("wk-1"), index },
         attempt: crate::ids::Attempt(1),
         state: wire::TaskState::Running,
@@ -144,7 +144,7 @@
         saved: None,
     };
     let report = report((0..1000).map(task).collect());
-    let small = Report { tasks: Vec::new(), ..report.clone() };
+    let small = Heartbeat { tasks: Vec::new(), ..report.clone() };
     for at in [now, now + MEMBER_FRESH * 2] {
         assert!(node.share_report(20, report.clone(), at).is_some());
         assert!(node.share_report(21, small.clone(), at).is_none());
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -7,29 +7,29 @@
 fn pieces_of_two_relayed_messages_are_never_put_together() {
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let now = Instant::now();
-    let mut node = Node::new(settings, 1, Wall { at: now, ms: 5 }).unwrap();
+    let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     node.state.poll(now);
     let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::Page { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StateReply::Page(page), now);
+    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
+    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
     let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
-    node.state.cache.versions.insert(NodeName::new("n"), version);
+    node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
         let barred = names.collect();
-        MeshMessage::Grant { seq: 9, token: Token(41), number, barred, lent: vec![] }
+        PeerMessage::Grant { seq: 9, token: FencingToken(41), number, barred, lent: vec![] }
     };
     let (mut pieces, mut got) = (Pieces::default(), Vec::new());
     for number in 1..3 {
-        node.relay(&NodeName::new("m"), &grant(number));
+        node.relay(&ControllerId::new("m"), &grant(number));
         node.state.poll(now);
         for (id, call) in node.state.calls.drain(..).collect::<Vec<_>>() {
-            let StateCall::Commit(txn) = call else { continue };
+            let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
                 got.extend(pieces.take(data.as_text().unwrap()));
             }
-            node.state.on_reply(id, StateReply::Committed(Revision(1 + number)), now);
+            node.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
         node.state.events.clear();
     }
@@ -43,17 +43,17 @@
     let now = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let up = |crowded: bool, peers: &[(bool, u64)]| {
-        let mut node = Node::new(settings.clone(), 1, Wall { at: now, ms: 5 }).unwrap();
+        let mut node = Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
         node.state.poll(now);
         let (id, _) = node.state.calls.pop_front().unwrap();
-        let page = wire::Page { rows: vec![], truncated: false, rev: Revision(1) };
-        node.state.on_reply(id, StateReply::Page(page), now);
+        let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
+        node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
         node.crowded = crowded;
         for (n, (state_lost, up_s)) in peers.iter().enumerate() {
             let up = Duration::from_secs(*up_s);
             let view =
                 PeerView { heard: now, state_lost: *state_lost, up, extra: PeerExtra::default() };
-            node.peers.insert(NodeName::new(&format!("m-{n}")), view);
+            node.peers.insert(ControllerId::new(&format!("m-{n}")), view);
         }
         node.is_up(now)
     };
@@ -70,21 +70,21 @@
 fn a_leader_of_many_machines_that_is_behind_calls_few_of_them() {
     let now = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
-    let wall = Wall { at: now, ms: 5 };
-    let mut node = Node::new(settings.clone(), 1, wall).unwrap();
+    let wall = WallClock { at: now, ms: 5 };
+    let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
     node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
-    let most_direct = |node: &mut Node, machines: u32, behind: bool| {
+    let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
         let cache = &node.state.cache;
-        let token = Token(1);
+        let token = FencingToken(1);
         let mut scheduler = Scheduler::new(token, Revision(2), settings.clone(), cache, wall, now);
         for n in 0..machines {
-            let report = Report {
+            let report = Heartbeat {
                 machine: MachineId::new(&format!("i-{n}")),
                 address: "127.0.0.1:9000".into(),
                 flavor: "f".into(),
                 zone: "a".into(),
                 spot: false,
-                session: 1,
+                agent_epoch: 1,
                 seq: 1,
                 token,
                 notice_s: None,
@@ -112,7 +112,8 @@
     let ask = |own: &str, method: Method, shown: &str| {
         let mut settings = crate::settings::plain(teams);
         settings.operator.operator_key = crate::settings::Secret(own.into());
-        let mut node = Node::new(Arc::new(settings), 1, Wall { at: now, ms: 5 }).unwrap();
+        let mut node =
+            Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
         let body = serde_json::to_vec(&ops::Question { key: shown.into() }).unwrap();
         node.on_http(1, Request { method, target: ops::AT_RISK_PATH.into(), body }, now);
         match node.out.pop() {
@@ -136,7 +137,7 @@
     let now = Instant::now();
     let mut settings = crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#);
     settings.operator.operator_key = crate::settings::Secret(key.into());
-    let mut node = Node::new(Arc::new(settings), 1, Wall { at: now, ms: 5 }).unwrap();
+    let mut node = Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
     let drain = |name: &str| ops::DrainOrder {
         key: key.into(),
         kind: ops::DrainKind::Zone,
@@ -145,12 +146,12 @@
         author: "x".into(),
         reason: String::new(),
     };
-    let send = |node: &mut Node, ticket: u64, path: &str, body: Vec<u8>| {
+    let send = |node: &mut Controller, ticket: u64, path: &str, body: Vec<u8>| {
         let request = Request { method: Method::Post, target: path.into(), body };
         node.on_http(ticket, request, now);
     };
     let body = |order: &ops::DrainOrder| serde_json::to_vec(order).unwrap();
-    let told = |node: &mut Node| -> Vec<(u64, u16)> {
+    let told = |node: &mut Controller| -> Vec<(u64, u16)> {
         let replies = node.out.drain(..).filter_map(|effect| match effect {
             Effect::Reply(ticket, response) => Some((ticket, response.status)),
             _ => None,
@@ -161,8 +162,8 @@
     assert_eq!(told(&mut node), [(1, 503)], "nothing is known of the store yet");
     node.state.poll(now);
     let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::Page { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StateReply::Page(page), now);
+    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
+    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
     send(&mut node, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
     let undrain = ops::DrainName { key: key.into(), kind: ops::DrainKind::Zone, name: "a".into() };
     let undrain = serde_json::to_vec(&undrain).unwrap();
@@ -180,7 +181,7 @@
         node.state.poll(now);
         let calls: Vec<_> = node.state.calls.drain(..).collect();
         let commit = calls.into_iter().find_map(|(id, call)| match call {
-            StateCall::Commit(txn) => Some((id, txn)),
+            StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
         });
         let (id, txn) = commit.unwrap();
@@ -189,8 +190,8 @@
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
         guarded.push(txn.guards[0].rev);
         let reply = match reply {
-            Some(rev) => StateReply::Committed(rev),
-            None => StateReply::Conflict(vec![txn.guards[0].key.clone()]),
+            Some(rev) => StoreResponse::Committed(rev),
+            None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
         };
         node.state.on_reply(id, reply, now);
         while let Some(event) = node.state.events.pop_front() {
@@ -208,27 +209,27 @@
 fn a_leader_that_knows_of_its_successor_answers_as_those_do_to_whom_that_one_gave_grants() {
     let start = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
-    let wall = Wall { at: start, ms: 5 };
-    let mut node = Node::new(settings.clone(), 1, wall).unwrap();
+    let wall = WallClock { at: start, ms: 5 };
+    let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
     node.state.poll(start);
     let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::Page { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StateReply::Page(page), start);
+    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
+    node.state.on_reply(id, StoreResponse::RangeResponse(page), start);
     node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
-    let report = |name: &str| Report {
+    let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
         flavor: "f".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq: 1,
-        token: Token(1),
+        token: FencingToken(1),
         notice_s: None,
         tasks: Vec::new(),
     };
     let cache = &node.state.cache;
-    let mut scheduler = Scheduler::new(Token(1), Revision(2), settings, cache, wall, start);
+    let mut scheduler = Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, start);
     for name in ["i-1", "i-2"] {
         scheduler.on_report(&report(name), cache, start);
     }
@@ -236,12 +237,13 @@
     // Nobody is heard, and what is known of the store is new.
     let now = start + DELEGATION_AFTER * 2;
     node.state.synced_at = Some(now);
-    let token =
-        |node: &mut Node, name: &str| node.answer_for_leader(&report(name), now).map(|o| o.token);
-    assert_eq!(token(&mut node, "i-1"), Some(Token(1)));
+    let token = |node: &mut Controller, name: &str| {
+        node.answer_for_leader(&report(name), now).map(|o| o.token)
+    };
+    assert_eq!(token(&mut node, "i-1"), Some(FencingToken(1)));
     let barred = vec![MachineId::new("i-1")];
-    node.delegated_lease.take((Token(2), 1), (barred, vec![]), true, start, start);
-    assert_eq!(node.delegated_lease.ack(), (Token(2), 1));
+    node.delegated_lease.take((FencingToken(2), 1), (barred, vec![]), true, start, start);
+    assert_eq!(node.delegated_lease.ack(), (FencingToken(2), 1));
     assert_eq!(token(&mut node, "i-1"), None);
-    assert_eq!(token(&mut node, "i-2"), Some(Token(2)));
+    assert_eq!(token(&mut node, "i-2"), Some(FencingToken(2)));
 }
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// A worker's report; None: its answer comes later.
     pub(super) fn on_hello(&mut self, ticket: u64, body: &[u8], now: Instant) -> Option<Response> {
-        let Ok(report) = wire::decode::<Report>(body) else { return Some(Response::empty(400)) };
+        let Ok(report) = wire::decode::<Heartbeat>(body) else { return Some(Response::empty(400)) };
         if now > self.woke + STOOD_STILL {
             self.worker_here = Some(now);
         }
@@ -17,7 +17,7 @@
     }
 
     /// The leader answers, or sends the worker to the controller that takes its reports.
-    pub(super) fn on_report_as_leader(&mut self, report: &Report, now: Instant) -> Response {
+    pub(super) fn on_report_as_leader(&mut self, report: &Heartbeat, now: Instant) -> Response {
         if let Some(other) = self.other_owner(report, now) {
             return redirect(&other);
         }
@@ -33,7 +33,7 @@
     }
 
     /// Whoever does not lead and can't pass the report on answers for the leader, or names it.
-    pub(super) fn answer_without_leader(&mut self, report: &Report, now: Instant) -> Response {
+    pub(super) fn answer_without_leader(&mut self, report: &Heartbeat, now: Instant) -> Response {
         if let Some(orders) = self.answer_for_leader(report, now) {
             return Response::with(200, wire::encode(&orders));
         }
@@ -57,7 +57,11 @@
     /// starts nothing, and stops what is known to be cancelled: else tasks could outlive their
     /// cancellation. So it takes recent news of the store or, for the workers of this zone, a sign of
     /// life there not too long ago: nothing was cancelled since without our promise.
-    pub(super) fn answer_for_leader(&mut self, report: &Report, now: Instant) -> Option<Orders> {
+    pub(super) fn answer_for_leader(
+        &mut self,
+        report: &Heartbeat,
+        now: Instant,
+    ) -> Option<CommandBatch> {
         let sign = self.heartbeat.answers_until(self.state.synced_at);
         let sign = sign.is_some_and(|until| now < until);
         if !(self.has_news(now) || sign && report.zone == self.settings.platform.location) {
@@ -87,20 +91,20 @@
         let over = |id| {
             self.api.given.has(id) || cache.jobs.get(id).is_some_and(|job| job.over().is_some())
         };
-        let stop = |task: &wire::ReportedTask| wire::Order::Stop {
+        let stop = |task: &wire::TaskStatus| wire::WorkerCommand::Stop {
             task: task.task.clone(),
             attempt: task.attempt,
             grace_s: 0.0,
         };
-        let running = |task: &&wire::ReportedTask| task.state != wire::TaskState::Exited;
+        let running = |task: &&wire::TaskStatus| task.state != wire::TaskState::Exited;
         let tasks = report.tasks.iter().filter(running).filter(|task| over(&task.task.job));
         let orders = tasks.take(ORDERS_MAX).map(stop).collect();
         tracing::debug!(machine = %report.machine, %token, "answered for the leader");
-        Some(Orders { token, session: None, orders })
+        Some(CommandBatch { token, agent_epoch: None, orders })
     }
 }
 
 /// Sends a worker to another controller.
-pub(super) fn redirect(to: &NodeName) -> Response {
-    Response::with(421, wire::encode(&Misdirected { leader: to.to_string() }))
+pub(super) fn redirect(to: &ControllerId) -> Response {
+    Response::with(421, wire::encode(&NotLeader { leader: to.to_string() }))
 }
