--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -5,21 +5,21 @@
 
 use crate::constants::BODY_MAX;
 use crate::ids::{Amount, JobId, Revision};
-use crate::jobs::dag::{Fate, Links};
+use crate::jobs::dag::{Dependencies, DependencyOutcome};
 use crate::store::records::{
     self, CHUNK_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, PIECE_TASKS, Parts, Phase, RECORD_TASKS,
     Record, data, job_key,
 };
-use crate::wire::{self, Data, Guard, JobSpec, JobStatus, Shape, Write};
+use crate::wire::{self, Data, JobKind, JobSpec, JobStatus, Precondition, Write};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// A set of task numbers, one bit each, and how many there are.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Bits(Vec<u8>, u64);
+pub struct TaskSet(Vec<u8>, u64);
 
-impl Bits {
+impl TaskSet {
     pub fn has(&self, i: u32) -> bool {
         self.0.get(i as usize / 8).is_some_and(|byte| byte & (1 << (i % 8)) != 0)
     }
@@ -39,7 +39,7 @@
     }
     /// Adds what another set has, its first number being `from` here and numbers from `end` on
     /// being none of ours.
-    fn add(&mut self, other: &Bits, from: u32, end: u32) {
+    fn add(&mut self, other: &TaskSet, from: u32, end: u32) {
         for i in other.marks() {
             if let Some(i) = from.checked_add(i).filter(|i| *i < end) {
                 self.set(i);
@@ -47,8 +47,8 @@
         }
     }
     /// The part of it that begins at `from`, at most so long.
-    fn part(&self, from: u32, length: u32) -> Bits {
-        let mut part = Bits::default();
+    fn part(&self, from: u32, length: u32) -> TaskSet {
+        let mut part = TaskSet::default();
         let end = from.saturating_add(length).min(self.0.len() as u32 * 8);
         (from..end).filter(|i| self.has(*i)).for_each(|i| part.set(i - from));
         part
@@ -56,10 +56,10 @@
     fn hex(&self) -> String {
         wire::hex(&self.0)
     }
-    fn from_hex(text: &str) -> Option<Bits> {
+    fn from_hex(text: &str) -> Option<TaskSet> {
         let bytes = wire::unhex(text)?;
         let count = bytes.iter().map(|byte| u64::from(byte.count_ones())).sum();
-        Some(Bits(bytes, count))
+        Some(TaskSet(bytes, count))
     }
 }
 
@@ -93,7 +93,7 @@
     /// When the last of those was done, in milliseconds of the time of day.
     ready_ms: u64,
     /// What either layout says is done.
-    done: Bits,
+    done: TaskSet,
     keys: MarkKeys,
     parts: Option<Parts>,
 }
@@ -147,11 +147,11 @@
             JobBody::Live(_) => None,
         }
     }
-    fn fate(&self) -> Fate {
+    fn fate(&self) -> DependencyOutcome {
         match self.body {
-            JobBody::Live(_) => Fate::Open,
-            JobBody::Over { cancelled: true, .. } => Fate::Cancelled,
-            JobBody::Over { .. } => Fate::Done(self.ended_ms),
+            JobBody::Live(_) => DependencyOutcome::Open,
+            JobBody::Over { cancelled: true, .. } => DependencyOutcome::Cancelled,
+            JobBody::Over { .. } => DependencyOutcome::Done(self.ended_ms),
         }
     }
 }
@@ -167,8 +167,8 @@
         self.spec.tasks as u32
     }
     /// The jobs that must be done before a task of this one starts.
-    pub fn needs(&self) -> &[JobId] {
-        self.spec.needs.as_deref().unwrap_or_default()
+    pub fn depends_on(&self) -> &[JobId] {
+        self.spec.depends_on.as_deref().unwrap_or_default()
     }
     /// Whether its tasks may run: all that it needs is committed as done.
     pub fn ready(&self) -> bool {
@@ -180,7 +180,7 @@
         self.accepted_ms.max(self.ready_ms)
     }
     /// Its record with these marks too, if that is where its marks may be written.
-    fn with_marks(&self, done: &Bits, layout: &Layout) -> Option<Record> {
+    fn with_marks(&self, done: &TaskSet, layout: &Layout) -> Option<Record> {
         if !layout.second() {
             return Some(self.record(done.part(0, layout.chunk).hex()));
         }
@@ -199,7 +199,7 @@
 /// One guarded change, as the state core commits it.
 #[derive(Debug, Clone)]
 pub struct Change {
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
@@ -214,7 +214,7 @@
 /// Creates a job.
 pub fn accept(spec: &Arc<JobSpec>, at_ms: u64, layout: &Layout, jobs: &Jobs) -> Accept {
     let key = job_key(&spec.id);
-    let mut guards = vec![Guard { key: key.clone(), rev: Revision(0) }];
+    let mut guards = vec![Precondition { key: key.clone(), rev: Revision(0) }];
     let mut record = Record::live(at_ms, Some(spec.clone()));
     if layout.second() && !layout.fits(&record) {
         let (tag, parts) = records::spec_parts(spec, layout.value_max);
@@ -228,14 +228,14 @@
             let mut writes = Vec::new();
             for n in missing {
                 let key = records::part_key(&spec.id, &tag, n);
-                guards.push(Guard { key: key.clone(), rev: Revision(0) });
+                guards.push(Precondition { key: key.clone(), rev: Revision(0) });
                 writes.push(Write::Put { key, data: data(&parts[n as usize]), hold: None });
             }
             return Accept::Parts(Change { guards, writes });
         }
         // Parts left over are removed from the first one on, so this guard stands for all.
         let first = records::part_key(&spec.id, &tag, 0);
-        guards.push(Guard { key: first, rev: rev(0).unwrap_or_default() });
+        guards.push(Precondition { key: first, rev: rev(0).unwrap_or_default() });
         record.x = Some(Parts { tag, count: parts.len() as u32 });
         record.s = None;
     }
@@ -263,7 +263,7 @@
 fn finish(id: &JobId, job: &Job, record: Record) -> Change {
     let key = job_key(id);
     Change {
-        guards: vec![Guard { key: key.clone(), rev: job.rev }],
+        guards: vec![Precondition { key: key.clone(), rev: job.rev }],
         writes: vec![Write::Put { key, data: data(&record), hold: None }],
     }
 }
@@ -290,7 +290,7 @@
     let mut done = live.done.clone();
     new.iter().for_each(|task| done.set(*task));
     let count = done.count();
-    if live.spec.shape != Shape::Service && count >= live.spec.tasks {
+    if live.spec.shape != JobKind::Service && count >= live.spec.tasks {
         let second_runs = Some(second_runs).filter(|runs| *runs > 0 && layout.second());
         let change = finish(
             id,
@@ -306,8 +306,10 @@
         );
         return Some(Completion { change, ends: true });
     }
-    let mut change =
-        Change { guards: vec![Guard { key: job_key(id), rev: job.rev }], writes: Vec::new() };
+    let mut change = Change {
+        guards: vec![Precondition { key: job_key(id), rev: job.rev }],
+        writes: Vec::new(),
+    };
     let record = live.with_marks(&done, layout);
     let (marks, size) = match record {
         Some(_) => (Marks::Chunk, layout.chunk),
@@ -322,7 +324,7 @@
         }
         let key = marks.key(id, number);
         let rev = live.keys.get(&(marks, number)).copied().unwrap_or_default();
-        change.guards.push(Guard { key: key.clone(), rev });
+        change.guards.push(Precondition { key: key.clone(), rev });
         let value = Data::Text(done.part(number * size, size).hex());
         change.writes.push(Write::Put { key, data: value, hold: None });
     }
@@ -330,7 +332,7 @@
 }
 
 /// Marks of a job whose record has not been read yet.
-type LooseMarks = BTreeMap<(Marks, u32), (Bits, Revision)>;
+type LooseMarks = BTreeMap<(Marks, u32), (TaskSet, Revision)>;
 /// Parts of one description: their texts and revisions.
 type PartTexts = BTreeMap<u32, (String, Revision)>;
 
@@ -338,7 +340,7 @@
 #[derive(Debug)]
 pub struct Jobs {
     pub all: HashMap<JobId, Job>,
-    links: Links,
+    links: Dependencies,
     /// Tasks to a chunk of the first layout.
     pub chunk: u32,
     /// Marks that came before their job's record did (pages are read in key order).
@@ -360,7 +362,7 @@
     pub fn new(chunk: u32) -> Jobs {
         Jobs {
             all: HashMap::new(),
-            links: Links::default(),
+            links: Dependencies::default(),
             chunk,
             loose: BTreeMap::new(),
             parts: BTreeMap::new(),
@@ -426,13 +428,13 @@
         };
         let live = match self.all.remove(&id).map(|job| job.body) {
             Some(JobBody::Live(mut live)) => {
-                let done = Bits::from_hex(&record.d).unwrap_or_default();
+                let done = TaskSet::from_hex(&record.d).unwrap_or_default();
                 live.done.add(&done, 0, live.tasks());
                 live
             }
             _ => {
                 // An edge costs a pointer, not a name of its own: a job may need thousands.
-                for need in Arc::make_mut(&mut spec).needs.iter_mut().flatten() {
+                for need in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
                     if let Some((known, _)) = self.all.get_key_value(need) {
                         *need = known.clone();
                     }
@@ -452,7 +454,7 @@
         spec: Arc<JobSpec>,
         parts: Option<Parts>,
     ) -> Box<LiveJob> {
-        let mut done = Bits::from_hex(&record.d).unwrap_or_default();
+        let mut done = TaskSet::from_hex(&record.d).unwrap_or_default();
         let mut keys = MarkKeys::new();
         for ((marks, number), (bits, rev)) in self.loose.remove(id).unwrap_or_default() {
             done.add(&bits, number.saturating_mul(self.size(marks)), spec.tasks as u32);
@@ -467,13 +469,13 @@
     /// was written anew stands where it stood.
     fn join(&mut self, id: &JobId) {
         let Some(live) = self.all.get(id).and_then(Job::live) else { return };
-        if live.needs().is_empty() || live.open > 0 || live.ready_ms > 0 {
+        if live.depends_on().is_empty() || live.open > 0 || live.ready_ms > 0 {
             return;
         }
-        let needs = live.needs().to_vec();
-        let fate = |need: &JobId| self.all.get(need).map_or(Fate::Open, Job::fate);
-        let standing = dag::standing(needs.iter().map(fate));
-        for need in needs.iter().filter(|need| fate(need) == Fate::Open) {
+        let depends_on = live.depends_on().to_vec();
+        let fate = |need: &JobId| self.all.get(need).map_or(DependencyOutcome::Open, Job::fate);
+        let standing = dag::standing(depends_on.iter().map(fate));
+        for need in depends_on.iter().filter(|need| fate(need) == DependencyOutcome::Open) {
             self.links.add(id, need);
         }
         let Some(JobBody::Live(live)) = self.all.get_mut(id).map(|job| &mut job.body) else {
@@ -482,7 +484,7 @@
         (live.open, live.ready_ms) = (standing.open, standing.ready_ms);
         if standing.cancelled {
             self.cancel_derived(id);
-            self.settle(id, Fate::Cancelled);
+            self.settle(id, DependencyOutcome::Cancelled);
         }
     }
 
@@ -510,7 +512,7 @@
 
     /// A job is over: those that need it, directly or through others, learn of it. Each edge is
     /// walked once.
-    fn settle(&mut self, id: &JobId, fate: Fate) {
+    fn settle(&mut self, id: &JobId, fate: DependencyOutcome) {
         let mut ended = vec![(id.clone(), fate)];
         while let Some((id, fate)) = ended.pop() {
             for next in self.links.settle(&id) {
@@ -519,13 +521,13 @@
                     continue;
                 };
                 match fate {
-                    Fate::Open => {}
-                    Fate::Done(at) => {
+                    DependencyOutcome::Open => {}
+                    DependencyOutcome::Done(at) => {
                         live.open = live.open.saturating_sub(1);
                         live.ready_ms = live.ready_ms.max(at);
                         self.changed.push(next);
                     }
-                    Fate::Cancelled => {
+                    DependencyOutcome::Cancelled => {
                         self.cancel_derived(&next);
                         ended.push((next, fate));
                     }
@@ -577,7 +579,7 @@
         let number = number.parse::<u32>().ok()?;
         let id = JobId::new(id);
         let size = self.size(marks);
-        let Some(bits) = value.as_text().and_then(Bits::from_hex) else {
+        let Some(bits) = value.as_text().and_then(TaskSet::from_hex) else {
             tracing::error!(key = marks.key(&id, number), "unreadable done marks");
             return None;
         };
@@ -699,8 +701,8 @@
         id: JobId::new(id),
         class: "c".into(),
         team: "t".into(),
-        shape: Shape::Array,
-        urgency: wire::Urgency::High,
+        shape: JobKind::Array,
+        urgency: wire::Priority::High,
         tasks,
         cpus: 1.0,
         gpus: 0.0,
@@ -716,7 +718,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         due_s: None,
-        needs: None,
+        depends_on: None,
     }
 }
 
--- a/src/jobs/dag.rs
+++ b/src/jobs/dag.rs
@@ -7,13 +7,13 @@
 
 use crate::ids::JobId;
 use crate::jobs::LiveJob;
-use crate::wire::Urgency;
+use crate::wire::Priority;
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
 
 /// What became of a job that another one needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum DependencyOutcome {
     /// It is not over, or its record has not been read yet.
     Open,
     /// Done at this time of day in milliseconds (0: not known).
@@ -33,13 +33,13 @@
 }
 
 /// The one rule: what a job's standing is, given what became of each job that it needs.
-pub fn standing(fates: impl Iterator<Item = Fate>) -> Standing {
+pub fn standing(fates: impl Iterator<Item = DependencyOutcome>) -> Standing {
     let mut standing = Standing::default();
     for fate in fates {
         match fate {
-            Fate::Open => standing.open += 1,
-            Fate::Done(at) => standing.ready_ms = standing.ready_ms.max(at),
-            Fate::Cancelled => standing.cancelled = true,
+            DependencyOutcome::Open => standing.open += 1,
+            DependencyOutcome::Done(at) => standing.ready_ms = standing.ready_ms.max(at),
+            DependencyOutcome::Cancelled => standing.cancelled = true,
         }
     }
     standing
@@ -47,13 +47,13 @@
 
 /// Who waits for whom: the edges from what is not over to the live jobs that need it.
 #[derive(Debug, Default)]
-pub struct Links {
+pub struct Dependencies {
     needed_by: HashMap<JobId, Vec<JobId>>,
 }
 
-impl Links {
-    pub fn add(&mut self, job: &JobId, needs: &JobId) {
-        self.needed_by.entry(needs.clone()).or_default().push(job.clone());
+impl Dependencies {
+    pub fn add(&mut self, job: &JobId, depends_on: &JobId) {
+        self.needed_by.entry(depends_on.clone()).or_default().push(job.clone());
     }
     /// The job is over: those that needed it, who are to be told once.
     pub fn settle(&mut self, job: &JobId) -> Vec<JobId> {
@@ -63,9 +63,9 @@
 
 /// What a job inherits from those that need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Carried {
+pub struct InheritedPriority {
     /// The highest of its own and of all that need it.
-    pub urgency: Urgency,
+    pub urgency: Priority,
     /// By when it has to be done, in milliseconds of the time of day, so that what needs it can be
     /// done by its own time.
     pub due_ms: Option<u64>,
@@ -76,14 +76,14 @@
 /// `alone` says what a job is by itself, `length_ms` how long it takes once it may run.
 pub fn carry_back<'a>(
     jobs: &BTreeMap<&'a JobId, &'a LiveJob>,
-    alone: impl Fn(&LiveJob) -> Carried,
+    alone: impl Fn(&LiveJob) -> InheritedPriority,
     length_ms: impl Fn(&JobId, &LiveJob) -> u64,
-) -> HashMap<JobId, Carried> {
+) -> HashMap<JobId, InheritedPriority> {
     let mut needed = HashMap::new();
-    let mut carried: HashMap<JobId, Carried> = HashMap::new();
-    let linked = |job: &&LiveJob| !job.needs().is_empty();
+    let mut carried: HashMap<JobId, InheritedPriority> = HashMap::new();
+    let linked = |job: &&LiveJob| !job.depends_on().is_empty();
     for job in jobs.values().copied().filter(linked) {
-        for need in job.needs().iter().filter_map(|id| jobs.get_key_value(id)) {
+        for need in job.depends_on().iter().filter_map(|id| jobs.get_key_value(id)) {
             *needed.entry(*need.0).or_insert(0u32) += 1;
             carried.entry((*need.0).clone()).or_insert_with(|| alone(need.1));
         }
@@ -93,7 +93,7 @@
     while let Some((id, job)) = ready.pop() {
         let own = *carried.entry(id.clone()).or_insert_with(|| alone(job));
         let begin = own.due_ms.map(|due| due.saturating_sub(length_ms(id, job)));
-        for (need, below) in job.needs().iter().filter_map(|id| jobs.get_key_value(id)) {
+        for (need, below) in job.depends_on().iter().filter_map(|id| jobs.get_key_value(id)) {
             if let Some(entry) = carried.get_mut(*need) {
                 entry.urgency = entry.urgency.min(own.urgency);
                 entry.due_ms = entry.due_ms.into_iter().chain(begin).min();
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -121,7 +121,7 @@
         };
         assert!(store.commit(&change, &first));
         let mut reported: BTreeSet<u32> = BTreeSet::new();
-        let mut committed = Bits::default();
+        let mut committed = TaskSet::default();
         let mut next = 0;
         for round in 0.. {
             let jobs = store.read(0..store.keys.len());
@@ -165,7 +165,7 @@
             let (guards, writes) = jobs
                 .tidy(3)
                 .into_iter()
-                .map(|(write, rev)| (Guard { key: write.key().into(), rev }, write))
+                .map(|(write, rev)| (Precondition { key: write.key().into(), rev }, write))
                 .unzip();
             assert!(store.commit(&Change { guards, writes }, &LAYOUT));
         }
@@ -196,7 +196,7 @@
 #[test]
 fn a_description_larger_than_a_value_is_kept_in_parts() {
     let mut long = plain_spec("wk-9", 2000);
-    long.needs = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
+    long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
     long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
     let (long, id) = (Arc::new(long), JobId::new("wk-9"));
     let mut store = Store::default();
@@ -232,9 +232,9 @@
     assert_eq!(jobs.tidy(1000).len(), store.keys.len() - 1);
 }
 
-fn alone(job: &LiveJob) -> dag::Carried {
+fn alone(job: &LiveJob) -> dag::InheritedPriority {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
-    dag::Carried { urgency: job.spec.urgency, due_ms }
+    dag::InheritedPriority { urgency: job.spec.urgency, due_ms }
 }
 
 fn length_ms(job: &LiveJob) -> u64 {
@@ -242,9 +242,9 @@
 }
 
 /// The plain model of what is carried back: by recursion over all that need the job.
-fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::Carried {
+fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
     let mut carried = alone(live[id]);
-    for (other, job) in live.iter().filter(|(_, job)| job.needs().contains(id)) {
+    for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
         let after = plain_carried(other, live);
         carried.urgency = carried.urgency.min(after.urgency);
         let begin = after.due_ms.map(|due| due.saturating_sub(length_ms(job)));
@@ -256,7 +256,7 @@
 /// The plain model: what a job's state is, worked out anew from all records, by recursion.
 fn plain_state(
     id: usize,
-    needs: &[Vec<usize>],
+    depends_on: &[Vec<usize>],
     ended: &BTreeMap<usize, bool>,
     memo: &mut BTreeMap<usize, Option<bool>>,
 ) -> Option<bool> {
@@ -265,7 +265,7 @@
     }
     // Some(true): cancelled, Some(false): done.
     let cancelled =
-        needs[id].iter().any(|need| plain_state(*need, needs, ended, memo) == Some(true));
+        depends_on[id].iter().any(|need| plain_state(*need, depends_on, ended, memo) == Some(true));
     let state = ended.get(&id).copied().or(cancelled.then_some(true));
     memo.insert(id, state);
     state
@@ -287,7 +287,7 @@
         shuffle in 0usize..40,
     ) {
         let count = edges.len();
-        let needs: Vec<Vec<usize>> = edges
+        let depends_on: Vec<Vec<usize>> = edges
             .iter()
             .enumerate()
             .map(|(n, list)| {
@@ -304,8 +304,8 @@
             let before = store.keys.clone();
             if accepted < count && act < 4 {
                 let mut spec = plain_spec(name(accepted).as_str(), 1);
-                spec.needs = Some(needs[accepted].iter().map(|n| name(*n)).collect());
-                let urgencies = [wire::Urgency::High, wire::Urgency::Normal, wire::Urgency::Low];
+                spec.depends_on = Some(depends_on[accepted].iter().map(|n| name(*n)).collect());
+                let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
                 spec.urgency = urgencies[which % 3];
                 spec.due_s = (which % 4 == 0).then_some(100.0 + (which * 7 % 50) as f64);
                 spec.expect_s = which as f64;
@@ -323,7 +323,7 @@
                     // Tidying up changes no answer.
                     _ => {
                         let change = jobs.tidy(2).pop().map(|(write, rev)| Change {
-                            guards: vec![Guard { key: write.key().into(), rev }],
+                            guards: vec![Precondition { key: write.key().into(), rev }],
                             writes: vec![write],
                         });
                         (change, None)
@@ -350,13 +350,13 @@
                 proptest::prop_assert_eq!(found, plain_carried(id, &live), "job {}", id);
             }
             for n in 0..accepted {
-                let plain = plain_state(n, &needs, &ended, &mut memo);
+                let plain = plain_state(n, &depends_on, &ended, &mut memo);
                 for jobs in [&jobs, &again] {
                     let job = jobs.get(&name(n)).unwrap();
                     let state = job.over().map(|(status, _)| status == JobStatus::Cancelled);
                     proptest::prop_assert_eq!(state, plain, "job {}", n);
                     if let Some(live) = job.live() {
-                        let open = needs[n].iter().filter(|m| ended.get(m) != Some(&false));
+                        let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
                         proptest::prop_assert_eq!(live.open as usize, open.count());
                     }
                 }
@@ -375,7 +375,7 @@
     };
     let chain = |n: usize| if n == 0 { vec![] } else { vec![n - 1] };
     let graphs: [fn(usize) -> Vec<usize>; 2] = [chain, layered];
-    for needs in graphs {
+    for depends_on in graphs {
         for backward in [false, true] {
             let mut jobs = Jobs::new(LAYOUT.chunk);
             let name = |n: usize| JobId::new(&format!("wk-{n}"));
@@ -386,21 +386,21 @@
             for n in order {
                 let mut spec = plain_spec(name(n).as_str(), 1);
                 spec.urgency =
-                    if n == 4999 { wire::Urgency::Production } else { wire::Urgency::Low };
+                    if n == 4999 { wire::Priority::Production } else { wire::Priority::Low };
                 spec.due_s = Some(if n == 4999 { 1e6 } else { 2e6 });
-                spec.needs = Some(needs(n).into_iter().map(name).collect());
+                spec.depends_on = Some(depends_on(n).into_iter().map(name).collect());
                 let change = record(&Arc::new(spec), &jobs);
                 apply(&mut jobs, &change, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let alone = |job: &LiveJob| dag::Carried {
+            let alone = |job: &LiveJob| dag::InheritedPriority {
                 urgency: job.spec.urgency,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
             let carried = dag::carry_back(&live, alone, |_, _| 10);
             let first = carried[&name(0)];
-            assert_eq!(first.urgency, wire::Urgency::Production);
-            let layers = if needs(4999).len() == 1 { 4999 } else { 999 };
+            assert_eq!(first.urgency, wire::Priority::Production);
+            let layers = if depends_on(4999).len() == 1 { 4999 } else { 999 };
             assert_eq!(first.due_ms, Some(1_000_000 - layers * 10));
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -2,23 +2,23 @@
 //!
 //! A controller that is cut off from the store may go on answering for its leader, so that the work
 //! around it lives; but it can't learn there which jobs are cancelled meanwhile. So each controller
-//! keeps a key at the store that lasts as long as its lease ([`Heartbeat`]), and a cancellation is
-//! committed only with a guard on that key of every other controller ([`Promises`]): either that
+//! keeps a key at the store that lasts as long as its lease ([`ControllerLease`]), and a cancellation is
+//! committed only with a guard on that key of every other controller ([`CancellationAcks`]): either that
 //! controller promised to stop the job, under just this key, or it has no key, and had none for so
 //! long that nothing it answered can outlive the cancellation's time. The proof is in
 //! `docs/design.md`, "A cut-off zone".
 
 use crate::constants::*;
-use crate::ids::{JobId, LeaseId, NodeName, Revision};
+use crate::ids::{ControllerId, JobId, LeaseId, Revision};
 use crate::store::records::{self, VersionRecord};
-use crate::store::{Cache, HEARTBEAT_PREFIX, StateCall, StateReply};
-use crate::wire::{Data, Guard, Txn, Write};
+use crate::store::{Cache, HEARTBEAT_PREFIX, StoreRequest, StoreResponse};
+use crate::wire::{Data, Precondition, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-pub fn heartbeat_key(node: &NodeName) -> String {
+pub fn heartbeat_key(node: &ControllerId) -> String {
     format!("{HEARTBEAT_PREFIX}{node}")
 }
 
@@ -33,8 +33,8 @@
 
 /// This controller's own key.
 #[derive(Debug)]
-pub struct Heartbeat {
-    me: NodeName,
+pub struct ControllerLease {
+    me: ControllerId,
     key: String,
     stage: Stage,
     in_flight: bool,
@@ -44,11 +44,11 @@
     renewed: Instant,
 }
 
-impl Heartbeat {
-    pub fn new(me: &NodeName, now: Instant) -> Heartbeat {
+impl ControllerLease {
+    pub fn new(me: &ControllerId, now: Instant) -> ControllerLease {
         let key = heartbeat_key(me);
         let (me, stage) = (me.clone(), Stage::Absent);
-        Heartbeat { me, key, stage, in_flight: false, due: now, renewed: now }
+        ControllerLease { me, key, stage, in_flight: false, due: now, renewed: now }
     }
 
     pub fn key(&self) -> &str {
@@ -63,20 +63,20 @@
         seen: Revision,
         version: Option<&(VersionRecord, Revision)>,
         now: Instant,
-    ) -> Option<StateCall> {
+    ) -> Option<StoreRequest> {
         if self.in_flight || now < self.due {
             return None;
         }
         let call = match self.stage {
-            Stage::Absent => StateCall::NewLease(HEARTBEAT_LEASE),
+            Stage::Absent => StoreRequest::NewLease(HEARTBEAT_LEASE),
             Stage::Leased(lease, _) => {
                 let (record, told) = version?;
                 let epoch = records::version_key(&self.me);
                 let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
-                StateCall::Commit(Txn {
+                StoreRequest::Commit(Transaction {
                     guards: vec![
-                        Guard { key: self.key.clone(), rev: seen },
-                        Guard { key: epoch.clone(), rev: *told },
+                        Precondition { key: self.key.clone(), rev: seen },
+                        Precondition { key: epoch.clone(), rev: *told },
                     ],
                     writes: vec![
                         put(&self.key, Data::Bool(true), Some(lease)),
@@ -84,32 +84,42 @@
                     ],
                 })
             }
-            Stage::Held(lease, ..) => StateCall::Touch(lease),
+            Stage::Held(lease, ..) => StoreRequest::Touch(lease),
         };
         self.in_flight = true;
         Some(call)
     }
 
-    pub fn on_reply(&mut self, call: &StateCall, sent: Instant, reply: &StateReply, now: Instant) {
+    pub fn on_reply(
+        &mut self,
+        call: &StoreRequest,
+        sent: Instant,
+        reply: &StoreResponse,
+        now: Instant,
+    ) {
         self.in_flight = false;
         self.due = now + STATE_RETRY * 2;
         match (self.stage, call, reply) {
-            (Stage::Absent, StateCall::NewLease(_), StateReply::Lease(lease)) => {
+            (Stage::Absent, StoreRequest::NewLease(_), StoreResponse::Lease(lease)) => {
                 self.stage = Stage::Leased(*lease, sent);
                 self.due = now;
             }
-            (Stage::Leased(lease, asked), StateCall::Commit(_), StateReply::Committed(rev)) => {
+            (
+                Stage::Leased(lease, asked),
+                StoreRequest::Commit(_),
+                StoreResponse::Committed(rev),
+            ) => {
                 self.stage = Stage::Held(lease, *rev, now);
                 self.renewed = asked;
                 self.due = now + HEARTBEAT_EVERY;
             }
             // Perhaps there all the same, or an older one is: a new lease and a new look settle it.
-            (Stage::Leased(..), StateCall::Commit(_), _) => self.stage = Stage::Absent,
-            (Stage::Held(..), StateCall::Touch(_), StateReply::Done) => {
+            (Stage::Leased(..), StoreRequest::Commit(_), _) => self.stage = Stage::Absent,
+            (Stage::Held(..), StoreRequest::Touch(_), StoreResponse::Done) => {
                 self.renewed = self.renewed.max(sent);
                 self.due = sent + HEARTBEAT_EVERY;
             }
-            (Stage::Held(..), StateCall::Touch(_), StateReply::Gone) => {
+            (Stage::Held(..), StoreRequest::Touch(_), StoreResponse::Gone) => {
                 self.stage = Stage::Absent;
                 self.due = now;
             }
@@ -142,7 +152,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Missing {
     /// These were asked for their promise and can be expected to answer.
-    Promises(Vec<NodeName>),
+    CancellationAcks(Vec<ControllerId>),
     /// One of them is out of the store's reach, and it would take longer than a user waits.
     Time,
 }
@@ -157,14 +167,14 @@
 
 /// What the other controllers promised, and which of them may be out there with no news.
 #[derive(Debug)]
-pub struct Promises {
-    peers: Vec<NodeName>,
+pub struct CancellationAcks {
+    peers: Vec<ControllerId>,
     /// This controller's own key, and the revision under which it knows what it asked for itself: what an
     /// earlier life of it sent must not be applied once a later one, which doesn't know, answers workers.
-    own: Option<Guard>,
-    seen: HashMap<NodeName, Seen>,
+    own: Option<Precondition>,
+    seen: HashMap<ControllerId, Seen>,
     /// Under which key each promise was given, and when it had been asked for.
-    given: BTreeMap<JobId, BTreeMap<NodeName, (Revision, Instant)>>,
+    given: BTreeMap<JobId, BTreeMap<ControllerId, (Revision, Instant)>>,
     /// Questions of late, and when each was asked.
     asked: VecDeque<(u64, Instant)>,
     /// What the leader says: under which leader key, and which zones a job may have tasks in. It has
@@ -174,16 +184,16 @@
     quarantine: Duration,
 }
 
-impl Promises {
-    pub fn new(peers: Vec<NodeName>, lease_s: f64, cancel_s: f64) -> Promises {
+impl CancellationAcks {
+    pub fn new(peers: Vec<ControllerId>, lease_s: f64, cancel_s: f64) -> CancellationAcks {
         let (seen, given, asked, placed) = Default::default();
         let quarantine = quarantine(lease_s, cancel_s);
-        Promises { peers, own: None, seen, given, asked, placed, quarantine }
+        CancellationAcks { peers, own: None, seen, given, asked, placed, quarantine }
     }
 
     /// Told under which revision this controller's own key stands, once all show heartbeats.
     pub fn under(&mut self, key: String, rev: Revision) {
-        self.own = Some(Guard { key, rev });
+        self.own = Some(Precondition { key, rev });
     }
 
     /// Takes in what the cache says of the others' keys.
@@ -216,7 +226,7 @@
     }
 
     /// The answer to a question; one that the network held back for long counts for nothing.
-    pub fn promised(&mut self, from: &NodeName, seq: u64, under: Revision, jobs: &[JobId]) {
+    pub fn promised(&mut self, from: &ControllerId, seq: u64, under: Revision, jobs: &[JobId]) {
         let Some((_, at)) = self.asked.iter().find(|(asked, _)| *asked == seq) else { return };
         for id in jobs {
             let given = self.given.entry(id.clone()).or_default();
@@ -243,9 +253,9 @@
         &self,
         id: &JobId,
         cache: &Cache,
-        zone_of: impl Fn(&NodeName) -> Option<String>,
+        zone_of: impl Fn(&ControllerId) -> Option<String>,
         now: Instant,
-    ) -> Result<Vec<Guard>, Missing> {
+    ) -> Result<Vec<Precondition>, Missing> {
         let mut guards: BTreeMap<String, Revision> = BTreeMap::new();
         let (mut asked, mut late) = (Vec::new(), false);
         let given = self.given.get(id);
@@ -293,9 +303,9 @@
             return Err(Missing::Time);
         }
         if !asked.is_empty() {
-            return Err(Missing::Promises(asked));
+            return Err(Missing::CancellationAcks(asked));
         }
-        let guards = guards.into_iter().map(|(key, rev)| Guard { key, rev });
+        let guards = guards.into_iter().map(|(key, rev)| Precondition { key, rev });
         Ok(guards.chain(self.own.clone()).collect())
     }
 }
--- a/src/leadership/controller_lease/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -25,38 +25,38 @@
     fn key_rev(&self) -> Revision {
         Revision(self.key.map_or(0, |(rev, ..)| rev))
     }
-    fn holds(&self, guards: &[Guard]) -> bool {
-        let epoch = records::version_key(&NodeName::new("f"));
+    fn holds(&self, guards: &[Precondition]) -> bool {
+        let epoch = records::version_key(&ControllerId::new("f"));
         let rev = |key: &str| if key == epoch { Revision(self.epoch) } else { self.key_rev() };
         guards.iter().all(|guard| guard.rev == rev(&guard.key))
     }
     /// What a call of the controller does here.
-    fn call(&mut self, call: &StateCall, now: Instant) -> StateReply {
+    fn call(&mut self, call: &StoreRequest, now: Instant) -> StoreResponse {
         match call {
-            StateCall::NewLease(life) => {
+            StoreRequest::NewLease(life) => {
                 self.leases.push(now + *life);
-                StateReply::Lease(LeaseId(self.leases.len() as u64 - 1))
+                StoreResponse::Lease(LeaseId(self.leases.len() as u64 - 1))
             }
-            StateCall::Touch(lease) if self.leases[lease.0 as usize] > now => {
+            StoreRequest::Touch(lease) if self.leases[lease.0 as usize] > now => {
                 self.leases[lease.0 as usize] = now + HEARTBEAT_LEASE;
-                StateReply::Done
+                StoreResponse::Done
             }
-            StateCall::Commit(txn) if self.holds(&txn.guards) => {
+            StoreRequest::Commit(txn) if self.holds(&txn.guards) => {
                 let Write::Put { hold: Some(lease), .. } = &txn.writes[0] else { panic!() };
                 self.rev += 1;
                 self.key = Some((self.rev, lease.0, now));
                 self.epoch = self.rev;
-                StateReply::Committed(Revision(self.rev))
+                StoreResponse::Committed(Revision(self.rev))
             }
-            StateCall::Commit(_) => StateReply::Conflict(vec![]),
-            _ => StateReply::Gone,
+            StoreRequest::Commit(_) => StoreResponse::Conflict(vec![]),
+            _ => StoreResponse::Gone,
         }
     }
 }
 
 /// A controller that may answer workers, in one of its lives.
 struct Other {
-    heartbeat: Heartbeat,
+    heartbeat: ControllerLease,
     given: bool,
     knows: bool,
     synced: Option<Instant>,
@@ -66,13 +66,13 @@
 /// knowing of the cancellation is gone when the user's time is over, and cancellations happen.
 #[test]
 fn nothing_answered_without_news_outlives_a_cancellation() {
-    let (name, id) = (NodeName::new("f"), JobId::new("wk-1"));
+    let (name, id) = (ControllerId::new("f"), JobId::new("wk-1"));
     let mut cancelled = 0;
     for seed in 0..3000 {
         let random = &mut StdRng::seed_from_u64(seed);
         let start = Instant::now();
         let born = |now| Other {
-            heartbeat: Heartbeat::new(&name, now),
+            heartbeat: ControllerLease::new(&name, now),
             given: false,
             knows: false,
             synced: None,
@@ -86,7 +86,7 @@
         let spec = std::sync::Arc::new(crate::jobs::plain_spec("wk-1", 2));
         let job = records::data(&records::Record::live(1, Some(spec)));
         cache.jobs.put_job(id.clone(), &job, Revision(2));
-        let mut promises = Promises::new(vec![name.clone()], LEASE_S, CANCEL_S);
+        let mut promises = CancellationAcks::new(vec![name.clone()], LEASE_S, CANCEL_S);
         let (mut to_other, mut to_us, mut commits) = (Vec::new(), Vec::new(), Vec::new());
         let mut last_blind: Option<Instant> = None;
         let mut cut = false;
@@ -129,7 +129,7 @@
                 {
                     let reply = store.call(&call, now);
                     let lost = random.random_range(0..10) == 0;
-                    let reply = if lost { StateReply::Unknown } else { reply };
+                    let reply = if lost { StoreResponse::Unknown } else { reply };
                     other.heartbeat.on_reply(&call, now, &reply, now);
                 }
                 if random.random_range(0..5) == 0 {
@@ -202,13 +202,13 @@
 /// again, or the sender was started anew and remembers nothing: in both cases it has to find a guard changed.
 #[test]
 fn a_late_cancellation_finds_that_a_controller_has_lived_since() {
-    let (me, peer, id) = (NodeName::new("me"), NodeName::new("f"), JobId::new("wk-1"));
+    let (me, peer, id) = (ControllerId::new("me"), ControllerId::new("f"), JobId::new("wk-1"));
     let now = Instant::now();
     let mut cache = Cache::new(16);
     cache.loaded = true;
     let version = VersionRecord { format: FORMAT, chunk: 16 };
     cache.versions.insert(peer.clone(), (version, Revision(5)));
-    let mut promises = Promises::new(vec![peer.clone()], LEASE_S, CANCEL_S);
+    let mut promises = CancellationAcks::new(vec![peer.clone()], LEASE_S, CANCEL_S);
     promises.under(heartbeat_key(&me), Revision(7));
     promises.look(&cache, now);
     let later = now + Duration::from_secs(60);
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -8,8 +8,8 @@
 //! does not hear are lent: they are answered though the leader is near.
 
 use crate::constants::*;
-use crate::ids::{MachineId, NodeName, Token};
-use crate::peers::mesh::MeshMessage;
+use crate::ids::{ControllerId, FencingToken, MachineId};
+use crate::peers::mesh::PeerMessage;
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Grant {
-    token: Token,
+    token: FencingToken,
     number: u64,
     until: Instant,
     /// When one came over the mesh last.
@@ -40,7 +40,7 @@
     /// One that came by way of the store (not `direct`) shows that the leader is out of reach.
     pub fn take(
         &mut self,
-        (token, number): (Token, u64),
+        (token, number): (FencingToken, u64),
         (barred, lent): (Vec<MachineId>, Vec<MachineId>),
         direct: bool,
         asked: Instant,
@@ -57,8 +57,8 @@
         self.grant = Some(Grant { token, number, until, received, barred, lent });
     }
 
-    pub fn ack(&self) -> (Token, u64) {
-        self.grant.as_ref().map_or((Token(0), 0), |grant| (grant.token, grant.number))
+    pub fn ack(&self) -> (FencingToken, u64) {
+        self.grant.as_ref().map_or((FencingToken(0), 0), |grant| (grant.token, grant.number))
     }
 
     /// Whom we answered and how long ago.
@@ -75,7 +75,12 @@
 
     /// The token to answer a report with, if we may: the leader grants it, is out of our reach,
     /// and no later one is known (`newest`).
-    pub fn answer(&mut self, machine: &MachineId, newest: Token, now: Instant) -> Option<Token> {
+    pub fn answer(
+        &mut self,
+        machine: &MachineId,
+        newest: FencingToken,
+        now: Instant,
+    ) -> Option<FencingToken> {
         let grant = self.grant.as_ref()?;
         let near =
             grant.received.is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_AFTER);
@@ -91,9 +96,9 @@
 /// What the leader knows of the grants it gave.
 #[derive(Debug)]
 pub struct Delegations {
-    token: Token,
+    token: FencingToken,
     since: Instant,
-    peers: HashMap<NodeName, Peer>,
+    peers: HashMap<ControllerId, Peer>,
     pub number: u64,
 }
 
@@ -108,7 +113,11 @@
 }
 
 impl Delegations {
-    pub fn new(token: Token, peers: impl Iterator<Item = NodeName>, now: Instant) -> Delegations {
+    pub fn new(
+        token: FencingToken,
+        peers: impl Iterator<Item = ControllerId>,
+        now: Instant,
+    ) -> Delegations {
         // A predecessor's grants may last one full term from now.
         let peer = || Peer {
             until: now + DELEGATION_TERM.mul_f64(1.0 + DRIFT),
@@ -128,8 +137,8 @@
     /// A beat of another controller, which asks for a grant and tells what it did.
     pub fn on_peer_status(
         &mut self,
-        from: &NodeName,
-        ack: (Token, u64),
+        from: &ControllerId,
+        ack: (FencingToken, u64),
         up: Duration,
         answered_for_leader: &[(MachineId, u64)],
         direct: bool,
@@ -158,22 +167,22 @@
     }
 
     /// Whether nothing has come from that controller for a while.
-    pub fn unheard(&self, peer: &NodeName, now: Instant) -> bool {
+    pub fn unheard(&self, peer: &ControllerId, now: Instant) -> bool {
         let silent = |peer: &Peer| now.saturating_duration_since(peer.heard) > DELEGATION_AFTER;
         self.peers.get(peer).is_none_or(silent)
     }
 
     pub fn give(
         &mut self,
-        to: &NodeName,
+        to: &ControllerId,
         seq: u64,
         (barred, lent): (Vec<MachineId>, Vec<MachineId>),
         now: Instant,
-    ) -> Option<MeshMessage> {
+    ) -> Option<PeerMessage> {
         let peer = self.peers.get_mut(to)?;
         peer.until = now + DELEGATION_TERM.mul_f64(1.0 + DRIFT);
         let (token, number) = (self.token, self.number);
-        Some(MeshMessage::Grant { seq, token, number, barred, lent })
+        Some(PeerMessage::Grant { seq, token, number, barred, lent })
     }
 
     /// The latest time at which another controller may have answered the machine, which has been
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -8,17 +8,20 @@
 fn a_follower_answers_only_without_its_leader_and_within_the_grant() {
     let now = Instant::now();
     let mut delegated_lease = DelegatedLease::default();
-    assert_eq!(delegated_lease.answer(&id(), Token(0), now), None);
-    delegated_lease.take((Token(3), 1), (vec![], vec![]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), Token(3), now), None);
-    assert_eq!(delegated_lease.answer(&id(), Token(3), now + DELEGATION_AFTER), Some(Token(3)));
-    assert_eq!(delegated_lease.answer(&id(), Token(4), now + DELEGATION_AFTER), None);
-    assert_eq!(delegated_lease.answer(&id(), Token(3), now + DELEGATION_TERM), None);
-    delegated_lease.take((Token(3), 2), (vec![id()], vec![id()]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), Token(3), now + DELEGATION_AFTER), None);
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(0), now), None);
+    delegated_lease.take((FencingToken(3), 1), (vec![], vec![]), true, now, now);
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now), None);
+    assert_eq!(
+        delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_AFTER),
+        Some(FencingToken(3))
+    );
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(4), now + DELEGATION_AFTER), None);
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_TERM), None);
+    delegated_lease.take((FencingToken(3), 2), (vec![id()], vec![id()]), true, now, now);
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_AFTER), None);
     // A machine that is lent is answered at once.
-    delegated_lease.take((Token(3), 3), (vec![], vec![id()]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), Token(3), now), Some(Token(3)));
+    delegated_lease.take((FencingToken(3), 3), (vec![], vec![id()]), true, now, now);
+    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now), Some(FencingToken(3)));
 }
 
 /// Whatever a follower does with what reaches it, it never answers later than the leader
@@ -27,11 +30,11 @@
 fn the_leader_s_bound_holds_under_loss_and_delay() {
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
-    let peer = NodeName::new("b");
+    let peer = ControllerId::new("b");
     for seed in 0..300 {
         let random = &mut StdRng::seed_from_u64(seed);
         let start = Instant::now();
-        let mut delegations = Delegations::new(Token(1), [peer.clone()].into_iter(), start);
+        let mut delegations = Delegations::new(FencingToken(1), [peer.clone()].into_iter(), start);
         let mut delegated_lease = DelegatedLease::default();
         let mut barred_since = None;
         let mut to_leader = Vec::new();
@@ -69,7 +72,7 @@
                 );
                 delegations.number += 1;
                 let barred = barred_since.map(|_| id()).into_iter().collect();
-                let Some(MeshMessage::Grant { number, barred, lent, .. }) =
+                let Some(PeerMessage::Grant { number, barred, lent, .. }) =
                     delegations.give(&peer, 0, (barred, vec![id()]), now)
                 else {
                     panic!()
@@ -79,9 +82,15 @@
                 }
             }
             for (_, asked, number, barred, lent) in to_follower.extract_if(.., |m| arrived(&m.0)) {
-                delegated_lease.take((Token(1), number), (barred, lent), step % 2 == 0, asked, now);
+                delegated_lease.take(
+                    (FencingToken(1), number),
+                    (barred, lent),
+                    step % 2 == 0,
+                    asked,
+                    now,
+                );
             }
-            if delegated_lease.answer(&id(), Token(1), now).is_some() {
+            if delegated_lease.answer(&id(), FencingToken(1), now).is_some() {
                 last = Some(now);
             }
             let bound = delegations.answered_until(&id(), barred_since);
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,9 +1,9 @@
 //! Who leads: the leader's lease, the token, and when one may act.
 
 use crate::constants::*;
-use crate::ids::{LeaseId, NodeName, Revision, Token};
-use crate::store::{Cache, LEADER_KEY, LeaderRecord, StateCall, StateReply, TOKEN_KEY};
-use crate::wire::{Data, Guard, Txn, Write};
+use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
+use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
+use crate::wire::{Data, Precondition, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
     Campaigning {
         lease: LeaseId,
         sent: Instant,
-        token: Token,
+        token: FencingToken,
     },
     /// Giving a lease back whose transaction had no verdict; its end settles the matter.
     Settling {
@@ -28,18 +28,18 @@
     },
     Leading {
         lease: LeaseId,
-        token: Token,
+        token: FencingToken,
     },
 }
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum ElectionEvent {
-    Won(Token),
+    Won(FencingToken),
     Lost(&'static str),
 }
 
 pub struct Election {
-    me: NodeName,
+    me: ControllerId,
     peers: usize,
     role: Role,
     /// Sure end of the state lease by our own clock.
@@ -50,7 +50,7 @@
     /// Until when we have promised not to campaign, and for whom.
     pledged_until: Instant,
     /// Pledges that we hold, by peer: until when each surely lasts.
-    pledges: HashMap<NodeName, Instant>,
+    pledges: HashMap<ControllerId, Instant>,
     random: StdRng,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Election {
-    pub fn new(me: NodeName, peers: usize, seed: u64, now: Instant) -> Election {
+    pub fn new(me: ControllerId, peers: usize, seed: u64, now: Instant) -> Election {
         Election {
             me,
             peers,
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn token(&self) -> Option<Token> {
+    pub fn token(&self) -> Option<FencingToken> {
         match self.role {
             Role::Leading { token, .. } => Some(token),
             _ => None,
@@ -107,7 +107,13 @@
     /// later leader, and when the leader's key is gone or its heartbeat is (`shown`: whether it is there):
     /// then others may have gone on without it. A process that has read nothing from the store since it
     /// started can't know what its earlier life and others did, and promises nothing.
-    pub fn pledge(&mut self, token: Token, cache: &Cache, shown: bool, now: Instant) -> bool {
+    pub fn pledge(
+        &mut self,
+        token: FencingToken,
+        cache: &Cache,
+        shown: bool,
+        now: Instant,
+    ) -> bool {
         // One that led before, and has not heard of its successor from the store yet, won't campaign either.
         let open = match self.role {
             Role::Follower => true,
@@ -126,19 +132,19 @@
         stands
     }
 
-    pub fn pledged_by(&mut self, peer: &NodeName, asked: Instant) {
+    pub fn pledged_by(&mut self, peer: &ControllerId, asked: Instant) {
         let until = asked + sure(PLEDGE);
         let entry = self.pledges.entry(peer.clone()).or_insert(until);
         *entry = (*entry).max(until);
     }
 
     /// Gives leadership up and stands back for a while.
-    pub fn resign(&mut self, now: Instant) -> Option<StateCall> {
+    pub fn resign(&mut self, now: Instant) -> Option<StoreRequest> {
         let Role::Leading { lease, .. } = self.role else { return None };
         self.role = Role::Follower;
         self.campaign_at = now + RESIGN_REST;
         self.pledges.clear();
-        Some(StateCall::DropLease(lease))
+        Some(StoreRequest::DropLease(lease))
     }
 
     /// Lets others campaign first for a while: this controller is to be ended.
@@ -148,7 +154,7 @@
         }
     }
 
-    pub fn poll(&mut self, cache: &Cache, state_lost: bool, now: Instant) -> Vec<StateCall> {
+    pub fn poll(&mut self, cache: &Cache, state_lost: bool, now: Instant) -> Vec<StoreRequest> {
         let mut calls = Vec::new();
         match &self.role {
             Role::Follower => {
@@ -157,19 +163,19 @@
                     self.campaign_at = self.campaign_at.max(now + jitter);
                 } else if now >= self.campaign_at.max(self.pledged_until) {
                     self.role = Role::Asking;
-                    calls.push(StateCall::NewLease(LEADER_LEASE));
+                    calls.push(StoreRequest::NewLease(LEADER_LEASE));
                 }
             }
             Role::Settling { lease } => {
                 if now >= self.renew_at && !self.renew_in_flight {
                     self.renew_in_flight = true;
-                    calls.push(StateCall::DropLease(*lease));
+                    calls.push(StoreRequest::DropLease(*lease));
                 }
             }
             Role::Leading { lease, .. } => {
                 if now >= self.renew_at && !self.renew_in_flight {
                     self.renew_in_flight = true;
-                    calls.push(StateCall::Touch(*lease));
+                    calls.push(StoreRequest::Touch(*lease));
                 }
             }
             Role::Asking | Role::Campaigning { .. } => {}
@@ -194,32 +200,32 @@
 
     pub fn on_reply(
         &mut self,
-        call: &StateCall,
+        call: &StoreRequest,
         sent: Instant,
-        reply: &StateReply,
+        reply: &StoreResponse,
         cache: &Cache,
         now: Instant,
-    ) -> (Vec<StateCall>, Option<ElectionEvent>) {
+    ) -> (Vec<StoreRequest>, Option<ElectionEvent>) {
         let mut calls = Vec::new();
         let mut event = None;
         match (self.role.clone(), call) {
-            (Role::Asking, StateCall::NewLease(_)) => match reply {
-                StateReply::Lease(lease) => {
+            (Role::Asking, StoreRequest::NewLease(_)) => match reply {
+                StoreResponse::Lease(lease) => {
                     // The pledge may have been given, or a leader found, since we asked.
                     if cache.leader.is_some() || now < self.pledged_until {
                         self.stand_back(now);
-                        calls.push(StateCall::DropLease(*lease));
+                        calls.push(StoreRequest::DropLease(*lease));
                         return (calls, None);
                     }
                     let (old, rev) = cache.token;
-                    let token = Token(old.0 + 1);
+                    let token = FencingToken(old.0 + 1);
                     self.role = Role::Campaigning { lease: *lease, sent, token };
-                    calls.push(StateCall::Commit(self.campaign(token, rev, *lease)));
+                    calls.push(StoreRequest::Commit(self.campaign(token, rev, *lease)));
                 }
                 _ => self.stand_back(now),
             },
-            (Role::Campaigning { lease, sent, token }, StateCall::Commit(_)) => match reply {
-                StateReply::Committed(_) => {
+            (Role::Campaigning { lease, sent, token }, StoreRequest::Commit(_)) => match reply {
+                StoreResponse::Committed(_) => {
                     self.role = Role::Leading { lease, token };
                     self.valid_until = sent + sure(LEADER_LEASE);
                     self.renew_at = now;
@@ -227,31 +233,31 @@
                     self.pledges.clear();
                     event = Some(ElectionEvent::Won(token));
                 }
-                StateReply::Unknown => {
+                StoreResponse::Unknown => {
                     self.role = Role::Settling { lease };
                     self.renew_at = now;
                     self.renew_in_flight = false;
                 }
                 _ => {
                     self.stand_back(now);
-                    calls.push(StateCall::DropLease(lease));
+                    calls.push(StoreRequest::DropLease(lease));
                 }
             },
-            (Role::Settling { lease }, StateCall::DropLease(dropped)) if lease == *dropped => {
+            (Role::Settling { lease }, StoreRequest::DropLease(dropped)) if lease == *dropped => {
                 self.renew_in_flight = false;
                 match reply {
-                    StateReply::Done | StateReply::Gone => self.stand_back(now),
+                    StoreResponse::Done | StoreResponse::Gone => self.stand_back(now),
                     _ => self.renew_at = now + STATE_RETRY,
                 }
             }
-            (Role::Leading { lease, .. }, StateCall::Touch(touched)) if lease == *touched => {
+            (Role::Leading { lease, .. }, StoreRequest::Touch(touched)) if lease == *touched => {
                 self.renew_in_flight = false;
                 match reply {
-                    StateReply::Done => {
+                    StoreResponse::Done => {
                         self.valid_until = sent + sure(LEADER_LEASE);
                         self.renew_at = sent + RENEW_EVERY;
                     }
-                    StateReply::Gone => {
+                    StoreResponse::Gone => {
                         self.stand_back(now);
                         self.pledges.clear();
                         event = Some(ElectionEvent::Lost("the lease ended"));
@@ -264,13 +270,13 @@
         (calls, event)
     }
 
-    fn campaign(&self, token: Token, token_rev: Revision, lease: LeaseId) -> Txn {
+    fn campaign(&self, token: FencingToken, token_rev: Revision, lease: LeaseId) -> Transaction {
         let record = LeaderRecord { node: self.me.clone(), token };
         let put = |key: &str, data: Data, hold| Write::Put { key: key.into(), data, hold };
-        Txn {
+        Transaction {
             guards: vec![
-                Guard { key: LEADER_KEY.into(), rev: Revision(0) },
-                Guard { key: TOKEN_KEY.into(), rev: token_rev },
+                Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
+                Precondition { key: TOKEN_KEY.into(), rev: token_rev },
             ],
             writes: vec![
                 put(LEADER_KEY, Data::serialized(&record).unwrap_or(Data::Null), Some(lease)),
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -6,25 +6,25 @@
 
 fn leader(now: Instant) -> (Election, Cache, Instant) {
     let mut cache = loaded();
-    let mut election = Election::new(NodeName::new("a"), 2, 0, now);
+    let mut election = Election::new(ControllerId::new("a"), 2, 0, now);
     let now = now + PLEDGE * 2;
     let call = election.poll(&cache, false, now).remove(0);
-    let reply = StateReply::Lease(LeaseId(7));
+    let reply = StoreResponse::Lease(LeaseId(7));
     let (mut calls, _) = election.on_reply(&call, now, &reply, &cache, now);
-    let reply = StateReply::Committed(Revision(3));
+    let reply = StoreResponse::Committed(Revision(3));
     let (_, event) = election.on_reply(&calls.remove(0), now, &reply, &cache, now);
-    assert_eq!(event, Some(ElectionEvent::Won(Token(1))));
-    let record = LeaderRecord { node: NodeName::new("a"), token: Token(1) };
+    assert_eq!(event, Some(ElectionEvent::Won(FencingToken(1))));
+    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
     cache.leader = Some((record, Revision(3)));
-    cache.token = (Token(1), Revision(3));
+    cache.token = (FencingToken(1), Revision(3));
     (election, cache, now)
 }
 
 /// A controller without peers, and the transaction by which it campaigns.
-fn alone(cache: &Cache, now: Instant) -> (Election, StateCall) {
-    let mut election = Election::new(NodeName::new("a"), 0, 0, now);
+fn alone(cache: &Cache, now: Instant) -> (Election, StoreRequest) {
+    let mut election = Election::new(ControllerId::new("a"), 0, 0, now);
     let call = election.poll(cache, false, now).remove(0);
-    let reply = StateReply::Lease(LeaseId(7));
+    let reply = StoreResponse::Lease(LeaseId(7));
     let (mut calls, _) = election.on_reply(&call, now, &reply, cache, now);
     (election, calls.remove(0))
 }
@@ -34,7 +34,7 @@
     let (mut election, cache, now) = leader(Instant::now());
     let call = election.poll(&cache, false, now).remove(0);
     let late = now + Duration::from_secs(1);
-    election.on_reply(&call, now, &StateReply::Done, &cache, late);
+    election.on_reply(&call, now, &StoreResponse::Done, &cache, late);
     assert!(election.may_act(true, now + LEADER_LEASE - LEASE_MARGIN * 2));
     assert!(!election.may_act(true, now + LEADER_LEASE - LEASE_MARGIN));
 }
@@ -43,9 +43,9 @@
 fn in_an_outage_it_takes_every_peer_s_pledge_and_each_runs_out() {
     let (mut election, _, now) = leader(Instant::now());
     let late = now + LEADER_LEASE * 2;
-    election.pledged_by(&NodeName::new("b"), late);
+    election.pledged_by(&ControllerId::new("b"), late);
     assert!(!election.may_act(true, late));
-    election.pledged_by(&NodeName::new("c"), late);
+    election.pledged_by(&ControllerId::new("c"), late);
     assert!(election.may_act(true, late));
     assert!(!election.may_act(true, late + PLEDGE));
 }
@@ -54,20 +54,20 @@
 fn whoever_pledged_or_was_restarted_does_not_campaign_until_it_runs_out() {
     let now = Instant::now();
     let mut cache = loaded();
-    let record = LeaderRecord { node: NodeName::new("a"), token: Token(1) };
+    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
     cache.leader = Some((record, Revision(3)));
-    cache.token = (Token(1), Revision(3));
-    let mut follower = Election::new(NodeName::new("b"), 2, 0, now);
+    cache.token = (FencingToken(1), Revision(3));
+    let mut follower = Election::new(ControllerId::new("b"), 2, 0, now);
     cache.leader = cache.leader.take();
-    assert!(follower.pledge(Token(1), &cache, true, now + PLEDGE));
+    assert!(follower.pledge(FencingToken(1), &cache, true, now + PLEDGE));
     cache.leader = None;
     assert!(follower.poll(&cache, false, now + PLEDGE * 2 - TICK_MOST).is_empty());
     // A leader whose key is seen to be gone gets no further promise.
-    assert!(!follower.pledge(Token(1), &cache, true, now + PLEDGE));
+    assert!(!follower.pledge(FencingToken(1), &cache, true, now + PLEDGE));
     assert_eq!(follower.poll(&cache, false, now + PLEDGE * 2 + TICK_MOST).len(), 1);
     // With a campaign under way it gets none either.
-    assert!(!follower.pledge(Token(1), &cache, true, now + PLEDGE * 2 + TICK_MOST));
-    let mut restarted = Election::new(NodeName::new("c"), 2, 0, now);
+    assert!(!follower.pledge(FencingToken(1), &cache, true, now + PLEDGE * 2 + TICK_MOST));
+    let mut restarted = Election::new(ControllerId::new("c"), 2, 0, now);
     assert!(restarted.poll(&cache, false, now + PLEDGE - TICK_MOST).is_empty());
 }
 
@@ -77,7 +77,7 @@
     let cache = loaded();
     let (mut election, commit) = alone(&cache, now);
     assert!(!election.may_act(true, now));
-    let reply = StateReply::Committed(Revision(3));
+    let reply = StoreResponse::Committed(Revision(3));
     election.on_reply(&commit, now, &reply, &cache, now);
     assert!(election.may_act(true, now + LEADER_LEASE * 5));
 }
@@ -87,10 +87,10 @@
     let now = Instant::now();
     let cache = loaded();
     let (mut election, commit) = alone(&cache, now);
-    election.on_reply(&commit, now, &StateReply::Unknown, &cache, now);
+    election.on_reply(&commit, now, &StoreResponse::Unknown, &cache, now);
     let calls = election.poll(&cache, false, now);
-    assert!(matches!(calls[..], [StateCall::DropLease(LeaseId(7))]));
-    election.on_reply(&calls[0], now, &StateReply::Done, &cache, now);
+    assert!(matches!(calls[..], [StoreRequest::DropLease(LeaseId(7))]));
+    election.on_reply(&calls[0], now, &StoreResponse::Done, &cache, now);
     assert!(election.poll(&cache, false, now).is_empty());
     assert_eq!(election.poll(&cache, false, now + STATE_RETRY * 2).len(), 1);
 }
@@ -102,13 +102,16 @@
     let now = Instant::now();
     let known = |loaded: bool, key: u64| Cache {
         loaded,
-        leader: Some((LeaderRecord { node: NodeName::new("a"), token: Token(key) }, Revision(3))),
-        token: (Token(key), Revision(3)),
+        leader: Some((
+            LeaderRecord { node: ControllerId::new("a"), token: FencingToken(key) },
+            Revision(3),
+        )),
+        token: (FencingToken(key), Revision(3)),
         ..Cache::new(16_384)
     };
     let pledges = |cache: &Cache, shown: bool| {
-        let mut election = Election::new(NodeName::new("b"), 2, 0, now);
-        election.pledge(Token(4), cache, shown, now)
+        let mut election = Election::new(ControllerId::new("b"), 2, 0, now);
+        election.pledge(FencingToken(4), cache, shown, now)
     };
     assert!(pledges(&known(true, 4), true));
     assert!(!pledges(&known(false, 4), true), "it has read nothing");
@@ -127,7 +130,7 @@
     let (mut election, _, now) = leader(Instant::now());
     let later = now + LEADER_LEASE * 2;
     for peer in ["b", "c"] {
-        election.pledged_by(&NodeName::new(peer), later);
+        election.pledged_by(&ControllerId::new(peer), later);
     }
     let later = later + Duration::from_millis(100);
     assert!(election.may_act(true, later));
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -6,9 +6,9 @@
 //! bounds the worker's lease. A report that says what the one before it said travels as its number alone.
 
 use crate::constants::*;
-use crate::ids::{Attempt, MachineId, NodeName, TaskId, Token};
+use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::peers::membership::Membership;
-use crate::wire::{Order, Orders, Report, ReportedTask, TaskState};
+use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
 use foldhash::{HashMap, HashMapExt};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -17,21 +17,21 @@
 
 /// A report in the form that travels between controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FullReport {
+pub struct FullHeartbeat {
     machine: MachineId,
     address: String,
     flavor: String,
     zone: String,
     spot: bool,
-    session: u64,
+    agent_epoch: u64,
     seq: u64,
-    token: Token,
+    token: FencingToken,
     notice_s: Option<f64>,
-    tasks: Vec<RelayedTask>,
+    tasks: Vec<RelayedTaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct RelayedTask {
+struct RelayedTaskStatus {
     task: TaskId,
     attempt: Attempt,
     state: TaskState,
@@ -39,29 +39,29 @@
     saved: Option<bool>,
 }
 
-impl FullReport {
+impl FullHeartbeat {
     /// Bytes that it takes in a frame at the most.
     pub fn size(&self) -> usize {
         REPORT_BYTES + self.tasks.len() * TASK_BYTES
     }
 }
 
-impl From<Report> for FullReport {
-    fn from(report: Report) -> FullReport {
-        let task = |shown: ReportedTask| RelayedTask {
+impl From<Heartbeat> for FullHeartbeat {
+    fn from(report: Heartbeat) -> FullHeartbeat {
+        let task = |shown: TaskStatus| RelayedTaskStatus {
             task: shown.task,
             attempt: shown.attempt,
             state: shown.state,
             why: shown.why,
             saved: shown.saved,
         };
-        FullReport {
+        FullHeartbeat {
             machine: report.machine,
             address: report.address,
             flavor: report.flavor,
             zone: report.zone,
             spot: report.spot,
-            session: report.session,
+            agent_epoch: report.agent_epoch,
             seq: report.seq,
             token: report.token,
             notice_s: report.notice_s,
@@ -70,22 +70,22 @@
     }
 }
 
-impl From<FullReport> for Report {
-    fn from(report: FullReport) -> Report {
-        let task = |shown: RelayedTask| ReportedTask {
+impl From<FullHeartbeat> for Heartbeat {
+    fn from(report: FullHeartbeat) -> Heartbeat {
+        let task = |shown: RelayedTaskStatus| TaskStatus {
             task: shown.task,
             attempt: shown.attempt,
             state: shown.state,
             why: shown.why,
             saved: shown.saved,
         };
-        Report {
+        Heartbeat {
             machine: report.machine,
             address: report.address,
             flavor: report.flavor,
             zone: report.zone,
             spot: report.spot,
-            session: report.session,
+            agent_epoch: report.agent_epoch,
             seq: report.seq,
             token: report.token,
             notice_s: report.notice_s,
@@ -96,12 +96,12 @@
 
 /// One report of a batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum RelayedReport {
-    Full(FullReport),
+pub enum RelayedHeartbeat {
+    Full(FullHeartbeat),
     /// The same as the report numbered `before` in the same session, under the number `seq`.
     Same {
         machine: MachineId,
-        session: u64,
+        agent_epoch: u64,
         before: u64,
         seq: u64,
     },
@@ -109,28 +109,32 @@
 
 /// An order in the form that travels between controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum RelayedOrder {
+pub enum RelayedCommand {
     Start(TaskId, Attempt),
     Stop(TaskId, Attempt, f64),
     Forget(TaskId, Attempt),
 }
 
-impl From<Order> for RelayedOrder {
-    fn from(order: Order) -> RelayedOrder {
+impl From<WorkerCommand> for RelayedCommand {
+    fn from(order: WorkerCommand) -> RelayedCommand {
         match order {
-            Order::Start { task, attempt } => RelayedOrder::Start(task, attempt),
-            Order::Stop { task, attempt, grace_s } => RelayedOrder::Stop(task, attempt, grace_s),
-            Order::Forget { task, attempt } => RelayedOrder::Forget(task, attempt),
+            WorkerCommand::Start { task, attempt } => RelayedCommand::Start(task, attempt),
+            WorkerCommand::Stop { task, attempt, grace_s } => {
+                RelayedCommand::Stop(task, attempt, grace_s)
+            }
+            WorkerCommand::Forget { task, attempt } => RelayedCommand::Forget(task, attempt),
         }
     }
 }
 
-impl From<RelayedOrder> for Order {
-    fn from(order: RelayedOrder) -> Order {
+impl From<RelayedCommand> for WorkerCommand {
+    fn from(order: RelayedCommand) -> WorkerCommand {
         match order {
-            RelayedOrder::Start(task, attempt) => Order::Start { task, attempt },
-            RelayedOrder::Stop(task, attempt, grace_s) => Order::Stop { task, attempt, grace_s },
-            RelayedOrder::Forget(task, attempt) => Order::Forget { task, attempt },
+            RelayedCommand::Start(task, attempt) => WorkerCommand::Start { task, attempt },
+            RelayedCommand::Stop(task, attempt, grace_s) => {
+                WorkerCommand::Stop { task, attempt, grace_s }
+            }
+            RelayedCommand::Forget(task, attempt) => WorkerCommand::Forget { task, attempt },
         }
     }
 }
@@ -138,7 +142,7 @@
 /// What the leader says to a report of a batch. Reports that it does not mention are accepted without orders.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    Orders(Vec<RelayedOrder>),
+    CommandBatch(Vec<RelayedCommand>),
     /// What it knows of the worker is older or newer than the report meant: it has to see all of it.
     SendFull,
 }
@@ -146,8 +150,8 @@
 /// The leader's leave to pass reports on to it.
 #[derive(Debug)]
 struct Term {
-    token: Token,
-    leader: NodeName,
+    token: FencingToken,
+    leader: ControllerId,
     members: Membership,
     received: Instant,
 }
@@ -155,7 +159,7 @@
 /// A report whose worker waits for the answer.
 #[derive(Debug)]
 struct Held {
-    report: Report,
+    report: Heartbeat,
     taken: Instant,
     /// It must not be shortened.
     full: bool,
@@ -163,7 +167,7 @@
 
 /// Reports that are passed on, at the controller that took them.
 #[derive(Debug)]
-pub struct ReportRelay {
+pub struct HeartbeatRelay {
     term: Option<Term>,
     /// By the ticket of the request.
     held: BTreeMap<u64, Held>,
@@ -175,38 +179,38 @@
     sent: BTreeMap<u64, Vec<u64>>,
     next_batch: u64,
     /// The last report of each worker that the leader accepted without any order.
-    known: HashMap<MachineId, Report>,
+    known: HashMap<MachineId, Heartbeat>,
 }
 
 /// A report that was held for too long, with the ticket of its request.
 #[derive(Debug)]
 pub struct Overdue {
     pub ticket: u64,
-    pub report: Report,
+    pub report: Heartbeat,
 }
 
 /// A batch on its way to the leader.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    pub leader: NodeName,
-    pub token: Token,
+    pub leader: ControllerId,
+    pub token: FencingToken,
     pub number: u64,
-    pub reports: Vec<RelayedReport>,
+    pub reports: Vec<RelayedHeartbeat>,
 }
 
 /// Bytes. What a report takes in a frame at the most, but for its tasks, and each task.
 const REPORT_BYTES: usize = 200;
 const TASK_BYTES: usize = 80;
 
-fn size(report: &Report) -> usize {
+fn size(report: &Heartbeat) -> usize {
     REPORT_BYTES + report.tasks.len() * TASK_BYTES
 }
 
 /// Whether a report says what the one before it said, so that hearing it again changes nothing but when the worker
 /// was heard. A task that ended is told in full until it is forgotten, and so is a notice that runs out.
-fn says_the_same(before: &Report, report: &Report) -> bool {
-    let running = |task: &ReportedTask| task.state != TaskState::Exited;
-    (before.session, before.token) == (report.session, report.token)
+fn says_the_same(before: &Heartbeat, report: &Heartbeat) -> bool {
+    let running = |task: &TaskStatus| task.state != TaskState::Exited;
+    (before.agent_epoch, before.token) == (report.agent_epoch, report.token)
         && before.seq < report.seq
         && (before.notice_s, report.notice_s) == (None, None)
         && before.address == report.address
@@ -214,10 +218,10 @@
         && report.tasks.iter().all(running)
 }
 
-impl ReportRelay {
+impl HeartbeatRelay {
     /// Batches are numbered from there on, so that answers to a former life of this process match none.
-    pub fn new(first_batch: u64) -> ReportRelay {
-        ReportRelay {
+    pub fn new(first_batch: u64) -> HeartbeatRelay {
+        HeartbeatRelay {
             term: None,
             held: BTreeMap::new(),
             queue: Vec::new(),
@@ -230,7 +234,13 @@
     }
 
     /// A leader tells that reports may be passed on to it, and who does so.
-    pub fn on_term(&mut self, token: Token, leader: NodeName, members: Membership, now: Instant) {
+    pub fn on_term(
+        &mut self,
+        token: FencingToken,
+        leader: ControllerId,
+        members: Membership,
+        now: Instant,
+    ) {
         if self.term.as_ref().is_some_and(|term| term.token > token) {
             return;
         }
@@ -245,7 +255,7 @@
         self.term = Some(Term { token, leader, members, received: now });
     }
 
-    fn term(&self, newest: Token, now: Instant) -> Option<&Term> {
+    fn term(&self, newest: FencingToken, now: Instant) -> Option<&Term> {
         self.term.as_ref().filter(|term| {
             term.token >= newest
                 && !term.members.0.is_empty()
@@ -254,12 +264,12 @@
     }
 
     /// The members under a term that holds, where `newest` is the latest token that is known.
-    pub fn members(&self, newest: Token, now: Instant) -> Option<&Membership> {
+    pub fn members(&self, newest: FencingToken, now: Instant) -> Option<&Membership> {
         self.term(newest, now).map(|term| &term.members)
     }
 
     /// How long ago the leader with that token last permitted that reports are passed on, if it did.
-    pub fn lapsed(&self, token: Token, now: Instant) -> Option<Duration> {
+    pub fn lapsed(&self, token: FencingToken, now: Instant) -> Option<Duration> {
         let term = self.term.as_ref()?;
         (term.token == token && !term.members.0.is_empty())
             .then(|| now.saturating_duration_since(term.received))
@@ -274,7 +284,7 @@
     }
 
     /// Takes a report whose worker waits under this ticket; gives it back if it is too large to be passed on.
-    pub fn hold(&mut self, ticket: u64, report: Report, now: Instant) -> Option<Report> {
+    pub fn hold(&mut self, ticket: u64, report: Heartbeat, now: Instant) -> Option<Heartbeat> {
         if size(&report) > RELAY_FRAME {
             return Some(report);
         }
@@ -309,7 +319,7 @@
     }
 
     /// What is due to be sent.
-    pub fn take_batches(&mut self, newest: Token, now: Instant) -> Vec<Batch> {
+    pub fn take_batches(&mut self, newest: FencingToken, now: Instant) -> Vec<Batch> {
         let due = self.queued_at.is_some_and(|at| now >= at + self.pause());
         if !due || self.sent.len() >= RELAY_BATCHES {
             return Vec::new();
@@ -347,27 +357,27 @@
         batches
     }
 
-    fn relayed(&self, held: &Held, same: bool) -> RelayedReport {
+    fn relayed(&self, held: &Held, same: bool) -> RelayedHeartbeat {
         let report = &held.report;
         match self.known.get(&report.machine).filter(|_| same) {
-            Some(before) => RelayedReport::Same {
+            Some(before) => RelayedHeartbeat::Same {
                 machine: report.machine.clone(),
-                session: report.session,
+                agent_epoch: report.agent_epoch,
                 before: before.seq,
                 seq: report.seq,
             },
-            None => RelayedReport::Full(report.clone().into()),
+            None => RelayedHeartbeat::Full(report.clone().into()),
         }
     }
 
     /// The leader's answer to a batch: what to tell which worker.
     pub fn on_answers(
         &mut self,
-        token: Token,
+        token: FencingToken,
         number: u64,
         verdicts: Vec<(u32, Verdict)>,
         now: Instant,
-    ) -> Vec<(u64, Orders)> {
+    ) -> Vec<(u64, CommandBatch)> {
         if self.term.as_ref().is_none_or(|term| term.token != token) {
             return Vec::new();
         }
@@ -375,7 +385,7 @@
         let mut verdicts: BTreeMap<u32, Verdict> = verdicts.into_iter().collect();
         let mut answers = Vec::new();
         for (index, ticket) in (0u32..).zip(tickets) {
-            let verdict = verdicts.remove(&index).unwrap_or(Verdict::Orders(Vec::new()));
+            let verdict = verdicts.remove(&index).unwrap_or(Verdict::CommandBatch(Vec::new()));
             match verdict {
                 Verdict::SendFull => {
                     if let Some(held) = self.held.get_mut(&ticket) {
@@ -383,18 +393,18 @@
                         self.enqueue(ticket, true, now);
                     }
                 }
-                Verdict::Orders(orders) => {
+                Verdict::CommandBatch(orders) => {
                     let Some(held) = self.held.remove(&ticket) else { continue };
                     self.remember(held.report, orders.is_empty());
-                    let orders = orders.into_iter().map(Order::from).collect();
-                    answers.push((ticket, Orders { token, session: None, orders }));
+                    let orders = orders.into_iter().map(WorkerCommand::from).collect();
+                    answers.push((ticket, CommandBatch { token, agent_epoch: None, orders }));
                 }
             }
         }
         answers
     }
 
-    fn remember(&mut self, report: Report, accepted: bool) {
+    fn remember(&mut self, report: Heartbeat, accepted: bool) {
         if accepted {
             self.known.insert(report.machine.clone(), report);
         } else {
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,48 +1,48 @@
 use super::*;
 use crate::peers::membership::Member;
 use crate::wire::TaskState;
-use crate::workers::machine::{Heard, Machine};
+use crate::workers::machine::{HeartbeatEffect, Machine};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 fn members() -> Membership {
-    Membership(vec![Member { name: NodeName::new("b"), zone: "a".into(), weight: 1000 }])
+    Membership(vec![Member { name: ControllerId::new("b"), zone: "a".into(), weight: 1000 }])
 }
 
-fn report(machine: &str, seq: u64, tasks: &[(&str, TaskState)]) -> Report {
-    let task = |(name, state): &(&str, TaskState)| ReportedTask {
+fn report(machine: &str, seq: u64, tasks: &[(&str, TaskState)]) -> Heartbeat {
+    let task = |(name, state): &(&str, TaskState)| TaskStatus {
         task: TaskId::parse(name).unwrap(),
         attempt: Attempt(7),
         state: *state,
         why: (*state == TaskState::Exited).then(|| "done".into()),
         saved: None,
     };
-    Report {
+    Heartbeat {
         machine: MachineId::new(machine),
         address: "127.0.0.1:9".into(),
         flavor: "f".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq,
-        token: Token(3),
+        token: FencingToken(3),
         notice_s: None,
         tasks: tasks.iter().map(task).collect(),
     }
 }
 
-fn relay(now: Instant) -> ReportRelay {
-    let mut relay = ReportRelay::new(100);
-    relay.on_term(Token(3), NodeName::new("a"), members(), now);
+fn relay(now: Instant) -> HeartbeatRelay {
+    let mut relay = HeartbeatRelay::new(100);
+    relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
     relay
 }
 
 /// Sends what waits, answers all of it without orders, and gives the batch.
-fn pass(relay: &mut ReportRelay, now: Instant) -> Batch {
-    let mut batches = relay.take_batches(Token(3), now + RELAY_PAUSE);
+fn pass(relay: &mut HeartbeatRelay, now: Instant) -> Batch {
+    let mut batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
     let batch = batches.pop().unwrap();
     assert!(batches.is_empty());
-    relay.on_answers(Token(3), batch.number, Vec::new(), now + RELAY_PAUSE);
+    relay.on_answers(FencingToken(3), batch.number, Vec::new(), now + RELAY_PAUSE);
     batch
 }
 
@@ -53,16 +53,16 @@
     let running = [("wk-1/0", TaskState::Running)];
     assert!(relay.hold(1, report("i-1", 1, &running), now).is_none());
     let first = pass(&mut relay, now);
-    assert_eq!((first.leader, first.token), (NodeName::new("a"), Token(3)));
-    assert!(matches!(first.reports[..], [RelayedReport::Full(_)]));
+    assert_eq!((first.leader, first.token), (ControllerId::new("a"), FencingToken(3)));
+    assert!(matches!(first.reports[..], [RelayedHeartbeat::Full(_)]));
     relay.hold(2, report("i-1", 2, &running), now);
     let machine = MachineId::new("i-1");
-    let same = RelayedReport::Same { machine, session: 1, before: 1, seq: 2 };
+    let same = RelayedHeartbeat::Same { machine, agent_epoch: 1, before: 1, seq: 2 };
     assert_eq!(pass(&mut relay, now).reports, [same]);
     // The end of a task is told in full as long as it is shown.
     for seq in 3..5 {
         relay.hold(seq, report("i-1", seq, &[("wk-1/0", TaskState::Exited)]), now);
-        assert!(matches!(pass(&mut relay, now).reports[..], [RelayedReport::Full(_)]));
+        assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
     }
 }
 
@@ -72,18 +72,19 @@
     let now = Instant::now();
     let mut relay = relay(now);
     relay.hold(1, report("i-1", 1, &[]), now);
-    let batch = relay.take_batches(Token(3), now + RELAY_PAUSE).pop().unwrap();
-    let order = RelayedOrder::Start(TaskId::parse("wk-1/0").unwrap(), Attempt(9));
-    let verdicts = vec![(0, Verdict::Orders(vec![order.clone()]))];
-    let answers = relay.on_answers(Token(3), batch.number, verdicts, now);
-    let orders = Orders { token: Token(3), session: None, orders: vec![order.into()] };
+    let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    let order = RelayedCommand::Start(TaskId::parse("wk-1/0").unwrap(), Attempt(9));
+    let verdicts = vec![(0, Verdict::CommandBatch(vec![order.clone()]))];
+    let answers = relay.on_answers(FencingToken(3), batch.number, verdicts, now);
+    let orders =
+        CommandBatch { token: FencingToken(3), agent_epoch: None, orders: vec![order.into()] };
     assert_eq!(answers.len(), 1);
     assert_eq!((answers[0].0, answers[0].1.orders.clone()), (1, orders.orders));
     relay.hold(2, report("i-1", 2, &[]), now);
-    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedReport::Full(_)]));
+    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
     // An answer to an answered batch, or under another token, changes nothing.
-    assert!(relay.on_answers(Token(3), batch.number, Vec::new(), now).is_empty());
-    assert!(relay.on_answers(Token(2), batch.number, Vec::new(), now).is_empty());
+    assert!(relay.on_answers(FencingToken(3), batch.number, Vec::new(), now).is_empty());
+    assert!(relay.on_answers(FencingToken(2), batch.number, Vec::new(), now).is_empty());
 }
 
 #[test]
@@ -93,10 +94,11 @@
     relay.hold(1, report("i-1", 1, &[]), now);
     pass(&mut relay, now);
     relay.hold(2, report("i-1", 2, &[]), now);
-    let batch = relay.take_batches(Token(3), now + RELAY_PAUSE).pop().unwrap();
-    let answers = relay.on_answers(Token(3), batch.number, vec![(0, Verdict::SendFull)], now);
+    let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    let answers =
+        relay.on_answers(FencingToken(3), batch.number, vec![(0, Verdict::SendFull)], now);
     assert!(answers.is_empty());
-    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedReport::Full(_)]));
+    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
 }
 
 /// Nothing that was said to one leader counts for the next, and what it did not answer goes to the next at once.
@@ -107,27 +109,27 @@
     relay.hold(1, report("i-1", 1, &[]), now);
     pass(&mut relay, now);
     relay.hold(2, report("i-1", 2, &[]), now);
-    let lost = relay.take_batches(Token(3), now + RELAY_PAUSE).pop().unwrap();
-    relay.on_term(Token(4), NodeName::new("c"), members(), now);
-    assert!(relay.on_answers(Token(3), lost.number, Vec::new(), now).is_empty());
-    assert!(relay.members(Token(5), now).is_none());
-    let again = relay.take_batches(Token(4), now + RELAY_PAUSE).pop().unwrap();
-    assert_eq!(again.leader, NodeName::new("c"));
-    assert!(matches!(again.reports[..], [RelayedReport::Full(_)]));
-    relay.on_term(Token(3), NodeName::new("a"), members(), now);
-    assert_eq!(relay.on_answers(Token(4), again.number, Vec::new(), now).len(), 1);
+    let lost = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    relay.on_term(FencingToken(4), ControllerId::new("c"), members(), now);
+    assert!(relay.on_answers(FencingToken(3), lost.number, Vec::new(), now).is_empty());
+    assert!(relay.members(FencingToken(5), now).is_none());
+    let again = relay.take_batches(FencingToken(4), now + RELAY_PAUSE).pop().unwrap();
+    assert_eq!(again.leader, ControllerId::new("c"));
+    assert!(matches!(again.reports[..], [RelayedHeartbeat::Full(_)]));
+    relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
+    assert_eq!(relay.on_answers(FencingToken(4), again.number, Vec::new(), now).len(), 1);
 }
 
 #[test]
 fn the_term_ends_and_what_is_not_answered_is_given_back() {
     let now = Instant::now();
     let mut relay = relay(now);
-    assert!(relay.members(Token(3), now).is_some());
-    assert!(relay.members(Token(3), now + RELAY_TERM).is_none());
+    assert!(relay.members(FencingToken(3), now).is_some());
+    assert!(relay.members(FencingToken(3), now + RELAY_TERM).is_none());
     assert!(relay.may_resume(now + RELAY_TERM));
     assert!(!relay.may_resume(now + RELAY_RESUMES_WITHIN));
     relay.hold(1, report("i-1", 1, &[]), now);
-    relay.take_batches(Token(3), now + RELAY_PAUSE);
+    relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
     relay.hold(2, report("i-2", 1, &[]), now + RELAY_PAUSE);
     assert!(relay.take_overdue(now + RELAY_TIMEOUT / 2).is_empty());
     let overdue = relay.take_overdue(now + RELAY_TIMEOUT);
@@ -135,8 +137,8 @@
     assert_eq!(relay.take_overdue(now + RELAY_TIMEOUT * 2).len(), 1);
     assert_eq!(relay.next_due(), None);
     // Nobody is told to stop sharing by a term without members.
-    relay.on_term(Token(3), NodeName::new("a"), Membership::default(), now);
-    assert!(relay.members(Token(3), now).is_none() && !relay.may_resume(now));
+    relay.on_term(FencingToken(3), ControllerId::new("a"), Membership::default(), now);
+    assert!(relay.members(FencingToken(3), now).is_none() && !relay.may_resume(now));
 }
 
 #[test]
@@ -149,13 +151,13 @@
     for ticket in 0..40 {
         assert!(relay.hold(ticket, report(&format!("i-{ticket}"), 1, &many), now).is_none());
     }
-    let batches = relay.take_batches(Token(3), now + RELAY_PAUSE);
+    let batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
     assert_eq!(batches.iter().map(|batch| batch.reports.len()).sum::<usize>(), 40);
     for batch in batches {
         assert!(postcard::to_stdvec(&batch.reports).unwrap().len() < BODY_MAX);
     }
     relay.hold(50, report("i-1", 2, &many), now);
-    assert!(relay.take_batches(Token(3), now + RELAY_PAUSE * 2).is_empty());
+    assert!(relay.take_batches(FencingToken(3), now + RELAY_PAUSE * 2).is_empty());
     let huge: Vec<(&str, TaskState)> = many.iter().cycle().take(700).copied().collect();
     assert!(relay.hold(60, report("i-9", 1, &huge), now).is_some());
 }
@@ -175,7 +177,7 @@
         let mut tasks: Vec<(String, TaskState)> = Vec::new();
         for seq in 1..60u64 {
             let now = start + Duration::from_secs(seq * 10);
-            relay.on_term(Token(3), NodeName::new("a"), members(), now);
+            relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
             if random.random_range(0..3) == 0 {
                 let state = states[random.random_range(0..states.len())];
                 let name = format!("wk-1/{}", random.random_range(0..4));
@@ -191,39 +193,45 @@
             match random.random_range(0..6) {
                 // Heard by both, straight from the worker.
                 0 => {
-                    assert!(matches!(plain.hear(&report, Token(3), now), Heard::News(_)));
-                    assert!(matches!(differs.hear(&report, Token(3), now), Heard::News(_)));
+                    assert!(matches!(
+                        plain.hear(&report, FencingToken(3), now),
+                        HeartbeatEffect::News(_)
+                    ));
+                    assert!(matches!(
+                        differs.hear(&report, FencingToken(3), now),
+                        HeartbeatEffect::News(_)
+                    ));
                     continue;
                 }
                 // Lost on its way to both.
                 1 => {
                     relay.hold(seq, report, now);
-                    relay.take_batches(Token(3), now + RELAY_PAUSE);
+                    relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
                     relay.take_overdue(now + RELAY_TIMEOUT);
                     continue;
                 }
                 _ => {}
             }
-            plain.hear(&report, Token(3), now);
+            plain.hear(&report, FencingToken(3), now);
             relay.hold(seq, report, now);
             loop {
-                let batch = relay.take_batches(Token(3), now + RELAY_PAUSE).pop().unwrap();
+                let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
                 passed += 1;
                 let verdict = match batch.reports.into_iter().next().unwrap() {
-                    RelayedReport::Full(full) => {
-                        differs.hear(&full.into(), Token(3), now);
-                        Verdict::Orders(Vec::new())
+                    RelayedHeartbeat::Full(full) => {
+                        differs.hear(&full.into(), FencingToken(3), now);
+                        Verdict::CommandBatch(Vec::new())
                     }
-                    RelayedReport::Same { session, before, seq, .. } => {
+                    RelayedHeartbeat::Same { agent_epoch, before, seq, .. } => {
                         short += 1;
-                        match differs.hear_same(session, before, seq, Token(3), now) {
-                            true => Verdict::Orders(Vec::new()),
+                        match differs.hear_same(agent_epoch, before, seq, FencingToken(3), now) {
+                            true => Verdict::CommandBatch(Vec::new()),
                             false => Verdict::SendFull,
                         }
                     }
                 };
                 let verdicts = vec![(0, verdict)];
-                if !relay.on_answers(Token(3), batch.number, verdicts, now).is_empty() {
+                if !relay.on_answers(FencingToken(3), batch.number, verdicts, now).is_empty() {
                     break;
                 }
             }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -4,7 +4,7 @@
 //! owner without a table, and a controller that comes or goes moves only its own share of the workers.
 
 use crate::constants::*;
-use crate::ids::{MachineId, NodeName};
+use crate::ids::{ControllerId, MachineId};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
@@ -13,7 +13,7 @@
 /// A controller that takes reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub name: NodeName,
+    pub name: ControllerId,
     pub zone: String,
     /// Its share relative to the others', in thousandths. None at 0.
     pub weight: u32,
@@ -25,8 +25,8 @@
 
 impl Membership {
     /// The controller that takes a worker's reports; one in its own zone is more likely.
-    pub fn owner(&self, worker: &MachineId, zone: &str) -> Option<&NodeName> {
-        let mut best: Option<(f64, &NodeName)> = None;
+    pub fn owner(&self, worker: &MachineId, zone: &str) -> Option<&ControllerId> {
+        let mut best: Option<(f64, &ControllerId)> = None;
         for member in self.0.iter().filter(|member| member.weight > 0) {
             let near = if member.zone == zone { SAME_ZONE_WEIGHT } else { 1.0 };
             let weight = f64::from(member.weight) * near;
@@ -39,7 +39,7 @@
     }
 
     /// Whether that controller takes any.
-    pub fn contains(&self, name: &NodeName) -> bool {
+    pub fn contains(&self, name: &ControllerId) -> bool {
         self.0.iter().any(|member| member.name == *name && member.weight > 0)
     }
 }
@@ -47,7 +47,7 @@
 /// A controller that might take reports, as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    pub name: NodeName,
+    pub name: ControllerId,
     pub zone: String,
     /// Thousandths of its public sockets that are free.
     pub room: u16,
@@ -58,7 +58,7 @@
 /// What the leader reckons with when it says who the members are.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderView {
-    pub name: NodeName,
+    pub name: ControllerId,
     pub zone: String,
     /// Workers, and how many of them one controller can hold.
     pub workers: usize,
@@ -128,7 +128,7 @@
 }
 
 /// A number above 0 and up to 1 that is the same in every process.
-fn unit_hash(member: &NodeName, worker: &MachineId) -> f64 {
+fn unit_hash(member: &ControllerId, worker: &MachineId) -> f64 {
     let mut bytes = Vec::with_capacity(64);
     bytes.extend_from_slice(member.as_str().as_bytes());
     bytes.push(0);
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -3,7 +3,7 @@
 
 fn members(weights: &[u32]) -> Membership {
     let member = |(n, weight): (usize, &u32)| Member {
-        name: NodeName::new(&format!("spindle-{n}")),
+        name: ControllerId::new(&format!("spindle-{n}")),
         zone: if n.is_multiple_of(2) { "a" } else { "b" }.into(),
         weight: *weight,
     };
@@ -14,7 +14,7 @@
     (0..5600).map(|n| (MachineId::new(&format!("i-{n:06}")), if n % 3 == 0 { "a" } else { "b" }))
 }
 
-fn shares(membership: &Membership) -> BTreeMap<NodeName, usize> {
+fn shares(membership: &Membership) -> BTreeMap<ControllerId, usize> {
     let mut counts = BTreeMap::new();
     for (id, zone) in workers() {
         *counts.entry(membership.owner(&id, zone).unwrap().clone()).or_default() += 1;
@@ -28,14 +28,14 @@
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|n| *n < 2 * 5600 / 12), "{counts:?}");
     let counts = shares(&members(&[1000, 0, 1000, 500]));
-    assert!(!counts.contains_key(&NodeName::new("spindle-1")));
+    assert!(!counts.contains_key(&ControllerId::new("spindle-1")));
 }
 
 /// A controller that goes moves its own workers only, and its return moves them back.
 #[test]
 fn only_the_share_of_who_goes_moves() {
     let (all, fewer) = (members(&[1000; 5]), members(&[1000, 1000, 0, 1000, 1000]));
-    let gone = NodeName::new("spindle-2");
+    let gone = ControllerId::new("spindle-2");
     for (id, zone) in workers() {
         let (before, after) = (all.owner(&id, zone), fewer.owner(&id, zone));
         assert!(before == after || before == Some(&gone));
@@ -44,11 +44,11 @@
 }
 
 fn candidate(n: usize, room: u16, serves: bool) -> Candidate {
-    Candidate { name: NodeName::new(&format!("spindle-{n}")), zone: "a".into(), room, serves }
+    Candidate { name: ControllerId::new(&format!("spindle-{n}")), zone: "a".into(), room, serves }
 }
 
 fn leader(workers: usize, helps: bool) -> LeaderView {
-    let name = NodeName::new("leader");
+    let name = ControllerId::new("leader");
     LeaderView { name, zone: "a".into(), workers, each: 1000, helps }
 }
 
@@ -64,8 +64,8 @@
     let weights: Vec<(&str, u32)> = members.0.iter().map(|m| (m.name.as_str(), m.weight)).collect();
     let expected = [("spindle-0", 1000), ("spindle-2", 250), ("spindle-3", 0)];
     assert!(weights == expected && !helps, "{weights:?}");
-    assert!(members.contains(&NodeName::new("spindle-2")));
-    assert!(!members.contains(&NodeName::new("spindle-3")));
+    assert!(members.contains(&ControllerId::new("spindle-2")));
+    assert!(!members.contains(&ControllerId::new("spindle-3")));
     // Nobody passes reports on where nobody else can take any.
     for none in [vec![], vec![candidate(0, 900, false)], vec![candidate(0, 10, true)]] {
         assert_eq!(choose(&none, &leader(100, true)), (Membership::default(), false));
@@ -79,7 +79,7 @@
     assert!(choose(&two, &leader(700, true)).1, "it goes on until it is clearly too little");
     assert!(!choose(&two, &leader(600, true)).1);
     let (members, helps) = choose(&two, &leader(1200, false));
-    assert!(helps && members.contains(&NodeName::new("leader")));
+    assert!(helps && members.contains(&ControllerId::new("leader")));
 }
 
 /// Two controllers that know different members would send a worker back and forth until its lease is over.
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -4,8 +4,8 @@
 //! acknowledges each frame with one byte, so that a dead connection is noticed and redialled.
 
 use crate::constants::*;
-use crate::ids::{JobId, MachineId, NodeName, Revision, Token};
-use crate::peers::heartbeat_relay::{RelayedReport, Verdict};
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
+use crate::peers::heartbeat_relay::{RelayedHeartbeat, Verdict};
 use crate::peers::membership::Membership;
 use crate::wire;
 use crate::workers::command_delivery::{Delivery, DeliveryResult};
@@ -20,17 +20,17 @@
 use tokio::time::{Instant, sleep, timeout};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum MeshMessage {
+pub enum PeerMessage {
     /// Sent by everybody, twice a second.
     PeerStatus {
-        from: NodeName,
+        from: ControllerId,
         seq: u64,
         /// A leader's token: with it goes the question for a pledge.
-        leading: Option<Token>,
+        leading: Option<FencingToken>,
         state_lost: bool,
         /// The newest grant that its sender has, how long it is up, and which workers it
         /// answered on a leader's behalf how many milliseconds ago.
-        ack: (Token, u64),
+        ack: (FencingToken, u64),
         up_ms: u64,
         answered_for_leader: Vec<(MachineId, u64)>,
         /// How many milliseconds ago a worker last reported to its sender.
@@ -41,18 +41,24 @@
     },
     /// A leader's leave to answer reports on its behalf where it is out of reach, for all machines
     /// but those barred, and for those lent even where it is in reach.
-    Grant { seq: u64, token: Token, number: u64, barred: Vec<MachineId>, lent: Vec<MachineId> },
+    Grant {
+        seq: u64,
+        token: FencingToken,
+        number: u64,
+        barred: Vec<MachineId>,
+        lent: Vec<MachineId>,
+    },
     /// The promise not to campaign for a while, and what its giver told users to be cancelled.
-    Pledge { from: NodeName, seq: u64, token: Token, cancelled: Vec<JobId> },
+    Pledge { from: ControllerId, seq: u64, token: FencingToken, cancelled: Vec<JobId> },
     /// How many tasks of each job run, for answers to users.
-    Running { token: Token, counts: Vec<(JobId, u32)> },
+    Running { token: FencingToken, counts: Vec<(JobId, u32)> },
     /// Users ask to cancel these jobs: whoever may answer workers is asked to promise to stop them.
     /// Sent only to controllers that show heartbeats, since older versions don't know it.
-    Cancelling { from: NodeName, seq: u64, jobs: Vec<JobId> },
+    Cancelling { from: ControllerId, seq: u64, jobs: Vec<JobId> },
     /// The promise, under the giver's heartbeat; a leader also tells in which zones they may have
     /// tasks, and by which leader key.
     Promised {
-        from: NodeName,
+        from: ControllerId,
         seq: u64,
         under: Revision,
         jobs: Vec<JobId>,
@@ -60,15 +66,15 @@
     },
     /// A leader's leave to pass reports on to it, for a short term, and who takes whose. No members: none do.
     /// This and what follows are sent only to who tells that it understands them.
-    Sharing { from: NodeName, token: Token, members: Membership },
+    Sharing { from: ControllerId, token: FencingToken, members: Membership },
     /// Reports of workers, for the leader with that token.
-    Reports { from: NodeName, token: Token, batch: u64, reports: Vec<RelayedReport> },
+    Reports { from: ControllerId, token: FencingToken, batch: u64, reports: Vec<RelayedHeartbeat> },
     /// What that leader says to the reports of a batch, by their place in it.
-    Verdicts { token: Token, batch: u64, verdicts: Vec<(u32, Verdict)> },
+    Verdicts { token: FencingToken, batch: u64, verdicts: Vec<(u32, Verdict)> },
     /// Commands of a leader that its receiver shall send to workers.
-    Deliver { from: NodeName, token: Token, commands: Vec<Delivery> },
+    Deliver { from: ControllerId, token: FencingToken, commands: Vec<Delivery> },
     /// What came of them.
-    Delivered { token: Token, results: Vec<(u64, DeliveryResult)> },
+    Delivered { token: FencingToken, results: Vec<(u64, DeliveryResult)> },
 }
 
 /// What a controller tells beside its status.
@@ -83,9 +89,9 @@
 /// Bytes. A frame larger than this is a fault of the sender.
 const FRAME_MAX: usize = BODY_MAX;
 
-fn frame(message: &MeshMessage) -> Option<Vec<u8>> {
+fn frame(message: &PeerMessage) -> Option<Vec<u8>> {
     let mut body = postcard::to_stdvec(message).ok()?;
-    if let MeshMessage::PeerStatus { extra, .. } = message {
+    if let PeerMessage::PeerStatus { extra, .. } = message {
         // Versions that know of nothing behind a message read over it.
         body.extend(postcard::to_stdvec(extra).ok()?);
     }
@@ -98,20 +104,20 @@
 }
 
 /// The message of a frame's body.
-fn read_body(body: &[u8]) -> Option<MeshMessage> {
-    let (mut message, rest) = postcard::take_from_bytes::<MeshMessage>(body).ok()?;
-    if let MeshMessage::PeerStatus { extra, .. } = &mut message {
+fn read_body(body: &[u8]) -> Option<PeerMessage> {
+    let (mut message, rest) = postcard::take_from_bytes::<PeerMessage>(body).ok()?;
+    if let PeerMessage::PeerStatus { extra, .. } = &mut message {
         *extra = postcard::from_bytes(rest).unwrap_or_default();
     }
     Some(message)
 }
 
 /// A message as text, for the way over the store.
-pub fn to_text(message: &MeshMessage) -> Option<String> {
+pub fn to_text(message: &PeerMessage) -> Option<String> {
     Some(wire::hex(&postcard::to_stdvec(message).ok()?))
 }
 
-pub fn from_text(text: &str) -> Option<MeshMessage> {
+pub fn from_text(text: &str) -> Option<PeerMessage> {
     postcard::from_bytes(&wire::unhex(text)?).ok()
 }
 
@@ -151,7 +157,7 @@
 }
 
 /// Reads frames from whoever dials in.
-pub async fn serve(listener: TcpListener, to: mpsc::UnboundedSender<MeshMessage>) {
+pub async fn serve(listener: TcpListener, to: mpsc::UnboundedSender<PeerMessage>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -167,7 +173,7 @@
 
 async fn read_frames(
     stream: TcpStream,
-    to: mpsc::UnboundedSender<MeshMessage>,
+    to: mpsc::UnboundedSender<PeerMessage>,
 ) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     // Length and body come in one packet as a rule: one system call for both.
@@ -247,7 +253,7 @@
 /// Writes what it is given to one peer, redialling as needed; what can't be sent is dropped. Shows how much it wrote.
 pub async fn dial(
     address: SocketAddr,
-    mut from: mpsc::Receiver<MeshMessage>,
+    mut from: mpsc::Receiver<PeerMessage>,
     shown: watch::Sender<Written>,
 ) {
     loop {
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn beat(seq: u64) -> MeshMessage {
-    MeshMessage::Running { token: Token(seq), counts: vec![(JobId::new("wk-1"), 1)] }
+fn beat(seq: u64) -> PeerMessage {
+    PeerMessage::Running { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
 }
 
 /// What stands behind a status in its frame is read by who knows of it; the message before it is the same to the
@@ -9,12 +9,12 @@
 #[test]
 fn what_else_a_status_tells_stands_behind_it() {
     let extra = PeerExtra { protocol: MESH_PROTOCOL, room: 700 };
-    let status = |extra| MeshMessage::PeerStatus {
-        from: NodeName::new("a"),
+    let status = |extra| PeerMessage::PeerStatus {
+        from: ControllerId::new("a"),
         seq: 1,
         leading: None,
         state_lost: false,
-        ack: (Token(0), 0),
+        ack: (FencingToken(0), 0),
         up_ms: 5,
         answered_for_leader: Vec::new(),
         worker_ms: None,
@@ -25,7 +25,7 @@
     assert_eq!(bytes[..plain.len()], plain);
     assert_eq!(read_body(&bytes), Some(status(extra)));
     assert_eq!(read_body(&plain), Some(status(PeerExtra::default())));
-    assert_eq!(postcard::from_bytes::<MeshMessage>(&bytes).unwrap(), status(PeerExtra::default()));
+    assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).unwrap(), status(PeerExtra::default()));
     assert_eq!(from_text(&to_text(&status(extra)).unwrap()), Some(status(PeerExtra::default())));
 }
 
@@ -39,7 +39,7 @@
     let (tx, rx) = mpsc::channel(300);
     tokio::spawn(dial(address, rx, watch::Sender::default()));
     let counts = (0..4_000).map(|n| (JobId::new(&format!("wk-{n:09}")), n)).collect();
-    let large = MeshMessage::Running { token: Token(7), counts };
+    let large = PeerMessage::Running { token: FencingToken(7), counts };
     for seq in 0..200 {
         tx.send(beat(seq)).await.unwrap();
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,6 +1,6 @@
 //! The decision of what runs where: capped baskets filled first fit in index order.
 //!
-//! Pure: the caller hands in machines as [`Bin`]s and waiting tasks as [`Ask`]s in order of
+//! Pure: the caller hands in machines as [`Bin`]s and waiting tasks as [`PlacementRequest`]s in order of
 //! service, and gets placements and wishes for new machines. `docs/design.md` says which parts
 //! are the paper's.
 
@@ -8,8 +8,8 @@
 
 use crate::constants::RENTS_FEW;
 use crate::ids::Amount;
-use crate::placement::capacity_index::{Place, RoomIndex};
-use crate::wire::Urgency;
+use crate::placement::capacity_index::{CapacityIndex, Place};
+use crate::wire::Priority;
 use foldhash::HashMap;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,8 +44,8 @@
 
 /// What decides when a job is served; the fields in order of weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Claim {
-    pub urgency: Urgency,
+pub struct QueuedJob {
+    pub urgency: Priority,
     /// No service whose replicas ran before. One that was moved must find the room that it was
     /// moved for, or it is down while a new one starts there.
     pub fresh: bool,
@@ -69,14 +69,14 @@
 /// The order of service: urgency, what ran before, guarantee, turn, missed aims, then size, since
 /// the users count jobs: many small ones start in the time that one large one takes. Among teams
 /// the guarantee decides first; which of its jobs a team serves in its turn does not depend on it.
-pub fn order_of_service(claims: &mut [Claim]) {
+pub fn order_of_service(claims: &mut [QueuedJob]) {
     claims.sort();
-    let mut turns: BTreeMap<(Urgency, usize), Vec<usize>> = BTreeMap::new();
+    let mut turns: BTreeMap<(Priority, usize), Vec<usize>> = BTreeMap::new();
     for (place, claim) in claims.iter().enumerate() {
         turns.entry((claim.urgency, claim.team)).or_default().push(place);
     }
     for places in turns.values() {
-        let mut jobs: Vec<Claim> = places.iter().map(|place| claims[*place]).collect();
+        let mut jobs: Vec<QueuedJob> = places.iter().map(|place| claims[*place]).collect();
         jobs.sort_by_key(|job| {
             (job.fresh, job.aimless, job.missed, job.had_turn, job.size, job.age)
         });
@@ -88,9 +88,9 @@
 
 /// Waiting tasks of one job; they are all alike.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct PlacementRequest {
     pub team: usize,
-    pub urgency: Urgency,
+    pub urgency: Priority,
     pub need: Amount,
     pub basket: Basket,
     pub count: u32,
@@ -111,12 +111,12 @@
     /// Seconds until it misses its next aim at start; none if it has missed them all.
     pub left_s: Option<f64>,
     /// Which machines are rented for it.
-    pub rents: Rents,
+    pub rents: ScaleOutPolicy,
 }
 
 /// Which machines an ask is worth renting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rents {
+pub enum ScaleOutPolicy {
     Any,
     /// Idle-time work: it takes what room there is, and machines that cost little.
     Spot,
@@ -125,7 +125,7 @@
 
 /// A kind of machine that could be rented.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct MachineTypeOffer {
     pub flavor: usize,
     pub zone: usize,
     pub spot: bool,
@@ -141,10 +141,10 @@
 pub struct Input {
     pub bins: Vec<Bin>,
     /// In order of service.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<PlacementRequest>,
     /// What each team may still use.
     pub team_room: Vec<Amount>,
-    pub offers: Vec<Offer>,
+    pub offers: Vec<MachineTypeOffer>,
     /// Machines that the heavy basket may hold.
     pub heavy_cap: usize,
     /// How many more machines may be rented, of whatever kind.
@@ -180,7 +180,7 @@
 }
 
 /// Whether the ask may use machines of this zone, type and kind.
-pub fn allowed(ask: &Ask, zone: usize, flavor: usize, spot: bool) -> bool {
+pub fn allowed(ask: &PlacementRequest, zone: usize, flavor: usize, spot: bool) -> bool {
     (ask.spot || !spot)
         && ask.zone.is_none_or(|z| z == zone)
         && ask.flavors.as_ref().is_none_or(|list| list.contains(&flavor))
@@ -188,10 +188,10 @@
 
 struct Planner {
     bins: Vec<Bin>,
-    room_index: RoomIndex,
+    room_index: CapacityIndex,
     /// Bins that have each image that is asked for, in order of their index.
     warm: HashMap<u32, Vec<usize>>,
-    offers: Vec<Offer>,
+    offers: Vec<MachineTypeOffer>,
     team_room: Vec<Amount>,
     /// Machines in the heavy basket.
     heavy: usize,
@@ -199,24 +199,24 @@
     rents_left: u32,
     /// Asks for which nothing was left. Room only shrinks within a plan, so that one alike needs
     /// no look at hundreds of machines: guests come with hundreds of small jobs.
-    hopeless: Vec<Ask>,
+    hopeless: Vec<PlacementRequest>,
     plan: Plan,
 }
 
 /// Whether what has no room for one has none for the other either.
-fn alike(a: &Ask, b: &Ask) -> bool {
+fn alike(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     (a.team, a.need, a.basket, a.zone, a.spot, a.rents)
         == (b.team, b.need, b.basket, b.zone, b.spot, b.rents)
         && a.flavors == b.flavors
 }
 
 /// Whether nothing but what [`alike`] compares, and its zones, decides where it may go.
-fn plain(ask: &Ask) -> bool {
+fn plain(ask: &PlacementRequest) -> bool {
     !ask.gang && !ask.one_zone && ask.avoid.is_empty() && ask.basket == Basket::Light
 }
 
 /// Whether each zone that is open to one was open to the other until the end of its search.
-fn within(a: &Ask, b: &Ask) -> bool {
+fn within(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     a.zone_room.iter().zip(&b.zone_room).all(|(a, b)| *a == 0 || *b > 0)
 }
 
@@ -224,7 +224,7 @@
 /// for all.
 struct Filling<'a> {
     at: usize,
-    ask: &'a mut Ask,
+    ask: &'a mut PlacementRequest,
     left: u32,
     booked: u32,
     cap: usize,
@@ -233,7 +233,7 @@
 impl Planner {
     /// Serves an ask; a gang whose tasks don't all find room on machines that are up starts
     /// none of them, though what it would need is booked and rented all the same.
-    fn serve(&mut self, at: usize, ask: &mut Ask, cap: usize) -> u32 {
+    fn serve(&mut self, at: usize, ask: &mut PlacementRequest, cap: usize) -> u32 {
         if !ask.gang {
             if plain(ask)
                 && self.hopeless.iter().any(|other| alike(ask, other) && within(ask, other))
@@ -270,7 +270,7 @@
     }
 
     /// Places up to the ask's count; gives how many found nothing.
-    fn fill(&mut self, at: usize, ask: &mut Ask, cap: usize) -> u32 {
+    fn fill(&mut self, at: usize, ask: &mut PlacementRequest, cap: usize) -> u32 {
         if ask.one_zone && ask.zone.is_none() {
             // All in one zone: the one in which most of them find room on machines that are up,
             // and of those the first.
@@ -292,7 +292,7 @@
         // pool, those that have the image before those that have not, then the fixed index. For the
         // most urgent work the image goes before the basket: a fetch takes longer than its users
         // wait.
-        let stages: [(Place, bool); 4] = if filling.ask.urgency == Urgency::Production {
+        let stages: [(Place, bool); 4] = if filling.ask.urgency == Priority::Production {
             [(basket, true), (None, true), (basket, false), (None, false)]
         } else {
             [(basket, true), (basket, false), (None, true), (None, false)]
@@ -392,7 +392,7 @@
     fn put(&mut self, filling: &mut Filling, i: usize) {
         let ask = &mut *filling.ask;
         let bin = &mut self.bins[i];
-        if ask.avoid.contains(&bin.index) || (bin.vacated && ask.rents == Rents::Spot) {
+        if ask.avoid.contains(&bin.index) || (bin.vacated && ask.rents == ScaleOutPolicy::Spot) {
             return;
         }
         let team = &mut self.team_room[ask.team];
@@ -424,7 +424,7 @@
 
     /// Opens a bin for the cheapest offer that the ask may use; among equals, in the zone that
     /// holds fewest machines. Where few more machines can be held, those that hold most come first.
-    fn rent(&mut self, ask: &Ask) -> Option<usize> {
+    fn rent(&mut self, ask: &PlacementRequest) -> Option<usize> {
         if self.rents_left == 0 {
             return None;
         }
@@ -433,9 +433,9 @@
             .filter(|&i| {
                 let offer = &self.offers[i];
                 let pays = match ask.rents {
-                    Rents::Any => true,
-                    Rents::Spot => offer.spot,
-                    Rents::Nothing => false,
+                    ScaleOutPolicy::Any => true,
+                    ScaleOutPolicy::Spot => offer.spot,
+                    ScaleOutPolicy::Nothing => false,
                 };
                 pays && offer.most > 0
                     && allowed(ask, offer.zone, offer.flavor, offer.spot)
@@ -444,8 +444,8 @@
             })
             .min_by(|&a, &b| {
                 let (a, b) = (&self.offers[a], &self.offers[b]);
-                let holds = |o: &Offer| if few { copies(&o.size, &ask.need) } else { 0 };
-                let per = |o: &Offer| o.price / copies(&o.size, &ask.need).max(1) as f64;
+                let holds = |o: &MachineTypeOffer| if few { copies(&o.size, &ask.need) } else { 0 };
+                let per = |o: &MachineTypeOffer| o.price / copies(&o.size, &ask.need).max(1) as f64;
                 holds(b)
                     .cmp(&holds(a))
                     .then(per(a).total_cmp(&per(b)))
@@ -497,7 +497,7 @@
         of_image.sort_by_key(|&i| (bins[i].index, i));
     }
     let mut planner = Planner {
-        room_index: RoomIndex::new(&bins),
+        room_index: CapacityIndex::new(&bins),
         warm,
         heavy: bins.iter().filter(|bin| bin.basket == Some(Basket::Heavy)).count(),
         bins,
--- a/src/placement/capacity_index.rs
+++ b/src/placement/capacity_index.rs
@@ -25,16 +25,21 @@
 
 /// What stands together on a room_tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RoomTree {
+pub struct CapacityTree {
     pub booting: bool,
     pub ordinary: bool,
     pub zone: usize,
     pub flavor: usize,
 }
 
-impl RoomTree {
-    fn of(bin: &Bin) -> RoomTree {
-        RoomTree { booting: !bin.ready, ordinary: !bin.spot, zone: bin.zone, flavor: bin.flavor }
+impl CapacityTree {
+    fn of(bin: &Bin) -> CapacityTree {
+        CapacityTree {
+            booting: !bin.ready,
+            ordinary: !bin.spot,
+            zone: bin.zone,
+            flavor: bin.flavor,
+        }
     }
 }
 
@@ -105,19 +110,19 @@
 }
 
 #[derive(Debug, Default)]
-pub struct RoomIndex {
-    room_index: Vec<(RoomTree, Row)>,
+pub struct CapacityIndex {
+    room_index: Vec<(CapacityTree, Row)>,
     /// Where each bin stands: room_tree and place on it.
     at: Vec<(usize, usize)>,
 }
 
-impl RoomIndex {
-    pub fn new(bins: &[Bin]) -> RoomIndex {
-        let mut rows: BTreeMap<RoomTree, Vec<usize>> = BTreeMap::new();
+impl CapacityIndex {
+    pub fn new(bins: &[Bin]) -> CapacityIndex {
+        let mut rows: BTreeMap<CapacityTree, Vec<usize>> = BTreeMap::new();
         for (i, bin) in bins.iter().enumerate() {
-            rows.entry(RoomTree::of(bin)).or_default().push(i);
+            rows.entry(CapacityTree::of(bin)).or_default().push(i);
         }
-        let mut room_index = RoomIndex { room_index: Vec::new(), at: vec![(0, 0); bins.len()] };
+        let mut room_index = CapacityIndex { room_index: Vec::new(), at: vec![(0, 0); bins.len()] };
         for (room_tree, mut row) in rows {
             row.sort_by_key(|&i| (bins[i].index, i));
             for (slot, i) in row.iter().enumerate() {
@@ -160,7 +165,7 @@
     /// The last bin is new; its index is beyond all others'.
     pub fn push(&mut self, bins: &[Bin]) {
         let Some((i, bin)) = bins.iter().enumerate().next_back() else { return };
-        let kind = RoomTree::of(bin);
+        let kind = CapacityTree::of(bin);
         let room_tree = self.room_index.iter().position(|(room_tree, _)| *room_tree == kind);
         let room_tree = room_tree.unwrap_or_else(|| {
             self.room_index.push((kind, Row::default()));
@@ -177,7 +182,7 @@
     }
 
     /// RoomIndex by their numbers.
-    pub fn kinds(&self) -> impl Iterator<Item = (usize, &RoomTree)> {
+    pub fn kinds(&self) -> impl Iterator<Item = (usize, &CapacityTree)> {
         self.room_index.iter().map(|(room_tree, _)| room_tree).enumerate()
     }
 
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -6,11 +6,11 @@
 /// before ordinary, its own basket before the pool, those that have the image before those that
 /// have not, then the fixed index. For the most urgent work the image goes before the basket:
 /// a fetch takes longer than its users wait.
-fn rank(ask: &Ask, bin: &Bin) -> (bool, bool, bool, bool, u64) {
+fn rank(ask: &PlacementRequest, bin: &Bin) -> (bool, bool, bool, bool, u64) {
     let cold = !bin.images.contains(&ask.image);
     let pool = bin.basket.is_none();
     let (first, second) =
-        if ask.urgency == Urgency::Production { (cold, pool) } else { (pool, cold) };
+        if ask.urgency == Priority::Production { (cold, pool) } else { (pool, cold) };
     (!bin.ready, !bin.spot, first, second, bin.index)
 }
 
@@ -40,7 +40,7 @@
                         && ask.need.fits(&team[ask.team])
                         && ask.zone_room[b.zone] > 0
                         && !ask.avoid.contains(&b.index)
-                        && (ask.rents != Rents::Spot || !b.vacated)
+                        && (ask.rents != ScaleOutPolicy::Spot || !b.vacated)
                         && match b.basket {
                             Some(basket) => basket == ask.basket,
                             None => ask.basket == Basket::Light || !full,
@@ -76,9 +76,9 @@
     let mut random = StdRng::seed_from_u64(5);
     for _ in 0..200 {
         let count = random.random_range(0..20);
-        let mut claims: Vec<Claim> = (0..count)
-            .map(|age| Claim {
-                urgency: if random.random() { Urgency::High } else { Urgency::Production },
+        let mut claims: Vec<QueuedJob> = (0..count)
+            .map(|age| QueuedJob {
+                urgency: if random.random() { Priority::High } else { Priority::Production },
                 fresh: random.random(),
                 beyond: random.random(),
                 aimless: random.random(),
@@ -92,11 +92,11 @@
         let mut plain = claims.clone();
         plain.sort();
         order_of_service(&mut claims);
-        let turn = |claim: &Claim| (claim.urgency, claim.team);
+        let turn = |claim: &QueuedJob| (claim.urgency, claim.team);
         assert!(claims.iter().map(turn).eq(plain.iter().map(turn)));
         for (at, a) in claims.iter().enumerate() {
             for b in claims[at + 1..].iter().filter(|b| turn(b) == turn(a)) {
-                let first = |c: &Claim| (c.fresh, c.aimless, c.missed, c.had_turn);
+                let first = |c: &QueuedJob| (c.fresh, c.aimless, c.missed, c.had_turn);
                 assert!(first(a) <= first(b));
                 if first(a) == first(b) {
                     assert!((a.size, a.age) < (b.size, b.age));
@@ -137,9 +137,9 @@
             let cpus = f64::from(random.random_range(1..15u32));
             let need = Amount::need(cpus, 0.0, cpus * 3.0);
             let spread = random.random::<bool>();
-            Ask {
+            PlacementRequest {
                 team: random.random_range(0..2),
-                urgency: if random.random() { Urgency::Production } else { Urgency::High },
+                urgency: if random.random() { Priority::Production } else { Priority::High },
                 need,
                 basket: basket_of(&need, &[size], 0.5),
                 count: random.random_range(1..tasks),
@@ -156,7 +156,7 @@
                 gang: random.random_range(0..4) == 0,
                 within_s: None,
                 left_s: None,
-                rents: if random.random() { Rents::Any } else { Rents::Spot },
+                rents: if random.random() { ScaleOutPolicy::Any } else { ScaleOutPolicy::Spot },
             }
         })
         .collect();
@@ -183,12 +183,12 @@
     }
 }
 
-fn ask(count: u32, cpus: f64) -> Ask {
+fn ask(count: u32, cpus: f64) -> PlacementRequest {
     let size = Amount::room(16.0, 0.0, 64.0);
     let need = Amount::need(cpus, 0.0, 1.0);
-    Ask {
+    PlacementRequest {
         team: 0,
-        urgency: Urgency::High,
+        urgency: Priority::High,
         need,
         basket: basket_of(&need, &[size], 0.5),
         count,
@@ -202,12 +202,20 @@
         gang: false,
         within_s: None,
         left_s: None,
-        rents: Rents::Any,
+        rents: ScaleOutPolicy::Any,
     }
 }
 
-fn offer(zone: usize, spot: bool, price: f64) -> Offer {
-    Offer { flavor: 0, zone, spot, price, size: Amount::room(16.0, 0.0, 64.0), most: 2, held: 0 }
+fn offer(zone: usize, spot: bool, price: f64) -> MachineTypeOffer {
+    MachineTypeOffer {
+        flavor: 0,
+        zone,
+        spot,
+        price,
+        size: Amount::room(16.0, 0.0, 64.0),
+        most: 2,
+        held: 0,
+    }
 }
 
 #[test]
@@ -232,8 +240,9 @@
 #[test]
 fn the_last_machines_that_can_be_held_are_large_ones() {
     let unlimited = Amount { cpu: u64::MAX, gpu: 0, ram: u64::MAX };
-    let large = Offer { size: offer(0, false, 0.0).size.times(4), ..offer(0, false, 9.0) };
-    let small = Offer { most: 1000, ..offer(0, true, 0.3) };
+    let large =
+        MachineTypeOffer { size: offer(0, false, 0.0).size.times(4), ..offer(0, false, 9.0) };
+    let small = MachineTypeOffer { most: 1000, ..offer(0, true, 0.3) };
     let full = Bin {
         index: 0,
         zone: 0,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -3,24 +3,31 @@
 //! A core without clock or I/O. It exists only while its process leads, is built anew for each
 //! leadership from the store's records and the workers' reports, and stores no placements.
 
-use crate::clock::Wall;
-use crate::cloud::{CloudCore, CloudEvent, Kind};
+use crate::clock::WallClock;
+use crate::cloud::{CloudClient, CloudEvent, MachinePool};
 use crate::constants::*;
-use crate::ids::{Amount, Attempt, JobId, MachineId, NodeName, Revision, TaskId, Token};
-use crate::jobs::dag::Carried;
+use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
+use crate::jobs::dag::InheritedPriority;
 use crate::jobs::{self, Job, JobBody, LiveJob};
 use crate::leadership::delegation::Delegations;
-use crate::peers::mesh::MeshMessage;
-use crate::placement::{self, Ask, Basket, Bin, Claim, Input, Offer, Rents};
+use crate::peers::mesh::PeerMessage;
+use crate::placement::{
+    self, Basket, Bin, Input, MachineTypeOffer, PlacementRequest, QueuedJob, ScaleOutPolicy,
+};
 use crate::settings::Settings;
 use crate::store::{
     Bucket, Cache, Item, LEADER_KEY, MACHINE_PREFIX, MachineRecord, Origin, Outcome, Rank,
-    StateCore,
+    StoreClient,
+};
+use crate::wire::{
+    CommandBatch, Data, Heartbeat, JobKind, MachineType, Precondition, Priority, TaskState,
+    WorkerCommand, Write,
+};
+use crate::workers::command_delivery::DirectCall;
+use crate::workers::failure_attribution::FailureAttribution;
+use crate::workers::machine::{
+    HeartbeatEffect, Machine, MachineState, OVER, PlacedAttempt, Stop, TaskEvent,
 };
-use crate::wire::{Data, Flavor, Guard, Order, Orders, Report, Shape, TaskState, Urgency, Write};
-use crate::workers::command_delivery::Direct;
-use crate::workers::failure_attribution::Evidence;
-use crate::workers::machine::{Entry, Fact, Heard, Life, Machine, OVER, Stop};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,47 +77,59 @@
 }
 
 /// What is to be sent straight to a machine.
-enum Owed {
+enum NextDirectCall {
     Nothing,
     /// Something, after a pause.
     Later,
-    Call(SocketAddr, Direct),
+    Call(SocketAddr, DirectCall),
 }
 
-impl Owed {
-    fn to(machine: &mut Machine, token: Token, late: Duration, now: Instant) -> Owed {
-        let Some(address) = machine.address else { return Owed::Nothing };
-        if machine.direct_in_flight || machine.life == Life::Booting {
-            return Owed::Nothing;
+impl NextDirectCall {
+    fn to(
+        machine: &mut Machine,
+        token: FencingToken,
+        late: Duration,
+        now: Instant,
+    ) -> NextDirectCall {
+        let Some(address) = machine.address else { return NextDirectCall::Nothing };
+        if machine.direct_in_flight || machine.life == MachineState::Booting {
+            return NextDirectCall::Nothing;
         }
         if now < machine.direct_after {
-            return if machine.owed { Owed::Later } else { Owed::Nothing };
+            return if machine.owed { NextDirectCall::Later } else { NextDirectCall::Nothing };
         }
-        let call = |session: u64, orders: Vec<Order>| {
-            Owed::Call(address, Direct::Do(Orders { token, session: Some(session), orders }))
+        let call = |agent_epoch: u64, orders: Vec<WorkerCommand>| {
+            NextDirectCall::Call(
+                address,
+                DirectCall::Do(CommandBatch { token, agent_epoch: Some(agent_epoch), orders }),
+            )
         };
-        if machine.session == 0 {
+        if machine.agent_epoch == 0 {
             // Few leases ever expire, so most machines are in their first session and confirm
             // themselves with this one answer. Any other refuses, and its refusal tells the session:
             // with hundreds of machines a question before costs a take-over most of a second.
-            return if machine.confirmed { Owed::Nothing } else { call(FIRST_SESSION, Vec::new()) };
+            return if machine.confirmed {
+                NextDirectCall::Nothing
+            } else {
+                call(FIRST_AGENT_EPOCH, Vec::new())
+            };
         }
         let orders = if machine.owed { machine.starts_and_stops() } else { Vec::new() };
         machine.owed = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
-            call(machine.session, orders)
+            call(machine.agent_epoch, orders)
         } else if machine.lent || machine.silent_for(now) > late {
             // Its answer will show that it is in our reach again, or that it lives.
-            Owed::Call(address, Direct::Status)
+            NextDirectCall::Call(address, DirectCall::Status)
         } else {
-            Owed::Nothing
+            NextDirectCall::Nothing
         }
     }
 }
 
 /// What the leader knows of a live job's tasks beyond the store's record.
 #[derive(Debug, Default)]
-struct Work {
+struct JobProgress {
     /// It was there before this leadership began: a predecessor may have started its tasks.
     old: bool,
     /// When this leader first saw it.
@@ -127,7 +146,7 @@
     again: BTreeSet<u32>,
     paused: BTreeSet<(Instant, u32)>,
     /// Whether its failures are its own fault.
-    evidence: Evidence,
+    evidence: FailureAttribution,
     /// How often tasks of it made way for urgent ones.
     made_way: u32,
     /// Whether its work was counted as it came, and among what.
@@ -137,7 +156,7 @@
     cursor: u32,
 }
 
-impl Work {
+impl JobProgress {
     /// How many of the job's tasks are neither done nor placed. Some may be both, until the news
     /// of a commit has come.
     fn waiting(&self, job: &LiveJob) -> u64 {
@@ -172,7 +191,8 @@
     /// Takes the next task that may be started out of those that wait. Each task is passed once
     /// and once more for each time it comes back, however many there are.
     fn next(&mut self, job: &LiveJob, now: Instant) -> Option<u32> {
-        let open = |work: &Work, task: u32| !work.placed.contains_key(&task) && !job.is_done(task);
+        let open =
+            |work: &JobProgress, task: u32| !work.placed.contains_key(&task) && !job.is_done(task);
         while let Some(task) = self.again.pop_first() {
             if open(self, task) {
                 return Some(task);
@@ -194,14 +214,14 @@
 }
 
 /// A job that asks for machines in a planning pass, and how many of its tasks are still to be placed.
-struct Source {
+struct PendingDemand {
     job: JobId,
     left: u32,
 }
 
 /// What all machines together show.
 #[derive(Debug, Default)]
-struct Survey {
+struct FleetSummary {
     /// By zone: those that are up, and of those the ones heard of late.
     up: Vec<usize>,
     heard: Vec<usize>,
@@ -213,7 +233,7 @@
     newest: Option<Instant>,
 }
 
-impl Survey {
+impl FleetSummary {
     /// Whether a machine that was rented later than this one is up.
     fn overtaken(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
@@ -223,24 +243,24 @@
 
 /// Ranks of machines within a zone: the lowest free one is given to the next.
 #[derive(Debug, Default)]
-struct Ranks {
+struct ZoneIndexAllocator {
     free: BTreeSet<u64>,
     next: u64,
 }
 
 pub struct Scheduler {
-    pub token: Token,
+    pub token: FencingToken,
     leader_rev: Revision,
     since: Instant,
     counter: u64,
     settings: Arc<Settings>,
     teams: HashMap<String, usize>,
-    flavors: Vec<Flavor>,
+    flavors: Vec<MachineType>,
     pub machines: BTreeMap<MachineId, Machine>,
     /// By zone.
-    ranks: Vec<Ranks>,
+    ranks: Vec<ZoneIndexAllocator>,
     /// Ordered, so that equal events have equal effects.
-    work: BTreeMap<JobId, Work>,
+    work: BTreeMap<JobId, JobProgress>,
     /// On which machines each job may have tasks.
     holders: Holders,
     /// Machines that came up and whose records are not committed yet, and jobs with tasks that are reported done
@@ -253,7 +273,7 @@
     leftover: Leftover,
     images: HashMap<Arc<str>, u32>,
     /// Kinds that refused: until when each is left alone, and how many to ask for then.
-    scarce: HashMap<Kind, (Instant, u32)>,
+    scarce: HashMap<MachinePool, (Instant, u32)>,
     /// Surely gone: a lagging list may still show them.
     buried: HashSet<MachineId>,
     listed_once: bool,
@@ -292,9 +312,9 @@
     look_all: bool,
     /// From which machine on calls are sent next, where not all may be under way at once.
     direct_from: Option<MachineId>,
-    pub wall: Wall,
+    pub wall: WallClock,
     /// What jobs inherit from those that need them, and whether that is to be found out anew.
-    carried: HashMap<JobId, Carried>,
+    carried: HashMap<JobId, InheritedPriority>,
     carried_old: bool,
     tidy: Tidy,
     learning: Learning,
@@ -303,7 +323,7 @@
     /// What is remembered of elastic jobs.
     widths: Widths<JobId>,
     pub delegations: Delegations,
-    pub direct: Vec<(MachineId, SocketAddr, Direct)>,
+    pub direct: Vec<(MachineId, SocketAddr, DirectCall)>,
     pub last_report: Instant,
     pub reports: u64,
     pub starts: u64,
@@ -312,17 +332,17 @@
 
 impl Scheduler {
     pub fn new(
-        token: Token,
+        token: FencingToken,
         leader_rev: Revision,
         settings: Arc<Settings>,
         cache: &Cache,
-        wall: Wall,
+        wall: WallClock,
         now: Instant,
     ) -> Scheduler {
         let names = settings.platform.params.teams.iter().map(|team| team.name.clone());
         let peers = settings.platform.others.iter().map(|peer| peer.host_name.clone());
         let zones = settings.platform.params.zones.len();
-        let ranks = std::iter::repeat_with(Ranks::default).take(zones).collect();
+        let ranks = std::iter::repeat_with(ZoneIndexAllocator::default).take(zones).collect();
         let shortage = Shortage::new(settings.operator.floor);
         let allowed = &settings.platform.params.resources;
         let confirms = allowed.fits(Duration::from_secs(1), CALL_COST) * CONFIRM_SHARE;
@@ -390,7 +410,7 @@
             let machine = scheduler.add_machine(id, kind, now);
             machine.recorded = true;
             machine.confirmed = false;
-            machine.life = Life::Up;
+            machine.life = MachineState::Up;
             machine.address = record.address.parse().ok();
         }
         for (id, job) in &cache.jobs.all {
@@ -398,7 +418,7 @@
                 // A predecessor started nothing that still waits for other jobs: the cache holds
                 // all that it committed.
                 let old = live.ready();
-                scheduler.work.insert(id.clone(), Work { old, ..Work::default() });
+                scheduler.work.insert(id.clone(), JobProgress { old, ..JobProgress::default() });
             }
         }
         scheduler.find_leftover(cache, now);
@@ -409,9 +429,9 @@
         self.settings.platform.params.zones.iter().position(|zone| zone == name)
     }
 
-    fn kind(&self, flavor: &str, zone: &str, spot: bool) -> Option<Kind> {
+    fn kind(&self, flavor: &str, zone: &str, spot: bool) -> Option<MachinePool> {
         let flavor = self.flavors.iter().position(|f| f.name == flavor)?;
-        Some(Kind { flavor, zone: self.zone(zone)?, spot })
+        Some(MachinePool { flavor, zone: self.zone(zone)?, spot })
     }
 
     fn size(&self, flavor: usize) -> Amount {
@@ -420,7 +440,7 @@
 
     /// Indices are dealt round-robin over the zones: a machine gets the lowest rank free in its
     /// zone, so the loss of a zone never takes most of a basket.
-    fn add_machine(&mut self, id: &MachineId, kind: Kind, now: Instant) -> &mut Machine {
+    fn add_machine(&mut self, id: &MachineId, kind: MachinePool, now: Instant) -> &mut Machine {
         let zones = self.settings.platform.params.zones.len() as u64;
         let known = self.machines.get(id).map(|machine| machine.index);
         let ranks = &mut self.ranks[kind.zone];
@@ -440,8 +460,8 @@
         self.teams.get(name).copied().unwrap_or(usize::MAX)
     }
 
-    fn leader_guard(&self) -> Guard {
-        Guard { key: LEADER_KEY.into(), rev: self.leader_rev }
+    fn leader_guard(&self) -> Precondition {
+        Precondition { key: LEADER_KEY.into(), rev: self.leader_rev }
     }
 
     pub fn leader_rev(&self) -> Revision {
@@ -450,7 +470,7 @@
 
     /// The token to answer a report with once our right to act has ended, as those answer to whom we
     /// gave grants. A successor reckons with such answers for a full term from its start.
-    pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<Token> {
+    pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
         let every = self.settings.report_every();
         let machine = self.machines.get_mut(id)?;
         // What is barred since it was silent is none the less answered here: we reckon with our own answers.
@@ -488,7 +508,7 @@
     }
 
     /// A grant for another controller: it may answer for all machines that we hear.
-    pub fn grant(&mut self, to: &NodeName, seq: u64, now: Instant) -> Option<MeshMessage> {
+    pub fn grant(&mut self, to: &ControllerId, seq: u64, now: Instant) -> Option<PeerMessage> {
         self.delegations.number += 1;
         // Late enough for a worker to find a controller that hears it, and soon enough for the bar
         // to be acknowledged before its lease is over.
@@ -510,7 +530,8 @@
             }
             machine.barred_since = None;
             // Perhaps out of our reach alone: whoever hears it answers it, though we are near.
-            machine.lent = machine.life == Life::Up && machine.silent_for(now) >= every * 3 / 2;
+            machine.lent =
+                machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
             if machine.lent {
                 self.look_at.insert(machine.id.clone());
                 lent.push(machine.id.clone());
@@ -555,7 +576,7 @@
     }
 
     /// Called often, and only while this process may act.
-    pub fn tick(&mut self, state: &mut StateCore, cloud: &mut CloudCore, now: Instant) {
+    pub fn tick(&mut self, state: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         if now >= self.watch_at {
             self.watch_at = now + WATCH_EVERY;
             self.look_all = true;
@@ -581,17 +602,17 @@
     }
 
     /// One look at all machines, for all that a pass or a watch asks of them as a whole.
-    fn survey(&self, now: Instant) -> Survey {
+    fn survey(&self, now: Instant) -> FleetSummary {
         let quiet = self.settings.report_every() * 2 + Duration::from_secs(1);
         let zones = self.settings.platform.params.zones.len();
         let (up, heard) = (vec![0; zones], vec![0; zones]);
-        let mut survey = Survey { up, heard, ..Survey::default() };
+        let mut survey = FleetSummary { up, heard, ..FleetSummary::default() };
         for machine in self.machines.values() {
-            if machine.life == Life::Up {
+            if machine.life == MachineState::Up {
                 survey.up[machine.zone] += 1;
                 survey.heard[machine.zone] += usize::from(machine.silent_for(now) < quiet);
             }
-            survey.booting |= machine.life == Life::Booting;
+            survey.booting |= machine.life == MachineState::Booting;
             survey.asked_in_vain |= machine.asked_in_vain.is_some();
             survey.failing |= machine.failed_jobs.len() >= FAULTY_JOBS;
             if machine.up_since.is_some() {
@@ -602,7 +623,7 @@
     }
 
     /// Zones none of whose machines is heard: cut off from here rather than dead.
-    fn silent_zones(&self, survey: &Survey, now: Instant) -> Vec<bool> {
+    fn silent_zones(&self, survey: &FleetSummary, now: Instant) -> Vec<bool> {
         let (up, heard) = (&survey.up, &survey.heard);
         // One silent machine alone may well be dead, unless its zone's controllers are silent too.
         let names = &self.settings.platform.params.zones;
@@ -619,7 +640,7 @@
 
     /// Zones that are silent or were so a moment ago: when a cut ends, the machines behind it
     /// come back one by one, and the last to report is not dead because the first has reported.
-    fn cut_off_zones(&mut self, survey: &Survey, now: Instant) -> Vec<bool> {
+    fn cut_off_zones(&mut self, survey: &FleetSummary, now: Instant) -> Vec<bool> {
         for (zone, silent) in self.silent_zones(survey, now).into_iter().enumerate() {
             if silent {
                 self.zone_silent_at[zone] = Some(now);
@@ -644,20 +665,20 @@
                 look_at.insert(machine.id.clone());
                 return true;
             }
-            let owed = Owed::to(machine, self.token, late, now);
-            if left == 0 && matches!(owed, Owed::Call(..)) {
+            let owed = NextDirectCall::to(machine, self.token, late, now);
+            if left == 0 && matches!(owed, NextDirectCall::Call(..)) {
                 return false;
             }
-            if !machine.confirmed && matches!(owed, Owed::Call(..)) {
+            if !machine.confirmed && matches!(owed, NextDirectCall::Call(..)) {
                 self.confirms.take(1.0, now);
             }
             match owed {
-                Owed::Nothing => {}
-                Owed::Later => drop(look_at.insert(machine.id.clone())),
-                Owed::Call(address, direct) => {
+                NextDirectCall::Nothing => {}
+                NextDirectCall::Later => drop(look_at.insert(machine.id.clone())),
+                NextDirectCall::Call(address, direct) => {
                     left -= 1;
                     self.under_way += 1;
-                    if let Direct::Do(orders) = &direct {
+                    if let DirectCall::Do(orders) = &direct {
                         machine.note_flying(&orders.orders, 1);
                     }
                     let heard = self.zone_heard[machine.zone];
@@ -692,8 +713,8 @@
     pub fn on_direct(
         &mut self,
         id: &MachineId,
-        sent: Option<&Orders>,
-        report: Result<Report, crate::http::CallError>,
+        sent: Option<&CommandBatch>,
+        report: Result<Heartbeat, crate::http::CallError>,
         cache: &Cache,
         now: Instant,
     ) -> bool {
@@ -725,8 +746,9 @@
     pub fn running(&self) -> BTreeMap<JobId, u32> {
         let mut counts = BTreeMap::new();
         for machine in self.machines.values() {
-            let runs =
-                |entry: &Entry| matches!(entry.state, TaskState::Running | TaskState::Saving);
+            let runs = |entry: &PlacedAttempt| {
+                matches!(entry.state, TaskState::Running | TaskState::Saving)
+            };
             let running = machine.entries.iter().filter(|(_, entry)| runs(entry));
             // Tasks of a job stand side by side: one look at the counts serves them all.
             let mut last: Option<(&JobId, u32)> = None;
@@ -765,15 +787,15 @@
                 zones[machine.zone],
                 if machine.spot { "spot" } else { "ordinary" },
                 match machine.life {
-                    Life::Booting => "booting",
-                    Life::Up if silent => "silent",
-                    Life::Up if machine.is_empty() => "idle",
-                    Life::Up => "up",
-                    Life::Returning => "returning",
+                    MachineState::Booting => "booting",
+                    MachineState::Up if silent => "silent",
+                    MachineState::Up if machine.is_empty() => "idle",
+                    MachineState::Up => "up",
+                    MachineState::Returning => "returning",
                 }
             );
             *by_kind.entry(name).or_default() += 1;
-            if machine.life == Life::Up {
+            if machine.life == MachineState::Up {
                 free = free.plus(&self.size(machine.flavor).minus(&machine.used()));
             }
         }
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -10,7 +10,7 @@
         self.plan_wanted = true;
         self.look_all = true;
         match event {
-            CloudEvent::Flavors(found) => {
+            CloudEvent::MachineTypes(found) => {
                 crate::wire::merge(&mut self.flavors, found);
                 // What counts as heavy follows from the largest type.
                 self.machines.values_mut().for_each(Machine::entries_changed);
@@ -41,13 +41,13 @@
                     self.gone(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::Listed(listed, asked) => self.on_list(listed, asked, cache, now),
+            CloudEvent::ListedMachine(listed, asked) => self.on_list(listed, asked, cache, now),
         }
     }
 
     pub(super) fn on_list(
         &mut self,
-        listed: Vec<crate::wire::Listed>,
+        listed: Vec<crate::wire::ListedMachine>,
         asked: Instant,
         cache: &Cache,
         now: Instant,
@@ -59,13 +59,13 @@
                 continue;
             }
             present.insert(row.machine.clone());
-            if row.status == crate::wire::ListedState::Failed {
+            if row.status == crate::wire::ListedMachineState::Failed {
                 self.gone(&row.machine, "failed", cache, now);
                 // It stays in the list until it is deleted.
                 self.reserved.remove(&row.machine);
                 if let Some(kind) = self.kind(&row.flavor, &row.zone, row.spot) {
                     let machine = self.add_machine(&row.machine, kind, now);
-                    machine.life = Life::Returning;
+                    machine.life = MachineState::Returning;
                 }
                 continue;
             }
@@ -90,12 +90,12 @@
         let quiet = self.settings.report_every() * 2;
         for machine in self.machines.values_mut() {
             if !present.contains(&machine.id)
-                && machine.life != Life::Returning
+                && machine.life != MachineState::Returning
                 && machine.silent_for(asked) > quiet
                 && asked.saturating_duration_since(machine.rented) > lag
             {
                 tracing::info!(machine = %machine.id, "silent and not listed");
-                machine.life = Life::Returning;
+                machine.life = MachineState::Returning;
             }
         }
     }
@@ -116,18 +116,18 @@
     /// again would pay twice for the same wait.
     pub(super) fn overdue(
         &self,
-        survey: &Survey,
+        survey: &FleetSummary,
         now: Instant,
-    ) -> impl Fn(&Machine, &Flavor) -> bool + use<> {
-        let usual = |flavor: &Flavor| {
+    ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
+        let usual = |flavor: &MachineType| {
             Duration::from_secs_f64(flavor.boot_s * BOOT_OVERDUE) + BOOT_OVERDUE_MORE
         };
         let overtaken = survey.overtaken();
-        let aged = move |machine: &Machine, flavor: &Flavor| {
+        let aged = move |machine: &Machine, flavor: &MachineType| {
             now.saturating_duration_since(machine.rented) >= usual(flavor)
         };
         let late = self.machines.values().filter(|machine| {
-            machine.life == Life::Booting
+            machine.life == MachineState::Booting
                 && aged(machine, &self.flavors[machine.flavor])
                 && !overtaken(machine)
         });
@@ -135,7 +135,7 @@
         move |machine, flavor| aged(machine, flavor) && (!all_late || overtaken(machine))
     }
 
-    pub(super) fn watch_machines(&mut self, cache: &Cache, cloud: &mut CloudCore, now: Instant) {
+    pub(super) fn watch_machines(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
         let lease = self.settings.worker_lease();
         let survey = self.survey(now);
         let cut_off = self.cut_off_zones(&survey, now);
@@ -151,7 +151,7 @@
             // our behalf is bounded: once the lease has surely run out, the worker has killed
             // what it had.
             let others = self.delegations.answered_until(&machine.id, machine.barred_since);
-            let beyond = machine.life == Life::Up
+            let beyond = machine.life == MachineState::Up
                 && machine.lease_over(self.delegations.told(&machine.id), lease, now)
                 && !cut_off[machine.zone];
             if machine.confirmed && machine.entries.is_empty() {
@@ -165,7 +165,7 @@
                 // Another controller might still answer it. Its deletion proves that nothing
                 // runs there, unless a whole zone is cut off: that one is waited for.
                 tracing::info!(machine = %machine.id, "silent beyond its lease, given back");
-                machine.life = Life::Returning;
+                machine.life = MachineState::Returning;
             }
             let flavor = &self.flavors[machine.flavor];
             let age = now.saturating_duration_since(machine.rented);
@@ -176,22 +176,26 @@
                 // that would replace it come no sooner.
                 patience *= 2;
             }
-            if machine.life == Life::Booting && age > patience {
+            if machine.life == MachineState::Booting && age > patience {
                 tracing::info!(machine = %machine.id, "never came up");
-                machine.life = Life::Returning;
+                machine.life = MachineState::Returning;
             }
-            if machine.life == Life::Up && machine.faulty && machine.is_empty() {
+            if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
                 tracing::info!(machine = %machine.id, "faulty, given back");
-                machine.life = Life::Returning;
+                machine.life = MachineState::Returning;
             }
             let quiet = machine.silent_for(now) > self.settings.report_every() * 2;
-            if machine.life == Life::Up && beyond && quiet && machine.silent_for(now) > lease * 2 {
+            if machine.life == MachineState::Up
+                && beyond
+                && quiet
+                && machine.silent_for(now) > lease * 2
+            {
                 tracing::info!(machine = %machine.id, "silent for long, given back");
-                machine.life = Life::Returning;
+                machine.life = MachineState::Returning;
             }
             // A silent machine is not idle: after a take-over that finds a zone cut off, its
             // machines would all be given back.
-            if machine.life == Life::Up
+            if machine.life == MachineState::Up
                 && !quiet
                 && machine.is_empty()
                 && machine.recall_at.is_none()
@@ -213,12 +217,12 @@
                     && now > self.since + HIRE_SETTLE * 4
                 {
                     tracing::info!(machine = %machine.id, "idle, given back");
-                    machine.life = Life::Returning;
+                    machine.life = MachineState::Returning;
                 }
             } else {
                 machine.idle_since = None;
             }
-            if machine.life == Life::Returning {
+            if machine.life == MachineState::Returning {
                 cloud.delete(&machine.id, now);
             }
         }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -21,8 +21,8 @@
 /// Whether a task of the job can be moved: a replica of a service, which is down for the moment
 /// between two commands, or a task that saves its progress when it is stopped.
 fn movable(job: &LiveJob) -> bool {
-    let saves = job.spec.shape == Shape::Array && job.spec.checkpoint_s > 0.0;
-    (job.spec.shape == Shape::Service || saves) && job.spec.flavors.is_none()
+    let saves = job.spec.shape == JobKind::Array && job.spec.checkpoint_s > 0.0;
+    (job.spec.shape == JobKind::Service || saves) && job.spec.flavors.is_none()
 }
 
 impl Scheduler {
@@ -45,7 +45,7 @@
             let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
             let placed = work.placed.len() as f64;
             match job.spec.shape {
-                Shape::Service => budget.replicas += placed * MOVE_SHARE,
+                JobKind::Service => budget.replicas += placed * MOVE_SHARE,
                 _ if movable(job) => budget.savers += placed * SAVED_MOVE_SHARE,
                 _ => {}
             }
@@ -96,7 +96,8 @@
     fn empty(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.emptied_at = Some(now);
-        let running = |(_, entry): &(&TaskAttempt, &Entry)| entry.state == TaskState::Running;
+        let running =
+            |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
         let keys: Vec<_> = machine.entries.iter().filter(running).map(|(k, _)| k.clone()).collect();
         for key in keys {
             let job = cache.jobs.get(&key.0.job).and_then(Job::live);
@@ -174,7 +175,7 @@
             let (i, room) = target?;
             *room = room.minus(&entry.need);
             emptied.targets.push((*i, entry.need));
-            emptied.replicas += usize::from(spec.shape == Shape::Service);
+            emptied.replicas += usize::from(spec.shape == JobKind::Service);
             *moved.entry((task.job.clone(), bins[*i].zone)).or_default() += 1;
         }
         Some(emptied)
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -6,7 +6,7 @@
 impl Scheduler {
     /// The urgency by which a job is ordered, stops others and is spared: the highest of its own and
     /// of all that need it.
-    pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Urgency {
+    pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Priority {
         self.carried.get(id).map_or(job.spec.urgency, |carried| carried.urgency)
     }
 
@@ -32,10 +32,11 @@
         }
         let alone = |job: &LiveJob| {
             // Other due times are their owners' guesses at what nobody waits for.
-            let counts = !job.needs().is_empty() || self.settings.has_deadline(&job.spec.class);
+            let counts =
+                !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
             let due = job.spec.due_s.filter(|_| counts);
             let due_ms = due.map(|due_s| job.accepted_ms.saturating_add((due_s * 1000.0) as u64));
-            Carried { urgency: job.spec.urgency, due_ms }
+            InheritedPriority { urgency: job.spec.urgency, due_ms }
         };
         let jobs = live.iter().copied().collect();
         let learned = self.settings.operator.estimates.due;
@@ -91,7 +92,7 @@
         let mut found = Vec::new();
         for (id, job) in waiting {
             let mut ready_s = 0.0f64;
-            for need in job.needs() {
+            for need in job.depends_on() {
                 let Some((need, needed)) = jobs.get_key_value(need) else { continue };
                 let rest = || self.rest_s(need, needed, now);
                 // What is not known to be ready yet may be of the same millisecond.
@@ -129,7 +130,7 @@
     /// Room for what is coming, as asks after all that waits; they are never started.
     pub(super) fn coming_asks(
         &mut self,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<PlacementRequest>,
         coming: Vec<JobId>,
         cache: &Cache,
         sizes: &[Amount],
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -94,7 +94,7 @@
         let mut free: Vec<Amount> = bins.iter().map(|bin| bin.free).collect();
         let mut leavers = Vec::new();
         let (mut here, mut all, mut hurry_s) = (0u64, 0u64, f64::INFINITY);
-        for machine in self.machines.values().filter(|m| m.life == Life::Up) {
+        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
             let tasks = machine.entries.values().filter(|e| e.state == TaskState::Running);
             let tasks = tasks.count() as u64;
             all += tasks;
@@ -112,8 +112,8 @@
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
-            let service = live.spec.shape == Shape::Service;
-            let saves = live.spec.shape == Shape::Array && live.spec.checkpoint_s > 0.0;
+            let service = live.spec.shape == JobKind::Service;
+            let saves = live.spec.shape == JobKind::Array && live.spec.checkpoint_s > 0.0;
             let entry = |index: u32, (machine, attempt): &(MachineId, Attempt)| {
                 let machine = self.machines.get(machine)?;
                 let key = (TaskId { job: id.clone(), index }, *attempt);
@@ -150,7 +150,7 @@
     fn room_for(
         &self,
         live: &LiveJob,
-        work: &Work,
+        work: &JobProgress,
         index: u32,
         from: &Machine,
         bins: &[Bin],
@@ -185,7 +185,7 @@
     /// Replicas that have no other place run on: nobody gains by stopping them.
     fn out_of_time(&self, cache: &Cache, now: Instant) -> Vec<Leaver> {
         let mut leavers = Vec::new();
-        for machine in self.machines.values().filter(|m| m.life == Life::Up) {
+        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
             let Some(left_s) = self.drain_left_s(machine, now) else { continue };
             for (key, entry) in &machine.entries {
                 if entry.stop.is_some() || entry.state == TaskState::Exited {
@@ -195,7 +195,7 @@
                 let spec = &live.spec;
                 let save_s = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
                 let early_s = if save_s > 0.0 { save_s + DRAIN_MARGIN_S } else { 0.0 };
-                if spec.shape != Shape::Service && left_s <= early_s {
+                if spec.shape != JobKind::Service && left_s <= early_s {
                     let machine = machine.id.clone();
                     leavers.push(Leaver { key: key.clone(), machine, grace_s: save_s });
                 }
@@ -230,7 +230,7 @@
     fn is_stuck(
         &self,
         task: &TaskId,
-        entry: &Entry,
+        entry: &PlacedAttempt,
         by_in_s: Option<f64>,
         cache: &Cache,
         now: Instant,
@@ -238,7 +238,7 @@
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
         let pinned = spec.zone.as_ref().is_some_and(|zone| self.draining.drained.zone(zone));
-        if spec.shape == Shape::Service {
+        if spec.shape == JobKind::Service {
             let open = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open == 0 || (spec.spread && open == 1);
         }
@@ -250,7 +250,7 @@
 }
 
 /// What is drained, as any controller knows it.
-pub fn list(cache: &Cache, wall: Wall, now: Instant) -> Drains {
+pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
     let drains = cache.drains.values().map(|(record, _)| Drain {
         kind: record.kind,
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -22,7 +22,7 @@
         let free = machines.map(|m| self.size(m.flavor).minus(&m.used()).cpu).sum();
         let grower = |(id, job): &(&JobId, &LiveJob)| {
             let elastic = self.settings.elastic(&job.spec.class)?;
-            let work = self.work.get(*id).filter(|_| job.spec.shape == Shape::Array)?;
+            let work = self.work.get(*id).filter(|_| job.spec.shape == JobKind::Array)?;
             let width = work.placed.len() as u64;
             let (most, waiting) = (elastic.most, work.waiting(job));
             let grower = Grower { need: job.need.cpu, width, most, waiting };
@@ -43,7 +43,7 @@
         most: &mut u64,
     ) -> bool {
         let Some(elastic) = self.settings.elastic(&job.spec.class) else { return false };
-        if job.spec.shape != Shape::Array {
+        if job.spec.shape != JobKind::Array {
             return false;
         }
         let width = self.work.get(id).map_or(0, |work| work.placed.len() as u64);
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -99,10 +99,10 @@
     }
 
     /// Whether nothing more can be rented now, as far as refusals tell.
-    fn is_exhausted(&self, silent: &[bool], cloud: &CloudCore) -> bool {
+    fn is_exhausted(&self, silent: &[bool], cloud: &CloudClient) -> bool {
         let mut kinds = self.flavors.iter().enumerate().flat_map(|(flavor, info)| {
             let zones = info.zones.iter().filter_map(|name| self.zone(name));
-            zones.flat_map(move |zone| [true, false].map(|spot| Kind { flavor, zone, spot }))
+            zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
         });
         cloud.is_out() || kinds.all(|kind| silent[kind.zone] || self.scarce.contains_key(&kind))
     }
@@ -121,7 +121,7 @@
         unsure: &Amount,
         may_rent: bool,
         most: u32,
-        cloud: &CloudCore,
+        cloud: &CloudClient,
         now: Instant,
     ) {
         if self.settings.operator.floor <= 0.0 {
@@ -156,7 +156,7 @@
             if work.old && !unsure.is_zero() {
                 *hidden.entry(group).or_default() += each * waiting;
             }
-            if job.spec.shape == Shape::Service {
+            if job.spec.shape == JobKind::Service {
                 demand.offered += each * (held + waiting);
                 self.shortage.services.insert(group);
                 continue;
@@ -261,7 +261,12 @@
     }
 
     /// How an ask is reckoned, if anything is scarce.
-    pub(super) fn weight(&mut self, id: &JobId, job: &LiveJob, ask: &Ask) -> Option<Weight> {
+    pub(super) fn weight(
+        &mut self,
+        id: &JobId,
+        job: &LiveJob,
+        ask: &PlacementRequest,
+    ) -> Option<Weight> {
         if !self.shortage.is_scarce() {
             return None;
         }
@@ -270,7 +275,7 @@
         let run_s = self.task_s(id, job);
         let tasks = spec.tasks.saturating_sub(job.done_count()) as f64;
         let left =
-            if spec.shape == Shape::Service { 0.0 } else { tasks * run_s * ask.need.cpu as f64 };
+            if spec.shape == JobKind::Service { 0.0 } else { tasks * run_s * ask.need.cpu as f64 };
         let whole = spec.spread || spec.one_zone || ask.gang;
         Some(Weight { group, left: left as u64, whole })
     }
@@ -279,8 +284,8 @@
     /// is divided where only a part of it is owed.
     pub(super) fn owed_first(
         &self,
-        sources: &mut Vec<Source>,
-        asks: &mut Vec<Ask>,
+        sources: &mut Vec<PendingDemand>,
+        asks: &mut Vec<PlacementRequest>,
         weights: &mut Vec<Option<Weight>>,
         sizes: &[Amount],
     ) {
@@ -309,8 +314,8 @@
             let count = u32::try_from(owed.div_ceil(each)).unwrap_or(u32::MAX);
             let count = if *whole { asks[n].count } else { count.min(asks[n].count) };
             *owed = owed.saturating_sub(each * u64::from(count));
-            first.0.push(Source { job: sources[n].job.clone(), left: count });
-            first.1.push(Ask { count, ..asks[n].clone() });
+            first.0.push(PendingDemand { job: sources[n].job.clone(), left: count });
+            first.1.push(PlacementRequest { count, ..asks[n].clone() });
             first.2.push(Some(Weight { group: *group, left: *left, whole: *whole }));
             asks[n].count -= count;
             sources[n].left -= count;
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -20,7 +20,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn tidy_up(&mut self, state: &mut StateCore, now: Instant) {
+    pub(super) fn tidy_up(&mut self, state: &mut StoreClient, now: Instant) {
         if now < self.tidy.at || state.has_item(&Origin::Tidy) {
             return;
         }
@@ -39,7 +39,8 @@
         if writes.is_empty() {
             return;
         }
-        let guard = |(write, rev): &(Write, Revision)| Guard { key: write.key().into(), rev: *rev };
+        let guard =
+            |(write, rev): &(Write, Revision)| Precondition { key: write.key().into(), rev: *rev };
         let guards = std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
         self.tidy.keys = writes.iter().map(|(write, _)| write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|(write, _)| write).collect();
@@ -47,7 +48,7 @@
         state.push(Item { rank: Rank::Rest, origin: Origin::Tidy, change });
     }
 
-    pub(super) fn tidied(&mut self, outcome: Outcome, state: &mut StateCore) {
+    pub(super) fn tidied(&mut self, outcome: Outcome, state: &mut StoreClient) {
         if outcome == Outcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
             self.tidy.keys.iter().for_each(|key| state.cache.jobs.forget_litter(key));
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -57,7 +57,7 @@
     }
 
     /// A job is over, or about to be, of which a predecessor may have started what no report has shown.
-    pub(super) fn leave_over(&mut self, work: &Work, job: &Job) {
+    pub(super) fn leave_over(&mut self, work: &JobProgress, job: &Job) {
         let placed = work.placed.len() as u64;
         let (team, amount) = match &job.body {
             _ if !work.old => return,
@@ -71,7 +71,7 @@
 
     /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
     /// report may run a second time.
-    pub(super) fn second_runs(&self, id: &JobId, work: &Work, live: &LiveJob) -> u64 {
+    pub(super) fn second_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
         let runs = |(index, (machine, attempt)): (&u32, &(MachineId, Attempt))| {
             let task = TaskId { job: id.clone(), index: *index };
             let entry = self.machines.get(machine)?.entries.get(&(task, *attempt))?;
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -14,7 +14,7 @@
             match &job.body {
                 JobBody::Live(_) if self.told_cancelled.contains(id) => {}
                 JobBody::Live(live) => {
-                    self.carried_old |= !live.needs().is_empty();
+                    self.carried_old |= !live.depends_on().is_empty();
                     let work = self.work.entry(id.clone()).or_default();
                     if live.ready() {
                         work.known.get_or_insert(now);
@@ -91,7 +91,7 @@
         }
     }
 
-    pub fn on_outcome(&mut self, origin: &Origin, outcome: Outcome, state: &mut StateCore) {
+    pub fn on_outcome(&mut self, origin: &Origin, outcome: Outcome, state: &mut StoreClient) {
         if *origin == Origin::Tidy {
             return self.tidied(outcome, state);
         }
@@ -109,10 +109,10 @@
     }
 
     /// Hands the store what is due: records of machines and completions.
-    pub(super) fn store(&mut self, state: &mut StateCore, now: Instant) {
+    pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
         let machines = &self.machines;
         let due = |id: &MachineId| {
-            machines.get(id).filter(|machine| machine.life == Life::Up && !machine.recorded)
+            machines.get(id).filter(|machine| machine.life == MachineState::Up && !machine.recorded)
         };
         self.unrecorded.retain(|id| due(id).is_some());
         for machine in self.unrecorded.iter().filter_map(due) {
@@ -131,7 +131,7 @@
             };
             let data = Data::serialized(&record).unwrap_or(Data::Null);
             let change = jobs::Change {
-                guards: vec![Guard { key: key.clone(), rev }, self.leader_guard()],
+                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Put { key, data, hold: None }],
             };
             state.push(Item { rank: Rank::Awaited, origin, change });
@@ -140,7 +140,7 @@
     }
 
     /// Removes the records of machines that are surely gone.
-    pub(super) fn store_gone(&self, state: &mut StateCore) {
+    pub(super) fn store_gone(&self, state: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
         let mut ours = self.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
@@ -163,14 +163,14 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let change = jobs::Change {
-                guards: vec![Guard { key: key.clone(), rev }, self.leader_guard()],
+                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Delete { key }],
             };
             state.push(Item { rank: Rank::Rest, origin, change });
         }
     }
 
-    pub(super) fn store_completions(&mut self, state: &mut StateCore, now: Instant) {
+    pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
         let marks = now >= self.marks_at && !state.is_behind();
         if marks {
             self.marks_at = now + MARKS_EVERY;
@@ -182,7 +182,7 @@
         let due = |id: &JobId| work.get(id).is_some_and(|work| !work.completing.is_empty());
         self.completing.retain(due);
         let reported = self.completing.iter().filter_map(|id| work.get_key_value(id));
-        let mut reported: Vec<(&JobId, &Work)> = reported.collect();
+        let mut reported: Vec<(&JobId, &JobProgress)> = reported.collect();
         // A write carries whatever marks of a job have come, so the longer marks wait the fewer writes
         // they take. Where the budget is short, only what ends a job goes at once.
         reported.sort_by_key(|(_, work)| Reverse(work.completing.len()));
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -5,7 +5,12 @@
 impl Scheduler {
     /// What a job asks for by its description alone, for no task yet; none if it names a zone that
     /// there is not.
-    pub(super) fn bare_ask(&mut self, id: &JobId, job: &LiveJob, sizes: &[Amount]) -> Option<Ask> {
+    pub(super) fn bare_ask(
+        &mut self,
+        id: &JobId,
+        job: &LiveJob,
+        sizes: &[Amount],
+    ) -> Option<PlacementRequest> {
         let spec = &job.spec;
         let flavors = spec.flavors.as_ref().map(|names| {
             let at = |name: &String| self.flavors.iter().position(|f| f.name == *name);
@@ -17,8 +22,8 @@
         };
         let half = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
         let urgency = self.urgency(id, job);
-        let idle_time = urgency == Urgency::Low && !self.has_aim(id, job);
-        Some(Ask {
+        let idle_time = urgency == Priority::Low && !self.has_aim(id, job);
+        Some(PlacementRequest {
             team: *self.teams.get(&spec.team)?,
             urgency,
             need: job.need,
@@ -31,10 +36,10 @@
             one_zone: spec.one_zone,
             image: Self::image_id(&mut self.images, &spec.image),
             avoid: Vec::new(),
-            gang: spec.shape == Shape::Gang,
+            gang: spec.shape == JobKind::Gang,
             within_s: self.settings.tightest_wait(&spec.class),
             left_s: None,
-            rents: if idle_time { Rents::Spot } else { Rents::Any },
+            rents: if idle_time { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
         })
     }
 
@@ -52,7 +57,7 @@
         sizes: &[Amount],
         wake: &mut Option<Instant>,
         now: Instant,
-    ) -> Option<Ask> {
+    ) -> Option<PlacementRequest> {
         let spec = &job.spec;
         let mut ask = self.bare_ask(id, job, sizes)?;
         let work = self.work.get(id)?;
@@ -64,14 +69,14 @@
             *self.waits.entry("unconfirmed machine").or_default() += work.waiting(job);
             return None;
         }
-        if spec.shape == Shape::Gang && !work.placed.is_empty() {
+        if spec.shape == JobKind::Gang && !work.placed.is_empty() {
             // A generation of a gang starts as a whole: when one of its tasks is lost, the
             // others end by themselves and all start again under a new attempt.
             return None;
         }
         let most = match work.evidence.allows(work.placed.len(), now) {
             // A gang starts as a whole, on trial too.
-            Ok(allowed) if spec.shape != Shape::Gang => most.min(allowed as u64),
+            Ok(allowed) if spec.shape != JobKind::Gang => most.min(allowed as u64),
             Ok(_) => most,
             Err(at) => {
                 *self.waits.entry("fails everywhere").or_default() += work.waiting(job);
@@ -83,7 +88,10 @@
         let work = self.work.get_mut(id)?;
         work.wake(now);
         let waiting = work.waiting(job);
-        if trial && spec.shape != Shape::Gang && waiting > 0 && waiting <= work.paused.len() as u64
+        if trial
+            && spec.shape != JobKind::Gang
+            && waiting > 0
+            && waiting <= work.paused.len() as u64
         {
             // The job's own pause is over; that of its next task does not matter.
             work.again.extend(work.paused.pop_first().map(|(_, task)| task));
@@ -95,7 +103,7 @@
         }
         let count = most.min(waiting.saturating_sub(paused));
         // A gang that lacks a task would wait for it for ever once it runs.
-        if count == 0 || (spec.shape == Shape::Gang && paused > 0) {
+        if count == 0 || (spec.shape == JobKind::Gang && paused > 0) {
             return None;
         }
         ask.count = u32::try_from(count).unwrap_or(u32::MAX);
@@ -116,7 +124,7 @@
         ask.avoid = work.evidence.avoided().iter().filter_map(index).collect();
         if trial {
             // A trial of a job that fails everywhere takes what room there is.
-            ask.rents = Rents::Nothing;
+            ask.rents = ScaleOutPolicy::Nothing;
         }
         Some(ask)
     }
@@ -139,9 +147,9 @@
     }
 
     /// Whether a task that has a machine to come starts in time there, or is late already.
-    pub(super) fn can_wait(&self, ask: &Ask) -> bool {
+    pub(super) fn can_wait(&self, ask: &PlacementRequest) -> bool {
         let boot_s = self.usual_boot_s();
-        ask.urgency > Urgency::Production && ask.left_s.is_none_or(|left| boot_s < left)
+        ask.urgency > Priority::Production && ask.left_s.is_none_or(|left| boot_s < left)
     }
 
     /// Seconds within which most machines rented now are up, with an image.
@@ -154,16 +162,16 @@
     /// otherwise fill each machine that was rented to keep room.
     pub(super) fn warm_asks(
         &self,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<PlacementRequest>,
         sizes: &[Amount],
-        (survey, silent): (&Survey, &[bool]),
+        (survey, silent): (&FleetSummary, &[bool]),
         team: usize,
     ) {
         let Some(size) = sizes.first() else { return };
         let need = Amount { cpu: size.cpu / 4, gpu: 0, ram: size.ram / 4 };
         let zones = silent.len();
         let mut lent = vec![0u64; zones];
-        for machine in self.machines.values().filter(|m| m.life == Life::Up && !m.spot) {
+        for machine in self.machines.values().filter(|m| m.life == MachineState::Up && !m.spot) {
             lent[machine.zone] += machine.low_cpu();
         }
         let wanted = |zone: usize| {
@@ -176,9 +184,9 @@
             if count == 0 {
                 continue;
             }
-            asks.push(Ask {
+            asks.push(PlacementRequest {
                 team,
-                urgency: Urgency::Low,
+                urgency: Priority::Low,
                 need,
                 basket: Basket::Light,
                 count,
@@ -192,7 +200,7 @@
                 gang: false,
                 within_s: None,
                 left_s: None,
-                rents: Rents::Any,
+                rents: ScaleOutPolicy::Any,
             });
         }
     }
@@ -200,9 +208,9 @@
     pub(super) fn offers(
         &self,
         sizes: &[Amount],
-        pending: &[(Kind, u32)],
+        pending: &[(MachinePool, u32)],
         now: Instant,
-    ) -> Vec<(Kind, Offer)> {
+    ) -> Vec<(MachinePool, MachineTypeOffer)> {
         let mut offers = Vec::new();
         let mut held = vec![[0u32; 2]; self.settings.platform.params.zones.len()];
         for machine in self.machines.values() {
@@ -211,13 +219,13 @@
         for (flavor, info) in self.flavors.iter().enumerate() {
             for zone in info.zones.iter().filter_map(|name| self.zone(name)) {
                 for spot in [true, false] {
-                    let kind = Kind { flavor, zone, spot };
+                    let kind = MachinePool { flavor, zone, spot };
                     let scarce = self.scarce.get(&kind);
                     let asked = pending.iter().any(|(other, _)| *other == kind);
                     if scarce.is_some_and(|(until, _)| *until > now || asked) {
                         continue;
                     }
-                    let offer = Offer {
+                    let offer = MachineTypeOffer {
                         flavor,
                         zone,
                         spot,
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -17,7 +17,7 @@
 
     /// Whether work may be placed on a machine now, and will stay there.
     pub(super) fn takes_work(&self, machine: &Machine, now: Instant) -> bool {
-        machine.life == Life::Up
+        machine.life == MachineState::Up
             && machine.confirmed
             && machine.recorded
             && machine.recall_at.is_none()
@@ -48,12 +48,12 @@
         live: &[(&JobId, &LiveJob)],
         unsure: bool,
         now: Instant,
-    ) -> (Vec<Claim>, Vec<Amount>) {
+    ) -> (Vec<QueuedJob>, Vec<Amount>) {
         let settings = &self.settings;
         let params = &settings.platform.params;
         let mut claimed = vec![Amount::default(); params.teams.len()];
         let mut hidden = vec![Amount::default(); params.teams.len()];
-        let mut order: Vec<Claim> = Vec::new();
+        let mut order: Vec<QueuedJob> = Vec::new();
         for (at, (id, job)) in live.iter().enumerate() {
             let Some(&team) = self.teams.get(&job.spec.team) else { continue };
             claimed[team] = claimed[team].plus(&job.need.times(job.spec.tasks));
@@ -65,9 +65,9 @@
             let (due, overdue) = self.due_aims(id, job, now);
             let aims = settings.waits(&job.spec.class).count() + due;
             let missed = settings.missed_waits(&job.spec.class, waited) + overdue;
-            order.push(Claim {
+            order.push(QueuedJob {
                 urgency: self.urgency(id, job),
-                fresh: job.spec.shape != Shape::Service || work.retry.is_empty(),
+                fresh: job.spec.shape != JobKind::Service || work.retry.is_empty(),
                 beyond,
                 aimless: !self.has_aim(id, job),
                 had_turn: started >= turn,
@@ -88,7 +88,7 @@
     pub(super) fn bins(
         &mut self,
         sizes: &[Amount],
-        survey: &Survey,
+        survey: &FleetSummary,
         now: Instant,
     ) -> (Vec<Bin>, Vec<Option<MachineId>>) {
         let settings = self.settings.clone();
@@ -101,20 +101,20 @@
         let drained = self.draining.drained.clone();
         for machine in self.machines.values_mut() {
             let flavor = &self.flavors[machine.flavor];
-            let booting = machine.life == Life::Booting && !overdue(machine, flavor);
+            let booting = machine.life == MachineState::Booting && !overdue(machine, flavor);
             // What is being emptied takes nothing until it is empty.
             let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
             let name = &settings.platform.params.zones[machine.zone];
             if drained.of(machine.id.as_str(), name).is_some() {
                 continue;
             }
-            let up = machine.life == Life::Up
+            let up = machine.life == MachineState::Up
                 && (!emptying || machine.is_empty())
                 && machine.recall_at.is_none()
                 && !machine.faulty
                 && machine.heard.is_some()
                 && machine.silent_for(now) < quiet;
-            let coming = machine.life == Life::Up && !machine.confirmed;
+            let coming = machine.life == MachineState::Up && !machine.confirmed;
             if !(booting || up || coming) {
                 continue;
             }
@@ -153,8 +153,8 @@
         &mut self,
         places: &[(usize, usize)],
         names: &[Option<MachineId>],
-        sources: &mut [Source],
-        urgent: &mut BTreeMap<usize, Ask>,
+        sources: &mut [PendingDemand],
+        urgent: &mut BTreeMap<usize, PlacementRequest>,
         stoppable: &mut Stoppable,
         cache: &Cache,
         now: Instant,
@@ -185,7 +185,7 @@
             }
             let live = cache.jobs.get(job).and_then(Job::live);
             let urgency = live.map(|live| self.urgency(job, live));
-            if urgency == Some(Urgency::Low) && !self.low_starts.has(1.0, now) {
+            if urgency == Some(Priority::Low) && !self.low_starts.has(1.0, now) {
                 // Hundreds of jobs may ask for one start each.
                 self.plan_wanted = true;
                 continue;
@@ -203,7 +203,7 @@
     /// Whether a pass may do more than keep room warm and empty machines, which can wait for half a second: some task
     /// waits, or something is to be left. Most reports that ask for a pass tell of tasks that run.
     pub(super) fn waits_for_a_pass(&self, cache: &Cache) -> bool {
-        let waits = |(id, work): (&JobId, &Work)| {
+        let waits = |(id, work): (&JobId, &JobProgress)| {
             let live = cache.jobs.get(id).and_then(Job::live);
             live.is_some_and(|live| work.waiting(live) > 0)
         };
@@ -211,7 +211,7 @@
         waiting || self.carried_old || !self.draining.drained.is_empty()
     }
 
-    pub(super) fn plan(&mut self, cache: &Cache, cloud: &mut CloudCore, now: Instant) {
+    pub(super) fn plan(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
         let settings = self.settings.clone();
         let params = &settings.platform.params;
         let sizes: Vec<Amount> = (0..self.flavors.len()).map(|f| self.size(f)).collect();
@@ -277,15 +277,15 @@
             now,
         );
 
-        let mut asks: Vec<Ask> = Vec::new();
-        let mut sources: Vec<Source> = Vec::new();
+        let mut asks: Vec<PlacementRequest> = Vec::new();
+        let mut sources: Vec<PendingDemand> = Vec::new();
         let mut weights: Vec<Option<fair_share::Weight>> = Vec::new();
         let mut wake: Option<Instant> = None;
         let growth = self.growth(&live, now);
         // Elastic jobs beyond their least width come after all that is served as usual.
-        let mut wider: Vec<(Source, Ask)> = Vec::new();
+        let mut wider: Vec<(PendingDemand, PlacementRequest)> = Vec::new();
         self.waits.clear();
-        for Claim { age: at, beyond, .. } in order {
+        for QueuedJob { age: at, beyond, .. } in order {
             let (id, job) = live[at];
             let team = self.teams[&job.spec.team];
             let within = placement::copies(&team_room[team], &job.need);
@@ -294,7 +294,7 @@
                 *self.waits.entry("team limit").or_default() += waiting - within;
             }
             let mut most = within;
-            if self.urgency(id, job) == Urgency::Low && job.spec.shape == Shape::Array {
+            if self.urgency(id, job) == Priority::Low && job.spec.shape == JobKind::Array {
                 let paced = self.low_starts.room(now) as u64;
                 if paced < most.min(waiting) {
                     *self.waits.entry("pace of starts").or_default() += most.min(waiting) - paced;
@@ -306,11 +306,11 @@
             if let Some(mut ask) = self.ask_for(id, job, most, &unsure, &sizes, &mut wake, now) {
                 ask.left_s = self.time_left(id, job, beyond, now);
                 if grows {
-                    ask.rents = Rents::Nothing;
-                    wider.push((Source { job: id.clone(), left: ask.count }, ask));
+                    ask.rents = ScaleOutPolicy::Nothing;
+                    wider.push((PendingDemand { job: id.clone(), left: ask.count }, ask));
                     continue;
                 }
-                sources.push(Source { job: id.clone(), left: ask.count });
+                sources.push(PendingDemand { job: id.clone(), left: ask.count });
                 weights.push(self.weight(id, job, &ask));
                 asks.push(ask);
             }
@@ -342,7 +342,7 @@
         }
         // Least urgent work that waits is no reason to leave others scattered: what is emptied it
         // can use, and room that it needs itself is not free.
-        let quiet = asks[..real_asks].iter().all(|ask| ask.urgency == Urgency::Low);
+        let quiet = asks[..real_asks].iter().all(|ask| ask.urgency == Priority::Low);
         if quiet && unsure.is_empty() && now >= self.consolidate_at && !self.is_draining() {
             self.consolidate_at = now + CONSOLIDATE_EVERY;
             self.consolidate(&bins, &names, cache, now);
@@ -356,11 +356,11 @@
         kinds.retain(|(kind, _)| !silent[kind.zone]);
         let offers = if may_rent { kinds.iter().map(|(_, o)| o.clone()).collect() } else { vec![] };
         let room: Vec<Amount> = team_room.clone();
-        let mut urgent: BTreeMap<usize, Ask> = asks
+        let mut urgent: BTreeMap<usize, PlacementRequest> = asks
             .iter()
             .take(real_asks)
             .enumerate()
-            .filter(|(_, ask)| ask.urgency <= Urgency::High && ask.rents == Rents::Any)
+            .filter(|(_, ask)| ask.urgency <= Priority::High && ask.rents == ScaleOutPolicy::Any)
             .map(|(n, ask)| (n, ask.clone()))
             .collect();
         let plan = placement::plan(Input { bins, asks, team_room, offers, heavy_cap, rents_left });
@@ -417,7 +417,7 @@
             return;
         };
         // The tasks of a gang find each other by a common attempt: each generation has one.
-        let gang = live.spec.shape == Shape::Gang;
+        let gang = live.spec.shape == JobKind::Gang;
         let shared = || work.placed.values().map(|(_, attempt)| *attempt).max();
         let attempt = match gang.then(shared).flatten() {
             Some(shared) => shared,
@@ -428,12 +428,12 @@
         };
         tracing::debug!(machine = %id, %task, %attempt, "start");
         self.starts += 1;
-        if urgency == Urgency::Low {
+        if urgency == Priority::Low {
             self.low_starts.take(1.0, now);
         }
         work.placed.insert(task.index, (id.clone(), attempt));
         let image = Arc::from(live.spec.image.as_str());
-        let entry = Entry::new(live.need, team, urgency, image, now);
+        let entry = PlacedAttempt::new(live.need, team, urgency, image, now);
         machine.entries.insert((task, attempt), entry);
         machine.entries_changed();
         machine.owed = true;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -6,7 +6,7 @@
 /// A task that could make way.
 struct Victim {
     key: TaskAttempt,
-    urgency: Urgency,
+    urgency: Priority,
     need: Amount,
     /// Seconds of its work that are lost if it may save first, and if it may not; more for a job
     /// whose tasks made way before.
@@ -18,7 +18,7 @@
 }
 
 /// A machine with tasks that could make way, those first that lose least for their size.
-struct Source {
+struct PendingDemand {
     id: MachineId,
     index: u64,
     zone: usize,
@@ -33,16 +33,16 @@
 /// machines hold dozens of a guest's small tasks each.
 #[derive(Default)]
 pub(super) struct Stoppable {
-    sources: Option<Vec<Source>>,
+    sources: Option<Vec<PendingDemand>>,
     /// What may make way of each group, where room is scarce.
     spare: fair_share::Spare,
     /// Asks for which nothing could make way: room for others alike was looked for in vain, and what
     /// could make way only gets less within a pass.
-    hopeless: Vec<Ask>,
+    hopeless: Vec<PlacementRequest>,
 }
 
 /// Whether what nothing makes way for on behalf of one has nothing for the other either.
-fn alike(a: &Ask, b: &Ask) -> bool {
+fn alike(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     let closed = |room: &u32| *room == 0;
     (a.urgency, a.need, a.zone, a.spot) == (b.urgency, b.need, b.zone, b.spot)
         && a.flavors == b.flavors
@@ -77,7 +77,7 @@
     /// machine that has the image if there is one, and those that lose least.
     pub(super) fn preempt(
         &mut self,
-        unplaced: Vec<(u32, Ask)>,
+        unplaced: Vec<(u32, PlacementRequest)>,
         room: &[Amount],
         cache: &Cache,
         now: Instant,
@@ -113,12 +113,17 @@
         let Some(machine) = self.machines.get(machine) else { return false };
         let rate = self.flavors[machine.flavor].fetch_gb_per_s;
         let Some(within_s) = self.settings.tightest_wait(&live.spec.class) else { return false };
-        live.spec.urgency == Urgency::Production
+        live.spec.urgency == Priority::Production
             && rate > 0.0
             && live.spec.image_gb / rate > within_s * FETCH_SHARE
     }
 
-    fn sources(&self, spare: &fair_share::Spare, cache: &Cache, now: Instant) -> Vec<Source> {
+    fn sources(
+        &self,
+        spare: &fair_share::Spare,
+        cache: &Cache,
+        now: Instant,
+    ) -> Vec<PendingDemand> {
         let sizes: Vec<Amount> = (0..self.flavors.len()).map(|f| self.size(f)).collect();
         let largest = fair_share::largest(&sizes);
         let knows = self.settings.operator.estimates.make_way;
@@ -128,14 +133,14 @@
                 .entries
                 .iter()
                 .filter(|(_, entry)| {
-                    entry.urgency > Urgency::Production
+                    entry.urgency > Priority::Production
                         && entry.stop.is_none()
                         && matches!(entry.state, TaskState::Running | TaskState::Fetching)
                 })
                 .filter_map(|(key, entry)| {
                     let live = cache.jobs.get(&key.0.job).and_then(Job::live)?;
                     let spec = &live.spec;
-                    if spec.shape != Shape::Array {
+                    if spec.shape != JobKind::Array {
                         return None;
                     }
                     let ran = entry
@@ -174,7 +179,7 @@
                 continue;
             }
             victims.sort_by(|a, b| a.saved_loss.min(a.loss).total_cmp(&b.saved_loss.min(b.loss)));
-            sources.push(Source {
+            sources.push(PendingDemand {
                 id: machine.id.clone(),
                 index: machine.index,
                 zone: machine.zone,
@@ -191,7 +196,7 @@
     /// Makes room for one task on a machine that has its image.
     pub(super) fn make_warm_way(
         &mut self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         stoppable: &mut Stoppable,
         cache: &Cache,
         now: Instant,
@@ -203,7 +208,7 @@
     /// `warm`, only on machines that have the image.
     fn make_way(
         &mut self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         count: u64,
         warm: bool,
         stoppable: &mut Stoppable,
@@ -222,7 +227,7 @@
         let Stoppable { sources: Some(sources), spare, .. } = stoppable else { return 0 };
         // Room that is made on one machine changes what it costs there alone, so each is looked at
         // once and again after each choice of it.
-        let look = |source: &Source| {
+        let look = |source: &PendingDemand| {
             let cold = !source.images.contains(&ask.image);
             source.way(ask, patience_s, cold, warm)
         };
@@ -288,8 +293,8 @@
     victims: Vec<usize>,
 }
 
-impl Source {
-    fn way(&self, ask: &Ask, patience_s: f64, cold: bool, warm: bool) -> Option<Way> {
+impl PendingDemand {
+    fn way(&self, ask: &PlacementRequest, patience_s: f64, cold: bool, warm: bool) -> Option<Way> {
         if !placement::allowed(ask, self.zone, self.flavor, self.spot)
             || ask.zone_room[self.zone] == 0
             || ask.avoid.contains(&self.index)
