--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -7,7 +7,12 @@
 
 impl Scheduler {
     /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
-    pub fn on_report(&mut self, report: &Report, cache: &Cache, now: Instant) -> Option<Orders> {
+    pub fn on_report(
+        &mut self,
+        report: &Heartbeat,
+        cache: &Cache,
+        now: Instant,
+    ) -> Option<CommandBatch> {
         self.last_report = now;
         self.reports += 1;
         if let Some(machine) = self.machines.get_mut(&report.machine) {
@@ -32,25 +37,29 @@
     }
 
     /// The orders of an answer that is about to be sent, which renews the worker's lease.
-    pub(super) fn orders_in_answer(&mut self, id: &MachineId, now: Instant) -> Option<Vec<Order>> {
+    pub(super) fn orders_in_answer(
+        &mut self,
+        id: &MachineId,
+        now: Instant,
+    ) -> Option<Vec<WorkerCommand>> {
         let machine = self.machines.get_mut(id)?;
         // The answer is about to be sent, so its lease may now last until a lease from here.
         machine.answered = now;
         let orders = machine.orders();
         // Most reports leave nothing owed.
-        machine.owed = orders.iter().any(|order| !matches!(order, Order::Forget { .. }));
+        machine.owed = orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
         if machine.owed || !machine.confirmed {
             self.look_at.insert(id.clone());
         }
         Some(orders)
     }
 
-    pub(super) fn answer(&self, orders: Vec<Order>) -> Orders {
-        Orders { token: self.token, session: None, orders }
+    pub(super) fn answer(&self, orders: Vec<WorkerCommand>) -> CommandBatch {
+        CommandBatch { token: self.token, agent_epoch: None, orders }
     }
 
     /// False: the worker has seen a higher token than ours.
-    pub(super) fn take_report(&mut self, report: &Report, cache: &Cache, now: Instant) -> bool {
+    pub(super) fn take_report(&mut self, report: &Heartbeat, cache: &Cache, now: Instant) -> bool {
         let Some(machine) = self.machines.get_mut(&report.machine) else { return true };
         if let Ok(address) = report.address.parse() {
             machine.address = Some(address);
@@ -60,13 +69,13 @@
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
         let quiet = self.settings.report_every() * 2;
-        let usable = |m: &Machine| (m.life, m.confirmed, m.session, m.silent_for(now) > quiet);
+        let usable = |m: &Machine| (m.life, m.confirmed, m.agent_epoch, m.silent_for(now) > quiet);
         let before = usable(machine);
         let had_notice = machine.recall_at.is_some();
         let facts = match machine.hear(report, self.token, now) {
-            Heard::Superseded => return false,
-            Heard::Stale => return true,
-            Heard::News(facts) => facts,
+            HeartbeatEffect::Superseded => return false,
+            HeartbeatEffect::Stale => return true,
+            HeartbeatEffect::News(facts) => facts,
         };
         if !had_notice && machine.recall_at.is_some() {
             tracing::info!(machine = %machine.id, notice_s = report.notice_s, "spot notice");
@@ -88,17 +97,25 @@
         true
     }
 
-    pub(super) fn on_fact(&mut self, machine: &MachineId, fact: Fact, cache: &Cache, now: Instant) {
+    pub(super) fn on_fact(
+        &mut self,
+        machine: &MachineId,
+        fact: TaskEvent,
+        cache: &Cache,
+        now: Instant,
+    ) {
         match fact {
-            Fact::Running(task, attempt) => self.on_running(machine, &task, attempt, cache, now),
-            Fact::Found(task, attempt) => self.adopt(machine, task, attempt, cache),
-            Fact::Vanished(task, attempt, ran) => {
+            TaskEvent::Running(task, attempt) => {
+                self.on_running(machine, &task, attempt, cache, now)
+            }
+            TaskEvent::Found(task, attempt) => self.adopt(machine, task, attempt, cache),
+            TaskEvent::Vanished(task, attempt, ran) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
                 self.learn_end(&task, machine, live, (ran, false, false));
                 tracing::info!(%machine, %task, %attempt, "task is gone with its machine's session");
                 self.release(&task, attempt, now);
             }
-            Fact::Exited { task, attempt, why, saved } => {
+            TaskEvent::Exited { task, attempt, why, saved } => {
                 self.on_exit(machine, task, attempt, &why, saved, cache, now);
             }
         }
@@ -144,9 +161,9 @@
                 (self.team_of(&live.spec.team), live.need, image, urgency)
             }
             Some(JobBody::Over { rest: Some(rest), .. }) => {
-                (self.team_of(&rest.team), rest.need, Arc::from(""), Urgency::Production)
+                (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
             }
-            _ => (usize::MAX, Amount::default(), Arc::from(""), Urgency::Production),
+            _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
         self.holders.note(&task.job, machine, &self.machines);
         let live = self.live(cache, &task.job).is_some();
@@ -214,12 +231,12 @@
     ) {
         if let Some(machine) = self.machines.get_mut(id)
             && let Some(entry) = machine.entries.get(&(task.clone(), attempt))
-            && entry.urgency < Urgency::Low
+            && entry.urgency < Priority::Low
         {
             machine.vacated_at = Some(now);
         }
         let live = self.live(cache, &task.job);
-        let done = why == "done" && live.is_some_and(|l| l.spec.shape != Shape::Service);
+        let done = why == "done" && live.is_some_and(|l| l.spec.shape != JobKind::Service);
         let entry = self.machines.get(id).and_then(|m| m.entries.get(&(task.clone(), attempt)));
         let began = entry.and_then(|entry| entry.began);
         let ran = began.map(|at| now.saturating_duration_since(at));
@@ -296,7 +313,7 @@
 
     /// Looks whether jobs that failed have tasks by now that ran for a while, and which machines
     /// failed jobs that do well elsewhere. A job that is done did, one cancelled tells nothing.
-    pub(super) fn weigh_failures(&mut self, survey: &Survey, cache: &Cache, now: Instant) {
+    pub(super) fn weigh_failures(&mut self, survey: &FleetSummary, cache: &Cache, now: Instant) {
         let ran = |(machine, attempt): &(MachineId, Attempt), job: &JobId, index: u32| {
             let entry = self.machines.get(machine)?;
             let entry = entry.entries.get(&(TaskId { job: job.clone(), index }, *attempt))?;
@@ -329,7 +346,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(at) = machine.recall_at else { return };
         let left = at.saturating_duration_since(now).as_secs_f64();
-        let drained = |((task, _), entry): &(&TaskAttempt, &Entry)| {
+        let drained = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
             if entry.stop.is_some() || entry.state == TaskState::Exited {
                 return false;
             }
@@ -338,7 +355,7 @@
             let known =
                 ran.filter(|_| known_rest).and_then(|ran| self.learning.rest_s(&task.job, ran));
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
-            live.spec.shape != Shape::Array || ran.is_none() || rest >= left - 1.0
+            live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
         let keys: Vec<_> = machine.entries.iter().filter(drained).map(|(k, _)| k.clone()).collect();
         for key in keys {
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -4,33 +4,33 @@
 //! about a worker is decided anywhere else.
 
 use super::*;
-use crate::peers::heartbeat_relay::{RelayedOrder, RelayedReport, Verdict};
+use crate::peers::heartbeat_relay::{RelayedCommand, RelayedHeartbeat, Verdict};
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
     pub fn on_relayed(
         &mut self,
-        from: &NodeName,
-        reports: Vec<RelayedReport>,
+        from: &ControllerId,
+        reports: Vec<RelayedHeartbeat>,
         cache: &Cache,
         now: Instant,
     ) -> Option<Vec<(u32, Verdict)>> {
         let mut verdicts = Vec::new();
         for (place, relayed) in (0u32..).zip(reports) {
             let verdict = match relayed {
-                RelayedReport::Full(report) => {
-                    let report = Report::from(report);
+                RelayedHeartbeat::Full(report) => {
+                    let report = Heartbeat::from(report);
                     let orders = self.on_report(&report, cache, now)?.orders;
                     if let Some(machine) = self.machines.get_mut(&report.machine) {
                         machine.relayed_by = Some((from.clone(), now));
                     }
-                    Verdict::Orders(orders.into_iter().map(RelayedOrder::from).collect())
+                    Verdict::CommandBatch(orders.into_iter().map(RelayedCommand::from).collect())
                 }
-                RelayedReport::Same { machine, session, before, seq } => {
-                    self.on_same(from, &machine, (session, before, seq), now)
+                RelayedHeartbeat::Same { machine, agent_epoch, before, seq } => {
+                    self.on_same(from, &machine, (agent_epoch, before, seq), now)
                 }
             };
-            if verdict != Verdict::Orders(Vec::new()) {
+            if verdict != Verdict::CommandBatch(Vec::new()) {
                 verdicts.push((place, verdict));
             }
         }
@@ -40,13 +40,13 @@
     /// A worker reports what it reported before.
     fn on_same(
         &mut self,
-        from: &NodeName,
+        from: &ControllerId,
         id: &MachineId,
-        (session, before, seq): (u64, u64, u64),
+        (agent_epoch, before, seq): (u64, u64, u64),
         now: Instant,
     ) -> Verdict {
         let (token, quiet) = (self.token, self.settings.report_every() * 2);
-        let known = |machine: &mut Machine| machine.hear_same(session, before, seq, token, now);
+        let known = |machine: &mut Machine| machine.hear_same(agent_epoch, before, seq, token, now);
         let Some(machine) = self.machines.get_mut(id) else { return Verdict::SendFull };
         let was_silent = machine.silent_for(now) > quiet;
         if !known(machine) {
@@ -59,11 +59,11 @@
         self.last_report = now;
         self.reports += 1;
         let orders = self.orders_in_answer(id, now).unwrap_or_default();
-        Verdict::Orders(orders.into_iter().map(RelayedOrder::from).collect())
+        Verdict::CommandBatch(orders.into_iter().map(RelayedCommand::from).collect())
     }
 
     /// The controller that takes a worker's reports, if it passed one on lately.
-    pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&NodeName> {
+    pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let (name, at) = self.machines.get(id)?.relayed_by.as_ref()?;
         (now.saturating_duration_since(*at) < self.late_after()).then_some(name)
     }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -108,7 +108,7 @@
         live: Option<&LiveJob>,
         (ran, done, saved): (Option<Duration>, bool, bool),
     ) {
-        let Some(live) = live.filter(|live| live.spec.shape != Shape::Service) else { return };
+        let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
         // A faulty machine shows nothing about its tasks.
         let faulty = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
         if !self.learns() || self.machines.get(machine).is_some_and(faulty) {
@@ -173,7 +173,7 @@
 
     /// What is known of a job's run times, not older than a few seconds.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
-        if live.spec.shape == Shape::Service || !self.learns() {
+        if live.spec.shape == JobKind::Service || !self.learns() {
             return None;
         }
         let known = self.learning.seen.get(id).and_then(|seen| seen.known);
@@ -205,7 +205,7 @@
             known.is_none_or(|(_, at)| now >= at + ESTIMATE_FRESH)
         };
         let turn = live[from..].iter().chain(&live[..from]).enumerate();
-        let arrays = turn.filter(|(_, (_, job))| job.spec.shape != Shape::Service);
+        let arrays = turn.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
         let due: Vec<_> = arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_A_PASS).collect();
         self.learning.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
         for (_, (id, job)) in due {
@@ -286,7 +286,7 @@
     }
 
     /// Writes what was learned, after all else.
-    pub(super) fn store_estimates(&mut self, state: &mut StateCore, now: Instant) {
+    pub(super) fn store_estimates(&mut self, state: &mut StoreClient, now: Instant) {
         if !self.learns() {
             return;
         }
@@ -302,7 +302,7 @@
         };
         let key = key(write.bucket);
         let guards =
-            vec![Guard { key: key.clone(), rev: Revision(write.rev) }, self.leader_guard()];
+            vec![Precondition { key: key.clone(), rev: Revision(write.rev) }, self.leader_guard()];
         let writes = vec![Write::Put { key, data: Data::from(write.value), hold: None }];
         let change = jobs::Change { guards, writes };
         state.push(Item { rank: Rank::Rest, origin: Origin::Estimates(write.bucket), change });
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
-use crate::wire::{JobSpec, ReportedTask};
+use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::ops::Starving;
 
 /// A leader without peers, and the cores that it works with.
 struct Bench {
     scheduler: Scheduler,
-    state: StateCore,
-    cloud: CloudCore,
+    state: StoreClient,
+    cloud: CloudClient,
     now: Instant,
     seq: u64,
 }
@@ -19,21 +19,22 @@
         let settings = Arc::new(crate::settings::plain(teams));
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
-        let mut state = StateCore::new(limits, vec![NodeName::new("n")], 1, now);
+        let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.flavors = (vec![flavor()], Revision(1));
-        let wall = Wall { at: now, ms: 0 };
-        let scheduler = Scheduler::new(Token(1), Revision(2), settings, &state.cache, wall, now);
-        let mut cloud = CloudCore::new(5.0, now);
-        cloud.lead(Token(1), now);
+        let wall = WallClock { at: now, ms: 0 };
+        let scheduler =
+            Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
+        let mut cloud = CloudClient::new(5.0, now);
+        cloud.lead(FencingToken(1), now);
         Bench { scheduler, state, cloud, now, seq: 0 }
     }
 
-    fn job(&mut self, id: &str, shape: Shape, tasks: u64) -> JobId {
+    fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
         let spec = JobSpec {
             shape,
             cpus: 4.0,
             ram_gb: 4.0,
-            spot: shape == Shape::Array,
+            spot: shape == JobKind::Array,
             ..jobs::plain_spec(id, tasks)
         };
         let layout = self.state.layout();
@@ -49,17 +50,17 @@
     }
 
     /// A report of the machine with these tasks; gives the answer's orders.
-    fn report(&mut self, machine: &str, tasks: Vec<ReportedTask>) -> Vec<Order> {
+    fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
         self.seq += 1;
-        let report = Report {
+        let report = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
             flavor: "f".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: self.seq,
-            token: Token(1),
+            token: FencingToken(1),
             notice_s: None,
             tasks,
         };
@@ -77,9 +78,9 @@
 }
 
 /// What the worker shows of tasks that it was told to start.
-fn shown(orders: &[Order], state: TaskState) -> Vec<ReportedTask> {
-    let show = |order: &Order| match order {
-        Order::Start { task, attempt } => Some(ReportedTask {
+fn shown(orders: &[WorkerCommand], state: TaskState) -> Vec<TaskStatus> {
+    let show = |order: &WorkerCommand| match order {
+        WorkerCommand::Start { task, attempt } => Some(TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state,
@@ -97,7 +98,7 @@
     let mut bench = Bench::new();
     let fill = |bench: &mut Bench, machine: &str, id: &str, image: &str| {
         bench.report(machine, vec![]);
-        bench.job(id, Shape::Array, 4);
+        bench.job(id, JobKind::Array, 4);
         bench.pass(PLAN_EVERY * 5);
         let orders = bench.report(machine, vec![]);
         let shown = shown(&orders, TaskState::Running);
@@ -115,10 +116,10 @@
     }
     fill(&mut bench, "i-2", "wk-2", "other");
     bench.report("i-1", first);
-    let id = bench.job("wk-3", Shape::Service, 1);
+    let id = bench.job("wk-3", JobKind::Service, 1);
     let Some(job) = bench.state.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Urgency::Production;
+    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     bench.pass(PLAN_EVERY * 5);
     let stopped = |machine: &Machine| machine.entries.values().any(|e| e.stop.is_some());
     let stopped: Vec<_> = bench.scheduler.machines.values().map(stopped).collect();
@@ -130,7 +131,7 @@
 #[test]
 fn a_job_told_to_be_cancelled_is_never_started_again() {
     let mut bench = Bench::new();
-    let id = bench.job("wk-1", Shape::Service, 4);
+    let id = bench.job("wk-1", JobKind::Service, 4);
     bench.report("i-1", vec![]);
     bench.pass(PLAN_EVERY * 5);
     let orders = bench.report("i-1", vec![]);
@@ -146,7 +147,7 @@
 }
 
 /// What the worker shows of tasks that it was told to start and that all failed.
-fn failed(orders: &[Order]) -> Vec<ReportedTask> {
+fn failed(orders: &[WorkerCommand]) -> Vec<TaskStatus> {
     let mut tasks = shown(orders, TaskState::Exited);
     tasks.iter_mut().for_each(|task| task.why = Some("error".into()));
     tasks
@@ -160,7 +161,7 @@
     let machines = ["i-1", "i-2", "i-3", "i-4"];
     machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
     for id in ["wk-1", "wk-2", "wk-3"] {
-        bench.job(id, Shape::Array, 16);
+        bench.job(id, JobKind::Array, 16);
     }
     for _ in 0..400 {
         bench.pass(PLAN_EVERY);
@@ -193,10 +194,10 @@
 fn a_faulty_machine_is_found_by_jobs_that_do_well_elsewhere() {
     let mut bench = Bench::new();
     for (id, tasks) in [("wk-1", 8), ("wk-2", 24), ("wk-3", 8)] {
-        bench.job(id, Shape::Array, tasks);
+        bench.job(id, JobKind::Array, tasks);
     }
-    let mistaken = |task: &ReportedTask| task.task.job == JobId::new("wk-3");
-    let mut held: BTreeMap<&str, Vec<ReportedTask>> = BTreeMap::new();
+    let mistaken = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
+    let mut held: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
         bench.pass(PLAN_EVERY);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
@@ -223,15 +224,15 @@
 fn machines_that_come_late_together_are_waited_for() {
     let mut bench = Bench::new();
     bench.report("i-0", vec![]);
-    bench.job("wk-1", Shape::Array, 4);
+    bench.job("wk-1", JobKind::Array, 4);
     let names: Vec<String> = (1..6).map(|n| format!("i-{n}")).collect();
     let rented = names.iter().map(|name| MachineId::new(name)).collect();
-    let kind = Kind { flavor: 0, zone: 1, spot: true };
+    let kind = MachinePool { flavor: 0, zone: 1, spot: true };
     bench.pass(PLAN_EVERY);
     let hired = CloudEvent::Hired(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
     let booting = |bench: &Bench| {
-        bench.scheduler.machines.values().filter(|m| m.life == Life::Booting).count()
+        bench.scheduler.machines.values().filter(|m| m.life == MachineState::Booting).count()
     };
     let patience = Duration::from_secs_f64(flavor().boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
     bench.pass(patience / 2);
@@ -264,10 +265,10 @@
         for n in 0..100 {
             bench.report(&format!("i-{n}"), vec![]);
         }
-        let id = bench.job("wk-1", Shape::Array, 400);
+        let id = bench.job("wk-1", JobKind::Array, 400);
         let Some(job) = bench.state.cache.jobs.all.get_mut(&id) else { panic!() };
         let JobBody::Live(live) = &mut job.body else { panic!() };
-        Arc::make_mut(&mut live.spec).urgency = Urgency::Low;
+        Arc::make_mut(&mut live.spec).urgency = Priority::Low;
         for _ in 0..20 {
             bench.scheduler.pace(late, bench.now);
             bench.pass(PACE_EVERY);
@@ -290,7 +291,7 @@
         bench.scheduler.settings = Arc::new(settings);
         let machines = ["i-1", "i-2", "i-3"];
         machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
-        bench.job("wk-1", Shape::Service, 1);
+        bench.job("wk-1", JobKind::Service, 1);
         bench.pass(PLAN_EVERY * 5);
         let orders = bench.report("i-1", vec![]);
         let running = shown(&orders, TaskState::Running);
@@ -306,8 +307,8 @@
             bench.pass(TICK_MOST);
             for (id, _, direct) in std::mem::take(&mut bench.scheduler.direct) {
                 let sent = match direct {
-                    Direct::Do(orders) => Some(orders),
-                    Direct::Status => None,
+                    DirectCall::Do(orders) => Some(orders),
+                    DirectCall::Status => None,
                 };
                 let gave_up = Err(crate::http::CallError::Unknown);
                 let (cache, now) = (&bench.state.cache, bench.now);
@@ -315,7 +316,7 @@
             }
         }
         let life = bench.scheduler.machines[&MachineId::new("i-1")].life;
-        assert_eq!(life == Life::Returning, open);
+        assert_eq!(life == MachineState::Returning, open);
     }
 }
 
@@ -323,7 +324,7 @@
 #[test]
 fn a_gang_that_fails_everywhere_is_tried_as_a_whole() {
     let mut bench = Bench::new();
-    bench.job("wk-1", Shape::Gang, 6);
+    bench.job("wk-1", JobKind::Gang, 6);
     for step in 0..300 {
         bench.pass(PLAN_EVERY);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
@@ -345,9 +346,9 @@
 }
 
 /// An array of four tasks that are started and run for so long; what the worker shows in the end.
-fn run_array(bench: &mut Bench, id: &str, run_s: u64) -> Vec<ReportedTask> {
+fn run_array(bench: &mut Bench, id: &str, run_s: u64) -> Vec<TaskStatus> {
     bench.report("i-1", vec![]);
-    bench.job(id, Shape::Array, 4);
+    bench.job(id, JobKind::Array, 4);
     bench.pass(PLAN_EVERY * 5);
     let orders = bench.report("i-1", vec![]);
     assert_eq!(shown(&orders, TaskState::Fetching).len(), 4);
@@ -390,7 +391,7 @@
 }
 
 fn estimated(bench: &mut Bench, id: &str) -> Option<f64> {
-    let id = bench.job(id, Shape::Array, 4);
+    let id = bench.job(id, JobKind::Array, 4);
     let live = bench.state.cache.jobs.get(&id).and_then(Job::live).unwrap();
     let spec = &live.spec;
     let profile = troutspindle_runtime_estimates::Profile {
@@ -438,8 +439,8 @@
     let mut first = learning_bench();
     let ended = run_array(&mut first, "wk-1", 300);
     let mut bench = learning_bench();
-    bench.job("wk-1", Shape::Array, 4);
-    let running = ended.iter().cloned().map(|task| ReportedTask {
+    bench.job("wk-1", JobKind::Array, 4);
+    let running = ended.iter().cloned().map(|task| TaskStatus {
         state: TaskState::Running,
         why: None,
         ..task
@@ -471,10 +472,10 @@
         bench.now += HIRE_SETTLE * 2;
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
-            let kind = Kind { flavor: 0, zone, spot };
+            let kind = MachinePool { flavor: 0, zone, spot };
             bench.scheduler.scarce.insert(kind, (bench.now, CAPACITY_PROBE));
         }
-        let array = bench.job("wk-1", Shape::Array, 400);
+        let array = bench.job("wk-1", JobKind::Array, 400);
         let second = |bench: &mut Bench| {
             bench.pass(Duration::from_secs(1));
             for name in names {
@@ -487,11 +488,11 @@
         for _ in 0..5 {
             second(&mut bench);
         }
-        let service = bench.job("wk-2", Shape::Service, 16);
+        let service = bench.job("wk-2", JobKind::Service, 16);
         let live = bench.state.cache.jobs.all.get_mut(&service);
         let Some(JobBody::Live(live)) = live.map(|job| &mut job.body) else { panic!() };
         let spec = Arc::make_mut(&mut live.spec);
-        (spec.urgency, spec.class) = (Urgency::Production, "urgent".into());
+        (spec.urgency, spec.class) = (Priority::Production, "urgent".into());
         for _ in 0..5 {
             bench.pass(Duration::from_millis(500));
         }
@@ -518,7 +519,7 @@
     (0..9).for_each(|n| drop(bench.report(&format!("i-{n}"), vec![])));
     bench.scheduler.listed_once = true;
     bench.scheduler.most_machines = 12;
-    bench.job("wk-1", Shape::Array, 400);
+    bench.job("wk-1", JobKind::Array, 400);
     for _ in 0..20 {
         bench.pass(PLAN_EVERY * 5);
     }
@@ -551,7 +552,7 @@
     let class = jobs::plain_spec("wk-1", 1).class;
     settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
-    let mut running: BTreeMap<&str, Vec<ReportedTask>> = BTreeMap::new();
+    let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     // Each worker does at once what it is told.
     let mut second = |bench: &mut Bench| {
         bench.pass(Duration::from_secs(1));
@@ -559,14 +560,14 @@
             let here = running.entry(name).or_default();
             for order in bench.report(name, here.clone()) {
                 match order {
-                    Order::Start { task, attempt } => here.push(ReportedTask {
+                    WorkerCommand::Start { task, attempt } => here.push(TaskStatus {
                         task,
                         attempt,
                         state: TaskState::Running,
                         why: None,
                         saved: None,
                     }),
-                    Order::Stop { task, attempt, .. } => {
+                    WorkerCommand::Stop { task, attempt, .. } => {
                         let ended =
                             here.iter_mut().find(|t| (&t.task, t.attempt) == (&task, attempt));
                         if let Some(ended) = ended {
@@ -574,7 +575,7 @@
                             ended.why = Some("halted".into());
                         }
                     }
-                    Order::Forget { task, attempt } => {
+                    WorkerCommand::Forget { task, attempt } => {
                         here.retain(|t| (&t.task, t.attempt) != (&task, attempt));
                     }
                 }
@@ -584,7 +585,7 @@
     };
     let width = |bench: &Bench, id: &JobId| bench.scheduler.work[id].placed.len();
     second(&mut bench);
-    let wide = bench.job("wk-1", Shape::Array, 40);
+    let wide = bench.job("wk-1", JobKind::Array, 40);
     for _ in 0..3 {
         second(&mut bench);
     }
@@ -597,10 +598,10 @@
     }
     // All but what is kept warm and what a half of a half leaves.
     assert!((8..=16).contains(&before), "{before}");
-    let urgent = bench.job("wk-2", Shape::Service, 14);
+    let urgent = bench.job("wk-2", JobKind::Service, 14);
     let Some(job) = bench.state.cache.jobs.all.get_mut(&urgent) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Urgency::Production;
+    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     for _ in 0..4 {
         second(&mut bench);
     }
@@ -628,16 +629,19 @@
     for name in &names {
         bench.report(name, vec![]);
     }
-    let job = bench.job("wk-1", Shape::Service, 60);
+    let job = bench.job("wk-1", JobKind::Service, 60);
     (0..3).for_each(|_| bench.pass(PLAN_EVERY * 5));
     assert_eq!(bench.scheduler.work[&job].placed.len(), 60);
     let mut running = HashMap::new();
     for state in [TaskState::Fetching, TaskState::Running] {
         for name in &names {
-            let starts: Vec<Order> = bench.scheduler.machines[&MachineId::new(name)]
+            let starts: Vec<WorkerCommand> = bench.scheduler.machines[&MachineId::new(name)]
                 .entries
                 .keys()
-                .map(|(task, attempt)| Order::Start { task: task.clone(), attempt: *attempt })
+                .map(|(task, attempt)| WorkerCommand::Start {
+                    task: task.clone(),
+                    attempt: *attempt,
+                })
                 .collect();
             running.insert(name.clone(), shown(&starts, state));
             bench.report(name, running[name].clone());
@@ -668,7 +672,7 @@
     let info = allocation_counter::measure(|| {
         let mut bench = Bench::new();
         for n in 0..MACHINES {
-            let task = |index: u32| ReportedTask {
+            let task = |index: u32| TaskStatus {
                 task: TaskId {
                     job: JobId::new(&format!("wk-{:09}", n * 3 + index as usize / 3)),
                     index,
@@ -679,7 +683,7 @@
                 saved: None,
             };
             (0..3).for_each(|job| {
-                drop(bench.job(&format!("wk-{:09}", n * 3 + job), Shape::Array, 9))
+                drop(bench.job(&format!("wk-{:09}", n * 3 + job), JobKind::Array, 9))
             });
             bench.report(&format!("i-{n:06}"), (0..8).map(task).collect());
         }
@@ -707,7 +711,7 @@
         };
         bench.state.cache.machines.insert(MachineId::new(name), (record, Revision(3)));
     }
-    let job = bench.job("wk-1", Shape::Array, tasks);
+    let job = bench.job("wk-1", JobKind::Array, tasks);
     bench.lead_anew();
     (bench, job)
 }
@@ -715,14 +719,15 @@
 impl Bench {
     fn lead_anew(&mut self) {
         let settings = self.scheduler.settings.clone();
-        let wall = Wall { at: self.now, ms: 1_000_000 };
+        let wall = WallClock { at: self.now, ms: 1_000_000 };
         let cache = &self.state.cache;
-        self.scheduler = Scheduler::new(Token(1), Revision(2), settings, cache, wall, self.now);
+        self.scheduler =
+            Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, self.now);
     }
 }
 
-fn runs(job: &JobId, attempt: u64) -> ReportedTask {
-    ReportedTask {
+fn runs(job: &JobId, attempt: u64) -> TaskStatus {
+    TaskStatus {
         task: TaskId { job: job.clone(), index: 0 },
         attempt: Attempt(attempt),
         state: TaskState::Running,
@@ -746,7 +751,7 @@
         }
         for round in 0..20 {
             bench.pass(PLAN_EVERY * 5);
-            let starts = |order: &Order| matches!(order, Order::Start { .. });
+            let starts = |order: &WorkerCommand| matches!(order, WorkerCommand::Start { .. });
             let orders = bench.report("i-1", vec![]);
             assert!(!orders.iter().any(starts), "round {round}: {orders:?}");
             let orders = bench.report("i-2", vec![runs(&job, 9)]);
@@ -799,7 +804,7 @@
 fn a_leader_out_of_its_right_answers_what_it_barred_but_not_what_a_late_start_may_reach() {
     let mut bench = Bench::new();
     bench.report("i-1", vec![]);
-    let id = bench.job("wk-1", Shape::Array, 1);
+    let id = bench.job("wk-1", JobKind::Array, 1);
     bench.pass(PLAN_EVERY * 5);
     let machine = MachineId::new("i-1");
     let flies = |bench: &mut Bench, over: bool| {
@@ -813,9 +818,9 @@
     };
     flies(&mut bench, false);
     bench.now += bench.scheduler.settings.worker_lease();
-    bench.scheduler.grant(&NodeName::new("n-1"), 1, bench.now);
+    bench.scheduler.grant(&ControllerId::new("n-1"), 1, bench.now);
     assert!(bench.scheduler.machines[&machine].barred_since.is_some());
-    assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), Some(Token(1)));
+    assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), Some(FencingToken(1)));
     assert_eq!(bench.scheduler.machines[&machine].answered, bench.now);
     flies(&mut bench, true);
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), None, "{id}");
@@ -826,8 +831,8 @@
 #[test]
 fn all_machines_with_tasks_of_a_job_are_noted() {
     let mut bench = Bench::new();
-    let job = bench.job("wk-1", Shape::Array, 6);
-    let found = ReportedTask {
+    let job = bench.job("wk-1", JobKind::Array, 6);
+    let found = TaskStatus {
         task: TaskId::parse("wk-1/5").unwrap(),
         attempt: Attempt(7),
         state: TaskState::Running,
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -21,7 +21,7 @@
         let zones = cut_off.len();
         // How many machines of each zone are late.
         let (mut up, mut silent) = (vec![0usize; zones], vec![0usize; zones]);
-        for machine in self.machines.values().filter(|m| m.life == Life::Up) {
+        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
             up[machine.zone] += 1;
             silent[machine.zone] += usize::from(machine.silent_for(now) > late);
         }
@@ -40,7 +40,7 @@
             let elsewhere = told.is_some_and(|at| machine.heard.is_none_or(|heard| at > heard));
             let worth = if machine.confirmed { LOST_REPLICAS_WORTH } else { LOST_WORTH };
             let waits = lease.saturating_sub(silence) > worth;
-            if machine.life == Life::Up
+            if machine.life == MachineState::Up
                 && silence > late
                 && alone
                 && !elsewhere
@@ -53,7 +53,7 @@
         for id in lost {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
             tracing::info!(machine = %id, confirmed = machine.confirmed, "answers nobody, given back");
-            machine.life = Life::Returning;
+            machine.life = MachineState::Returning;
         }
     }
 
@@ -61,7 +61,7 @@
         machine.entries.iter().any(|((task, _), entry)| {
             let job = cache.jobs.get(&task.job).and_then(Job::live);
             entry.state != TaskState::Exited
-                && job.is_some_and(|job| job.spec.shape == Shape::Service)
+                && job.is_some_and(|job| job.spec.shape == JobKind::Service)
         })
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the platform hands over (JSON) and what operators may tune (YAML), both checked.
 
 use crate::constants::*;
-use crate::ids::{Amount, NodeName};
+use crate::ids::{Amount, ControllerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    pub host_name: NodeName,
+    pub host_name: ControllerId,
     #[serde(default)]
     pub location: String,
     pub peer_addr: SocketAddr,
@@ -162,7 +162,7 @@
 /// The platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    pub host_name: NodeName,
+    pub host_name: ControllerId,
     #[serde(default)]
     pub location: String,
     pub listen: SocketAddr,
@@ -201,13 +201,13 @@
     /// Share of what each class of each team needs that it gets before all others while room is scarce.
     pub floor: f64,
     /// Whether other controllers take workers' reports and pass them on to the leader.
-    pub share_reports: ShareReports,
+    pub share_reports: ShardHeartbeats,
 }
 
 /// When workers' reports are shared out among the controllers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ShareReports {
+pub enum ShardHeartbeats {
     /// Where they are more than one controller should take alone.
     #[default]
     Auto,
@@ -272,7 +272,7 @@
             warm_share: WARM_SHARE,
             hold_format: false,
             log_format: LogFormat::Text,
-            share_reports: ShareReports::Auto,
+            share_reports: ShardHeartbeats::Auto,
             operator_key: Secret::default(),
             estimates: Estimates::default(),
             elastic: Vec::new(),
@@ -453,8 +453,8 @@
 
 /// A plain machine type in the zones of [`plain`].
 #[cfg(test)]
-pub(crate) fn plain_flavor() -> crate::wire::Flavor {
-    crate::wire::Flavor {
+pub(crate) fn plain_flavor() -> crate::wire::MachineType {
+    crate::wire::MachineType {
         name: "f".into(),
         cpus: 16.0,
         gpus: 0.0,
--- a/src/store.rs
+++ b/src/store.rs
@@ -4,11 +4,13 @@
 use crate::constants::*;
 use crate::drains::DRAIN_PREFIX;
 use crate::http::{CallError, Method, Request, Response};
-use crate::ids::{JobId, LeaseId, MachineId, NodeName, Revision, Token};
+use crate::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
 use crate::jobs::{self, Jobs};
 use crate::settings::KeptLimits;
 use crate::store::records::{FORMAT, Layout, VERSION_PREFIX, VersionRecord};
-use crate::wire::{self, Committed, Data, Flavor, LeaseLife, LeaseName, Txn, Write};
+use crate::wire::{
+    self, CommitResponse, Data, LeaseCreated, LeaseTtl, MachineType, Transaction, Write,
+};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -39,8 +41,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    pub node: NodeName,
-    pub token: Token,
+    pub node: ControllerId,
+    pub token: FencingToken,
 }
 
 /// A machine on which tasks may have been started: the record is committed before the first
@@ -54,8 +56,8 @@
 }
 
 #[derive(Debug, Clone)]
-pub enum StateCall {
-    Commit(Txn),
+pub enum StoreRequest {
+    Commit(Transaction),
     Follow { after: Revision, wait: Duration },
     Range { after: Option<String> },
     NewLease(Duration),
@@ -64,13 +66,13 @@
 }
 
 #[derive(Debug)]
-pub enum StateReply {
+pub enum StoreResponse {
     Committed(Revision),
     Conflict(Vec<String>),
     /// 400: the lease that a write names is over, or the request is malformed.
     Invalid,
-    News(wire::News),
-    Page(wire::Page),
+    WatchResponse(wire::WatchResponse),
+    RangeResponse(wire::RangeResponse),
     Lease(LeaseId),
     Done,
     /// 404 for a lease, 410 for a follow.
@@ -81,18 +83,18 @@
     Unknown,
 }
 
-impl StateCall {
+impl StoreRequest {
     pub fn request(&self) -> (Request, Duration) {
         let make = |method, target: String, body| (Request { method, target, body }, STATE_TIMEOUT);
         match self {
-            StateCall::Commit(txn) => make(Method::Post, "/commit".into(), wire::encode(txn)),
-            StateCall::Follow { after, wait } => {
+            StoreRequest::Commit(txn) => make(Method::Post, "/commit".into(), wire::encode(txn)),
+            StoreRequest::Follow { after, wait } => {
                 let target =
                     format!("/follow?starts={PREFIX}&after={after}&waitMs={}", wait.as_millis());
                 let (request, within) = make(Method::Get, target, Vec::new());
                 (request, within + *wait)
             }
-            StateCall::Range { after } => {
+            StoreRequest::Range { after } => {
                 let after = after.as_ref().map(|key| format!("&after={key}")).unwrap_or_default();
                 make(
                     Method::Get,
@@ -100,50 +102,52 @@
                     Vec::new(),
                 )
             }
-            StateCall::NewLease(life) => {
-                let body = wire::encode(&LeaseLife { ttl_ms: life.as_millis() as u64 });
+            StoreRequest::NewLease(life) => {
+                let body = wire::encode(&LeaseTtl { ttl_ms: life.as_millis() as u64 });
                 make(Method::Post, "/leases".into(), body)
             }
-            StateCall::Touch(lease) => {
+            StoreRequest::Touch(lease) => {
                 make(Method::Post, format!("/leases/{lease}/touch"), Vec::new())
             }
-            StateCall::DropLease(lease) => {
+            StoreRequest::DropLease(lease) => {
                 make(Method::Delete, format!("/leases/{lease}"), Vec::new())
             }
         }
     }
 
-    pub fn reply(&self, result: Result<Response, CallError>) -> StateReply {
+    pub fn reply(&self, result: Result<Response, CallError>) -> StoreResponse {
         let response = match result {
             Ok(response) => response,
-            Err(CallError::NotSent) => return StateReply::Refused,
-            Err(CallError::Unknown) => return StateReply::Unknown,
+            Err(CallError::NotSent) => return StoreResponse::Refused,
+            Err(CallError::Unknown) => return StoreResponse::Unknown,
         };
-        let read = || -> Option<StateReply> {
+        let read = || -> Option<StoreResponse> {
             Some(match (self, response.status) {
-                (StateCall::Commit(_), 200) => {
-                    StateReply::Committed(wire::decode::<Committed>(&response.body).ok()?.rev)
+                (StoreRequest::Commit(_), 200) => StoreResponse::Committed(
+                    wire::decode::<CommitResponse>(&response.body).ok()?.rev,
+                ),
+                (StoreRequest::Commit(_), 409) => StoreResponse::Conflict(
+                    wire::decode::<CommitResponse>(&response.body).ok()?.failed,
+                ),
+                (StoreRequest::Commit(_), 400) => StoreResponse::Invalid,
+                (StoreRequest::Follow { .. }, 200) => {
+                    StoreResponse::WatchResponse(wire::decode(&response.body).ok()?)
                 }
-                (StateCall::Commit(_), 409) => {
-                    StateReply::Conflict(wire::decode::<Committed>(&response.body).ok()?.failed)
+                (StoreRequest::Range { .. }, 200) => {
+                    StoreResponse::RangeResponse(wire::decode(&response.body).ok()?)
                 }
-                (StateCall::Commit(_), 400) => StateReply::Invalid,
-                (StateCall::Follow { .. }, 200) => {
-                    StateReply::News(wire::decode(&response.body).ok()?)
+                (StoreRequest::NewLease(_), 200) => {
+                    StoreResponse::Lease(wire::decode::<LeaseCreated>(&response.body).ok()?.lease)
                 }
-                (StateCall::Range { .. }, 200) => {
-                    StateReply::Page(wire::decode(&response.body).ok()?)
+                (StoreRequest::Touch(_) | StoreRequest::DropLease(_), 200..=204) => {
+                    StoreResponse::Done
                 }
-                (StateCall::NewLease(_), 200) => {
-                    StateReply::Lease(wire::decode::<LeaseName>(&response.body).ok()?.lease)
-                }
-                (StateCall::Touch(_) | StateCall::DropLease(_), 200..=204) => StateReply::Done,
-                (_, 404 | 410) => StateReply::Gone,
-                (_, 429 | 503) => StateReply::Refused,
+                (_, 404 | 410) => StoreResponse::Gone,
+                (_, 429 | 503) => StoreResponse::Refused,
                 _ => return None,
             })
         };
-        read().unwrap_or(StateReply::Unknown)
+        read().unwrap_or(StoreResponse::Unknown)
     }
 }
 
@@ -175,9 +179,9 @@
     MachineKnown(MachineId),
     MachineGone(MachineId),
     /// The machine types: all, or those of one key.
-    Flavors(String),
+    MachineTypes(String),
     /// A message for a controller out of reach, or a part of one.
-    Relay(NodeName, usize),
+    Relay(ControllerId, usize),
 }
 
 #[derive(Debug, Clone)]
@@ -202,7 +206,7 @@
 
 /// What the core tells its owner.
 #[derive(Debug)]
-pub enum StateEvent {
+pub enum StoreEvent {
     Loaded,
     /// Jobs whose records may have changed.
     Changed(Vec<JobId>),
@@ -210,19 +214,19 @@
     Synced(u64),
     Outcome(Origin, Outcome),
     /// Answers to the election's own calls.
-    Election(StateCall, Instant, StateReply),
+    Election(StoreRequest, Instant, StoreResponse),
     /// And to those by which this controller shows that it lives.
-    Heartbeat(StateCall, Instant, StateReply),
+    ControllerLease(StoreRequest, Instant, StoreResponse),
 }
 
 #[derive(Debug)]
 enum Doing {
-    Batch { items: Vec<Item>, txn: Txn },
+    Batch { items: Vec<Item>, txn: Transaction },
     Follow,
     Sync { tickets: Vec<u64>, sent: Instant },
-    Page,
-    Election(StateCall, Instant),
-    Heartbeat(StateCall, Instant),
+    RangeResponse,
+    Election(StoreRequest, Instant),
+    ControllerLease(StoreRequest, Instant),
 }
 
 /// A bucket that allows bursts of one second's worth.
@@ -271,17 +275,17 @@
     first: Option<Revision>,
     last: Revision,
     machines: HashSet<MachineId>,
-    versions: HashSet<NodeName>,
-    heartbeats: HashSet<NodeName>,
+    versions: HashSet<ControllerId>,
+    heartbeats: HashSet<ControllerId>,
     drains: HashSet<String>,
     leader: bool,
 }
 
-pub struct StateCore {
+pub struct StoreClient {
     pub cache: Cache,
     limits: KeptLimits,
     /// All controllers, this one first.
-    names: Vec<NodeName>,
+    names: Vec<ControllerId>,
     loading: Option<Loading>,
     requests: Bucket,
     writes: Bucket,
@@ -311,14 +315,14 @@
     /// committed before.
     pub synced_at: Option<Instant>,
     random: StdRng,
-    pub calls: VecDeque<(u64, StateCall)>,
-    pub events: VecDeque<StateEvent>,
+    pub calls: VecDeque<(u64, StoreRequest)>,
+    pub events: VecDeque<StoreEvent>,
 }
 
-impl StateCore {
+impl StoreClient {
     /// The names are those of all controllers, this one first.
-    pub fn new(limits: KeptLimits, names: Vec<NodeName>, seed: u64, now: Instant) -> Self {
-        let mut core = StateCore {
+    pub fn new(limits: KeptLimits, names: Vec<ControllerId>, seed: u64, now: Instant) -> Self {
+        let mut core = StoreClient {
             cache: Cache::new(limits.chunk),
             limits,
             names,
@@ -390,7 +394,7 @@
         let key = records::version_key(me);
         let rev = told.map_or(Revision(0), |(_, rev)| *rev);
         let record = VersionRecord { format: FORMAT, chunk: self.cache.jobs.chunk };
-        let guards = vec![wire::Guard { key: key.clone(), rev }];
+        let guards = vec![wire::Precondition { key: key.clone(), rev }];
         let writes = vec![Write::Put { key, data: records::data(&record), hold: None }];
         let change = jobs::Change { guards, writes };
         self.push(Item { rank: Rank::User, origin: Origin::Version, change });
@@ -404,7 +408,7 @@
         self.last_ok.is_none_or(|at| now.saturating_duration_since(at) > STATE_LOST)
     }
 
-    fn call(&mut self, call: StateCall, doing: Doing, now: Instant) {
+    fn call(&mut self, call: StoreRequest, doing: Doing, now: Instant) {
         self.next_call += 1;
         self.requests.take(1.0, now);
         self.doing.insert(self.next_call, doing);
@@ -453,25 +457,25 @@
 
     fn settle(&mut self, origin: Origin, outcome: Outcome) {
         self.origins.remove(&origin);
-        self.events.push_back(StateEvent::Outcome(origin, outcome));
+        self.events.push_back(StoreEvent::Outcome(origin, outcome));
     }
 
     /// The election's calls go first and are never held for the budget: there are few.
-    pub fn election(&mut self, call: StateCall, now: Instant) {
+    pub fn election(&mut self, call: StoreRequest, now: Instant) {
         self.call(call.clone(), Doing::Election(call, now), now);
     }
 
     /// heartbeats are as few.
-    pub fn heartbeat(&mut self, call: StateCall, now: Instant) {
-        self.call(call.clone(), Doing::Heartbeat(call, now), now);
+    pub fn heartbeat(&mut self, call: StoreRequest, now: Instant) {
+        self.call(call.clone(), Doing::ControllerLease(call, now), now);
     }
 
     pub fn poll(&mut self, now: Instant) {
         if let Some(loading) = &self.loading {
-            let idle = !self.doing.values().any(|doing| matches!(doing, Doing::Page));
+            let idle = !self.doing.values().any(|doing| matches!(doing, Doing::RangeResponse));
             if idle && now >= self.follow_after && self.requests.has(1.0, now) {
                 let after = loading.after.clone();
-                self.call(StateCall::Range { after }, Doing::Page, now);
+                self.call(StoreRequest::Range { after }, Doing::RangeResponse, now);
             }
             return;
         }
@@ -485,13 +489,13 @@
             self.sync_in_flight = true;
             self.sync_soon = false;
             let tickets = std::mem::take(&mut self.sync_wanted);
-            let call = StateCall::Follow { after: self.cache.rev, wait: Duration::ZERO };
+            let call = StoreRequest::Follow { after: self.cache.rev, wait: Duration::ZERO };
             self.call(call, Doing::Sync { tickets, sent: now }, now);
         }
         if !self.follow_in_flight && now >= self.follow_after && self.requests.has(1.0 + spare, now)
         {
             self.follow_in_flight = true;
-            let call = StateCall::Follow { after: self.cache.rev, wait: FOLLOW_WAIT };
+            let call = StoreRequest::Follow { after: self.cache.rev, wait: FOLLOW_WAIT };
             self.call(call, Doing::Follow, now);
         }
         if !self.batch_in_flight
@@ -506,7 +510,7 @@
     /// Packs what waits, in order of rank, into one transaction; items that touch a key already
     /// in it wait for the next.
     fn send_batch(&mut self, now: Instant) {
-        let mut txn = Txn { guards: Vec::new(), writes: Vec::new() };
+        let mut txn = Transaction { guards: Vec::new(), writes: Vec::new() };
         let mut taken: Vec<Item> = Vec::new();
         let mut left: Vec<(Item, usize)> = Vec::new();
         let mut keys: HashSet<String> = HashSet::new();
@@ -552,7 +556,7 @@
         self.alone = self.alone.saturating_sub(1);
         self.writes.take(txn.writes.len() as f64, now);
         self.batch_in_flight = true;
-        self.call(StateCall::Commit(txn.clone()), Doing::Batch { items: taken, txn }, now);
+        self.call(StoreRequest::Commit(txn.clone()), Doing::Batch { items: taken, txn }, now);
     }
 
     /// When something that waits here could go on, if nothing happens before.
@@ -574,53 +578,57 @@
         STATE_RETRY.mul_f64(1.0 + self.random.random::<f64>() / 2.0)
     }
 
-    pub fn on_reply(&mut self, id: u64, reply: StateReply, now: Instant) {
+    pub fn on_reply(&mut self, id: u64, reply: StoreResponse, now: Instant) {
         let Some(doing) = self.doing.remove(&id) else { return };
-        if !matches!(reply, StateReply::Refused | StateReply::Unknown) {
+        if !matches!(reply, StoreResponse::Refused | StoreResponse::Unknown) {
             self.last_ok = Some(now);
         }
         match doing {
             Doing::Election(call, sent) => {
-                if let (StateCall::Commit(txn), StateReply::Committed(rev)) = (&call, &reply) {
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
+                    (&call, &reply)
+                {
                     self.apply_own(txn, *rev);
                 }
-                self.events.push_back(StateEvent::Election(call, sent, reply));
+                self.events.push_back(StoreEvent::Election(call, sent, reply));
             }
-            Doing::Heartbeat(call, sent) => {
-                if let (StateCall::Commit(txn), StateReply::Committed(rev)) = (&call, &reply) {
+            Doing::ControllerLease(call, sent) => {
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
+                    (&call, &reply)
+                {
                     self.apply_own(txn, *rev);
                 }
-                self.events.push_back(StateEvent::Heartbeat(call, sent, reply));
+                self.events.push_back(StoreEvent::ControllerLease(call, sent, reply));
             }
-            Doing::Page => self.on_page(reply, now),
+            Doing::RangeResponse => self.on_page(reply, now),
             Doing::Follow => {
                 self.follow_in_flight = false;
                 match reply {
-                    StateReply::News(news) => {
+                    StoreResponse::WatchResponse(news) => {
                         // Who leads next is found out from here.
                         let led = self.cache.leader.is_some();
                         let pause = if led { self.follow_pause } else { FOLLOW_PAUSE };
                         self.follow_after = now + pause;
                         self.take_news(news);
                     }
-                    StateReply::Gone => self.reload(),
+                    StoreResponse::Gone => self.reload(),
                     _ => self.follow_after = now + self.pause(),
                 }
             }
             Doing::Sync { tickets, sent } => {
                 self.sync_in_flight = false;
                 match reply {
-                    StateReply::News(news) => {
+                    StoreResponse::WatchResponse(news) => {
                         self.sync_after = now + SYNC_PAUSE;
                         self.sync_joined = self.sync_after + SYNC_JOINED;
                         self.synced_at = self.synced_at.max(Some(sent));
                         self.take_news(news);
                         for ticket in tickets {
-                            self.events.push_back(StateEvent::Synced(ticket));
+                            self.events.push_back(StoreEvent::Synced(ticket));
                         }
                     }
                     other => {
-                        if matches!(other, StateReply::Gone) {
+                        if matches!(other, StoreResponse::Gone) {
                             self.reload();
                         }
                         self.sync_after = now + self.pause();
@@ -632,13 +640,13 @@
             Doing::Batch { items, txn } => {
                 self.batch_in_flight = false;
                 match reply {
-                    StateReply::Committed(rev) => {
+                    StoreResponse::Committed(rev) => {
                         self.apply_own(&txn, rev);
                         for item in items {
                             self.settle(item.origin, Outcome::Committed);
                         }
                     }
-                    StateReply::Conflict(failed) => {
+                    StoreResponse::Conflict(failed) => {
                         for item in items {
                             let guards = &item.change.guards;
                             if guards.iter().any(|guard| failed.contains(&guard.key)) {
@@ -648,7 +656,7 @@
                             }
                         }
                     }
-                    StateReply::Invalid if items.len() > 1 => {
+                    StoreResponse::Invalid if items.len() > 1 => {
                         // Malformed as a whole: whichever item it is must not hold up the others.
                         self.alone = items.len();
                         for item in items {
@@ -658,8 +666,8 @@
                     other => {
                         self.batch_after = now + self.pause();
                         let outcome = match other {
-                            StateReply::Refused => Outcome::Refused,
-                            StateReply::Invalid => Outcome::Invalid,
+                            StoreResponse::Refused => Outcome::Refused,
+                            StoreResponse::Invalid => Outcome::Invalid,
                             _ => Outcome::Unknown,
                         };
                         if outcome == Outcome::Invalid {
@@ -676,7 +684,7 @@
     }
 
     /// A commit of ours is in the cache at once; the follow brings it again and is ignored.
-    fn apply_own(&mut self, txn: &Txn, rev: Revision) {
+    fn apply_own(&mut self, txn: &Transaction, rev: Revision) {
         if rev <= self.cache.rev {
             // The follow was faster, and may already have brought what came after.
             return;
@@ -691,7 +699,7 @@
         self.tell_changed();
     }
 
-    fn take_news(&mut self, news: wire::News) {
+    fn take_news(&mut self, news: wire::WatchResponse) {
         for change in news.news {
             if change.rev <= self.cache.rev {
                 continue;
@@ -709,7 +717,7 @@
     fn tell_changed(&mut self) {
         let changed = self.cache.jobs.take_changed();
         if !changed.is_empty() {
-            self.events.push_back(StateEvent::Changed(changed));
+            self.events.push_back(StoreEvent::Changed(changed));
         }
     }
 
@@ -718,8 +726,8 @@
         self.loading = Some(Loading::default());
     }
 
-    fn on_page(&mut self, reply: StateReply, now: Instant) {
-        let StateReply::Page(page) = reply else {
+    fn on_page(&mut self, reply: StoreResponse, now: Instant) {
+        let StoreResponse::RangeResponse(page) = reply else {
             self.follow_after = now + self.pause();
             return;
         };
@@ -732,10 +740,10 @@
                 loading.machines.insert(MachineId::new(id));
             }
             if let Some(node) = row.key.strip_prefix(VERSION_PREFIX) {
-                loading.versions.insert(NodeName::new(node));
+                loading.versions.insert(ControllerId::new(node));
             }
             if let Some(node) = row.key.strip_prefix(HEARTBEAT_PREFIX) {
-                loading.heartbeats.insert(NodeName::new(node));
+                loading.heartbeats.insert(ControllerId::new(node));
             }
             if row.key.starts_with(DRAIN_PREFIX) {
                 loading.drains.insert(row.key.clone());
@@ -764,7 +772,7 @@
         self.cache.rev = first;
         if !self.cache.loaded {
             self.cache.loaded = true;
-            self.events.push_back(StateEvent::Loaded);
+            self.events.push_back(StoreEvent::Loaded);
         }
     }
 }
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -14,12 +14,12 @@
     pub rev: Revision,
     pub jobs: Jobs,
     pub leader: Option<(LeaderRecord, Revision)>,
-    pub token: (Token, Revision),
-    pub flavors: (Vec<Flavor>, Revision),
+    pub token: (FencingToken, Revision),
+    pub flavors: (Vec<MachineType>, Revision),
     /// Revisions of the keys that hold one machine type each.
     pub flavor_keys: HashMap<String, Revision>,
     /// Which format each controller says that it reads.
-    pub versions: BTreeMap<NodeName, (VersionRecord, Revision)>,
+    pub versions: BTreeMap<ControllerId, (VersionRecord, Revision)>,
     pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
     /// What operators drain, by key.
     pub drains: BTreeMap<String, (DrainRecord, Revision)>,
@@ -29,7 +29,7 @@
     /// Run times that were learned, as they are kept.
     pub estimates: BTreeMap<u8, (Option<String>, Revision)>,
     /// Revisions of the controllers' heartbeats.
-    pub heartbeats: BTreeMap<NodeName, Revision>,
+    pub heartbeats: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
     pub relays: HashMap<String, Revision>,
     /// Relayed messages not looked at yet: the key's rest, and the message in hexadecimal.
@@ -43,7 +43,7 @@
     }
 
     /// Whether a controller is to be drained.
-    pub fn is_controller_drained(&self, name: &NodeName) -> bool {
+    pub fn is_controller_drained(&self, name: &ControllerId) -> bool {
         !self.drains.is_empty()
             && self.drains.contains_key(&drains::key(DrainKind::Controller, name.as_str()))
     }
@@ -76,19 +76,19 @@
         } else if let Some(node) = key.strip_prefix(VERSION_PREFIX) {
             // Operators remove it before they go back to the version before.
             let Some(value) = value else {
-                self.versions.remove(&NodeName::new(node));
+                self.versions.remove(&ControllerId::new(node));
                 return None;
             };
             match value.deserialized::<VersionRecord>() {
                 Ok(record) => {
                     // They all agree, since each takes it from those that came before.
                     self.jobs.chunk = record.chunk.max(1);
-                    self.versions.insert(NodeName::new(node), (record, rev));
+                    self.versions.insert(ControllerId::new(node), (record, rev));
                 }
                 Err(_) => tracing::error!(key, "unreadable version"),
             }
         } else if let Some(node) = key.strip_prefix(HEARTBEAT_PREFIX) {
-            let node = NodeName::new(node);
+            let node = ControllerId::new(node);
             if self.heartbeats.get(&node).is_some_and(|old| *old >= rev) {
                 return None;
             }
@@ -151,13 +151,13 @@
                 self.token = (token, rev);
             }
         } else if key == FLAVORS_KEY
-            && let Some(flavors) = value.and_then(|v| v.deserialized::<Vec<Flavor>>().ok())
+            && let Some(flavors) = value.and_then(|v| v.deserialized::<Vec<MachineType>>().ok())
             && self.flavors.1 < rev
         {
             self.flavors.1 = rev;
             wire::merge(&mut self.flavors.0, flavors);
         } else if key.starts_with(FLAVOR_PREFIX)
-            && let Some(flavor) = value.and_then(|v| v.deserialized::<Flavor>().ok())
+            && let Some(flavor) = value.and_then(|v| v.deserialized::<MachineType>().ok())
             && self.flavor_keys.get(key).is_none_or(|old| *old < rev)
         {
             self.flavor_keys.insert(key.to_owned(), rev);
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -10,7 +10,7 @@
 //! ([`Layout::second`]). The first layout can go once no cluster runs a version before this one and
 //! no job is live that such a version accepted.
 
-use crate::ids::{Amount, JobId, NodeName};
+use crate::ids::{Amount, ControllerId, JobId};
 use crate::wire::{self, Data, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -46,7 +46,7 @@
     pub chunk: u32,
 }
 
-pub fn version_key(node: &NodeName) -> String {
+pub fn version_key(node: &ControllerId) -> String {
     format!("{VERSION_PREFIX}{node}")
 }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::Guard;
+use crate::wire::Precondition;
 
 fn limits(txn_ops: usize) -> KeptLimits {
     KeptLimits {
@@ -12,12 +12,12 @@
     }
 }
 
-fn core(now: Instant) -> StateCore {
-    let mut core = StateCore::new(limits(4), vec![NodeName::new("n")], 0, now);
+fn core(now: Instant) -> StoreClient {
+    let mut core = StoreClient::new(limits(4), vec![ControllerId::new("n")], 0, now);
     core.poll(now);
     let (id, _) = core.calls.pop_front().unwrap();
-    let page = wire::Page { rows: vec![], truncated: false, rev: Revision(5) };
-    core.on_reply(id, StateReply::Page(page), now);
+    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(5) };
+    core.on_reply(id, StoreResponse::RangeResponse(page), now);
     core
 }
 
@@ -26,26 +26,26 @@
         rank: Rank::User,
         origin: Origin::User(ticket),
         change: jobs::Change {
-            guards: vec![Guard { key: key.into(), rev: Revision(0) }],
+            guards: vec![Precondition { key: key.into(), rev: Revision(0) }],
             writes: vec![Write::Put { key: key.into(), data: Data::from(1), hold: None }],
         },
     }
 }
 
-fn commit(core: &mut StateCore, now: Instant) -> (u64, Txn) {
+fn commit(core: &mut StoreClient, now: Instant) -> (u64, Transaction) {
     core.poll(now);
     while let Some((id, call)) = core.calls.pop_front() {
-        if let StateCall::Commit(txn) = call {
+        if let StoreRequest::Commit(txn) = call {
             return (id, txn);
         }
     }
     panic!("no commit was sent")
 }
 
-fn outcomes(core: &mut StateCore) -> Vec<(Origin, Outcome)> {
+fn outcomes(core: &mut StoreClient) -> Vec<(Origin, Outcome)> {
     std::iter::from_fn(|| core.events.pop_front())
         .filter_map(|event| match event {
-            StateEvent::Outcome(origin, outcome) => Some((origin, outcome)),
+            StoreEvent::Outcome(origin, outcome) => Some((origin, outcome)),
             _ => None,
         })
         .collect()
@@ -60,11 +60,11 @@
     }
     let (id, txn) = commit(&mut core, now);
     assert_eq!(txn.writes.len(), 3);
-    core.on_reply(id, StateReply::Conflict(vec!["t/x/2".into()]), now);
+    core.on_reply(id, StoreResponse::Conflict(vec!["t/x/2".into()]), now);
     assert_eq!(outcomes(&mut core), [(Origin::User(2), Outcome::Conflict)]);
     let (id, txn) = commit(&mut core, now);
     assert_eq!(txn.writes.len(), 2);
-    core.on_reply(id, StateReply::Committed(Revision(9)), now);
+    core.on_reply(id, StoreResponse::Committed(Revision(9)), now);
     assert_eq!(outcomes(&mut core).len(), 2);
 }
 
@@ -76,15 +76,15 @@
         core.push(item(ticket, &format!("t/x/{ticket}")));
     }
     let (id, _) = commit(&mut core, now);
-    core.on_reply(id, StateReply::Invalid, now);
+    core.on_reply(id, StoreResponse::Invalid, now);
     let (id, txn) = commit(&mut core, now);
     assert_eq!(txn.writes.len(), 1);
-    core.on_reply(id, StateReply::Invalid, now);
+    core.on_reply(id, StoreResponse::Invalid, now);
     assert_eq!(outcomes(&mut core), [(Origin::User(0), Outcome::Invalid)]);
     let later = now + STATE_RETRY * 2;
     let (id, txn) = commit(&mut core, later);
     assert_eq!(txn.writes.len(), 1);
-    core.on_reply(id, StateReply::Committed(Revision(9)), later);
+    core.on_reply(id, StoreResponse::Committed(Revision(9)), later);
     assert_eq!(outcomes(&mut core), [(Origin::User(1), Outcome::Committed)]);
 }
 
@@ -105,7 +105,7 @@
         let keys: HashSet<_> = txn.writes.iter().map(|w| w.key().to_owned()).collect();
         assert_eq!(keys.len(), txn.writes.len());
         seen += txn.writes.len();
-        core.on_reply(id, StateReply::Committed(Revision(10 + rev)), now);
+        core.on_reply(id, StoreResponse::Committed(Revision(10 + rev)), now);
     }
     assert_eq!(seen, 9);
 }
@@ -118,18 +118,18 @@
     let mut core = core(now);
     for (ticket, seen) in [(1, 3), (2, 4), (3, 3)] {
         let mut item = item(ticket, &format!("t/x/{ticket}"));
-        item.change.guards.push(Guard { key: "t/a/p/m".into(), rev: Revision(seen) });
+        item.change.guards.push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
         core.push(item);
     }
-    let seen = |txn: &Txn| -> Vec<Revision> {
+    let seen = |txn: &Transaction| -> Vec<Revision> {
         txn.guards.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
     };
     let (id, txn) = commit(&mut core, now);
     assert_eq!((txn.writes.len(), seen(&txn)), (2, vec![Revision(3)]));
-    core.on_reply(id, StateReply::Committed(Revision(9)), now);
+    core.on_reply(id, StoreResponse::Committed(Revision(9)), now);
     let (id, txn) = commit(&mut core, now);
     assert_eq!((txn.writes.len(), seen(&txn)), (1, vec![Revision(4)]));
-    core.on_reply(id, StateReply::Conflict(vec!["t/a/p/m".into()]), now);
+    core.on_reply(id, StoreResponse::Conflict(vec!["t/a/p/m".into()]), now);
     let told = outcomes(&mut core);
     assert_eq!(told.last(), Some(&(Origin::User(2), Outcome::Conflict)));
 }
@@ -137,7 +137,7 @@
 /// Machine types are kept in one value or in one each; either way none is ever forgotten.
 #[test]
 fn machine_types_of_both_layouts_add_up() {
-    let flavor = |name: &str, price: f64| Flavor {
+    let flavor = |name: &str, price: f64| MachineType {
         name: name.into(),
         price,
         ..crate::settings::plain_flavor()
@@ -163,12 +163,16 @@
     let syncs: Vec<u64> = core
         .calls
         .drain(..)
-        .filter(|(_, call)| matches!(call, StateCall::Follow { wait, .. } if wait.is_zero()))
+        .filter(|(_, call)| matches!(call, StoreRequest::Follow { wait, .. } if wait.is_zero()))
         .map(|(id, _)| id)
         .collect();
-    core.on_reply(syncs[0], StateReply::News(wire::News { rev: Revision(7), news: vec![] }), now);
+    core.on_reply(
+        syncs[0],
+        StoreResponse::WatchResponse(wire::WatchResponse { rev: Revision(7), news: vec![] }),
+        now,
+    );
     let told: Vec<u64> = std::iter::from_fn(|| core.events.pop_front())
-        .filter_map(|e| if let StateEvent::Synced(t) = e { Some(t) } else { None })
+        .filter_map(|e| if let StoreEvent::Synced(t) = e { Some(t) } else { None })
         .collect();
     assert_eq!(told, [1]);
     assert_eq!(core.cache.rev, Revision(7));
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -5,9 +5,9 @@
 
 use crate::constants::*;
 use crate::http::CallError;
-use crate::ids::{MachineId, NodeName, Token};
-use crate::peers::heartbeat_relay::{FullReport, RelayedOrder};
-use crate::wire::{Order, Orders, Report};
+use crate::ids::{ControllerId, FencingToken, MachineId};
+use crate::peers::heartbeat_relay::{FullHeartbeat, RelayedCommand};
+use crate::wire::{CommandBatch, Heartbeat, WorkerCommand};
 use foldhash::{HashMap, HashMapExt};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,9 +16,9 @@
 
 /// A message to a worker.
 #[derive(Debug)]
-pub enum Direct {
+pub enum DirectCall {
     Status,
-    Do(Orders),
+    Do(CommandBatch),
 }
 
 /// A command for a worker; without a session it only asks for the worker's report.
@@ -27,14 +27,14 @@
     pub number: u64,
     pub machine: MachineId,
     pub address: SocketAddr,
-    pub session: Option<u64>,
-    pub orders: Vec<RelayedOrder>,
+    pub agent_epoch: Option<u64>,
+    pub orders: Vec<RelayedCommand>,
 }
 
 /// What came of a command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DeliveryResult {
-    Report(FullReport),
+    Heartbeat(FullHeartbeat),
     /// It was surely not sent.
     NotSent,
     /// It may have been carried out, or may yet be.
@@ -43,12 +43,12 @@
 
 impl Delivery {
     /// The call that its receiver makes.
-    pub fn into_direct(self, token: Token) -> Direct {
-        match self.session {
-            None => Direct::Status,
-            Some(session) => {
-                let orders = self.orders.into_iter().map(Order::from).collect();
-                Direct::Do(Orders { token, session: Some(session), orders })
+    pub fn into_direct(self, token: FencingToken) -> DirectCall {
+        match self.agent_epoch {
+            None => DirectCall::Status,
+            Some(agent_epoch) => {
+                let orders = self.orders.into_iter().map(WorkerCommand::from).collect();
+                DirectCall::Do(CommandBatch { token, agent_epoch: Some(agent_epoch), orders })
             }
         }
     }
@@ -56,18 +56,18 @@
 
 impl DeliveryResult {
     /// Of a call that was made for somebody else.
-    pub fn of(result: Result<Report, CallError>) -> DeliveryResult {
+    pub fn of(result: Result<Heartbeat, CallError>) -> DeliveryResult {
         match result {
-            Ok(report) => DeliveryResult::Report(report.into()),
+            Ok(report) => DeliveryResult::Heartbeat(report.into()),
             Err(CallError::NotSent) => DeliveryResult::NotSent,
             Err(CallError::Unknown) => DeliveryResult::Unknown,
         }
     }
 
     /// As if the call had been made here.
-    pub fn into_result(self) -> Result<Report, CallError> {
+    pub fn into_result(self) -> Result<Heartbeat, CallError> {
         match self {
-            DeliveryResult::Report(report) => Ok(report.into()),
+            DeliveryResult::Heartbeat(report) => Ok(report.into()),
             DeliveryResult::NotSent => Err(CallError::NotSent),
             DeliveryResult::Unknown => Err(CallError::Unknown),
         }
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 struct Pending {
     machine: MachineId,
-    sent: Option<Orders>,
+    sent: Option<CommandBatch>,
     until: Instant,
 }
 
@@ -88,11 +88,11 @@
     next: u64,
     pending: BTreeMap<u64, Pending>,
     /// Not sent yet.
-    waiting: BTreeMap<NodeName, Vec<Delivery>>,
+    waiting: BTreeMap<ControllerId, Vec<Delivery>>,
 }
 
 /// The end of a command: the machine, what it was told, and what came of it.
-pub type DeliveryEnd = (MachineId, Option<Orders>, Result<Report, CallError>);
+pub type DeliveryEnd = (MachineId, Option<CommandBatch>, Result<Heartbeat, CallError>);
 
 impl Deliveries {
     /// Commands are numbered from there on, so that results for a former life of this process match none.
@@ -114,28 +114,28 @@
     /// Has a controller make this call.
     pub fn push(
         &mut self,
-        by: &NodeName,
+        by: &ControllerId,
         (machine, address): (MachineId, SocketAddr),
-        direct: Direct,
+        direct: DirectCall,
         now: Instant,
     ) {
         self.next += 1;
         let number = self.next;
-        let (sent, session, orders) = match direct {
-            Direct::Status => (None, None, Vec::new()),
-            Direct::Do(orders) => {
-                let relayed = orders.orders.iter().cloned().map(RelayedOrder::from).collect();
-                (Some(orders.clone()), orders.session, relayed)
+        let (sent, agent_epoch, orders) = match direct {
+            DirectCall::Status => (None, None, Vec::new()),
+            DirectCall::Do(orders) => {
+                let relayed = orders.orders.iter().cloned().map(RelayedCommand::from).collect();
+                (Some(orders.clone()), orders.agent_epoch, relayed)
             }
         };
         let until = now + WORKER_TIMEOUT + DELIVERY_MARGIN;
         self.pending.insert(number, Pending { machine: machine.clone(), sent, until });
-        let delivery = Delivery { number, machine, address, session, orders };
+        let delivery = Delivery { number, machine, address, agent_epoch, orders };
         self.waiting.entry(by.clone()).or_default().push(delivery);
     }
 
     /// What is to be sent, to whom, in frames of bounded size.
-    pub fn take_frames(&mut self) -> Vec<(NodeName, Vec<Delivery>)> {
+    pub fn take_frames(&mut self) -> Vec<(ControllerId, Vec<Delivery>)> {
         let mut frames = Vec::new();
         for (name, deliveries) in std::mem::take(&mut self.waiting) {
             let size = |delivery: &Delivery| DELIVERY_BYTES + delivery.orders.len() * ORDER_BYTES;
@@ -193,18 +193,18 @@
 }
 
 /// Results for the leader with that token, by the numbers of their commands.
-pub type ResultFrame = (NodeName, Token, Vec<(u64, DeliveryResult)>);
+pub type ResultFrame = (ControllerId, FencingToken, Vec<(u64, DeliveryResult)>);
 
 /// Who asked for a call and under which number.
 #[derive(Debug, Clone)]
 struct Asker {
-    from: NodeName,
-    token: Token,
+    from: ControllerId,
+    token: FencingToken,
     number: u64,
 }
 
 /// What a call is known by: a question for a report names no token.
-fn call_key(machine: &MachineId, token: Option<Token>) -> (MachineId, Token) {
+fn call_key(machine: &MachineId, token: Option<FencingToken>) -> (MachineId, FencingToken) {
     (machine.clone(), token.unwrap_or_default())
 }
 
@@ -212,10 +212,10 @@
 #[derive(Debug, Default)]
 pub struct ForwardedCommands {
     /// By machine and by the token of what it is told: of two leaders each has one call under way to a machine.
-    under_way: HashMap<(MachineId, Token), Asker>,
+    under_way: HashMap<(MachineId, FencingToken), Asker>,
     /// The highest token of a leader that asked, and the highest number that it gave a command.
-    newest: (Token, u64),
-    results: BTreeMap<(NodeName, Token), Vec<(u64, DeliveryResult)>>,
+    newest: (FencingToken, u64),
+    results: BTreeMap<(ControllerId, FencingToken), Vec<(u64, DeliveryResult)>>,
     due: Option<Instant>,
 }
 
@@ -228,13 +228,13 @@
     /// A leader asks for a call. False: it is an old one, which may have been made already. A start that is repeated
     /// after its attempt was forgotten would run again, so *a controller passes each command on at most once*, and
     /// leaves out what comes after a later one; who asked counts it as unknown.
-    pub fn begin(&mut self, from: &NodeName, token: Token, delivery: &Delivery) -> bool {
+    pub fn begin(&mut self, from: &ControllerId, token: FencingToken, delivery: &Delivery) -> bool {
         if (token, delivery.number) <= self.newest {
             return false;
         }
         self.newest = (token, delivery.number);
         let asker = Asker { from: from.clone(), token, number: delivery.number };
-        let told = delivery.session.map(|_| token);
+        let told = delivery.agent_epoch.map(|_| token);
         self.under_way.insert(call_key(&delivery.machine, told), asker);
         true
     }
@@ -243,8 +243,8 @@
     pub fn end(
         &mut self,
         machine: &MachineId,
-        sent: Option<&Orders>,
-        result: &Result<Report, CallError>,
+        sent: Option<&CommandBatch>,
+        result: &Result<Heartbeat, CallError>,
         now: Instant,
     ) -> bool {
         let key = call_key(machine, sent.map(|orders| orders.token));
@@ -276,7 +276,7 @@
         let mut frames = Vec::new();
         for ((from, token), results) in std::mem::take(&mut self.results) {
             let size = |(_, result): &(u64, DeliveryResult)| match result {
-                DeliveryResult::Report(report) => report.size().min(RESULT_BYTES),
+                DeliveryResult::Heartbeat(report) => report.size().min(RESULT_BYTES),
                 _ => DELIVERY_BYTES,
             };
             for part in in_frames(results, size) {
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -5,21 +5,22 @@
     MachineId::new("i-1")
 }
 
-fn start(token: u64) -> Orders {
-    let order = Order::Start { task: TaskId::parse("wk-1/0").unwrap(), attempt: Attempt(9) };
-    Orders { token: Token(token), session: Some(2), orders: vec![order] }
+fn start(token: u64) -> CommandBatch {
+    let order =
+        WorkerCommand::Start { task: TaskId::parse("wk-1/0").unwrap(), attempt: Attempt(9) };
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![order] }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> Heartbeat {
+    Heartbeat {
         machine: machine(),
         address: String::new(),
         flavor: "f".into(),
         zone: "a".into(),
         spot: false,
-        session: 2,
+        agent_epoch: 2,
         seq: 1,
-        token: Token(3),
+        token: FencingToken(3),
         notice_s: None,
         tasks: Vec::new(),
     }
@@ -29,20 +30,24 @@
 #[test]
 fn a_command_goes_to_its_worker_and_its_result_back() {
     let now = Instant::now();
-    let (leader, other) = (NodeName::new("a"), NodeName::new("b"));
+    let (leader, other) = (ControllerId::new("a"), ControllerId::new("b"));
     let mut deliveries = Deliveries::new(50);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&other, (machine(), address), Direct::Do(start(3)), now);
+    deliveries.push(&other, (machine(), address), DirectCall::Do(start(3)), now);
     let mut frames = deliveries.take_frames();
     let (to, commands) = frames.pop().unwrap();
     assert!(to == other && commands.len() == 1 && frames.is_empty());
     let mut forwarded = ForwardedCommands::new();
-    assert!(forwarded.begin(&leader, Token(3), &commands[0]));
+    assert!(forwarded.begin(&leader, FencingToken(3), &commands[0]));
     // A copy of it, or what an earlier leader asks, is not carried out.
-    assert!(!forwarded.begin(&leader, Token(3), &commands[0]));
-    assert!(!forwarded.begin(&leader, Token(2), &Delivery { number: 99, ..commands[0].clone() }));
-    let Direct::Do(orders) = commands[0].clone().into_direct(Token(3)) else { panic!() };
-    assert_eq!((orders.token, orders.session), (Token(3), Some(2)));
+    assert!(!forwarded.begin(&leader, FencingToken(3), &commands[0]));
+    assert!(!forwarded.begin(
+        &leader,
+        FencingToken(2),
+        &Delivery { number: 99, ..commands[0].clone() }
+    ));
+    let DirectCall::Do(orders) = commands[0].clone().into_direct(FencingToken(3)) else { panic!() };
+    assert_eq!((orders.token, orders.agent_epoch), (FencingToken(3), Some(2)));
     assert_eq!(orders.orders, start(3).orders);
     // A call of its own, or for another leader, is none of its business.
     assert!(!forwarded.end(&machine(), Some(&start(4)), &Ok(report()), now));
@@ -50,7 +55,7 @@
     assert!(forwarded.end(&machine(), Some(&orders), &Ok(report()), now));
     assert!(forwarded.take_results(now).is_empty());
     let (to, token, mut results) = forwarded.take_results(now + DELIVERY_PAUSE).pop().unwrap();
-    assert_eq!((to, token), (leader, Token(3)));
+    assert_eq!((to, token), (leader, FencingToken(3)));
     let (number, result) = results.pop().unwrap();
     let (id, sent, result) = deliveries.on_result(number, result).unwrap();
     assert!(id == machine() && sent.is_some() && result.is_ok());
@@ -63,7 +68,7 @@
     let now = Instant::now();
     let mut deliveries = Deliveries::new(0);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&NodeName::new("b"), (machine(), address), Direct::Do(start(3)), now);
+    deliveries.push(&ControllerId::new("b"), (machine(), address), DirectCall::Do(start(3)), now);
     let number = deliveries.take_frames()[0].1[0].number;
     let until = deliveries.next_due().unwrap();
     assert!(until > now + WORKER_TIMEOUT);
@@ -81,7 +86,7 @@
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
     for n in 0..3000 {
         let id = MachineId::new(&format!("i-{n:06}"));
-        deliveries.push(&NodeName::new("b"), (id, address), Direct::Do(start(3)), now);
+        deliveries.push(&ControllerId::new("b"), (id, address), DirectCall::Do(start(3)), now);
     }
     let frames = deliveries.take_frames();
     assert_eq!(frames.iter().map(|(_, part)| part.len()).sum::<usize>(), 3000);
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -12,7 +12,7 @@
 
 /// What a job's failures and successes show.
 #[derive(Debug, Default)]
-pub struct Evidence {
+pub struct FailureAttribution {
     /// Machines on which its tasks failed.
     pub failed_on: Vec<MachineId>,
     /// A task of it ended well or ran for a while.
@@ -21,7 +21,7 @@
     trial: Option<(Instant, Duration)>,
 }
 
-impl Evidence {
+impl FailureAttribution {
     pub fn failed(&mut self, on: &MachineId, now: Instant) {
         if !self.failed_on.contains(on) {
             self.failed_on.push(on.clone());
--- a/src/workers/failure_attribution/tests.rs
+++ b/src/workers/failure_attribution/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_job_that_fails_everywhere_is_tried_ever_more_seldom_and_resumes_at_once() {
-    let mut evidence = Evidence::default();
+    let mut evidence = FailureAttribution::default();
     let mut now = Instant::now();
     for n in 0..MISTAKEN_MACHINES - 1 {
         evidence.failed(&machine(n), now);
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -6,9 +6,9 @@
 //! never forgotten within its session (a forgotten attempt would run again).
 
 use crate::constants::*;
-use crate::ids::{Amount, Attempt, MachineId, NodeName, TaskId, Token};
+use crate::ids::{Amount, Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::placement::{Basket, Images};
-use crate::wire::{Order, Report, TaskState, Urgency};
+use crate::wire::{Heartbeat, Priority, TaskState, WorkerCommand};
 use foldhash::{HashSet, HashSetExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 
 /// One attempt on a machine.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct PlacedAttempt {
     pub need: Amount,
     pub team: usize,
-    pub urgency: Urgency,
+    pub urgency: Priority,
     pub image: Arc<str>,
     pub seen: bool,
     pub state: TaskState,
@@ -47,16 +47,16 @@
     pub settled: bool,
 }
 
-impl Entry {
+impl PlacedAttempt {
     /// A task that is placed now and of which no report has told yet.
     pub fn new(
         need: Amount,
         team: usize,
-        urgency: Urgency,
+        urgency: Priority,
         image: Arc<str>,
         now: Instant,
-    ) -> Entry {
-        Entry {
+    ) -> PlacedAttempt {
+        PlacedAttempt {
             need,
             team,
             urgency,
@@ -85,7 +85,7 @@
 
 /// What a report tells about an attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Fact {
+pub enum TaskEvent {
     Running(TaskId, Attempt),
     Exited {
         task: TaskId,
@@ -101,7 +101,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineState {
     Booting,
     Up,
     /// Its deletion was decided; nothing is placed on it.
@@ -109,12 +109,12 @@
 }
 
 #[derive(Debug)]
-pub enum Heard {
+pub enum HeartbeatEffect {
     /// Older than what we know.
     Stale,
     /// The worker has seen a higher token than ours.
     Superseded,
-    News(Vec<Fact>),
+    News(Vec<TaskEvent>),
 }
 
 #[derive(Debug)]
@@ -124,7 +124,7 @@
     pub flavor: usize,
     pub zone: usize,
     pub spot: bool,
-    pub life: Life,
+    pub life: MachineState,
     pub index: u64,
     /// Its record is committed, so a successor will know of it.
     pub recorded: bool,
@@ -134,9 +134,9 @@
     /// When it was rented, which may be before this leader knew it.
     pub rented: Instant,
     pub up_since: Option<Instant>,
-    pub session: u64,
+    pub agent_epoch: u64,
     seq: u64,
-    pub token: Token,
+    pub token: FencingToken,
     /// When we last gave it a valid answer, or first heard of its session if that was later; its lease cannot
     /// have been renewed later.
     pub answered: Instant,
@@ -147,7 +147,7 @@
     /// Other controllers may answer it though the leader is in their reach: the leader itself does
     /// not hear it.
     pub lent: bool,
-    pub entries: BTreeMap<(TaskId, Attempt), Entry>,
+    pub entries: BTreeMap<(TaskId, Attempt), PlacedAttempt>,
     /// Attempts up to this one ended with a lease that has surely run out. A report that still
     /// shows them was held back by the network and is as old as they are.
     pub dead_below: Attempt,
@@ -176,7 +176,7 @@
     /// still be on its way.
     needs_full: bool,
     /// The controller that passed its last report on, and when; none: it reported here.
-    pub relayed_by: Option<(NodeName, Instant)>,
+    pub relayed_by: Option<(ControllerId, Instant)>,
     /// A start or a stop may be owed to it. Among hundreds of machines few have any, and each
     /// look at all that runs on all of them would cost more than everything else.
     pub owed: bool,
@@ -211,16 +211,16 @@
             flavor,
             zone,
             spot,
-            life: Life::Booting,
+            life: MachineState::Booting,
             index,
             recorded: false,
             confirmed: true,
             known_since: now,
             rented: now,
             up_since: None,
-            session: 0,
+            agent_epoch: 0,
             seq: 0,
-            token: Token(0),
+            token: FencingToken(0),
             answered: now,
             heard: None,
             barred_since: None,
@@ -249,17 +249,22 @@
     }
 
     /// Takes a report in.
-    pub fn hear(&mut self, report: &Report, ours: Token, now: Instant) -> Heard {
+    pub fn hear(
+        &mut self,
+        report: &Heartbeat,
+        ours: FencingToken,
+        now: Instant,
+    ) -> HeartbeatEffect {
         if report.token > ours {
-            return Heard::Superseded;
+            return HeartbeatEffect::Superseded;
         }
-        if (report.session, report.seq) <= (self.session, self.seq) {
-            return Heard::Stale;
+        if (report.agent_epoch, report.seq) <= (self.agent_epoch, self.seq) {
+            return HeartbeatEffect::Stale;
         }
         let mut facts = Vec::new();
-        if report.session > self.session {
+        if report.agent_epoch > self.agent_epoch {
             facts.extend(self.lose_all());
-            self.session = report.session;
+            self.agent_epoch = report.agent_epoch;
             // Its lease counts from when it began, which was since our last answer: a leader that could not
             // act for long once took it to be over, and what it had just started there to be dead.
             self.answered = self.answered.max(now);
@@ -269,8 +274,8 @@
         self.token = self.token.max(report.token);
         self.heard = Some(now);
         self.asked_in_vain = None;
-        if self.life == Life::Booting {
-            self.life = Life::Up;
+        if self.life == MachineState::Booting {
+            self.life = MachineState::Up;
         }
         self.up_since.get_or_insert(now);
         self.recall_at = report.notice_s.map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 1e6)));
@@ -285,13 +290,13 @@
             let entry = match self.entries.get_mut(&key) {
                 Some(entry) => entry,
                 None => {
-                    facts.push(Fact::Found(shown.task.clone(), shown.attempt));
+                    facts.push(TaskEvent::Found(shown.task.clone(), shown.attempt));
                     // What runs when it is found began at some time before.
                     ours = shown.state == TaskState::Fetching;
                     self.usage = None;
-                    let (need, urgency) = (Amount::default(), Urgency::Production);
-                    let found = Entry::new(need, usize::MAX, urgency, Arc::from(""), now);
-                    let found = Entry { state: shown.state, ..found };
+                    let (need, urgency) = (Amount::default(), Priority::Production);
+                    let found = PlacedAttempt::new(need, usize::MAX, urgency, Arc::from(""), now);
+                    let found = PlacedAttempt { state: shown.state, ..found };
                     self.entries.entry(key.clone()).or_insert(found)
                 }
             };
@@ -309,9 +314,9 @@
                     entry.began = Some(now).filter(|_| ours);
                     let image = entry.image.clone();
                     has(&mut self.images, image);
-                    facts.push(Fact::Running(key.0, key.1));
+                    facts.push(TaskEvent::Running(key.0, key.1));
                 }
-                TaskState::Exited if !entry.settled => facts.push(Fact::Exited {
+                TaskState::Exited if !entry.settled => facts.push(TaskEvent::Exited {
                     task: key.0,
                     attempt: key.1,
                     why: shown.why.clone().unwrap_or_default(),
@@ -330,7 +335,7 @@
                     return true;
                 }
                 self.usage = None;
-                facts.push(Fact::Vanished(key.0.clone(), key.1, entry.seen_to_run()));
+                facts.push(TaskEvent::Vanished(key.0.clone(), key.1, entry.seen_to_run()));
                 return false;
             }
             true
@@ -338,21 +343,21 @@
         if self.token == ours {
             self.confirmed = true;
         }
-        Heard::News(facts)
+        HeartbeatEffect::News(facts)
     }
 
     /// Takes in that the worker reports, under the number `seq`, just what it reported under `before`. False: what is
     /// known of it is not that report, so all of it has to be seen.
     pub fn hear_same(
         &mut self,
-        session: u64,
+        agent_epoch: u64,
         before: u64,
         seq: u64,
-        ours: Token,
+        ours: FencingToken,
         now: Instant,
     ) -> bool {
-        let known = (self.session, self.seq) == (session, before) && before < seq;
-        if !known || self.needs_full || self.token != ours || self.life == Life::Booting {
+        let known = (self.agent_epoch, self.seq) == (agent_epoch, before) && before < seq;
+        if !known || self.needs_full || self.token != ours || self.life == MachineState::Booting {
             return false;
         }
         self.seq = seq;
@@ -380,19 +385,19 @@
     }
 
     /// Its session is over (or the machine is gone): nothing of what it had is there any more.
-    pub fn lose_all(&mut self) -> Vec<Fact> {
+    pub fn lose_all(&mut self) -> Vec<TaskEvent> {
         self.usage = None;
         let entries = std::mem::take(&mut self.entries);
         entries
             .into_iter()
             .filter(|(_, entry)| !entry.settled)
-            .map(|((task, attempt), entry)| Fact::Vanished(task, attempt, entry.seen_to_run()))
+            .map(|((task, attempt), entry)| TaskEvent::Vanished(task, attempt, entry.seen_to_run()))
             .collect()
     }
 
     /// Orders for the answer to its report. Only here is anything forgotten: report answers
     /// arrive in order and never late, so no start can overtake a `forget`.
-    pub fn orders(&mut self) -> Vec<Order> {
+    pub fn orders(&mut self) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         let mut dropped = Vec::new();
         for ((task, attempt), entry) in &self.entries {
@@ -400,7 +405,7 @@
                 break;
             }
             if entry.settled && entry.state == TaskState::Exited && entry.flying == 0 {
-                orders.push(Order::Forget { task: task.clone(), attempt: *attempt });
+                orders.push(WorkerCommand::Forget { task: task.clone(), attempt: *attempt });
                 dropped.push((task.clone(), *attempt));
             }
         }
@@ -413,7 +418,7 @@
     }
 
     /// Orders that may also be sent straight to the worker.
-    pub fn starts_and_stops(&mut self) -> Vec<Order> {
+    pub fn starts_and_stops(&mut self) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
         for ((task, attempt), entry) in &self.entries {
             if entry.state == TaskState::Exited || orders.len() >= ORDERS_MAX - 1 {
@@ -425,14 +430,16 @@
                 // the late one finds its attempt known.
                 Some(stop) => {
                     if !entry.seen {
-                        orders.push(Order::Start { task: task.clone(), attempt });
+                        orders.push(WorkerCommand::Start { task: task.clone(), attempt });
                     }
                     let again = entry.state == TaskState::Saving && stop.grace_s > 0.0;
                     if !again {
-                        orders.push(Order::Stop { task, attempt, grace_s: stop.grace_s });
+                        orders.push(WorkerCommand::Stop { task, attempt, grace_s: stop.grace_s });
                     }
                 }
-                None if !entry.seen && self.recorded => orders.push(Order::Start { task, attempt }),
+                None if !entry.seen && self.recorded => {
+                    orders.push(WorkerCommand::Start { task, attempt })
+                }
                 None => {}
             }
         }
@@ -448,9 +455,9 @@
     }
 
     /// Marks the starts among orders that are sent straight to the worker.
-    pub fn note_flying(&mut self, orders: &[Order], by: i32) {
+    pub fn note_flying(&mut self, orders: &[WorkerCommand], by: i32) {
         for order in orders {
-            if let Order::Start { task, attempt } = order
+            if let WorkerCommand::Start { task, attempt } = order
                 && let Some(entry) = self.entries.get_mut(&(task.clone(), *attempt))
             {
                 entry.flying = entry.flying.saturating_add_signed(by);
@@ -486,7 +493,7 @@
                 if usage.basket != Some(Basket::Heavy) {
                     usage.basket = Some(basket(&entry.need));
                 }
-                if entry.urgency == Urgency::Low && entry.state == TaskState::Running {
+                if entry.urgency == Priority::Low && entry.state == TaskState::Running {
                     usage.low_cpu += entry.need.cpu;
                 }
             }
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::wire::ReportedTask;
+use crate::wire::TaskStatus;
 
-const OURS: Token = Token(4);
+const OURS: FencingToken = FencingToken(4);
 
 fn machine() -> Machine {
     let mut machine = Machine::new(MachineId::new("i-1"), 0, 0, false, 0, Instant::now());
@@ -9,20 +9,20 @@
     machine
 }
 
-fn report(session: u64, seq: u64, tasks: &[(u32, u64, TaskState)]) -> Report {
-    Report {
+fn report(agent_epoch: u64, seq: u64, tasks: &[(u32, u64, TaskState)]) -> Heartbeat {
+    Heartbeat {
         machine: MachineId::new("i-1"),
         address: "10.1.0.1:9000".into(),
         flavor: "f".into(),
         zone: "z".into(),
         spot: false,
-        session,
+        agent_epoch,
         seq,
         token: OURS,
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(index, attempt, state)| ReportedTask {
+            .map(|(index, attempt, state)| TaskStatus {
                 task: task(*index),
                 attempt: Attempt(*attempt),
                 state: *state,
@@ -38,10 +38,10 @@
 }
 
 fn place(machine: &mut Machine, index: u32, attempt: u64) {
-    let entry = Entry {
+    let entry = PlacedAttempt {
         need: Amount::need(4.0, 0.0, 1.0),
         team: 0,
-        urgency: Urgency::High,
+        urgency: Priority::High,
         image: Arc::from("img"),
         seen: false,
         state: TaskState::Fetching,
@@ -56,9 +56,9 @@
     machine.entries.insert((task(index), Attempt(attempt)), entry);
 }
 
-fn facts(heard: Heard) -> Vec<Fact> {
+fn facts(heard: HeartbeatEffect) -> Vec<TaskEvent> {
     match heard {
-        Heard::News(facts) => facts,
+        HeartbeatEffect::News(facts) => facts,
         other => panic!("{other:?}"),
     }
 }
@@ -68,8 +68,8 @@
     let mut machine = machine();
     let now = Instant::now();
     facts(machine.hear(&report(2, 9, &[(0, 1, TaskState::Running)]), OURS, now));
-    assert!(matches!(machine.hear(&report(2, 8, &[]), OURS, now), Heard::Stale));
-    assert!(matches!(machine.hear(&report(1, 99, &[]), OURS, now), Heard::Stale));
+    assert!(matches!(machine.hear(&report(2, 8, &[]), OURS, now), HeartbeatEffect::Stale));
+    assert!(matches!(machine.hear(&report(1, 99, &[]), OURS, now), HeartbeatEffect::Stale));
     assert!(!machine.is_empty());
 }
 
@@ -96,7 +96,7 @@
     machine.dead_below = Attempt(5);
     let late = report(1, 2, &[(0, 5, TaskState::Running), (1, 6, TaskState::Running)]);
     let found = facts(machine.hear(&late, OURS, now));
-    assert_eq!(found[0], Fact::Found(task(1), Attempt(6)));
+    assert_eq!(found[0], TaskEvent::Found(task(1), Attempt(6)));
     assert!(!machine.entries.contains_key(&(task(0), Attempt(5))));
 }
 
@@ -110,7 +110,7 @@
     assert_eq!(machine.orders().len(), 1);
     assert_eq!(
         facts(machine.hear(&report(2, 3, &[]), OURS, now)),
-        [Fact::Vanished(task(0), Attempt(7), None)]
+        [TaskEvent::Vanished(task(0), Attempt(7), None)]
     );
 }
 
@@ -128,7 +128,7 @@
     }
     assert!(machine.orders().is_empty());
     machine.note_flying(&orders, -1);
-    assert!(matches!(machine.orders()[..], [Order::Forget { .. }]));
+    assert!(matches!(machine.orders()[..], [WorkerCommand::Forget { .. }]));
     assert!(machine.entries.is_empty());
 }
 
@@ -157,7 +157,10 @@
     for entry in machine.entries.values_mut() {
         entry.stop = Some(Stop { grace_s: 0.0, reason: "cancelled" });
     }
-    assert!(matches!(machine.orders()[..], [Order::Start { .. }, Order::Stop { .. }]));
+    assert!(matches!(
+        machine.orders()[..],
+        [WorkerCommand::Start { .. }, WorkerCommand::Stop { .. }]
+    ));
 }
 
 /// A report that says nothing new counts as heard only where all of the one before it is known: a worker that ended its
@@ -170,26 +173,29 @@
     let heard = || {
         let mut machine = machine();
         place(&mut machine, 0, 9);
-        assert!(matches!(machine.hear(&report(1, 5, &running), OURS, now), Heard::News(_)));
+        assert!(matches!(
+            machine.hear(&report(1, 5, &running), OURS, now),
+            HeartbeatEffect::News(_)
+        ));
         machine
     };
     assert!(heard().hear_same(1, 5, 6, OURS, now));
-    for (session, before, seq) in [(1, 4, 6), (1, 6, 7), (2, 5, 6), (1, 5, 5)] {
-        assert!(!heard().hear_same(session, before, seq, OURS, now));
+    for (agent_epoch, before, seq) in [(1, 4, 6), (1, 6, 7), (2, 5, 6), (1, 5, 5)] {
+        assert!(!heard().hear_same(agent_epoch, before, seq, OURS, now));
     }
     // Nor under another token than the one that the report was heard with.
-    assert!(!heard().hear_same(1, 5, 6, Token(OURS.0 + 1), now));
+    assert!(!heard().hear_same(1, 5, 6, FencingToken(OURS.0 + 1), now));
     let mut ended = machine();
     ended.hear(&report(1, 5, &[(0, 9, TaskState::Exited)]), OURS, now);
     assert!(!ended.hear_same(1, 5, 6, OURS, now));
     // Seen once and left out while a copy of its start has no answer: it stays booked until a report after that answer.
     let mut flying = heard();
-    let start = Order::Start { task: task(0), attempt: Attempt(9) };
+    let start = WorkerCommand::Start { task: task(0), attempt: Attempt(9) };
     flying.note_flying(std::slice::from_ref(&start), 1);
     flying.hear(&report(1, 6, &[]), OURS, now);
     assert_eq!(flying.entries.len(), 1);
     flying.note_flying(&[start], -1);
     assert!(!flying.hear_same(1, 6, 7, OURS, now), "it would stay booked for ever");
     let facts = facts(flying.hear(&report(1, 7, &[]), OURS, now));
-    assert!(matches!(facts[..], [Fact::Vanished(..)]) && flying.entries.is_empty());
+    assert!(matches!(facts[..], [TaskEvent::Vanished(..)]) && flying.entries.is_empty());
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -12,12 +12,12 @@
             let number = first + stage;
             let abort = pipeline % 3 == 1 && stage == [0, 2, 4][pipeline as usize / 3 % 3];
             world.submit_at(at, number, false, abort.then_some(at + 5000 + 700 * pipeline));
-            let needs: &[u64] = [&[][..], &[0], &[0], &[0], &[1, 2, 3]][stage as usize];
-            let needs = needs.iter().map(|n| JobId::new(&format!("wk-{}", first + n)));
+            let depends_on: &[u64] = [&[][..], &[0], &[0], &[0], &[1, 2, 3]][stage as usize];
+            let depends_on = depends_on.iter().map(|n| JobId::new(&format!("wk-{}", first + n)));
             let job = world.jobs.get_mut(&number).unwrap();
-            job.spec.needs = (stage > 0).then(|| needs.collect());
+            job.spec.depends_on = (stage > 0).then(|| depends_on.collect());
             job.spec.due_s = (stage == 4).then_some(40.0);
-            job.spec.urgency = if stage == 4 { Urgency::High } else { Urgency::Low };
+            job.spec.urgency = if stage == 4 { Priority::High } else { Priority::Low };
         }
     }
 }
@@ -32,7 +32,7 @@
     // So large that its marks don't fit one value, accepted by the old version.
     world.submit_at(2500, 20, false, Some(112_000));
     world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
-    world.jobs.get_mut(&20).unwrap().spec.urgency = Urgency::Low;
+    world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
     for (n, node) in order.into_iter().enumerate() {
         world.at(20_000 + 10_000 * n as u64, Due::Fault(Fault::Upgrade(node)));
     }
@@ -48,7 +48,7 @@
     assert!(world.broken.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.broken);
     assert!(world.old == [false; NODES] && before == 0);
     assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
-    for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == Shape::Array) {
+    for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
         let over = job.told_done || job.told_cancelled.is_some();
         assert!(over, "seed {seed}, {faults:?}: {number} is not over");
     }
@@ -169,7 +169,7 @@
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
         assert!((0..3).all(|n| world.jobs[&n].told_cancelled.is_some()), "seed {seed}");
         if seed % 8 != 1 {
-            let lost = world.workers.values().filter(|w| w.zone == 1 && w.session > 1).count();
+            let lost = world.workers.values().filter(|w| w.zone == 1 && w.agent_epoch > 1).count();
             assert_eq!((world.running(3), lost), (4, 0), "seed {seed}");
         }
     }
@@ -190,7 +190,8 @@
     world.at(55_000, Due::Fault(ends));
     world.run(80_000);
     // Replicas may be moved by command, but no machine has lost its lease or been given up.
-    let lost = world.workers.values().filter(|w| w.session > 1 || (w.gone && !w.tasks_left_empty));
+    let lost =
+        world.workers.values().filter(|w| w.agent_epoch > 1 || (w.gone && !w.tasks_left_empty));
     assert_eq!((world.running(0), lost.count()), (4, 0));
 }
 
@@ -324,7 +325,7 @@
         world.at(75_000, Due::Fault(Fault::CutWorkers(false)));
         world.run(74_000);
         // They run on where they ran, in the session they had.
-        let kept = world.workers.values().filter(busy).filter(|w| w.session == 1);
+        let kept = world.workers.values().filter(busy).filter(|w| w.agent_epoch == 1);
         assert_eq!((world.running(0), kept.count()), (4, before), "seed {seed}");
         world.run(100_000);
         assert_eq!(world.running(0), 4, "seed {seed}");
@@ -348,8 +349,8 @@
         world.at(90_000, Due::Fault(Fault::CutZones(false)));
         world.run(89_000);
         let start = |due: &&Due| {
-            matches!(due, Due::Direct(_, _, _, Direct::Do(orders))
-            if orders.orders.iter().any(|order| matches!(order, Order::Start { .. })))
+            matches!(due, Due::DirectCall(_, _, _, DirectCall::Do(orders))
+            if orders.orders.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
         };
         held += world.held.iter().filter(start).count();
         world.run(110_000);
@@ -427,7 +428,7 @@
             world.at(52_000, Due::Fault(Fault::Stand(node, false)));
         }
         world.run(120_000);
-        let lost = world.workers.values().filter(|w| w.session > 1).count();
+        let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
         assert_eq!((running(&world), lost), (16, 0), "seed {seed}");
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
     }
@@ -456,7 +457,7 @@
         deaf_led += u32::from(world.leader() == deaf);
         world.at(60_000, Due::Fault(Fault::Deaf(deaf, false)));
         world.run(90_000);
-        let lost = world.workers.values().filter(|w| w.session > 1).count();
+        let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
         let running = (0..4).map(|n| world.running(n)).sum::<usize>();
         assert_eq!((running, lost), (16, 0), "seed {seed}");
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
@@ -514,7 +515,7 @@
         world.run(150_000);
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
         let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
-        let array = |job: &&UserJob| job.spec.shape == Shape::Array;
+        let array = |job: &&UserJob| job.spec.shape == JobKind::Array;
         assert!(world.jobs.values().filter(array).all(over), "seed {seed}");
         starts += world.starts;
     }
@@ -576,8 +577,9 @@
         hold: None,
     };
     let write = if on { put } else { Write::Delete { key: key.clone() } };
-    let txn = wire::Txn { guards: vec![wire::Guard { key, rev }], writes: vec![write] };
-    assert!(matches!(world.commit(txn), StateReply::Committed(_)));
+    let txn =
+        wire::Transaction { guards: vec![wire::Precondition { key, rev }], writes: vec![write] };
+    assert!(matches!(world.commit(txn), StoreResponse::Committed(_)));
 }
 
 /// Tasks that hold room in a zone.
@@ -625,7 +627,7 @@
         assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
         assert_eq!(tasks_in(&world, 1), 0, "seed {seed}");
         for (number, job) in &world.jobs {
-            let service = job.spec.shape == Shape::Service;
+            let service = job.spec.shape == JobKind::Service;
             assert!(
                 job.told_done || service && world.running(*number) == 4,
                 "seed {seed}: {number}"
@@ -714,7 +716,8 @@
     let mut world = World::new(seed);
     world.floor = floor;
     for node in 0..NODES {
-        world.nodes[node] = Node::new(settings(NODES, node, false, floor), seed * 10, world.wall());
+        world.nodes[node] =
+            Controller::new(settings(NODES, node, false, floor), seed * 10, world.wall());
     }
     world.capacity = [2, 0];
     let services: Vec<u64> = (100..125).collect();
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -110,9 +110,9 @@
         if job.last_good + 75_000 < world.t {
             world.broken.push(format!("forgotten: nobody is told of {n}"));
         }
-        if job.spec.shape == Shape::Service && !cancelled && world.running(*n) != 4 {
+        if job.spec.shape == JobKind::Service && !cancelled && world.running(*n) != 4 {
             world.broken.push(format!("service {n} does not run"));
-        } else if job.spec.shape != Shape::Service && !job.told_done && !cancelled {
+        } else if job.spec.shape != JobKind::Service && !job.told_done && !cancelled {
             world.broken.push(format!("{n} is not over"));
         }
     }
@@ -126,7 +126,7 @@
         let job = world.jobs.get_mut(&(first + stage)).unwrap();
         job.spec.tasks = 2;
         let names = (0..2).map(|n| JobId::new(&format!("wk-{}", first + n)));
-        job.spec.needs = (stage == 2).then(|| names.collect());
+        job.spec.depends_on = (stage == 2).then(|| names.collect());
     }
 }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -2,12 +2,12 @@
 //! fixtures were made stands in them; the types that production reads with are in `cluster.rs`.
 
 use std::sync::Arc;
-use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
+use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::jobs::{self, Accept, Jobs};
 use troutspindle::peers::mesh;
 use troutspindle::store::records::{JOB_PREFIX, Layout};
 use troutspindle::store::{FLAVORS_KEY, LEADER_KEY, LeaderRecord, MachineRecord, TOKEN_KEY};
-use troutspindle::wire::{self, Data, Flavor, JobSpec, JobStatus, Shape, Urgency, Write};
+use troutspindle::wire::{self, Data, JobKind, JobSpec, JobStatus, MachineType, Priority, Write};
 
 /// While any controller of production may be there.
 const LOW: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
@@ -45,8 +45,8 @@
         id: JobId::new(id),
         class: "nightly".into(),
         team: "team-a".into(),
-        shape: Shape::Array,
-        urgency: Urgency::High,
+        shape: JobKind::Array,
+        urgency: Priority::High,
         tasks,
         cpus: 1.5,
         gpus: 0.0,
@@ -62,7 +62,7 @@
         checkpoint_s: 10.0,
         save_s: 2.0,
         due_s: Some(300.0),
-        needs: None,
+        depends_on: None,
     }
 }
 
@@ -91,9 +91,9 @@
     let machine: MachineRecord = value(of("t/m/i-000231")[2]).deserialized().unwrap();
     assert_eq!((&*machine.address, machine.spot), ("10.1.0.232:9000", true));
     let leader: LeaderRecord = value(of(LEADER_KEY)[2]).deserialized().unwrap();
-    assert_eq!(leader, LeaderRecord { node: NodeName::new("n-1"), token: Token(41) });
-    assert_eq!(value(of(TOKEN_KEY)[2]).deserialized::<Token>().unwrap(), Token(41));
-    let flavors: Vec<Flavor> = value(of(FLAVORS_KEY)[2]).deserialized().unwrap();
+    assert_eq!(leader, LeaderRecord { node: ControllerId::new("n-1"), token: FencingToken(41) });
+    assert_eq!(value(of(TOKEN_KEY)[2]).deserialized::<FencingToken>().unwrap(), FencingToken(41));
+    let flavors: Vec<MachineType> = value(of(FLAVORS_KEY)[2]).deserialized().unwrap();
     assert_eq!((flavors.len(), flavors[0].spot_price), (1, 4.5));
 }
 
@@ -142,7 +142,7 @@
     }
     let last = mesh::from_text(lines().last().unwrap()[2]).unwrap();
     let counts = vec![(JobId::new("wk-000412"), 16)];
-    assert_eq!(last, mesh::MeshMessage::Running { token: Token(41), counts });
+    assert_eq!(last, mesh::PeerMessage::Running { token: FencingToken(41), counts });
 }
 
 /// A grant that bars or lends hundreds of machines goes by way of the store in pieces, each of which
@@ -150,9 +150,9 @@
 #[test]
 fn a_message_too_large_for_a_value_goes_in_pieces() {
     let names = |from: u32| (from..from + 300).map(|n| MachineId::new(&format!("i-{n:06}")));
-    let message = |number| mesh::MeshMessage::Grant {
+    let message = |number| mesh::PeerMessage::Grant {
         seq: 9,
-        token: Token(41),
+        token: FencingToken(41),
         number,
         barred: names(0).collect(),
         lent: names(1000).collect(),
--- a/tests/refused_leader.rs
+++ b/tests/refused_leader.rs
@@ -98,7 +98,7 @@
     if row.extra == Extra::Through {
         // It waits for the first array, which never ends; it is cancelled through it.
         world.submit_at(9000, 6, false, None);
-        world.jobs.get_mut(&6).unwrap().spec.needs = Some(vec![JobId::new("wk-1")]);
+        world.jobs.get_mut(&6).unwrap().spec.depends_on = Some(vec![JobId::new("wk-1")]);
     }
     let mut at = REFUSED_AT;
     let rounds = if row.extra == Extra::Twice { 2 } else { 1 };
@@ -193,12 +193,15 @@
         if world.t > job.last_good + 75_000 {
             world.broken.push(format!("forgotten: nobody is told of {n}"));
         }
-        if job.told_cancelled.is_none() && job.spec.needs.is_none() && world.on_machines(*n) != 4 {
+        if job.told_cancelled.is_none()
+            && job.spec.depends_on.is_none()
+            && world.on_machines(*n) != 4
+        {
             world.broken.push(format!("{n} does not run"));
         }
     }
     seen.put_off = world.jobs.values().map(|job| job.put_off).sum();
-    seen.lost = world.workers.values().filter(|w| w.session > 1).count();
+    seen.lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
     seen.broken = world.broken.len();
     (seen, world.broken)
 }
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -8,19 +8,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
-use troutspindle::ids::{JobId, MachineId, NodeName, Revision, Token};
-use troutspindle::peers::heartbeat_relay::{FullReport, RelayedOrder, RelayedReport, Verdict};
+use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
+use troutspindle::peers::heartbeat_relay::{
+    FullHeartbeat, RelayedCommand, RelayedHeartbeat, Verdict,
+};
 use troutspindle::peers::membership::{Member, Membership};
 use troutspindle::peers::mesh::{
-    MeshMessage, PeerExtra, dial, from_text, in_pieces, serve, to_text,
+    PeerExtra, PeerMessage, dial, from_text, in_pieces, serve, to_text,
 };
 use troutspindle::wire;
 use troutspindle::workers::command_delivery::{Delivery, DeliveryResult};
 
-const TOKEN: Token = Token(41);
+const TOKEN: FencingToken = FencingToken(41);
 
-fn sender() -> NodeName {
-    NodeName::new("n-1")
+fn sender() -> ControllerId {
+    ControllerId::new("n-1")
 }
 
 fn jobs() -> Vec<JobId> {
@@ -31,8 +33,8 @@
     MachineId::new(&format!("i-{number:06}"))
 }
 
-fn status(extra: PeerExtra) -> MeshMessage {
-    MeshMessage::PeerStatus {
+fn status(extra: PeerExtra) -> PeerMessage {
+    PeerMessage::PeerStatus {
         from: sender(),
         seq: 300,
         leading: Some(TOKEN),
@@ -45,13 +47,13 @@
     }
 }
 
-fn plain_status() -> MeshMessage {
-    MeshMessage::PeerStatus {
+fn plain_status() -> PeerMessage {
+    PeerMessage::PeerStatus {
         from: sender(),
         seq: 1,
         leading: None,
         state_lost: false,
-        ack: (Token(0), 0),
+        ack: (FencingToken(0), 0),
         up_ms: 0,
         answered_for_leader: Vec::new(),
         worker_ms: None,
@@ -63,8 +65,8 @@
     PeerExtra { protocol: 1, room: 700 }
 }
 
-fn grant() -> MeshMessage {
-    MeshMessage::Grant {
+fn grant() -> PeerMessage {
+    PeerMessage::Grant {
         seq: 300,
         token: TOKEN,
         number: 301,
@@ -73,26 +75,26 @@
     }
 }
 
-fn plain_grant() -> MeshMessage {
-    MeshMessage::Grant { seq: 1, token: TOKEN, number: 0, barred: Vec::new(), lent: Vec::new() }
+fn plain_grant() -> PeerMessage {
+    PeerMessage::Grant { seq: 1, token: TOKEN, number: 0, barred: Vec::new(), lent: Vec::new() }
 }
 
-fn pledge(cancelled: Vec<JobId>) -> MeshMessage {
-    MeshMessage::Pledge { from: sender(), seq: 300, token: TOKEN, cancelled }
+fn pledge(cancelled: Vec<JobId>) -> PeerMessage {
+    PeerMessage::Pledge { from: sender(), seq: 300, token: TOKEN, cancelled }
 }
 
-fn running() -> MeshMessage {
+fn running() -> PeerMessage {
     let counts = jobs().into_iter().zip([16, 300]).collect();
-    MeshMessage::Running { token: TOKEN, counts }
+    PeerMessage::Running { token: TOKEN, counts }
 }
 
-fn cancelling(jobs: Vec<JobId>) -> MeshMessage {
-    MeshMessage::Cancelling { from: sender(), seq: 300, jobs }
+fn cancelling(jobs: Vec<JobId>) -> PeerMessage {
+    PeerMessage::Cancelling { from: sender(), seq: 300, jobs }
 }
 
-fn promised() -> MeshMessage {
+fn promised() -> PeerMessage {
     let zones = vec![vec!["a".into(), "b".into()], Vec::new()];
-    MeshMessage::Promised {
+    PeerMessage::Promised {
         from: sender(),
         seq: 300,
         under: Revision(70_000),
@@ -101,8 +103,8 @@
     }
 }
 
-fn plain_promised() -> MeshMessage {
-    MeshMessage::Promised {
+fn plain_promised() -> PeerMessage {
+    PeerMessage::Promised {
         from: sender(),
         seq: 1,
         under: Revision(0),
@@ -111,68 +113,72 @@
     }
 }
 
-fn sharing(members: Vec<Member>) -> MeshMessage {
-    MeshMessage::Sharing { from: sender(), token: TOKEN, members: Membership(members) }
+fn sharing(members: Vec<Member>) -> PeerMessage {
+    PeerMessage::Sharing { from: sender(), token: TOKEN, members: Membership(members) }
 }
 
 fn members() -> Vec<Member> {
     let member = |name: &str, zone: &str, weight| Member {
-        name: NodeName::new(name),
+        name: ControllerId::new(name),
         zone: zone.into(),
         weight,
     };
     vec![member("n-1", "a", 1000), member("n-2", "b", 400)]
 }
 
-fn full_report() -> FullReport {
-    FullReport::from(report())
+fn full_report() -> FullHeartbeat {
+    FullHeartbeat::from(report())
 }
 
-fn reports() -> MeshMessage {
-    let same =
-        RelayedReport::Same { machine: machine(1), session: 300, before: 70_000, seq: 70_001 };
-    let reports = vec![RelayedReport::Full(full_report()), same];
-    MeshMessage::Reports { from: sender(), token: TOKEN, batch: 301, reports }
+fn reports() -> PeerMessage {
+    let same = RelayedHeartbeat::Same {
+        machine: machine(1),
+        agent_epoch: 300,
+        before: 70_000,
+        seq: 70_001,
+    };
+    let reports = vec![RelayedHeartbeat::Full(full_report()), same];
+    PeerMessage::Reports { from: sender(), token: TOKEN, batch: 301, reports }
 }
 
-fn verdicts() -> MeshMessage {
-    let relayed = orders().into_iter().map(RelayedOrder::from).collect();
-    let verdicts = vec![(0, Verdict::Orders(relayed)), (300, Verdict::SendFull)];
-    MeshMessage::Verdicts { token: TOKEN, batch: 301, verdicts }
+fn verdicts() -> PeerMessage {
+    let relayed = orders().into_iter().map(RelayedCommand::from).collect();
+    let verdicts = vec![(0, Verdict::CommandBatch(relayed)), (300, Verdict::SendFull)];
+    PeerMessage::Verdicts { token: TOKEN, batch: 301, verdicts }
 }
 
-fn deliver() -> MeshMessage {
+fn deliver() -> PeerMessage {
     let command = Delivery {
         number: 302,
         machine: machine(1),
         address: "10.1.0.232:9000".parse().unwrap(),
-        session: Some(300),
+        agent_epoch: Some(300),
         orders: vec![
-            RelayedOrder::Start(task(), attempt()),
-            RelayedOrder::Stop(task(), attempt(), 7.5),
-            RelayedOrder::Forget(task(), attempt()),
+            RelayedCommand::Start(task(), attempt()),
+            RelayedCommand::Stop(task(), attempt(), 7.5),
+            RelayedCommand::Forget(task(), attempt()),
         ],
     };
     let question = Delivery {
         number: 303,
         address: "[::1]:9000".parse().unwrap(),
-        session: None,
+        agent_epoch: None,
         orders: Vec::new(),
         ..command.clone()
     };
-    MeshMessage::Deliver { from: sender(), token: TOKEN, commands: vec![command, question] }
+    PeerMessage::Deliver { from: sender(), token: TOKEN, commands: vec![command, question] }
 }
 
-fn delivered() -> MeshMessage {
+fn delivered() -> PeerMessage {
     let results = vec![
-        (302, DeliveryResult::Report(full_report())),
+        (302, DeliveryResult::Heartbeat(full_report())),
         (303, DeliveryResult::NotSent),
         (304, DeliveryResult::Unknown),
     ];
-    MeshMessage::Delivered { token: TOKEN, results }
+    PeerMessage::Delivered { token: TOKEN, results }
 }
 
-fn message(name: &'static str, value: &MeshMessage) -> Sample {
+fn message(name: &'static str, value: &PeerMessage) -> Sample {
     let text = to_text(value).expect("a message serializes");
     Sample::read_by(name, wire::unhex(&text).expect("hexadecimal"), value, |bytes| {
         from_text(&wire::hex(bytes))
--- a/tests/wire_format/protocol.rs
+++ b/tests/wire_format/protocol.rs
@@ -2,12 +2,15 @@
 
 use crate::golden_bytes;
 use crate::sample::Sample;
-use troutspindle::ids::{Attempt, JobId, LeaseId, MachineId, NodeName, Revision, TaskId, Token};
+use troutspindle::ids::{
+    Attempt, ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision, TaskId,
+};
 use troutspindle::wire::{
-    self, Change, CloudError, Committed, Data, Flavor, Flavors, Guard, Hire, JobName, JobSpec,
-    JobStatus, JobView, LeaseLife, LeaseName, Listed, ListedState, MachineNames, MachinePage,
-    Misdirected, News, Order, Orders, Page, Report, ReportedTask, Row, Shape, TaskState, Txn,
-    Urgency, Write,
+    self, Change, CloudError, CommandBatch, CommitResponse, Data, Heartbeat, JobKind, JobName,
+    JobSpec, JobStatus, JobView, KeyValue, LeaseCreated, LeaseTtl, ListedMachine,
+    ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes, NotLeader,
+    Precondition, Priority, RangeResponse, RentalRequest, TaskState, TaskStatus, Transaction,
+    WatchResponse, WorkerCommand, Write,
 };
 
 pub fn task() -> TaskId {
@@ -15,7 +18,7 @@
 }
 
 pub fn attempt() -> Attempt {
-    Attempt::new(Token(41), 5)
+    Attempt::new(FencingToken(41), 5)
 }
 
 pub fn job_spec() -> JobSpec {
@@ -23,8 +26,8 @@
         id: JobId::new("wk-000412"),
         class: "nightly".into(),
         team: "team-a".into(),
-        shape: Shape::Gang,
-        urgency: Urgency::Low,
+        shape: JobKind::Gang,
+        urgency: Priority::Low,
         tasks: 20,
         cpus: 1.5,
         gpus: 0.25,
@@ -40,22 +43,22 @@
         checkpoint_s: 10.25,
         save_s: 2.75,
         due_s: Some(300.5),
-        needs: Some(vec![JobId::new("wk-1"), JobId::new("wk-2")]),
+        depends_on: Some(vec![JobId::new("wk-1"), JobId::new("wk-2")]),
     }
 }
 
 /// With nothing that may be missing.
 pub fn plain_job_spec() -> JobSpec {
     JobSpec {
-        shape: Shape::Array,
-        urgency: Urgency::Production,
+        shape: JobKind::Array,
+        urgency: Priority::Production,
         one_zone: false,
         spread: true,
         spot: false,
         flavors: None,
         zone: None,
         due_s: None,
-        needs: None,
+        depends_on: None,
         ..job_spec()
     }
 }
@@ -64,46 +67,43 @@
     JobView { id: JobId::new("wk-000412"), status, done: 7, running: 3 }
 }
 
-fn reported(state: TaskState) -> ReportedTask {
-    ReportedTask { task: task(), attempt: attempt(), state, why: None, saved: None }
+fn reported(state: TaskState) -> TaskStatus {
+    TaskStatus { task: task(), attempt: attempt(), state, why: None, saved: None }
 }
 
-pub fn report() -> Report {
-    let failed = ReportedTask {
-        why: Some("killed".into()),
-        saved: Some(true),
-        ..reported(TaskState::Exited)
-    };
+pub fn report() -> Heartbeat {
+    let failed =
+        TaskStatus { why: Some("killed".into()), saved: Some(true), ..reported(TaskState::Exited) };
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
-    Report {
+    Heartbeat {
         machine: MachineId::new("i-000231"),
         address: "10.1.0.232:9000".into(),
         flavor: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 300,
+        agent_epoch: 300,
         seq: 70_000,
-        token: Token(41),
+        token: FencingToken(41),
         notice_s: Some(12.5),
         tasks: states.map(reported).into_iter().chain([failed]).collect(),
     }
 }
 
-fn plain_report() -> Report {
-    Report { address: String::new(), spot: false, notice_s: None, tasks: Vec::new(), ..report() }
+fn plain_report() -> Heartbeat {
+    Heartbeat { address: String::new(), spot: false, notice_s: None, tasks: Vec::new(), ..report() }
 }
 
-pub fn orders() -> Vec<Order> {
+pub fn orders() -> Vec<WorkerCommand> {
     let (task, attempt) = (task(), attempt());
     vec![
-        Order::Start { task: task.clone(), attempt },
-        Order::Stop { task: task.clone(), attempt, grace_s: 7.5 },
-        Order::Forget { task, attempt },
+        WorkerCommand::Start { task: task.clone(), attempt },
+        WorkerCommand::Stop { task: task.clone(), attempt, grace_s: 7.5 },
+        WorkerCommand::Forget { task, attempt },
     ]
 }
 
-pub fn flavor() -> Flavor {
-    Flavor {
+pub fn flavor() -> MachineType {
+    MachineType {
         name: "g8".into(),
         cpus: 96.5,
         gpus: 8.0,
@@ -117,20 +117,26 @@
     }
 }
 
-fn plain_flavor() -> Flavor {
-    Flavor { cache_gb: 0.0, fetch_gb_per_s: 0.0, ..flavor() }
+fn plain_flavor() -> MachineType {
+    MachineType { cache_gb: 0.0, fetch_gb_per_s: 0.0, ..flavor() }
 }
 
-pub fn hire() -> Hire {
-    Hire { request: "r-41-7".into(), flavor: "g8".into(), zone: "a".into(), spot: true, count: 50 }
+pub fn hire() -> RentalRequest {
+    RentalRequest {
+        request: "r-41-7".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 50,
+    }
 }
 
 pub fn machines() -> Vec<MachineId> {
     ["i-000231", "i-000232"].map(MachineId::new).to_vec()
 }
 
-fn listed(status: ListedState) -> Listed {
-    Listed {
+fn listed(status: ListedMachineState) -> ListedMachine {
+    ListedMachine {
         machine: MachineId::new("i-000231"),
         address: Some("10.1.0.232:9000".into()),
         flavor: "g8".into(),
@@ -141,15 +147,15 @@
     }
 }
 
-fn plain_listed() -> Listed {
-    Listed { address: None, spot: false, age_s: 0.0, ..listed(ListedState::Starting) }
+fn plain_listed() -> ListedMachine {
+    ListedMachine { address: None, spot: false, age_s: 0.0, ..listed(ListedMachineState::Starting) }
 }
 
-pub fn transaction() -> Txn {
-    Txn {
+pub fn transaction() -> Transaction {
+    Transaction {
         guards: vec![
-            Guard { key: "t/j/wk-1".into(), rev: Revision(0) },
-            Guard { key: "t/a/leader".into(), rev: Revision(70_000) },
+            Precondition { key: "t/j/wk-1".into(), rev: Revision(0) },
+            Precondition { key: "t/a/leader".into(), rev: Revision(70_000) },
         ],
         writes: vec![
             Write::Put { key: "t/a/p/n-1".into(), data: Data::Bool(true), hold: Some(LeaseId(9)) },
@@ -159,8 +165,8 @@
     }
 }
 
-fn row() -> Row {
-    Row { key: "t/a/token".into(), data: Data::from(41), rev: Revision(12) }
+fn row() -> KeyValue {
+    KeyValue { key: "t/a/token".into(), data: Data::from(41), rev: Revision(12) }
 }
 
 fn changes() -> Vec<Change> {
@@ -185,10 +191,10 @@
     vec![
         Sample::cbor("job-spec", &job_spec()),
         Sample::cbor("job-spec-plain", &plain_job_spec()),
-        Sample::cbor("shapes", &vec![Shape::Array, Shape::Service, Shape::Gang]),
+        Sample::cbor("shapes", &vec![JobKind::Array, JobKind::Service, JobKind::Gang]),
         Sample::cbor(
             "urgencies",
-            &vec![Urgency::Production, Urgency::High, Urgency::Normal, Urgency::Low],
+            &vec![Priority::Production, Priority::High, Priority::Normal, Priority::Low],
         ),
         Sample::read_by("job-name", wire::encode(&name_alone), &job_name, |bytes| {
             wire::decode::<JobName>(bytes).ok()
@@ -201,28 +207,29 @@
 }
 
 fn workers() -> Vec<Sample> {
-    let answer = Orders { token: Token(41), session: None, orders: orders() };
-    let command = Orders { session: Some(300), ..answer.clone() };
+    let answer = CommandBatch { token: FencingToken(41), agent_epoch: None, orders: orders() };
+    let command = CommandBatch { agent_epoch: Some(300), ..answer.clone() };
     vec![
         Sample::cbor("report", &report()),
         Sample::cbor("report-plain", &plain_report()),
         Sample::cbor_without("report-least", &plain_report(), &["address", "recallS", "legs"]),
         Sample::cbor("orders-answer", &answer),
         Sample::cbor("orders-command", &command),
-        Sample::cbor("misdirected", &Misdirected { leader: "n-1".into() }),
+        Sample::cbor("misdirected", &NotLeader { leader: "n-1".into() }),
     ]
 }
 
 fn cloud() -> Vec<Sample> {
-    let page = MachinePage { machines: vec![listed(ListedState::Running)], truncated: true };
-    let states = [ListedState::Starting, ListedState::Running, ListedState::Failed];
+    let page = MachinePage { machines: vec![listed(ListedMachineState::Running)], truncated: true };
+    let states =
+        [ListedMachineState::Starting, ListedMachineState::Running, ListedMachineState::Failed];
     let last = MachinePage { machines: states.map(listed).to_vec(), truncated: false };
     vec![
-        Sample::cbor("flavors", &Flavors { flavors: vec![flavor(), plain_flavor()] }),
+        Sample::cbor("flavors", &MachineTypes { flavors: vec![flavor(), plain_flavor()] }),
         Sample::cbor_without("flavor-least", &plain_flavor(), &["cacheGb", "pullGbPerS"]),
         Sample::cbor("hire", &hire()),
         Sample::cbor("cloud-error", &CloudError { error: "no capacity".into() }),
-        Sample::cbor("machine-names", &MachineNames { machines: machines() }),
+        Sample::cbor("machine-names", &MachineIds { machines: machines() }),
         Sample::cbor("machine-page", &page),
         Sample::cbor("machine-page-states", &last),
         Sample::cbor_without("machine-page-least", &last, &["truncated"]),
@@ -231,19 +238,19 @@
 }
 
 fn state() -> Vec<Sample> {
-    let committed = Committed { rev: Revision(70_000), failed: vec!["t/j/wk-1".into()] };
-    let page = Page { rows: vec![row()], truncated: true, rev: Revision(70_000) };
-    let whole = Page { truncated: false, ..page.clone() };
-    let done = Committed { failed: Vec::new(), ..committed.clone() };
+    let committed = CommitResponse { rev: Revision(70_000), failed: vec!["t/j/wk-1".into()] };
+    let page = RangeResponse { rows: vec![row()], truncated: true, rev: Revision(70_000) };
+    let whole = RangeResponse { truncated: false, ..page.clone() };
+    let done = CommitResponse { failed: Vec::new(), ..committed.clone() };
     vec![
         Sample::cbor("transaction", &transaction()),
         Sample::cbor("committed", &committed),
         Sample::cbor_without("committed-least", &done, &["failed"]),
         Sample::cbor("page", &page),
         Sample::cbor_without("page-least", &whole, &["truncated"]),
-        Sample::cbor("news", &News { rev: Revision(70_000), news: changes() }),
-        Sample::cbor("lease-life", &LeaseLife { ttl_ms: 6000 }),
-        Sample::cbor("lease-name", &LeaseName { lease: LeaseId(9) }),
+        Sample::cbor("news", &WatchResponse { rev: Revision(70_000), news: changes() }),
+        Sample::cbor("lease-life", &LeaseTtl { ttl_ms: 6000 }),
+        Sample::cbor("lease-name", &LeaseCreated { lease: LeaseId(9) }),
     ]
 }
 
@@ -251,9 +258,9 @@
     vec![
         Sample::cbor("name-job", &JobId::new("wk-000412")),
         Sample::cbor("name-machine", &MachineId::new("i-000231")),
-        Sample::cbor("name-controller", &NodeName::new("n-1")),
+        Sample::cbor("name-controller", &ControllerId::new("n-1")),
         Sample::cbor("name-task", &task()),
-        Sample::cbor("number-token", &Token(41)),
+        Sample::cbor("number-token", &FencingToken(41)),
         Sample::cbor("number-revision", &Revision(70_000)),
         Sample::cbor("number-attempt", &attempt()),
         Sample::cbor("number-lease", &LeaseId(9)),
@@ -267,7 +274,7 @@
     let Data::Map(fields) = wire::decode(&golden_bytes("flavor-least")).unwrap() else { panic!() };
     let fields = fields.iter().map(|(key, value)| (key.clone(), whole(value)));
     let fields = fields.chain([(Data::from("later"), Data::from("x"))]).collect();
-    let read: Flavor = wire::decode(&wire::encode(&Data::Map(fields))).unwrap();
-    let four = Flavor { cpus: 4.0, gpus: 4.0, ram_gb: 4.0, boot_s: 4.0, ..plain_flavor() };
-    assert_eq!(read, Flavor { price: 4.0, spot_price: 4.0, ..four });
+    let read: MachineType = wire::decode(&wire::encode(&Data::Map(fields))).unwrap();
+    let four = MachineType { cpus: 4.0, gpus: 4.0, ram_gb: 4.0, boot_s: 4.0, ..plain_flavor() };
+    assert_eq!(read, MachineType { price: 4.0, spot_price: 4.0, ..four });
 }
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -4,10 +4,10 @@
 use crate::sample::Sample;
 use std::time::Duration;
 use troutspindle::api::{Route, route};
-use troutspindle::cloud::{CloudCall, Kind};
+use troutspindle::cloud::{CloudRequest, MachinePool};
 use troutspindle::http::{Method, Request};
 use troutspindle::ids::{JobId, LeaseId, Revision};
-use troutspindle::store::StateCall;
+use troutspindle::store::StoreRequest;
 
 /// Method and target in a line, and the body behind it.
 fn request(name: &'static str, request: &Request) -> Sample {
@@ -21,30 +21,31 @@
     Sample::written(name, [line.as_bytes(), &request.body].concat())
 }
 
-fn state(name: &'static str, call: &StateCall) -> Sample {
+fn state(name: &'static str, call: &StoreRequest) -> Sample {
     request(name, &call.request().0)
 }
 
-fn cloud(name: &'static str, call: &CloudCall) -> Sample {
+fn cloud(name: &'static str, call: &CloudRequest) -> Sample {
     request(name, &call.request())
 }
 
 pub fn samples() -> Vec<Sample> {
-    let follow = StateCall::Follow { after: Revision(70_000), wait: Duration::from_millis(2500) };
-    let kind = Kind { flavor: 1, zone: 2, spot: true };
+    let follow =
+        StoreRequest::Follow { after: Revision(70_000), wait: Duration::from_millis(2500) };
+    let kind = MachinePool { flavor: 1, zone: 2, spot: true };
     vec![
-        state("state-commit", &StateCall::Commit(transaction())),
+        state("state-commit", &StoreRequest::Commit(transaction())),
         state("state-follow", &follow),
-        state("state-range-first", &StateCall::Range { after: None }),
-        state("state-range-next", &StateCall::Range { after: Some("t/j/wk-1".into()) }),
-        state("state-new-lease", &StateCall::NewLease(Duration::from_millis(6000))),
-        state("state-touch", &StateCall::Touch(LeaseId(9))),
-        state("state-drop-lease", &StateCall::DropLease(LeaseId(9))),
-        cloud("cloud-flavors", &CloudCall::Flavors),
-        cloud("cloud-hire", &CloudCall::Hire(kind, hire())),
-        cloud("cloud-delete", &CloudCall::Delete(machines())),
-        cloud("cloud-list-first", &CloudCall::List { after: String::new() }),
-        cloud("cloud-list-next", &CloudCall::List { after: "i-000231".into() }),
+        state("state-range-first", &StoreRequest::Range { after: None }),
+        state("state-range-next", &StoreRequest::Range { after: Some("t/j/wk-1".into()) }),
+        state("state-new-lease", &StoreRequest::NewLease(Duration::from_millis(6000))),
+        state("state-touch", &StoreRequest::Touch(LeaseId(9))),
+        state("state-drop-lease", &StoreRequest::DropLease(LeaseId(9))),
+        cloud("cloud-flavors", &CloudRequest::MachineTypes),
+        cloud("cloud-hire", &CloudRequest::RentalRequest(kind, hire())),
+        cloud("cloud-delete", &CloudRequest::Delete(machines())),
+        cloud("cloud-list-first", &CloudRequest::List { after: String::new() }),
+        cloud("cloud-list-next", &CloudRequest::List { after: "i-000231".into() }),
     ]
 }
 
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -2,9 +2,9 @@
 //! default, and where each value is found.
 
 use std::time::Duration;
-use troutspindle::ids::NodeName;
+use troutspindle::ids::ControllerId;
 use troutspindle::settings::{
-    ElasticClass, Estimates, LogFormat, Operator, Secret, Settings, ShareReports,
+    ElasticClass, Estimates, LogFormat, Operator, Secret, Settings, ShardHeartbeats,
 };
 
 const PLATFORM: &str = r#"{
@@ -69,7 +69,7 @@
     assert_eq!(platform.listen.to_string(), "127.0.0.1:8000");
     assert_eq!(platform.mesh_addr.to_string(), "127.0.0.1:8001");
     let [peer] = &platform.others[..] else { panic!("{:?}", platform.others) };
-    assert_eq!((&peer.host_name, &*peer.location), (&NodeName::new("n-1"), "b"));
+    assert_eq!((&peer.host_name, &*peer.location), (&ControllerId::new("n-1"), "b"));
     assert_eq!(peer.peer_addr.to_string(), "127.0.0.2:8001");
     assert_eq!(platform.external.cloud.to_string(), "127.0.0.3:1");
     assert_eq!(platform.external.state.to_string(), "127.0.0.3:2");
@@ -138,7 +138,7 @@
         estimates,
         elastic: vec![ElasticClass { class: "float-audit".into(), least: 4, most: 60 }],
         floor: 0.375,
-        share_reports: ShareReports::Always,
+        share_reports: ShardHeartbeats::Always,
     };
     assert_eq!(settings().operator, expected);
 }
@@ -168,7 +168,7 @@
     let parse = |text: &str| Settings::parse(PLATFORM, Some(text)).unwrap().operator;
     assert_eq!(parse("log_format: text").log_format, LogFormat::Text);
     assert_eq!(parse("log_format: json").log_format, LogFormat::Json);
-    assert_eq!(parse("share_reports: auto").share_reports, ShareReports::Auto);
-    assert_eq!(parse("share_reports: always").share_reports, ShareReports::Always);
-    assert_eq!(parse("share_reports: never").share_reports, ShareReports::Never);
+    assert_eq!(parse("share_reports: auto").share_reports, ShardHeartbeats::Auto);
+    assert_eq!(parse("share_reports: always").share_reports, ShardHeartbeats::Always);
+    assert_eq!(parse("share_reports: never").share_reports, ShardHeartbeats::Never);
 }
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
-use troutspindle::ids::{JobId, LeaseId, MachineId, NodeName, Revision, Token};
+use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
 use troutspindle::jobs::{self, Accept, Jobs};
-use troutspindle::leadership::controller_lease::{Heartbeat, heartbeat_key};
+use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
 use troutspindle::leadership::election::Election;
 use troutspindle::settings::KeptLimits;
 use troutspindle::store::records::{
@@ -18,10 +18,12 @@
 };
 use troutspindle::store::{
     Cache, ESTIMATES_PREFIX, FLAVOR_PREFIX, FLAVORS_KEY, HEARTBEAT_PREFIX, LEADER_KEY,
-    LeaderRecord, MACHINE_PREFIX, MachineRecord, PREFIX, RELAY_PREFIX, StateCall, StateCore,
-    StateReply, TOKEN_KEY,
+    LeaderRecord, MACHINE_PREFIX, MachineRecord, PREFIX, RELAY_PREFIX, StoreClient, StoreRequest,
+    StoreResponse, TOKEN_KEY,
+};
+use troutspindle::wire::{
+    self, Data, JobSpec, JobStatus, KeyValue, RangeResponse, Transaction, Write,
 };
-use troutspindle::wire::{self, Data, JobSpec, JobStatus, Page, Row, Txn, Write};
 use troutspindle_protocol::ops::DrainKind;
 use troutspindle_runtime_estimates::{Bucket, Current, Learner, Profile};
 
@@ -36,8 +38,8 @@
     JobId::new("wk-000412")
 }
 
-fn node() -> NodeName {
-    NodeName::new("n-1")
+fn node() -> ControllerId {
+    ControllerId::new("n-1")
 }
 
 fn machine_record() -> MachineRecord {
@@ -50,7 +52,7 @@
 }
 
 fn leader_record() -> LeaderRecord {
-    LeaderRecord { node: node(), token: Token(41) }
+    LeaderRecord { node: node(), token: FencingToken(41) }
 }
 
 fn version_record() -> VersionRecord {
@@ -97,7 +99,7 @@
 }
 
 fn change(name: &'static str, change: &jobs::Change) -> Sample {
-    let transaction = Txn { guards: change.guards.clone(), writes: change.writes.clone() };
+    let transaction = Transaction { guards: change.guards.clone(), writes: change.writes.clone() };
     Sample::cbor(name, &transaction)
 }
 
@@ -180,7 +182,7 @@
 
 fn first_layout() -> Vec<Sample> {
     let mut life = Life::new(FIRST);
-    life.accept(None, "job-first-accept", &JobSpec { needs: None, ..job_spec() });
+    life.accept(None, "job-first-accept", &JobSpec { depends_on: None, ..job_spec() });
     let all: Vec<u32> = (0..20).collect();
     life.complete("job-first-done", &all, 3);
     life.samples
@@ -188,7 +190,7 @@
 
 fn small_job() -> Vec<Sample> {
     let mut life = Life::new(SECOND);
-    life.accept(None, "job-accept", &JobSpec { needs: None, ..job_spec() });
+    life.accept(None, "job-accept", &JobSpec { depends_on: None, ..job_spec() });
     life.complete("job-some-done", &[0, 7, 19], 0);
     let all: Vec<u32> = (0..20).collect();
     life.complete("job-done", &all, 3);
@@ -199,7 +201,7 @@
 fn cancelled_job() -> Vec<Sample> {
     let mut life = Life::new(SECOND);
     life.accept(None, "job-plain-accept", &plain_job_spec());
-    let next = JobSpec { id: JobId::new("wk-000500"), needs: Some(vec![job()]), ..job_spec() };
+    let next = JobSpec { id: JobId::new("wk-000500"), depends_on: Some(vec![job()]), ..job_spec() };
     life.accept(None, "job-needing-accept", &next);
     life.complete("job-plain-some-done", &[1], 0);
     life.cancel("job-cancelled");
@@ -209,7 +211,7 @@
 
 fn large_job() -> Vec<Sample> {
     let mut life = Life::new(SECOND_SMALL);
-    let spec = JobSpec { tasks: 10_000, needs: None, ..job_spec() };
+    let spec = JobSpec { tasks: 10_000, depends_on: None, ..job_spec() };
     life.accept(Some("job-large-parts"), "job-large-accept", &spec);
     life.complete("job-large-pieces", &[0, 4095, 4096, 9999], 0);
     life.cancel("job-large-cancelled");
@@ -271,7 +273,7 @@
 }
 
 /// The state service's client when it has read these rows, under revisions from 1 on.
-fn loaded(rows: Vec<(String, Data)>, now: Instant) -> StateCore {
+fn loaded(rows: Vec<(String, Data)>, now: Instant) -> StoreClient {
     let limits = KeptLimits {
         rps: 150.0,
         write_rps: 60.0,
@@ -280,26 +282,26 @@
         first_max: 14_000,
         chunk: 16_384,
     };
-    let mut core = StateCore::new(limits, vec![node()], 0, now);
+    let mut core = StoreClient::new(limits, vec![node()], 0, now);
     core.poll(now);
     let (id, call) = core.calls.pop_front().expect("it reads pages first");
-    assert!(matches!(call, StateCall::Range { after: None }));
-    let rows = (1..).zip(rows).map(|(rev, (key, data))| Row { key, data, rev: Revision(rev) });
-    let page = Page { rows: rows.collect(), truncated: false, rev: Revision(100) };
-    core.on_reply(id, StateReply::Page(page), now);
+    assert!(matches!(call, StoreRequest::Range { after: None }));
+    let rows = (1..).zip(rows).map(|(rev, (key, data))| KeyValue { key, data, rev: Revision(rev) });
+    let page = RangeResponse { rows: rows.collect(), truncated: false, rev: Revision(100) };
+    core.on_reply(id, StoreResponse::RangeResponse(page), now);
     assert!(core.cache.loaded);
     core
 }
 
-fn committed(call: StateCall) -> Txn {
-    let StateCall::Commit(transaction) = call else { panic!("not a commit: {call:?}") };
+fn committed(call: StoreRequest) -> Transaction {
+    let StoreRequest::Commit(transaction) = call else { panic!("not a commit: {call:?}") };
     transaction
 }
 
 /// What a controller writes to lead, to show that it lives, and to tell what it reads.
 fn controllers() -> Vec<Sample> {
     let now = Instant::now();
-    let lease = StateReply::Lease(LeaseId(9));
+    let lease = StoreResponse::Lease(LeaseId(9));
     let cache: Cache = loaded(vec![(TOKEN_KEY.into(), Data::from(40))], now).cache;
 
     let mut election = Election::new(node(), 0, 0, now);
@@ -307,7 +309,7 @@
     let (mut calls, _) = election.on_reply(&asking, now, &lease, &cache, now);
     let campaign = committed(calls.remove(0));
 
-    let mut heartbeat = Heartbeat::new(&node(), now);
+    let mut heartbeat = ControllerLease::new(&node(), now);
     let version = (version_record(), Revision(12));
     let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
     heartbeat.on_reply(&asking, now, &lease, now);
@@ -318,7 +320,7 @@
     core.calls.clear();
     core.poll(now + Duration::from_secs(5));
     let told = core.calls.into_iter().map(|(_, call)| call);
-    let told = told.filter(|call| matches!(call, StateCall::Commit(_))).map(committed).next();
+    let told = told.filter(|call| matches!(call, StoreRequest::Commit(_))).map(committed).next();
     vec![
         Sample::cbor("commit-campaign", &campaign),
         Sample::cbor("commit-heartbeat", &first_beat),
@@ -399,7 +401,7 @@
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
     assert_eq!(cache.leader, Some((leader_record(), Revision(1))));
-    assert_eq!(cache.token, (Token(41), Revision(2)));
+    assert_eq!(cache.token, (FencingToken(41), Revision(2)));
     assert_eq!(cache.flavors, (vec![flavor()], Revision(3)));
     assert_eq!(cache.flavor_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
     assert_eq!(cache.heartbeats.get(&node()), Some(&Revision(5)));
@@ -417,12 +419,12 @@
 fn a_large_job_is_read_from_what_was_written_of_it() {
     let mut jobs = Jobs::new(SECOND_SMALL.chunk);
     for (rev, name) in (1..).zip(["job-large-parts", "job-large-accept", "job-large-pieces"]) {
-        let written: Txn = wire::decode(&golden_bytes(name)).unwrap();
+        let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         let change = jobs::Change { guards: written.guards, writes: written.writes };
         apply(&mut jobs, &change, rev);
     }
     let live = jobs.get(&job()).unwrap().live().unwrap();
-    assert_eq!(*live.spec, JobSpec { tasks: 10_000, needs: None, ..job_spec() });
+    assert_eq!(*live.spec, JobSpec { tasks: 10_000, depends_on: None, ..job_spec() });
     let done: Vec<u32> = (0..10_000).filter(|task| live.is_done(*task)).collect();
     assert_eq!((live.accepted_ms, done), (ACCEPTED_MS, vec![0, 4095, 4096, 9999]));
 }
@@ -433,7 +435,7 @@
     for (name, over, left) in
         [("job-done", (JobStatus::Done, 20), 3), ("job-cancelled", (JobStatus::Cancelled, 1), 19)]
     {
-        let written: Txn = wire::decode(&golden_bytes(name)).unwrap();
+        let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         let mut jobs = Jobs::new(SECOND.chunk);
         let change = jobs::Change { guards: written.guards, writes: written.writes };
         apply(&mut jobs, &change, 1);
