--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -13,7 +13,7 @@
 pub use tokio::time::Instant;
 pub use troutspindle::clock::WallClock;
 pub use troutspindle::cloud::CloudRequest;
-pub use troutspindle::constants::NO_CAPACITY;
+pub use troutspindle::cloud::NO_CAPACITY;
 pub use troutspindle::controller::{Controller, Effect, Event};
 pub use troutspindle::drains::{self, DrainRecord};
 pub use troutspindle::http::{CallError, Method, Request, Response};
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -3,12 +3,63 @@
 //!
 //! Cores without clock or I/O. They own no request's meaning: who is a worker and who a user is told to them.
 
-use crate::constants::*;
+use crate::constants::{CHANGE_DEADLINE, READ_TOGETHER, USER_DEADLINE};
 use crate::settings::{Resources, Settings, ShardHeartbeats};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Share of the platform's socket limit that the public listener may hold; the rest is for the
+/// mesh and our own calls, which need more only while few workers report here.
+pub const PUBLIC_SOCKET_SHARE: f64 = 0.88;
+/// Share of those that machines rented may take up: a twentieth is for workers that change over while
+/// their old connections are not closed yet, for health checks, and for users who have nobody else.
+pub const MACHINE_SOCKET_SHARE: f64 = 0.95;
+/// Share of the platform's socket limit that nothing else may take: the mesh, the state service, the cloud.
+pub const KEPT_SOCKET_SHARE: f64 = 0.03;
+/// Share of the platform's socket limit for calls to workers under way, however many connections are open.
+pub const DIRECT_SOCKET_LEAST: f64 = 0.04;
+/// What a request or a report takes of a whole core, with its packets: measured over days of all sizes.
+pub const REQUEST_COST: Duration = Duration::from_micros(160);
+/// Requests are read and not handled for so long at the most, by what they cost and what this controller is allowed.
+pub const READ_AHEAD: Duration = Duration::from_millis(100);
+/// Count. And at least so many at once.
+pub const READ_LEAST: usize = 16;
+/// Shares of public sockets that machines take up from which on a leader sends its users to other
+/// controllers, and below which it takes them again.
+pub const CROWDED_SHARE: f64 = 0.65;
+pub const UNCROWDED_SHARE: f64 = 0.5;
+/// Share of public sockets in use from which on users' connections are closed after each answer.
+pub const TIGHT_SHARE: f64 = 0.9;
+/// Share of public sockets in use from which on every connection is closed after an answer, workers' too: a worker
+/// needs one for some milliseconds in each of its intervals, and one that finds none for a lease loses its tasks.
+pub const FULL_SHARE: f64 = 0.98;
+/// Share of the platform's memory limit that what is known of machines may take up.
+pub const MACHINE_MEMORY_SHARE: f64 = 0.5;
+/// Bytes. What a leader holds for a machine with its tasks, connection and part of the jobs: 6,000 were measured
+/// at 4,100 machines.
+pub const MACHINE_BYTES: f64 = 12_000.0;
+/// Pause between two decisions about how many machines a leader can hold: longer than a take-over keeps it busy.
+pub const CEILING_EVERY: Duration = Duration::from_secs(15);
+/// Share of the machines that sockets allow below which lateness is no reason to rent fewer.
+pub const CEILING_LEAST: f64 = 0.5;
+/// Count. Steps in which such a ceiling rises again from nothing.
+pub const CEILING_STEPS: u32 = 40;
+/// Count. Requests waiting for each second over which those who are refused are spread.
+pub const COME_BACK_EACH: u64 = 100;
+/// Seconds. The longest such time; PROTOCOL's users wait no longer than 30 s.
+pub const COME_BACK_MOST_S: u64 = 15;
+/// Share of the platform's socket limit that idle connections of ours to workers may hold: opening one costs two more
+/// wake-ups and ten more system calls than using it again.
+pub const IDLE_SOCKET_SHARE: f64 = 0.25;
+/// Share of what a controller can hold alone, in sockets or processor time for reports, from which on others take
+/// reports as well, and below which the leader takes them all again.
+pub const SHARE_ABOVE: f64 = 0.6;
+pub const SHARE_BELOW: f64 = 0.4;
+/// Count. Workers from which on that is so whatever one controller could hold: else the leader of many large controllers
+/// would fill to six times what the others have before they take anything.
+pub const SHARE_WORKERS: f64 = 1500.0;
+
 /// How a controller's sockets are shared out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sockets {
--- a/src/api.rs
+++ b/src/api.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::{Need, come_back_s};
 use crate::clock::WallClock;
-use crate::constants::*;
+use crate::constants::{CHANGE_DEADLINE, LEGS_MAX, USER_DEADLINE};
 use crate::http::{Method, Request, Response};
 use crate::ids::{Amount, ControllerId, JobId};
 use crate::jobs::{self, Accept, Job, Jobs};
@@ -14,9 +14,18 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::time::Instant;
 use troutspindle_protocol::ops;
 
+/// Count. User requests waiting in one process; beyond it they are refused at once.
+pub const USER_QUEUE_MAX: usize = 2000;
+/// How long a cancellation waits for the promises of controllers that are in reach, some milliseconds
+/// as a rule; beyond it the user is told to come back.
+pub const PROMISE_WAIT: Duration = Duration::from_millis(800);
+/// Pause before a controller that has not answered is asked again.
+pub const PROMISE_AGAIN: Duration = Duration::from_millis(300);
+
 /// Where a request goes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Renting, returning and listing machines: a core without clock or I/O.
 
-use crate::constants::*;
+use crate::constants::{HIRE_MAX, STATE_BUDGET, STATE_RETRY};
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::store::Bucket;
@@ -10,8 +10,18 @@
 use foldhash::{HashMap, HashMapExt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// Pause between two listings of the cloud's machines.
+pub const LIST_EVERY: Duration = Duration::from_secs(4);
+/// Pause between two readings of the machine types and prices.
+pub const FLAVORS_EVERY: Duration = Duration::from_secs(60);
+/// Count. PROTOCOL's cap on names in one deletion.
+pub const DELETE_MAX: usize = 100;
+/// What the cloud's 503 says when a type, zone and kind is used up; any other is an outage.
+pub const NO_CAPACITY: &str = "no capacity";
+
 /// Type, zone and kind, as indices into the catalogue and the zones, and whether it is spot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachinePool {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::api::{Api, Route, need, route};
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
-use crate::constants::*;
+use crate::constants::{FORMAT_HEARTBEAT, LATE};
 use crate::drains::{self, DrainRecord};
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
@@ -17,6 +17,7 @@
 use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
+use crate::store::STATE_LOST;
 use crate::store::records;
 use crate::store::{
     FLAVOR_PREFIX, FLAVORS_KEY, Item, Origin, Outcome, RELAY_PREFIX, Rank, StoreClient, StoreEvent,
@@ -680,6 +681,36 @@
 
 pub use actor::run;
 
+/// Count. Calls to workers under way at the most while a leader of many machines is behind: a call opens a connection
+/// and costs several times what an answer to a report does, which carries the same orders some seconds later.
+pub const DIRECT_BEHIND: usize = 16;
+/// Count. Other controllers that must be there to take a crowded leader's users.
+pub const CROWDED_PEERS: usize = 2;
+/// How long each of those must have been there: the load balancer does not send users to one that has just
+/// started.
+pub const CROWDED_PEER_UP: Duration = Duration::from_secs(15);
+/// Pause between the leader's messages to each peer.
+pub const MESH_EVERY: Duration = Duration::from_millis(500);
+/// How long a worker that another controller sends to the leader takes to report there: PROTOCOL's
+/// half second and its connection, with a resend.
+pub const REDIRECT_MOST: Duration = Duration::from_millis(1200);
+/// PROTOCOL's pause before a worker whose controller doesn't answer tries the next, and its timeout.
+pub const WORKER_GIVES_UP: Duration = Duration::from_millis(5000);
+/// A leader that has had no report for this long, or half a report interval, gives up if workers
+/// report elsewhere; a new one waits as well until those who asked its predecessor give that up.
+pub const RESIGN_AFTER: Duration = Duration::from_millis(2000);
+/// Longest pause between two looks at everything that depends on time.
+pub const TICK_MOST: Duration = Duration::from_millis(200);
+/// Shortest such pause.
+pub const TICK_LEAST: Duration = Duration::from_millis(10);
+/// A process that handled nothing for this long, five of the pauses above, stood still; for as long
+/// again what it handles may have waited for it.
+pub const STOOD_STILL: Duration = Duration::from_millis(1000);
+/// Pause between two lines of counts in the log.
+pub const COUNTS_EVERY: Duration = Duration::from_secs(5);
+/// Count. Calls to workers that a leader may have under way beyond its own sockets where others make them.
+pub const DELIVERIES_MORE: usize = 1000;
+
 #[cfg(test)]
 mod tests;
 
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,6 +1,17 @@
 //! The actor around a controller's cores: sockets, timers and calls.
 
 use super::*;
+use crate::api::USER_QUEUE_MAX;
+use crate::workers::command_delivery::WORKER_TIMEOUT;
+
+/// Timeout of the question whether a worker lives.
+pub const STATUS_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a call to the cloud.
+pub const CLOUD_TIMEOUT: Duration = Duration::from_secs(4);
+/// An event whose handling takes this long is named in the log: the right to act lasts seconds.
+pub const SLOW_EVENT: Duration = Duration::from_millis(250);
+/// How often the time of day is read again: the steady clock drifts by 0.05% at most.
+pub const WALL_EVERY: Duration = Duration::from_secs(10);
 
 /// Runs a controller until the process ends.
 pub async fn run(settings: Settings) -> std::io::Result<()> {
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// Bytes. Texts in an operator's order.
+pub const NOTE_MAX: usize = 200;
+
 impl Controller {
     /// What an operator asks, if it shows the key. Whoever does not know that learns not even that there
     /// is such a path.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,6 +1,10 @@
 //! What controllers say to each other, over the mesh or by way of the state service.
 
 use super::*;
+use crate::leadership::delegation::DELEGATION_AFTER;
+
+/// Pause between messages that go by way of the store to a controller out of reach.
+pub const RELAY_EVERY: Duration = Duration::from_secs(3);
 
 impl Controller {
     /// A later leader than the store told of so far, which spoke for itself a moment ago.
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -7,11 +7,28 @@
 use super::*;
 use crate::admission::Load;
 use crate::peers::heartbeat_relay::{HeartbeatRelay, RelayedHeartbeat, Verdict};
+use crate::peers::heartbeat_relay::{RELAY_RESUMES_WITHIN, RELAY_TERM};
 use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
+use crate::peers::mesh::MESH_PROTOCOL;
 use crate::peers::mesh::PeerExtra;
 use crate::settings::ShardHeartbeats;
 use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
 
+/// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the key
+/// outlives its leader by less ([`LEADER_LEASE`], and its end is told within a follow).
+pub const LEADER_APART_AFTER: Duration = Duration::from_millis(4500);
+/// For so long after its last message by way of the store a leader counts as alive though it is not heard otherwise.
+pub const LEADER_BY_STORE_FOR: Duration = Duration::from_millis(5000);
+/// How much longer a leader waits for workers before it gives up for want of them, if others passed their reports on:
+/// those notice that they can't reach it and send workers to it, by way of the store in some seconds.
+pub const SHARED_PATIENCE: Duration = Duration::from_millis(4000);
+/// A controller counts as one that can take reports for this long after it was last heard.
+pub const MEMBER_KNOWN_FOR: Duration = Duration::from_secs(120);
+/// A member that was not heard for this long takes no reports.
+pub const MEMBER_FRESH: Duration = Duration::from_millis(1600);
+/// Count. Commands under way by other controllers at the most.
+pub const DELIVERIES_MOST: usize = 4000;
+
 /// All that this controller knows of shared reports, in whatever role.
 pub(super) struct Sharing {
     pub(super) relay: HeartbeatRelay,
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -1,7 +1,9 @@
 //! Who passes reports on, and whose passed-on reports are answered.
 
 use super::*;
+use crate::controller::relayed_heartbeats::MEMBER_FRESH;
 use crate::peers::heartbeat_relay::RelayedHeartbeat;
+use crate::peers::mesh::MESH_PROTOCOL;
 
 /// A controller with four others, which has read an empty store.
 fn node(now: Instant) -> Controller {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::leadership::delegation::DELEGATION_AFTER;
 use crate::store::records::{FORMAT, VersionRecord};
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -1,6 +1,9 @@
 //! Reports of workers: answered by the leader, or on its behalf while it is out of reach.
 
 use super::*;
+use crate::leadership::controller_lease::DELEGATION_MARGIN;
+use crate::leadership::delegation::DELEGATION_AFTER;
+use crate::workers::machine::ORDERS_MAX;
 
 impl Controller {
     /// A worker's report; None: its answer comes later.
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -8,7 +8,7 @@
 //! long that nothing it answered can outlive the cancellation's time. The proof is in
 //! `docs/design.md`, "A cut-off zone".
 
-use crate::constants::*;
+use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, STATE_RETRY, WORKER_MARGIN};
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
 use crate::store::records::{self, VersionRecord};
 use crate::store::{Cache, HEARTBEAT_PREFIX, StoreRequest, StoreResponse};
@@ -18,6 +18,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Kept between the last answer on a leader's behalf without news of the store and the time by
+/// which a cancelled task must be gone.
+pub const DELEGATION_MARGIN: Duration = Duration::from_millis(1500);
+/// Life of a controller's heartbeat at the state service.
+pub const HEARTBEAT_LEASE: Duration = Duration::from_millis(6000);
+/// Pause between two renewals of it: two may fail.
+pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(1800);
+/// An answer to such a question that comes later than this counts for nothing.
+pub const PROMISE_LATE: Duration = Duration::from_secs(10);
+
 pub fn heartbeat_key(node: &ControllerId) -> String {
     format!("{HEARTBEAT_PREFIX}{node}")
 }
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -7,7 +7,7 @@
 //! acknowledge the grants they have and tell whom they answered. Machines that the leader alone
 //! does not hear are lent: they are answered though the leader is near.
 
-use crate::constants::*;
+use crate::constants::{DELEGATION_TERM, DRIFT};
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::mesh::PeerMessage;
 use foldhash::{HashMap, HashSet};
@@ -15,6 +15,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A controller answers on the leader's behalf after this long without a grant, three beats.
+pub const DELEGATION_AFTER: Duration = Duration::from_millis(1600);
+
 /// What a follower holds.
 #[derive(Debug, Default)]
 pub struct DelegatedLease {
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,6 +1,6 @@
 //! Who leads: the leader's lease, the token, and when one may act.
 
-use crate::constants::*;
+use crate::constants::{DRIFT, STATE_RETRY};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
 use crate::wire::{Data, Precondition, Transaction, Write};
@@ -10,6 +10,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Life of the leader's lease at the state service.
+pub const LEADER_LEASE: Duration = Duration::from_millis(3000);
+/// Pause between renewals of that lease.
+pub const RENEW_EVERY: Duration = Duration::from_millis(700);
+/// Subtracted from the lease's life besides drift: time between our check and the packet's
+/// leaving.
+pub const LEASE_MARGIN: Duration = Duration::from_millis(400);
+/// How long a pledge not to campaign lasts. A restarted process sits this out as well.
+pub const PLEDGE: Duration = Duration::from_millis(2000);
+/// Upper bound of the random pause before a campaign.
+pub const CAMPAIGN_JITTER: Duration = Duration::from_millis(120);
+/// A drained controller does not campaign for this long after it last saw another that serves.
+pub const STAND_ASIDE: Duration = Duration::from_secs(2);
+/// A leader that gave up for want of workers does not campaign for this long.
+pub const RESIGN_REST: Duration = Duration::from_secs(15);
+
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Role {
     Follower,
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::controller::TICK_MOST;
 
 fn loaded() -> Cache {
     Cache { loaded: true, ..Cache::new(16_384) }
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -5,7 +5,7 @@
 //! own, given after the report was sent*, so whatever happens on the way the leader's own record of its last answer
 //! bounds the worker's lease. A report that says what the one before it said travels as its number alone.
 
-use crate::constants::*;
+use crate::constants::RELAY_FRAME;
 use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::peers::membership::Membership;
 use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
@@ -15,6 +15,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A controller passes reports on for so long after the leader last permitted it, three of its messages.
+pub const RELAY_TERM: Duration = Duration::from_millis(1600);
+/// Where reports were passed on within this time, a new leader is waited for: it tells within a second, and thousands
+/// of workers sent straight to it would use up its sockets.
+pub const RELAY_RESUMES_WITHIN: Duration = Duration::from_secs(12);
+/// A report without an answer of the leader is dealt with otherwise after this long: by then a leader that is out of
+/// reach counts as such ([`DELEGATION_AFTER`]), and the worker, which waits for 4 s, still does.
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
+/// Reports that say nothing new wait so long for others to go with them, and those that do.
+pub const RELAY_PAUSE: Duration = Duration::from_millis(60);
+pub const RELAY_PAUSE_NEWS: Duration = Duration::from_millis(12);
+/// Count. Batches under way to the leader at the most: one that falls behind gets fewer and larger ones.
+pub const RELAY_BATCHES: usize = 8;
+
 /// A report in the form that travels between controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FullHeartbeat {
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::constants::BODY_MAX;
 use crate::peers::membership::Member;
 use crate::wire::TaskState;
 use crate::workers::machine::{HeartbeatEffect, Machine};
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -3,13 +3,29 @@
 //! Weighted rendezvous hashing over the controllers that serve: everybody who knows the members works out the same
 //! owner without a table, and a controller that comes or goes moves only its own share of the workers.
 
-use crate::constants::*;
 use crate::ids::{ControllerId, MachineId};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Times as likely as another a controller takes the reports of a worker in its own zone: behind a cut most workers are
+/// then with a controller that can answer them, and zones of unlike size still load their controllers much alike.
+pub const SAME_ZONE_WEIGHT: f64 = 4.0;
+/// Thousandths. Weight of a controller that takes reports, and of the leader where the others have little room.
+pub const MEMBER_WEIGHT: u32 = 1000;
+pub const LEADER_WEIGHT: u32 = 400;
+/// Share of the others' sockets that workers take up from which on the leader takes some, too.
+pub const LEADER_HELPS_ABOVE: f64 = 0.4;
+/// And below which it takes none again.
+pub const LEADER_HELPS_BELOW: f64 = 0.32;
+/// Shares of public sockets still free below which a controller's weight falls to a quarter, and to none.
+pub const ROOM_SHORT: f64 = 0.12;
+pub const ROOM_NONE: f64 = 0.05;
+/// A worker that was sent elsewhere and comes back within this time is taken: two controllers may know different members.
+pub const REDIRECT_ONCE_IN: Duration = Duration::from_secs(10);
+
 /// A controller that takes reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -3,7 +3,9 @@
 //! Each controller dials every other one and only writes on that connection; the other side
 //! acknowledges each frame with one byte, so that a dead connection is noticed and redialled.
 
-use crate::constants::*;
+use crate::constants::{
+    BODY_MAX, CONNECT_TIMEOUT, IDLE_TIMEOUT, READ_AT_ONCE, READ_TIMEOUT, STATE_RETRY,
+};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use crate::peers::heartbeat_relay::{RelayedHeartbeat, Verdict};
 use crate::peers::membership::Membership;
@@ -19,6 +21,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
 
+/// Pause before more of a message is written to a peer whose connection is full.
+pub const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// Bytes. Acknowledgements read at once, one byte each: more than a peer can owe before its connection is given up.
+pub const ACKNOWLEDGEMENTS_AT_ONCE: usize = 64;
+
+/// Count. Which of the messages between controllers a process understands, told at the end of its frames: 1 brought
+/// reports that are passed on.
+pub const MESH_PROTOCOL: u8 = 1;
+
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Sent by everybody, twice a second.
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::controller::MESH_EVERY;
 
 fn beat(seq: u64) -> PeerMessage {
     PeerMessage::Running { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -6,7 +6,6 @@
 
 pub mod capacity_index;
 
-use crate::constants::RENTS_FEW;
 use crate::ids::Amount;
 use crate::placement::capacity_index::{CapacityIndex, Place};
 use crate::wire::Priority;
@@ -14,6 +13,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Where fewer machines can still be held than one for so many that there are, larger ones go first.
+pub const RENTS_FEW: usize = 8;
+
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Basket {
     Light,
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::admission::MACHINE_BYTES;
+use crate::controller::TICK_MOST;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
 use crate::wire::{JobSpec, TaskStatus};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,12 +1,30 @@
 //! What the platform hands over (JSON) and what operators may tune (YAML), both checked.
 
-use crate::constants::*;
+use crate::constants::LEGS_MAX;
 use crate::ids::{Amount, ControllerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
+/// Share of the state service's limit of a value that we fill: the rest is for its own counting.
+pub const VALUE_SHARE: f64 = 0.9;
+/// Bytes. An operators' key that is shorter can be guessed, one that is longer is a mistake.
+pub const KEY_LEAST: f64 = 16.0;
+pub const KEY_MOST: f64 = 200.0;
+/// Default share of machines that the heavy basket may hold; the paper's section 8.2.1.
+pub const HEAVY_CAP: f64 = 0.3;
+/// Default share of a machine above which a task is heavy.
+pub const HEAVY_THRESHOLD: f64 = 0.5;
+/// Default seconds that an empty machine stays in its basket before the pool takes it back.
+pub const HOLD_S: f64 = 0.0;
+/// Default seconds that an empty ordinary machine is kept before it is returned to the cloud.
+pub const IDLE_RETURN_S: f64 = 10.0;
+/// Default machines' worth of free room kept ready in each zone for critical work.
+pub const WARM_PER_ZONE: f64 = 0.5;
+/// Default share of a zone's machines that is kept free in it, if that is more.
+pub const WARM_SHARE: f64 = 0.015;
+
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
     pub host_name: ControllerId,
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
 //! The state-service client: a core without clock or I/O that owns the cache, the budget, the
 //! read-index and the group commit. The actor in [`crate::controller`] carries its calls out.
 
-use crate::constants::*;
+use crate::constants::{BODY_MAX, STATE_BUDGET, STATE_RETRY};
 use crate::drains::DRAIN_PREFIX;
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
@@ -24,6 +24,29 @@
 
 pub use cache::Cache;
 
+/// Timeout of a commit or read at the state service, which normally answers within 10 ms and
+/// now and then within a few hundred.
+pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long a follow waits at the state service.
+pub const FOLLOW_WAIT: Duration = Duration::from_secs(8);
+/// Pause of a leader after a follow answer: a burst of changes costs at most 10 requests a second, and
+/// a submission waits so long for its first look at the most.
+pub const FOLLOW_PAUSE: Duration = Duration::from_millis(100);
+/// The same for the other controllers, who need news to answer polls (a sync brings it sooner) and to
+/// see that nobody leads: an answer of the store costs more than anything else that they do.
+pub const FOLLOWER_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between two read-index syncs of one process.
+pub const SYNC_PAUSE: Duration = Duration::from_millis(120);
+/// Added to it where only polls wait, so that more of them share the next: users give a poll 2 s and
+/// expect news within 3 s. A submission that names jobs accepted a moment ago has 200 ms.
+pub const SYNC_JOINED: Duration = Duration::from_millis(130);
+/// A process that has had no answer from the state service for this long counts it as lost.
+pub const STATE_LOST: Duration = Duration::from_millis(2500);
+/// Share of that budget which the leader takes; followers divide the rest.
+pub const LEADER_BUDGET: f64 = 0.5;
+/// Rows asked for in one page.
+pub const PAGE_ROWS: usize = 500;
+
 /// Everything of ours lies under this prefix, and one follow covers it.
 pub const PREFIX: &str = "t/";
 pub const LEADER_KEY: &str = "t/a/leader";
@@ -585,16 +608,14 @@
         }
         match doing {
             Doing::Election(call, sent) => {
-                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
-                    (&call, &reply)
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) = (&call, &reply)
                 {
                     self.apply_own(txn, *rev);
                 }
                 self.events.push_back(StoreEvent::Election(call, sent, reply));
             }
             Doing::ControllerLease(call, sent) => {
-                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
-                    (&call, &reply)
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) = (&call, &reply)
                 {
                     self.apply_own(txn, *rev);
                 }
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -3,7 +3,7 @@
 //! A command that is passed on may be carried out late or not at all, as one that is sent straight over a bad
 //! network: who asked counts it as under way until its result comes, or for good.
 
-use crate::constants::*;
+use crate::constants::RELAY_FRAME;
 use crate::http::CallError;
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::heartbeat_relay::{FullHeartbeat, RelayedCommand};
@@ -12,8 +12,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// Timeout of a direct command to a worker.
+pub const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Results of commands that were passed on wait so long for others to go with them.
+pub const DELIVERY_PAUSE: Duration = Duration::from_millis(8);
+/// Added to a command's timeout where another controller carries it out: the way there and back.
+pub const DELIVERY_MARGIN: Duration = Duration::from_millis(1500);
+
 /// A message to a worker.
 #[derive(Debug)]
 pub enum DirectCall {
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::constants::BODY_MAX;
 use crate::ids::{Attempt, TaskId};
 
 fn machine() -> MachineId {
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -5,11 +5,15 @@
 //! count against a machine only once the job has done well somewhere else. Until a job has, failures
 //! on several machines are taken for its own, and one task at a time is tried.
 
-use crate::constants::*;
+use crate::constants::{FAULTY_JOBS, RETRY_FIRST, RETRY_MOST};
 use crate::ids::MachineId;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Count. Machines on which a job fails, without having done well anywhere, before the failures
+/// are taken for its own: two faulty machines at a time are rare enough.
+pub const MISTAKEN_MACHINES: usize = 3;
+
 /// What a job's failures and successes show.
 #[derive(Debug, Default)]
 pub struct FailureAttribution {
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -5,7 +5,7 @@
 //! *flying*: the network may hold it back and deliver it minutes later, so such an attempt is
 //! never forgotten within its session (a forgotten attempt would run again).
 
-use crate::constants::*;
+use crate::constants::{DRIFT, WORKER_MARGIN};
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::placement::{Basket, Images};
 use crate::wire::{Heartbeat, Priority, TaskState, WorkerCommand};
@@ -15,6 +15,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Count. Orders in one answer to a worker, which keeps it far below 64 KiB.
+pub const ORDERS_MAX: usize = 300;
+
 /// Why a task is stopped whose job is over.
 pub const OVER: &str = "its job is over";
 
