--- a/crates/protocol/src/constants.rs
+++ b/crates/protocol/src/constants.rs
@@ -1,4 +1,4 @@
-//! Every constant of the package, each with its unit and the reason for its value.
+//! Constants of the package, each with its unit.
 
 use std::time::Duration;
 
@@ -18,6 +18,8 @@
 pub const HEADERS_MAX: usize = 48;
 /// A client that sends half a request is dropped after this long.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed accept.
+pub const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 /// An idle connection is closed after this long; workers report every few seconds and users
 /// poll every five, so a live peer never meets it.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -103,7 +103,7 @@
         let idle = sockets.ours(now_open).0;
         if idle != idle_most {
             idle_most = idle;
-            client.keep_most(idle);
+            client.set_max_idle(idle);
         }
         if now >= wall.at + WALL_EVERY {
             wall = WallClock::read(now);
