--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -8,13 +8,14 @@
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
-        // Names of the usual length lie where they are used: among thousands of tasks most of a look-up by name
-        // was following pointers to them.
+        // Stored inline: look-ups by name follow no pointer.
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(CompactString);
         impl $name {
+            /// The name as its text.
             pub fn new(text: &str) -> Self { $name(CompactString::from(text)) }
+            /// Its text.
             pub fn as_str(&self) -> &str { &self.0 }
         }
         impl fmt::Display for $name {
@@ -64,11 +65,14 @@
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Which of its tasks, from 0.
     pub index: u32,
 }
 
 impl TaskId {
+    /// Parses `job/index`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId { job: JobId::new(job), index: index.parse().ok()? })
@@ -84,43 +88,53 @@
 /// An amount of a machine's resources in whole millionths, so that sums never drift.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Amount {
+    /// CPUs, in millionths.
     pub cpu: u64,
+    /// GPUs, in millionths.
     pub gpu: u64,
+    /// Memory, in millionths of a GB.
     pub ram: u64,
 }
 
+enum Rounding {
+    Up,
+    Down,
+}
+
 impl Amount {
-    fn micro(value: f64, up: bool) -> u64 {
+    fn in_millionths(value: f64, rounding: Rounding) -> u64 {
         // A value that is a whole number of millionths but for rounding stays that number.
         let scaled = value * MICRO;
         let near = scaled.round();
         if (scaled - near).abs() < 1e-3 {
-            near as u64
-        } else if up {
-            scaled.ceil() as u64
-        } else {
-            scaled.floor() as u64
+            return near as u64;
+        }
+        match rounding {
+            Rounding::Up => scaled.ceil() as u64,
+            Rounding::Down => scaled.floor() as u64,
         }
     }
     /// What a task takes: rounded up.
     pub fn need(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
-            cpu: Self::micro(cpu, true),
-            gpu: Self::micro(gpu, true),
-            ram: Self::micro(ram, true),
+            cpu: Self::in_millionths(cpu, Rounding::Up),
+            gpu: Self::in_millionths(gpu, Rounding::Up),
+            ram: Self::in_millionths(ram, Rounding::Up),
         }
     }
     /// What a machine or a limit offers: rounded down.
     pub fn room(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
-            cpu: Self::micro(cpu, false),
-            gpu: Self::micro(gpu, false),
-            ram: Self::micro(ram, false),
+            cpu: Self::in_millionths(cpu, Rounding::Down),
+            gpu: Self::in_millionths(gpu, Rounding::Down),
+            ram: Self::in_millionths(ram, Rounding::Down),
         }
     }
+    /// Whether it fits into `room` in every resource.
     pub fn fits(&self, room: &Amount) -> bool {
         self.cpu <= room.cpu && self.gpu <= room.gpu && self.ram <= room.ram
     }
+    /// The sum, saturating.
     pub fn plus(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -128,6 +142,7 @@
             ram: self.ram.saturating_add(other.ram),
         }
     }
+    /// The difference, 0 where it would be negative.
     pub fn minus(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -135,6 +150,7 @@
             ram: self.ram.saturating_sub(other.ram),
         }
     }
+    /// The `n`-fold, saturating.
     pub fn times(&self, n: u64) -> Amount {
         Amount {
             cpu: self.cpu.saturating_mul(n),
@@ -142,6 +158,7 @@
             ram: self.ram.saturating_mul(n),
         }
     }
+    /// The lesser of both in each resource.
     pub fn least(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.min(other.cpu),
@@ -149,6 +166,7 @@
             ram: self.ram.min(other.ram),
         }
     }
+    /// Whether it is nothing.
     pub fn is_zero(&self) -> bool {
         *self == Amount::default()
     }
--- a/crates/protocol/src/wire/tests.rs
+++ b/crates/protocol/src/wire/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{Data, Heartbeat, LeaseTtl, MachineType, decode, encode};
 
 #[test]
 fn lying_lengths_and_nesting_are_refused_cheaply() {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -30,7 +30,7 @@
     NotLeader, Priority, RangeResponse, TaskState, TaskStatus, WatchResponse, WorkerCommand, Write,
 };
 pub use troutspindle::workers::command_delivery::DirectCall;
-pub use troutspindle_protocol::ops::DrainKind;
+pub use troutspindle_protocol::operator_api::DrainKind;
 pub use troutspindle_runtime_estimates::Bucket;
 
 pub use aims::Aims;
--- a/crates/troutspindlectl/src/ask.rs
+++ b/crates/troutspindlectl/src/ask.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 use troutspindle_protocol::http::{Client, Method, Request, Response};
-use troutspindle_protocol::ops::*;
+use troutspindle_protocol::operator_api::*;
 
 #[derive(Debug, thiserror::Error)]
 pub enum AskError {
@@ -93,15 +93,15 @@
         Err(last)
     }
 
-    fn question(&self) -> Question {
-        Question { key: self.key.clone() }
+    fn question(&self) -> OperatorQuery {
+        OperatorQuery { key: self.key.clone() }
     }
 
     /// What the leader says is at risk.
     ///
     /// # Errors
     /// Which controller stood in the way, and what to do about it.
-    pub async fn at_risk(&self) -> Result<AtRisk, AskError> {
+    pub async fn at_risk(&self) -> Result<JobsAtRisk, AskError> {
         first(self.all(AT_RISK_PATH, &self.question()).await, |_| true)
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// As above.
-    pub async fn starving(&self) -> Result<Starving, AskError> {
+    pub async fn starving(&self) -> Result<FairShareReport, AskError> {
         first(self.all(STARVING_PATH, &self.question()).await, |_| true)
     }
 
@@ -124,14 +124,14 @@
 
     /// # Errors
     /// As above; an order that came in between is not overwritten.
-    pub async fn drain(&self, order: &DrainOrder) -> Result<(), AskError> {
+    pub async fn drain(&self, order: &DrainRequest) -> Result<(), AskError> {
         self.order(DRAIN_PATH, order).await
     }
 
     /// # Errors
     /// As above.
     pub async fn undrain(&self, kind: DrainKind, name: &str) -> Result<(), AskError> {
-        let order = DrainName { key: self.key.clone(), kind, name: name.to_owned() };
+        let order = UndrainRequest { key: self.key.clone(), kind, name: name.to_owned() };
         self.order(UNDRAIN_PATH, &order).await
     }
 }
--- a/crates/troutspindlectl/src/bound.rs
+++ b/crates/troutspindlectl/src/bound.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use troutspindle_protocol::ops::{DEMAND_FIELD, DemandLine, GroupDemand};
+use troutspindle_protocol::operator_api::{DEMAND_FIELD, DemandLog, GroupDemand};
 
 #[derive(Debug, thiserror::Error)]
 pub enum BoundError {
@@ -39,7 +39,7 @@
     slots: Vec<Slot>,
     ordinary: f64,
     spot: f64,
-    last: DemandLine,
+    last: DemandLog,
     /// Whether each group is a service, and whether it uses ordinary machines alone.
     kinds: BTreeMap<Group, (bool, bool)>,
 }
@@ -47,7 +47,7 @@
 impl Day {
     /// Takes in what a leader told at some second of the day. What came of arrays is told since its leadership
     /// began, so a line of a new leader counts from nothing.
-    pub fn add(&mut self, at_s: f64, line: &DemandLine) {
+    pub fn add(&mut self, at_s: f64, line: &DemandLog) {
         if line.token < self.last.token {
             return;
         }
@@ -104,7 +104,7 @@
         let text = std::fs::read_to_string(path).map_err(|e| BoundError::Read(name(path), e))?;
         for line in text.lines() {
             let Some((before, json)) = line.split_once(DEMAND_FIELD) else { continue };
-            let mut told = serde_json::Deserializer::from_str(json).into_iter::<DemandLine>();
+            let mut told = serde_json::Deserializer::from_str(json).into_iter::<DemandLog>();
             let (Some(Ok(told)), Some(at_s)) = (told.next(), clock_s(before)) else { continue };
             let began = *began.get_or_insert(at_s);
             day.add((at_s - began).max(0.0), &told);
--- a/crates/troutspindlectl/src/bound/tests.rs
+++ b/crates/troutspindlectl/src/bound/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// A line each five seconds; `came` is what came in all by then.
-fn line(n: u32, service: f64, came: f64) -> DemandLine {
+fn line(n: u32, service: f64, came: f64) -> DemandLog {
     let group = |class: &str, held: f64, came: f64| GroupDemand {
         class: class.into(),
         team: "t".into(),
@@ -14,7 +14,7 @@
     };
     let groups = vec![group("s", service, 0.0), group("a", 5.0, came)];
     let at_s = f64::from(n) * 5.0;
-    DemandLine { at_s, ordinary: 30.0, spot: 10.0, groups, ..DemandLine::default() }
+    DemandLog { at_s, ordinary: 30.0, spot: 10.0, groups, ..DemandLog::default() }
 }
 
 /// Sixty asked of forty machines: two thirds each, of which the service's are ordinary ones. Alone the service
@@ -24,10 +24,10 @@
     let mut day = Day::default();
     // A second leader counts from nothing.
     let came = |n: u32| f64::from(n % 50 + 1) * 100.0;
-    let told = |n: u32| DemandLine { token: u64::from(n / 50), ..line(n, 30.0, came(n)) };
+    let told = |n: u32| DemandLog { token: u64::from(n / 50), ..line(n, 30.0, came(n)) };
     (0..100).for_each(|n| day.add(f64::from(n) * 5.0, &told(n)));
     // The first has not noticed yet.
-    day.add(300.0, &DemandLine { token: 0, ..line(60, 30.0, 1e6) });
+    day.add(300.0, &DemandLog { token: 0, ..line(60, 30.0, 1e6) });
     let bound = bound(&day).unwrap();
     assert!((bound.all - 2.0 / 3.0).abs() < 1e-6, "{bound:?}");
     let alone: Vec<f64> = bound.groups.iter().map(|g| (g.alone * 100.0).round()).collect();
@@ -60,5 +60,5 @@
     );
     let (before, rest) = text.lines().next().unwrap().split_once(DEMAND_FIELD).unwrap();
     assert_eq!(clock_s(before), Some(14.0 * 3600.0 + 13.0 * 60.0 + 20.058006));
-    assert_eq!(serde_json::from_str::<DemandLine>(rest).unwrap(), line(3, 30.0, 20.0));
+    assert_eq!(serde_json::from_str::<DemandLog>(rest).unwrap(), line(3, 30.0, 20.0));
 }
--- a/crates/troutspindlectl/src/cli.rs
+++ b/crates/troutspindlectl/src/cli.rs
@@ -8,7 +8,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use troutspindle_protocol::ops::{AtRisk, Drain, DrainKind, DrainOrder, Drains, Starving};
+use troutspindle_protocol::operator_api::{
+    Drain, DrainKind, DrainRequest, Drains, FairShareReport, JobsAtRisk,
+};
 
 /// The operators' command of troutspindle.
 #[derive(Parser)]
@@ -74,9 +76,9 @@
 #[derive(Subcommand)]
 enum Jobs {
     /// Those that will probably be late, the likeliest first.
-    AtRisk(Controllers),
+    JobsAtRisk(Controllers),
     /// Classes of teams that have less than their floor while room is scarce, and what they wait for.
-    Starving(Controllers),
+    FairShareReport(Controllers),
 }
 
 #[derive(Args)]
@@ -175,7 +177,7 @@
     Ok(runtime.block_on(talk)?)
 }
 
-fn at_risk_text(found: &AtRisk) -> String {
+fn at_risk_text(found: &JobsAtRisk) -> String {
     let mut text = format!("leader {}: {} jobs at risk\n", found.leader, found.jobs.len());
     for job in &found.jobs {
         text += &format!(
@@ -198,7 +200,7 @@
     text
 }
 
-fn starving_text(found: &Starving) -> String {
+fn starving_text(found: &FairShareReport) -> String {
     let Some(scarce_s) = found.scarce_for_s else {
         return format!("leader {}: room is not scarce\n", found.leader);
     };
@@ -255,11 +257,11 @@
 
 fn carry_out(cli: Cli) -> Ran {
     match cli.command {
-        Command::Jobs(Jobs::AtRisk(from)) => {
+        Command::Jobs(Jobs::JobsAtRisk(from)) => {
             let found = converse(from.cluster()?.at_risk())?;
             write(cli.output, &found, at_risk_text)
         }
-        Command::Jobs(Jobs::Starving(from)) => {
+        Command::Jobs(Jobs::FairShareReport(from)) => {
             let found = converse(from.cluster()?.starving())?;
             write(cli.output, &found, starving_text)
         }
@@ -269,7 +271,7 @@
         }
         Command::Drain { what, by, reason, author, from } => {
             let cluster = from.cluster()?;
-            let order = DrainOrder {
+            let order = DrainRequest {
                 key: cluster.key.clone(),
                 kind: what.kind.into(),
                 name: what.name,
--- a/src/api.rs
+++ b/src/api.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 /// Count. User requests waiting in one process; beyond it they are refused at once.
 pub const USER_QUEUE_MAX: usize = 2000;
@@ -35,9 +35,9 @@
     Poll(JobId),
     Abort(JobId),
     /// Operators ask what is at risk.
-    AtRisk,
+    JobsAtRisk,
     /// And what is starving.
-    Starving,
+    FairShareReport,
     Drain,
     Undrain,
     Drains,
@@ -54,11 +54,11 @@
         "/up" => want(Method::Get, Route::Up),
         "/hello" => want(Method::Post, Route::Hello),
         "/api/jobs" => want(Method::Post, Route::Submit),
-        ops::AT_RISK_PATH => ops_want(Route::AtRisk),
-        ops::STARVING_PATH => ops_want(Route::Starving),
-        ops::DRAIN_PATH => ops_want(Route::Drain),
-        ops::UNDRAIN_PATH => ops_want(Route::Undrain),
-        ops::DRAINS_PATH => ops_want(Route::Drains),
+        operator_api::AT_RISK_PATH => ops_want(Route::JobsAtRisk),
+        operator_api::STARVING_PATH => ops_want(Route::FairShareReport),
+        operator_api::DRAIN_PATH => ops_want(Route::Drain),
+        operator_api::UNDRAIN_PATH => ops_want(Route::Undrain),
+        operator_api::DRAINS_PATH => ops_want(Route::Drains),
         _ => match path.strip_prefix("/api/jobs/") {
             Some(rest) => match rest.split_once('/') {
                 None if valid_id(rest) => want(Method::Get, Route::Poll(JobId::new(rest))),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -36,7 +36,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 use relayed_heartbeats::Sharing;
 
@@ -266,8 +266,8 @@
             Route::Hello => self.on_hello(ticket, &request.body, now),
             Route::Unknown => Some(Response::empty(404)),
             Route::WrongMethod => Some(Response::empty(405)),
-            Route::AtRisk => Some(self.on_at_risk(&request.body, now)),
-            Route::Starving => Some(self.on_starving(&request.body, now)),
+            Route::JobsAtRisk => Some(self.on_at_risk(&request.body, now)),
+            Route::FairShareReport => Some(self.on_starving(&request.body, now)),
             Route::Drains => Some(self.on_drains(&request.body, now)),
             Route::Drain => self.on_drain(ticket, &request.body, now),
             Route::Undrain => self.on_undrain(ticket, &request.body),
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -34,7 +34,7 @@
         now: Instant,
         tell: impl Fn(&Scheduler) -> T,
     ) -> Response {
-        if self.opened(body, |asked: &ops::Question| &asked.key).is_none() {
+        if self.opened(body, |asked: &operator_api::OperatorQuery| &asked.key).is_none() {
             return Response::empty(404);
         }
         match &self.scheduler {
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn on_drains(&self, body: &[u8], now: Instant) -> Response {
-        if self.opened(body, |asked: &ops::Question| &asked.key).is_none() {
+        if self.opened(body, |asked: &operator_api::OperatorQuery| &asked.key).is_none() {
             return Response::empty(404);
         }
         let cache = &self.state.cache;
@@ -59,18 +59,20 @@
 
     /// Any controller writes an operator's order down; the answer comes when it is there.
     pub(super) fn on_drain(&mut self, ticket: u64, body: &[u8], now: Instant) -> Option<Response> {
-        let Some(order) = self.opened(body, |order: &ops::DrainOrder| &order.key) else {
+        let Some(order) = self.opened(body, |order: &operator_api::DrainRequest| &order.key) else {
             return Some(Response::empty(404));
         };
         let known = match order.kind {
-            ops::DrainKind::Zone => self.settings.platform.params.zones.contains(&order.name),
-            ops::DrainKind::Controller => {
+            operator_api::DrainKind::Zone => {
+                self.settings.platform.params.zones.contains(&order.name)
+            }
+            operator_api::DrainKind::Controller => {
                 let platform = &self.settings.platform;
                 let mut names = platform.others.iter().map(|peer| &peer.host_name);
                 platform.host_name.as_str() == order.name
                     || names.any(|name| name.as_str() == order.name)
             }
-            ops::DrainKind::Machine => {
+            operator_api::DrainKind::Machine => {
                 self.state.cache.machines.contains_key(&MachineId::new(&order.name))
             }
         };
@@ -94,7 +96,8 @@
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
-        let Some(order) = self.opened(body, |order: &ops::DrainName| &order.key) else {
+        let Some(order) = self.opened(body, |order: &operator_api::UndrainRequest| &order.key)
+        else {
             return Some(Response::empty(404));
         };
         let key = drains::key(order.kind, &order.name);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -115,8 +115,8 @@
         settings.operator.operator_key = crate::settings::Secret(own.into());
         let mut node =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
-        let body = serde_json::to_vec(&ops::Question { key: shown.into() }).unwrap();
-        node.on_http(1, Request { method, target: ops::AT_RISK_PATH.into(), body }, now);
+        let body = serde_json::to_vec(&operator_api::OperatorQuery { key: shown.into() }).unwrap();
+        node.on_http(1, Request { method, target: operator_api::AT_RISK_PATH.into(), body }, now);
         match node.out.pop() {
             Some(Effect::Reply(1, response)) => response.status,
             other => panic!("{other:?}"),
@@ -139,9 +139,9 @@
     let mut settings = crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#);
     settings.operator.operator_key = crate::settings::Secret(key.into());
     let mut node = Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
-    let drain = |name: &str| ops::DrainOrder {
+    let drain = |name: &str| operator_api::DrainRequest {
         key: key.into(),
-        kind: ops::DrainKind::Zone,
+        kind: operator_api::DrainKind::Zone,
         name: name.into(),
         by_s: Some(60.0),
         author: "x".into(),
@@ -151,7 +151,7 @@
         let request = Request { method: Method::Post, target: path.into(), body };
         node.on_http(ticket, request, now);
     };
-    let body = |order: &ops::DrainOrder| serde_json::to_vec(order).unwrap();
+    let body = |order: &operator_api::DrainRequest| serde_json::to_vec(order).unwrap();
     let told = |node: &mut Controller| -> Vec<(u64, u16)> {
         let replies = node.out.drain(..).filter_map(|effect| match effect {
             Effect::Reply(ticket, response) => Some((ticket, response.status)),
@@ -159,23 +159,27 @@
         });
         replies.collect()
     };
-    send(&mut node, 1, ops::DRAIN_PATH, body(&drain("a")));
+    send(&mut node, 1, operator_api::DRAIN_PATH, body(&drain("a")));
     assert_eq!(told(&mut node), [(1, 503)], "nothing is known of the store yet");
     node.state.poll(now);
     let (id, _) = node.state.calls.pop_front().unwrap();
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
-    send(&mut node, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
-    let undrain = ops::DrainName { key: key.into(), kind: ops::DrainKind::Zone, name: "a".into() };
+    send(&mut node, 2, operator_api::DRAIN_PATH, body(&drain("nowhere")));
+    let undrain = operator_api::UndrainRequest {
+        key: key.into(),
+        kind: operator_api::DrainKind::Zone,
+        name: "a".into(),
+    };
     let undrain = serde_json::to_vec(&undrain).unwrap();
-    send(&mut node, 3, ops::UNDRAIN_PATH, undrain.clone());
+    send(&mut node, 3, operator_api::UNDRAIN_PATH, undrain.clone());
     assert_eq!(told(&mut node), [(2, 422), (3, 422)]);
     let mut guarded = Vec::new();
     for (ticket, path, order, reply, status) in [
-        (4, ops::DRAIN_PATH, body(&drain("a")), None, 409),
-        (5, ops::DRAIN_PATH, body(&drain("a")), Some(Revision(7)), 200),
-        (6, ops::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
-        (7, ops::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
+        (4, operator_api::DRAIN_PATH, body(&drain("a")), None, 409),
+        (5, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(7)), 200),
+        (6, operator_api::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
+        (7, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
     ] {
         send(&mut node, ticket, path, order);
         assert_eq!(told(&mut node), [], "not before it is kept");
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -4,7 +4,7 @@
 use crate::store::records;
 use crate::wire::Data;
 use serde::{Deserialize, Serialize};
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 
 pub const DRAIN_PREFIX: &str = "t/q/";
 
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::drains::{DrainRecord, Drained};
-use troutspindle_protocol::ops::{Drain, DrainKind, Drains};
+use troutspindle_protocol::operator_api::{Drain, DrainKind, Drains};
 
 #[derive(Debug, Default)]
 pub(super) struct Draining {
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -7,7 +7,9 @@
 use super::*;
 use troutspindle_fair_share::constants::MACHINE;
 use troutspindle_fair_share::{Demand, Room, Scarcity, Standing, Supply, Turn};
-use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
+use troutspindle_protocol::operator_api::{
+    DemandLog, FairShareReport, GroupBelowFloor, GroupDemand,
+};
 
 /// A class, numbered, and a team.
 pub(super) type Group = (u32, usize);
@@ -384,7 +386,7 @@
                 floor: machines(shortage.scarcity.standing(group).map_or(0, |s| s.floor)),
             }
         };
-        let line = DemandLine {
+        let line = DemandLog {
             token: self.token.0,
             at_s: since.as_secs_f64(),
             ordinary: machines(shortage.supply.ordinary),
@@ -397,14 +399,14 @@
     }
 
     /// What operators are told of groups below their floors.
-    pub fn starving(&self, now: Instant) -> Starving {
+    pub fn starving(&self, now: Instant) -> FairShareReport {
         let machines = |room: Room| room as f64 / MACHINE as f64;
         let below = self.shortage.scarcity.standings().filter(|(_, s)| s.owed > 0);
         let groups = below.map(|(group, standing)| {
             let [class, team] = self.group_name(group);
             let needed = self.shortage.demands.get(group).map_or(0, Demand::needed);
             let causes = self.shortage.waits.iter().filter(|((of, _), _)| of == group);
-            StarvingGroup {
+            GroupBelowFloor {
                 class,
                 team,
                 held: machines(standing.held),
@@ -414,7 +416,7 @@
             }
         });
         let since = self.shortage.scarcity.since();
-        Starving {
+        FairShareReport {
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|at| self.since_began(now).saturating_sub(at).as_secs_f64()),
             machines: machines(self.shortage.supply.all()),
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::store::ESTIMATES_PREFIX;
 use crate::wire::JobSpec;
-use troutspindle_protocol::ops::{AtRisk, RiskyJob};
+use troutspindle_protocol::operator_api::{JobAtRisk, JobsAtRisk};
 use troutspindle_runtime_estimates::{
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
 };
@@ -318,12 +318,12 @@
     }
 
     /// What operators are told.
-    pub fn at_risk(&self, cache: &Cache, now: Instant) -> AtRisk {
+    pub fn at_risk(&self, cache: &Cache, now: Instant) -> JobsAtRisk {
         let risky = |(id, seen): (&JobId, &Seen)| {
             let live = cache.jobs.get(id).and_then(Job::live)?;
             let due_ms = self.due_ms(&seen.spec, live.accepted_ms)?;
             let (estimate, _) = seen.known?;
-            (seen.late >= AT_RISK_FROM).then(|| RiskyJob {
+            (seen.late >= AT_RISK_FROM).then(|| JobAtRisk {
                 job: id.clone(),
                 class: seen.spec.class.clone(),
                 team: seen.spec.team.clone(),
@@ -335,10 +335,10 @@
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
         };
-        let mut jobs: Vec<RiskyJob> = self.learning.seen.iter().filter_map(risky).collect();
+        let mut jobs: Vec<JobAtRisk> = self.learning.seen.iter().filter_map(risky).collect();
         jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
         let counts = &self.learning;
-        AtRisk {
+        JobsAtRisk {
             leader: self.settings.platform.host_name.to_string(),
             jobs,
             warned: counts.warned,
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -4,7 +4,7 @@
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
 use crate::wire::{JobSpec, TaskStatus};
-use troutspindle_protocol::ops::Starving;
+use troutspindle_protocol::operator_api::FairShareReport;
 
 /// A leader without peers, and the cores that it works with.
 struct Bench {
@@ -503,7 +503,7 @@
     };
     let (array, _, starving) = play(0.0);
     let leader = starving.leader.clone();
-    assert_eq!((array, starving), (0, Starving { leader, ..Starving::default() }));
+    assert_eq!((array, starving), (0, FairShareReport { leader, ..FairShareReport::default() }));
     let (array, _, starving) = play(0.5);
     // By the rate at which its 400 tasks of 10 s came the array needs 13 machines and the service needs
     // 4, so the array's floor is three quarters of what there is.
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::drains::{self, DRAIN_PREFIX, DrainRecord};
 use crate::store::records::{JOB_PREFIX, VERSION_PREFIX};
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 
 /// What this process knows of the state service's content.
 #[derive(Debug)]
--- a/tests/wire_format/operators.rs
+++ b/tests/wire_format/operators.rs
@@ -4,16 +4,16 @@
 use crate::sample::Sample;
 use std::collections::BTreeMap;
 use troutspindle::ids::JobId;
-use troutspindle_protocol::ops::{
-    AtRisk, DEMAND_FIELD, DemandLine, Drain, DrainKind, DrainName, DrainOrder, Drains, GroupDemand,
-    Question, RiskyJob, Starving, StarvingGroup,
+use troutspindle_protocol::operator_api::{
+    DEMAND_FIELD, DemandLog, Drain, DrainKind, DrainRequest, Drains, FairShareReport,
+    GroupBelowFloor, GroupDemand, JobAtRisk, JobsAtRisk, OperatorQuery, UndrainRequest,
 };
 use troutspindle_runtime_estimates::Grade;
 
 const KEY: &str = "a key of sixteen or more";
 
-fn drain_order(kind: DrainKind) -> DrainOrder {
-    DrainOrder {
+fn drain_order(kind: DrainKind) -> DrainRequest {
+    DrainRequest {
         key: KEY.into(),
         kind,
         name: "a".into(),
@@ -40,8 +40,8 @@
     Drain { kind: DrainKind::Controller, by_in_s: None, left: None, stuck: None, ..drain() }
 }
 
-fn at_risk() -> AtRisk {
-    let job = RiskyJob {
+fn at_risk() -> JobsAtRisk {
+    let job = JobAtRisk {
         job: JobId::new("wk-000412"),
         class: "nightly".into(),
         team: "team-a".into(),
@@ -52,7 +52,7 @@
         tasks: 20,
         grade: "sure".into(),
     };
-    AtRisk {
+    JobsAtRisk {
         leader: "n-1".into(),
         jobs: vec![job],
         warned: 4,
@@ -62,8 +62,8 @@
     }
 }
 
-fn starving() -> Starving {
-    let group = StarvingGroup {
+fn starving() -> FairShareReport {
+    let group = GroupBelowFloor {
         class: "nightly".into(),
         team: "team-a".into(),
         held: 1.5,
@@ -71,7 +71,7 @@
         needed: 3.5,
         waits_for: BTreeMap::from([("room".into(), 12), ("its team's limit".into(), 3)]),
     };
-    Starving {
+    FairShareReport {
         leader: "n-1".into(),
         scarce_for_s: Some(60.5),
         machines: 31.25,
@@ -80,7 +80,7 @@
     }
 }
 
-fn demand() -> DemandLine {
+fn demand() -> DemandLog {
     let group = GroupDemand {
         class: "nightly".into(),
         team: "team-a".into(),
@@ -91,7 +91,7 @@
         came: 3.5,
         floor: 4.5,
     };
-    DemandLine {
+    DemandLog {
         token: 41,
         at_s: 60.5,
         ordinary: 30.25,
@@ -103,9 +103,9 @@
 }
 
 pub fn samples() -> Vec<Sample> {
-    let name = DrainName { key: KEY.into(), kind: DrainKind::Controller, name: "n-1".into() };
+    let name = UndrainRequest { key: KEY.into(), kind: DrainKind::Controller, name: "n-1".into() };
     vec![
-        Sample::json("ops-question", &Question { key: KEY.into() }),
+        Sample::json("ops-question", &OperatorQuery { key: KEY.into() }),
         Sample::json("ops-drain-zone", &drain_order(DrainKind::Zone)),
         Sample::json("ops-drain-machine", &drain_order(DrainKind::Machine)),
         Sample::json("ops-drain-controller", &drain_order(DrainKind::Controller)),
@@ -113,11 +113,11 @@
         Sample::json("ops-drains", &Drains { drains: vec![drain(), plain_drain()] }),
         Sample::json("ops-drains-none", &Drains::default()),
         Sample::json("ops-at-risk", &at_risk()),
-        Sample::json("ops-at-risk-none", &AtRisk::default()),
+        Sample::json("ops-at-risk-none", &JobsAtRisk::default()),
         Sample::json("ops-starving", &starving()),
-        Sample::json("ops-starving-none", &Starving::default()),
+        Sample::json("ops-starving-none", &FairShareReport::default()),
         Sample::json("ops-demand", &demand()),
-        Sample::json("ops-demand-none", &DemandLine::default()),
+        Sample::json("ops-demand-none", &DemandLog::default()),
         Sample::written("ops-demand-field", DEMAND_FIELD),
     ]
 }
@@ -128,7 +128,7 @@
         serde_json::from_slice(&golden_bytes("ops-drain-zone")).unwrap();
     let fields = order.as_object_mut().unwrap();
     assert!(["by_s", "author", "reason"].iter().all(|field| fields.remove(*field).is_some()));
-    let order: DrainOrder = serde_json::from_value(order).unwrap();
+    let order: DrainRequest = serde_json::from_value(order).unwrap();
     assert_eq!((order.by_s, order.author, order.reason), (None, String::new(), String::new()));
 }
 
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -59,8 +59,8 @@
     assert_eq!(ask(Method::Post, "/api/jobs"), Route::Submit);
     assert_eq!(ask(Method::Get, "/api/jobs/wk-000412"), Route::Poll(job()));
     assert_eq!(ask(Method::Post, "/api/jobs/wk-000412/abort"), Route::Abort(job()));
-    assert_eq!(ask(Method::Post, "/ops/jobs/at-risk"), Route::AtRisk);
-    assert_eq!(ask(Method::Post, "/ops/jobs/starving"), Route::Starving);
+    assert_eq!(ask(Method::Post, "/ops/jobs/at-risk"), Route::JobsAtRisk);
+    assert_eq!(ask(Method::Post, "/ops/jobs/starving"), Route::FairShareReport);
     assert_eq!(ask(Method::Post, "/ops/drain"), Route::Drain);
     assert_eq!(ask(Method::Post, "/ops/undrain"), Route::Undrain);
     assert_eq!(ask(Method::Post, "/ops/drains"), Route::Drains);
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -24,7 +24,7 @@
 use troutspindle::wire::{
     self, Data, JobSpec, JobStatus, KeyValue, RangeResponse, Transaction, Write,
 };
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 use troutspindle_runtime_estimates::{Bucket, Current, Learner, Profile};
 
 const ACCEPTED_MS: u64 = 1_700_000_000_000;
