--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -18,9 +18,9 @@
 use troutspindle::settings::Settings;
 use troutspindle::store::{StoreRequest, StoreResponse};
 use troutspindle::wire::{
-    self, Change, CommandBatch, Heartbeat, JobKind, JobSpec, ListedMachine, ListedMachineState,
-    MachineIds, MachinePage, MachineType, MachineTypes, Priority, RangeResponse, TaskState,
-    TaskStatus, WatchResponse, WorkerCommand, Write,
+    self, CommandBatch, Heartbeat, JobKind, JobSpec, ListedMachine, ListedMachineState, MachineIds,
+    MachinePage, MachineType, MachineTypes, Priority, RangeResponse, TaskState, TaskStatus,
+    WatchEvent, WatchResponse, WorkerCommand, Write,
 };
 use troutspindle::workers::command_delivery::DirectCall;
 
@@ -143,7 +143,7 @@
     queue: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
     workers: Vec<Worker>,
     rev: u64,
-    news: Vec<Change>,
+    news: Vec<WatchEvent>,
     follow: Option<(u64, u64)>,
     hello: BTreeMap<u64, usize>,
     ticket: u64,
@@ -210,37 +210,34 @@
                 for write in txn.writes {
                     self.news.push(match write {
                         Write::Put { key, data, .. } => {
-                            Change { put: Some(key), data: Some(data), delete: None, rev }
+                            WatchEvent { put: Some(key), data: Some(data), delete: None, rev }
                         }
                         Write::Delete { key } => {
-                            Change { put: None, data: None, delete: Some(key), rev }
+                            WatchEvent { put: None, data: None, delete: Some(key), rev }
                         }
                     });
                 }
                 if let Some((id, after)) = self.follow.take() {
                     let news = self.news_after(after);
-                    self.soon(
-                        "news of the store",
-                        Event::State(id, StoreResponse::WatchResponse(news)),
-                    );
+                    self.soon("news of the store", Event::State(id, StoreResponse::Watch(news)));
                 }
                 StoreResponse::Committed(rev)
             }
-            StoreRequest::Follow { after, wait } if !wait.is_zero() && after.0 >= self.rev => {
+            StoreRequest::Watch { after, wait } if !wait.is_zero() && after.0 >= self.rev => {
                 self.follow = Some((id, after.0));
                 return;
             }
-            StoreRequest::Follow { after, .. } => {
-                let news = StoreResponse::WatchResponse(self.news_after(after.0));
+            StoreRequest::Watch { after, .. } => {
+                let news = StoreResponse::Watch(self.news_after(after.0));
                 return self.soon("news of the store", Event::State(id, news));
             }
-            StoreRequest::Range { .. } => StoreResponse::RangeResponse(RangeResponse {
+            StoreRequest::Range { .. } => StoreResponse::Range(RangeResponse {
                 rows: vec![],
                 truncated: false,
                 rev: Revision(self.rev),
             }),
-            StoreRequest::NewLease(_) => StoreResponse::Lease(LeaseId(7)),
-            StoreRequest::Touch(_) | StoreRequest::DropLease(_) => StoreResponse::Done,
+            StoreRequest::GrantLease(_) => StoreResponse::LeaseGranted(LeaseId(7)),
+            StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_) => StoreResponse::Done,
         };
         self.soon("answer of the store", Event::State(id, reply));
     }
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -10,7 +10,7 @@
 use troutspindle::scheduler::Scheduler;
 use troutspindle::settings::Settings;
 use troutspindle::store::StoreClient;
-use troutspindle::store::records::{self, Record};
+use troutspindle::store::records::{self, JobRecord};
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -51,7 +51,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.flavors = (
+        state.cache.machine_types = (
             vec![MachineType {
                 name: "f".into(),
                 cpus: 16.0,
@@ -131,8 +131,8 @@
             depends_on: None,
         };
         with(&mut spec);
-        let record = records::data(&Record::live(self.jobs, Some(Arc::new(spec))));
-        self.state.cache.jobs.put_job(id.clone(), &record, Revision(self.rev));
+        let record = records::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
+        self.state.cache.jobs.apply_record(id.clone(), &record, Revision(self.rev));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
 
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -365,7 +365,7 @@
 }
 
 /// Any value kept at the state service.
-pub type Data = ciborium::Value;
+pub type StoreValue = ciborium::Value;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Precondition {
@@ -380,7 +380,7 @@
     Put {
         #[serde(rename = "write")]
         key: String,
-        data: Data,
+        data: StoreValue,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         hold: Option<LeaseId>,
     },
@@ -415,7 +415,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
     pub key: String,
-    pub data: Data,
+    pub data: StoreValue,
     #[serde(rename = "keyRev")]
     pub rev: Revision,
 }
@@ -430,13 +430,13 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(rename = "remove", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub data: Option<Data>,
+    pub data: Option<StoreValue>,
     #[serde(rename = "keyRev")]
     pub rev: Revision,
 }
@@ -445,7 +445,7 @@
 pub struct WatchResponse {
     #[serde(rename = "storeRev")]
     pub rev: Revision,
-    pub news: Vec<Change>,
+    pub news: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/crates/protocol/src/wire/tests.rs
+++ b/crates/protocol/src/wire/tests.rs
@@ -9,7 +9,7 @@
         vec![0x81; 60_000],
     ] {
         assert!(decode::<Heartbeat>(&bytes).is_err());
-        assert!(decode::<Data>(&bytes).is_err());
+        assert!(decode::<StoreValue>(&bytes).is_err());
     }
     let mut twice = encode(&LeaseTtl { ttl_ms: 5 });
     twice.push(0);
@@ -18,15 +18,15 @@
 
 #[test]
 fn an_integer_is_taken_for_an_amount_and_unknown_fields_are_ignored() {
-    let value = Data::Map(
+    let value = StoreValue::Map(
         [("name", "g8"), ("later", "x")]
-            .map(|(k, v)| (Data::from(k), Data::from(v)))
+            .map(|(k, v)| (StoreValue::from(k), StoreValue::from(v)))
             .into_iter()
             .chain(
                 ["vcpus", "cards", "ramGb", "price", "marketPrice", "startupS"]
-                    .map(|k| (Data::from(k), Data::from(4))),
+                    .map(|k| (StoreValue::from(k), StoreValue::from(4))),
             )
-            .chain([(Data::from("halls"), Data::Array(vec![]))])
+            .chain([(StoreValue::from("halls"), StoreValue::Array(vec![]))])
             .collect(),
     );
     let flavor: MachineType = decode(&encode(&value)).unwrap();
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle::store::Bucket;
+use troutspindle::store::TokenBucket;
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::MachineId;
 use troutspindle_protocol::wire::{
@@ -117,7 +117,7 @@
 struct Cloud {
     setup: Setup,
     random: StdRng,
-    bucket: Bucket,
+    bucket: TokenBucket,
     machines: BTreeMap<MachineId, Rented>,
     ended: Vec<usize>,
     /// How many machines each worker process was given.
@@ -146,7 +146,7 @@
     let now = Instant::now();
     let mut cloud = Cloud {
         random: StdRng::seed_from_u64(setup.seed),
-        bucket: Bucket::new(setup.rps, 2.0, now),
+        bucket: TokenBucket::new(setup.rps, 2.0, now),
         machines: BTreeMap::new(),
         ended: Vec::new(),
         held: vec![0; setup.shares.len()],
--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle::store::{Bucket, LEADER_KEY, LeaderRecord};
+use troutspindle::store::{LEADER_KEY, LeaderRecord, TokenBucket};
 use troutspindle_protocol::http::{self, Incoming, Method, Request, Response};
 use troutspindle_protocol::ids::{ControllerId, LeaseId, Revision};
 use troutspindle_protocol::wire::{
@@ -62,8 +62,8 @@
 struct Service {
     store: Store,
     limits: Limits,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     follows: Vec<Follow>,
     began: Instant,
     out_until: Option<Instant>,
@@ -85,8 +85,8 @@
     let mut service = Service {
         store: Store { rev: 1, ..Store::default() },
         limits,
-        requests: Bucket::new(limits.rps, 1.0, now),
-        writes: Bucket::new(limits.write_rps, 1.0, now),
+        requests: TokenBucket::new(limits.rps, 1.0, now),
+        writes: TokenBucket::new(limits.write_rps, 1.0, now),
         follows: Vec::new(),
         began: now,
         out_until: None,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -25,9 +25,10 @@
 pub use troutspindle::store::records::json_len;
 pub use troutspindle::store::{StoreRequest, StoreResponse};
 pub use troutspindle::wire::{
-    self, Change, CommandBatch, Data, Heartbeat, JobKind, JobSpec, JobStatus, JobView, KeyValue,
-    ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes,
-    NotLeader, Priority, RangeResponse, TaskState, TaskStatus, WatchResponse, WorkerCommand, Write,
+    self, CommandBatch, Heartbeat, JobKind, JobSpec, JobStatus, JobView, KeyValue, ListedMachine,
+    ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes, NotLeader, Priority,
+    RangeResponse, StoreValue, TaskState, TaskStatus, WatchEvent, WatchResponse, WorkerCommand,
+    Write,
 };
 pub use troutspindle::workers::command_delivery::DirectCall;
 pub use troutspindle_protocol::ops::DrainKind;
@@ -121,11 +122,11 @@
 elastic: [{class: c, least: 4, most: 7}]
 ";
 /// A value as production keeps it: without the fields that it doesn't know.
-pub fn as_production(data: &Data) -> Data {
-    let Data::Map(fields) = data else { return data.clone() };
-    let known = |key: &Data| key.as_text().is_none_or(|k| !production::UNKNOWN.contains(&k));
+pub fn as_production(data: &StoreValue) -> StoreValue {
+    let StoreValue::Map(fields) = data else { return data.clone() };
+    let known = |key: &StoreValue| key.as_text().is_none_or(|k| !production::UNKNOWN.contains(&k));
     let kept = fields.iter().filter(|(key, _)| known(key));
-    Data::Map(kept.map(|(key, value)| (key.clone(), as_production(value))).collect())
+    StoreValue::Map(kept.map(|(key, value)| (key.clone(), as_production(value))).collect())
 }
 
 /// What is due at some time.
--- a/crates/simulation/src/looks.rs
+++ b/crates/simulation/src/looks.rs
@@ -106,8 +106,8 @@
         let known = self.jobs.get(&asked.job).map(|job| &job.spec);
         let post = |body| Request { method: Method::Post, target: "/api/jobs".into(), body };
         let broken = || {
-            let name = (Data::from("nameId"), Data::from(id.as_str()));
-            post(wire::encode(&Data::Map(vec![name])))
+            let name = (StoreValue::from("nameId"), StoreValue::from(id.as_str()));
+            post(wire::encode(&StoreValue::Map(vec![name])))
         };
         let spec = |cpus: f64| {
             let some = known.or(self.jobs.values().next().map(|job| &job.spec)).unwrap();
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -7,7 +7,7 @@
     /// A transaction that took its time is carried out, and answered.
     pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
         let refuses = self.store.out || self.refused == Some(node);
-        let reply = if refuses { StoreResponse::Refused } else { self.commit(txn) };
+        let reply = if refuses { StoreResponse::Unavailable } else { self.commit(txn) };
         self.at(self.t + 3, Due::Controller(node, incarnation, Event::State(id, reply)));
     }
 
@@ -33,23 +33,23 @@
             return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
         }
         let reply = if self.store.out || self.refused == Some(node) {
-            if let StoreRequest::Follow { after, wait } = &call
+            if let StoreRequest::Watch { after, wait } = &call
                 && !wait.is_zero()
             {
                 let until = self.t + wait.as_millis() as u64;
                 self.store.waiting.push((node, incarnation, id, after.0, until));
                 return;
             }
-            StoreResponse::Refused
+            StoreResponse::Unavailable
         } else {
             match call {
-                StoreRequest::Follow { after, wait } => {
+                StoreRequest::Watch { after, wait } => {
                     if !wait.is_zero() && self.store.rev <= after.0 {
                         let until = self.t + wait.as_millis() as u64;
                         self.store.waiting.push((node, incarnation, id, after.0, until));
                         return;
                     }
-                    StoreResponse::WatchResponse(self.news_for(node, after.0))
+                    StoreResponse::Watch(self.news_for(node, after.0))
                 }
                 StoreRequest::Range { .. } => {
                     let rows = self.store.keys.iter().map(|(key, (data, rev, _))| KeyValue {
@@ -61,26 +61,26 @@
                     if self.old[node] {
                         rows.iter_mut().for_each(|row| row.data = self.shown(&row.key, &row.data));
                     }
-                    StoreResponse::RangeResponse(RangeResponse {
+                    StoreResponse::Range(RangeResponse {
                         rows,
                         truncated: false,
                         rev: Revision(self.store.rev),
                     })
                 }
-                StoreRequest::NewLease(life) => {
+                StoreRequest::GrantLease(life) => {
                     self.store.next_lease += 1;
                     let ms = life.as_millis() as u64;
                     self.store.leases.insert(self.store.next_lease, (ms, self.t + ms));
-                    StoreResponse::Lease(LeaseId(self.store.next_lease))
+                    StoreResponse::LeaseGranted(LeaseId(self.store.next_lease))
                 }
-                StoreRequest::Touch(lease) => match self.store.leases.get_mut(&lease.0) {
+                StoreRequest::KeepAlive(lease) => match self.store.leases.get_mut(&lease.0) {
                     Some((ms, until)) => {
                         *until = self.t + *ms;
                         StoreResponse::Done
                     }
                     None => StoreResponse::Gone,
                 },
-                StoreRequest::DropLease(lease) => {
+                StoreRequest::RevokeLease(lease) => {
                     self.end_lease(lease.0);
                     StoreResponse::Done
                 }
@@ -114,7 +114,7 @@
 
     /// What a node of the old version makes of a value: it has to be able to read it, and drops the
     /// fields that it doesn't know.
-    pub fn shown(&self, key: &str, data: &Data) -> Data {
+    pub fn shown(&self, key: &str, data: &StoreValue) -> StoreValue {
         if key.starts_with("t/j/") {
             let record: production::Record = data.deserialized().unwrap();
             // It takes a live record without a description for a job that is done.
@@ -167,7 +167,7 @@
             .extract_if(.., |w| self.refused != Some(w.0) && (w.3 < rev || w.4 <= t))
             .collect();
         for (node, incarnation, id, after, _) in ready {
-            let reply = StoreResponse::WatchResponse(self.news_for(node, after));
+            let reply = StoreResponse::Watch(self.news_for(node, after));
             self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
         }
     }
--- a/crates/simulation/src/store_core.rs
+++ b/crates/simulation/src/store_core.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, HashMap};
 use troutspindle::ids::Revision;
 use troutspindle::store::records::json_len;
-use troutspindle::wire::{Change, Data, Transaction, WatchResponse, Write};
+use troutspindle::wire::{StoreValue, Transaction, WatchEvent, WatchResponse, Write};
 
 /// A value with the revision of its last change and the lease that it is attached to.
-type Stored = (Data, u64, Option<u64>);
+type Stored = (StoreValue, u64, Option<u64>);
 
 /// Why a transaction was not applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     pub keys: BTreeMap<String, Stored>,
     pub rev: u64,
     /// Changes in order of their revision; None stands for a removal.
-    pub log: Vec<(u64, String, Option<Data>)>,
+    pub log: Vec<(u64, String, Option<StoreValue>)>,
     /// Life in milliseconds and the time of the end, by lease.
     pub leases: HashMap<u64, (u64, u64)>,
     pub next_lease: u64,
@@ -90,7 +90,7 @@
         let news = self.log[first..].iter().map(|(rev, key, data)| {
             let (put, delete) =
                 if data.is_some() { (Some(key.clone()), None) } else { (None, Some(key.clone())) };
-            Change { put, delete, data: data.clone(), rev: Revision(*rev) }
+            WatchEvent { put, delete, data: data.clone(), rev: Revision(*rev) }
         });
         WatchResponse { rev: Revision(self.rev), news: news.collect() }
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -6,11 +6,11 @@
 use crate::constants::*;
 use crate::http::{Method, Request, Response};
 use crate::ids::{Amount, ControllerId, JobId};
-use crate::jobs::{self, Accept, Job, Jobs};
+use crate::jobs::{self, Acceptance, Job, Jobs};
 use crate::leadership::controller_lease::{CancellationAcks, Given, Missing};
 use crate::settings::Settings;
-use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
-use crate::wire::{self, JobKind, JobName, JobSpec, JobStatus, JobView, MachineType};
+use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
+use crate::wire::{self, JobKind, JobName, JobSpec, JobStatus, JobView, MachineType, Transaction};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -218,7 +218,7 @@
     }
 
     fn view(&self, id: &JobId, job: &Job, status: u16) -> Response {
-        let view = match (job.over(), job.live()) {
+        let view = match (job.final_state(), job.live()) {
             (Some((status, done)), _) => JobView { id: id.clone(), status, done, running: 0 },
             (None, live) => {
                 let running = u64::from(self.running.get(id).copied().unwrap_or(0));
@@ -264,14 +264,14 @@
         };
         // A final state never changes, so the cache may answer.
         if let Some(job) = state.cache.jobs.get(id)
-            && job.over().is_some()
+            && job.final_state().is_some()
         {
             return Some(self.view(id, job, 200));
         }
         if state.cache.jobs.is_unreadable(id) {
             return Some(self.later());
         }
-        if state.lost(now) || self.waiting.len() >= USER_QUEUE_MAX {
+        if state.is_unavailable(now) || self.waiting.len() >= USER_QUEUE_MAX {
             return Some(self.later());
         }
         let deadline = match wish {
@@ -323,9 +323,9 @@
             Wish::Broken(id) | Wish::Poll(id) | Wish::Abort(id) => id.clone(),
         };
         let job = state.cache.jobs.get(&id);
-        let change = match (&waiting.wish, job) {
+        let transaction = match (&waiting.wish, job) {
             (Wish::Submit(spec), None) => {
-                let flavors = &state.cache.flavors.0;
+                let flavors = &state.cache.machine_types.0;
                 if flavors.is_empty() {
                     let response = self.later();
                     return Some(self.finish(ticket, response));
@@ -351,22 +351,24 @@
                 tracing::debug!(job = %id, ?spec, "submitted");
                 let accepted_ms = self.wall.ms(now);
                 let step = jobs::accept(spec, accepted_ms, &layout, &state.cache.jobs);
-                let in_parts = matches!(step, Accept::Parts(_));
+                let in_parts = matches!(step, Acceptance::SpecChunks(_));
                 if let Some(waiting) = self.waiting.get_mut(&ticket) {
                     waiting.in_parts = in_parts;
                 }
                 match step {
-                    Accept::Parts(change) | Accept::Record(change) => change,
+                    Acceptance::SpecChunks(transaction) | Acceptance::JobRecord(transaction) => {
+                        transaction
+                    }
                 }
             }
             (Wish::Abort(_), Some(job)) if job.live().is_some() => {
-                let change = jobs::cancel(&id, job, self.wall.ms(now), &state.layout())?;
+                let transaction = jobs::cancel(&id, job, self.wall.ms(now), &state.layout())?;
                 let zone_of = |peer: &ControllerId| self.zone_of(peer);
                 match self.promises.guards(&id, &state.cache, zone_of, now) {
                     Ok(guards) => {
                         // Should it be applied late, this controller may be the one cut off by then.
                         self.given.promise(std::slice::from_ref(&id));
-                        jobs::Change { guards: [change.guards, guards].concat(), ..change }
+                        Transaction { guards: [transaction.guards, guards].concat(), ..transaction }
                     }
                     Err(missing) => return self.await_promises(ticket, id, missing, now),
                 }
@@ -375,7 +377,7 @@
             (_, None) => return Some(self.finish(ticket, Response::empty(404))),
             (_, Some(job)) => {
                 let response = self.view(&id, job, if waiting.accepted { 201 } else { 200 });
-                if matches!(job.over(), Some((JobStatus::Cancelled, _))) {
+                if matches!(job.final_state(), Some((JobStatus::Cancelled, _))) {
                     self.cancelled.push((id, waiting.since));
                 }
                 return Some(self.finish(ticket, response));
@@ -389,7 +391,11 @@
                 state.sync_soon(ticket);
             }
         }
-        state.push(Item { rank: Rank::User, origin: Origin::User(ticket), change });
+        state.enqueue(PendingWrite {
+            priority: WritePriority::Interactive,
+            origin: WriteOrigin::User(ticket),
+            transaction,
+        });
         None
     }
 
@@ -473,17 +479,17 @@
     pub fn on_outcome(
         &mut self,
         ticket: u64,
-        outcome: Outcome,
+        outcome: WriteOutcome,
         state: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
         self.waiting.get_mut(&ticket)?.committing = false;
-        if outcome == Outcome::Invalid {
+        if outcome == WriteOutcome::Invalid {
             // The state service will never take it as it is; the log says what.
             let response = self.later();
             return Some(self.finish(ticket, response));
         }
-        if outcome != Outcome::Committed {
+        if outcome != WriteOutcome::Committed {
             // Done by somebody else, perhaps done, or not done: read again, then decide again.
             return self.sync(ticket, state);
         }
@@ -518,7 +524,7 @@
 
     /// Answers what has waited too long, and everything if the store was lost.
     pub fn tick(&mut self, state: &StoreClient, now: Instant) -> Vec<Answer> {
-        let lost = state.lost(now);
+        let lost = state.is_unavailable(now);
         let late: Vec<u64> = self
             .waiting
             .iter()
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::ids::{ControllerId, Revision};
 use crate::store::records::{self, FORMAT, VersionRecord};
-use crate::store::{FLAVORS_KEY, StoreEvent, StoreRequest, StoreResponse};
-use crate::wire::Data;
+use crate::store::{MACHINE_TYPES_KEY, StoreEvent, StoreRequest, StoreResponse};
+use crate::wire::StoreValue;
 use std::time::Duration;
 
 #[test]
@@ -38,14 +38,14 @@
         state.poll(now);
         let (id, _) = state.calls.pop_front().unwrap();
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
-        let flavors = records::data(&vec![crate::settings::plain_flavor()]);
+        let flavors = records::to_value(&vec![crate::settings::plain_flavor()]);
         let version = VersionRecord { format: FORMAT, chunk: 16_384 };
         let told = names.iter().take(told);
-        let told = told.map(|n| row(records::version_key(n), records::data(&version)));
-        let mut rows = vec![row(FLAVORS_KEY.into(), flavors)];
+        let told = told.map(|n| row(records::version_key(n), records::to_value(&version)));
+        let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
         rows.extend(told);
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
-        state.on_reply(id, StoreResponse::RangeResponse(page), now);
+        state.on_response(id, StoreResponse::Range(page), now);
         let api = Api::new(settings, WallClock { at: now, ms: 5 }).unwrap();
         Asked { api, state, rev: 1, now, syncs: 0 }
     }
@@ -61,7 +61,9 @@
             let calls: Vec<_> = self.state.calls.drain(..).collect();
             for (id, call) in calls {
                 let reply = match call {
-                    StoreRequest::Follow { wait, .. } if !wait.is_zero() => StoreResponse::Refused,
+                    StoreRequest::Watch { wait, .. } if !wait.is_zero() => {
+                        StoreResponse::Unavailable
+                    }
                     StoreRequest::Commit(txn) => {
                         assert!(txn.writes.len() <= 12);
                         self.rev += 1;
@@ -70,16 +72,16 @@
                     _ => {
                         self.syncs += 1;
                         let rev = Revision(self.rev);
-                        StoreResponse::WatchResponse(wire::WatchResponse { rev, news: vec![] })
+                        StoreResponse::Watch(wire::WatchResponse { rev, news: vec![] })
                     }
                 };
-                self.state.on_reply(id, reply, self.now);
+                self.state.on_response(id, reply, self.now);
             }
             while let Some(event) = self.state.events.pop_front() {
                 let (api, state) = (&mut self.api, &mut self.state);
                 let answer = match event {
                     StoreEvent::Synced(10) => api.on_synced(10, state, self.now),
-                    StoreEvent::Outcome(Origin::User(10), outcome) => {
+                    StoreEvent::Outcome(WriteOrigin::User(10), outcome) => {
                         api.on_outcome(10, outcome, state, self.now)
                     }
                     _ => None,
@@ -93,7 +95,7 @@
 
     fn submit(&mut self, id: &str, shape: JobKind, depends_on: &[&str]) -> u16 {
         let depends_on = Some(depends_on.iter().map(|id| JobId::new(id)).collect());
-        let spec = JobSpec { shape, depends_on, ..jobs::plain_spec(id, 2) };
+        let spec = JobSpec { shape, depends_on, ..jobs::fixtures::job_spec(id, 2) };
         self.ask(&wire::encode(&spec)).status
     }
 }
@@ -133,25 +135,25 @@
 #[test]
 fn what_is_no_list_of_names_is_malformed_and_nothing_stands_for_no_list() {
     let mut asked = Asked::new(2);
-    let spec = jobs::plain_spec("wk-1", 2);
-    let Data::Map(fields) = records::data(&spec) else { panic!() };
-    let with = |depends_on: Data| {
-        let fields = fields.iter().cloned().chain([(Data::from("waitsOn"), depends_on)]);
-        wire::encode(&Data::Map(fields.collect()))
+    let spec = jobs::fixtures::job_spec("wk-1", 2);
+    let StoreValue::Map(fields) = records::to_value(&spec) else { panic!() };
+    let with = |depends_on: StoreValue| {
+        let fields = fields.iter().cloned().chain([(StoreValue::from("waitsOn"), depends_on)]);
+        wire::encode(&StoreValue::Map(fields.collect()))
     };
     let wrong = [
-        Data::from("wk-2"),
-        Data::from(7),
-        Data::Array(vec![Data::from(7)]),
-        Data::Array(vec![Data::Null]),
-        Data::Map(vec![]),
+        StoreValue::from("wk-2"),
+        StoreValue::from(7),
+        StoreValue::Array(vec![StoreValue::from(7)]),
+        StoreValue::Array(vec![StoreValue::Null]),
+        StoreValue::Map(vec![]),
     ];
     for depends_on in wrong {
         assert_eq!(asked.ask(&with(depends_on.clone())).status, 400, "{depends_on:?}");
     }
-    assert_eq!(asked.ask(&with(Data::Null)).status, 201);
-    assert_eq!(asked.ask(&with(Data::Array(vec![]))).status, 200);
-    assert_eq!(asked.ask(&with(Data::from(7))).status, 200);
+    assert_eq!(asked.ask(&with(StoreValue::Null)).status, 201);
+    assert_eq!(asked.ask(&with(StoreValue::Array(vec![]))).status, 200);
+    assert_eq!(asked.ask(&with(StoreValue::from(7))).status, 200);
 }
 
 /// An old leader would start it at once.
@@ -159,8 +161,10 @@
 fn a_job_that_waits_is_refused_while_any_controller_may_be_old() {
     let mut asked = Asked::new(1);
     assert_eq!(asked.submit("wk-1", JobKind::Array, &[]), 201);
-    let spec =
-        JobSpec { depends_on: Some(vec![JobId::new("wk-1")]), ..jobs::plain_spec("wk-2", 2) };
+    let spec = JobSpec {
+        depends_on: Some(vec![JobId::new("wk-1")]),
+        ..jobs::fixtures::job_spec("wk-2", 2)
+    };
     let answer = asked.ask(&wire::encode(&spec));
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s.is_some());
@@ -175,7 +179,7 @@
     let flavors = [crate::settings::plain_flavor()];
     let judge = |team: &str, cpus: f64, tasks: u64| {
         let (team, shape) = (team.to_owned(), JobKind::Service);
-        let spec = JobSpec { team, cpus, shape, ..jobs::plain_spec("wk-1", tasks) };
+        let spec = JobSpec { team, cpus, shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
         impossible(&spec, &settings, &flavors)
     };
     assert_eq!(judge("guest", 4.0, 100_000), None);
@@ -227,42 +231,54 @@
 /// current state", whatever the retry says.
 #[test]
 fn a_broken_submission_is_malformed_unless_its_job_is_known() {
-    let whole = jobs::plain_spec("wk-1", 2);
-    let Data::Map(fields) = records::data(&whole) else { panic!() };
+    let whole = jobs::fixtures::job_spec("wk-1", 2);
+    let StoreValue::Map(fields) = records::to_value(&whole) else { panic!() };
     // None: without the field.
-    let with = |id: &str, name: &str, value: Option<Data>| {
+    let with = |id: &str, name: &str, value: Option<StoreValue>| {
         let mut fields = fields.clone();
         fields.retain(|(key, _)| !["nameId", name].contains(&key.as_text().unwrap()));
         if name != "nameId" {
-            fields.push((Data::from("nameId"), Data::from(id)));
+            fields.push((StoreValue::from("nameId"), StoreValue::from(id)));
         }
-        fields.extend(value.map(|value| (Data::from(name), value)));
-        wire::encode(&Data::Map(fields))
+        fields.extend(value.map(|value| (StoreValue::from(name), value)));
+        wire::encode(&StoreValue::Map(fields))
     };
-    let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(Data::from);
+    let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(StoreValue::from);
     let mut asked = Asked::new(2);
     let mut broken = 0;
     for (name, field) in FIELDS {
-        let mut values = vec![Some(Data::Array(vec![Data::Null])), Some(Data::Map(vec![]))];
+        let mut values =
+            vec![Some(StoreValue::Array(vec![StoreValue::Null])), Some(StoreValue::Map(vec![]))];
         if field == Field::MayBeNull {
             let id = format!("wk-9{broken}");
-            assert_eq!(asked.ask(&with(&id, name, Some(Data::Null))).status, 201, "{name}: null");
+            assert_eq!(
+                asked.ask(&with(&id, name, Some(StoreValue::Null))).status,
+                201,
+                "{name}: null"
+            );
             assert_eq!(asked.ask(&with(&format!("{id}0"), name, None)).status, 201, "{name}: none");
         } else {
-            values.extend([None, Some(Data::Null)]);
+            values.extend([None, Some(StoreValue::Null)]);
         }
         let more = match field {
-            Field::Id => ["", "1", "wk-", "wk-x", "wk-1 ", "WK-1"].map(Data::from).to_vec(),
-            Field::Name => vec![Data::from(""), Data::from(7), Data::from("x".repeat(1000))],
-            Field::Text => vec![Data::from(7), Data::from("x".repeat(1000))],
-            Field::Word => ["", "other"].map(Data::from).to_vec(),
-            Field::Flag => vec![Data::from(1), Data::from("true")],
+            Field::Id => ["", "1", "wk-", "wk-x", "wk-1 ", "WK-1"].map(StoreValue::from).to_vec(),
+            Field::Name => {
+                vec![StoreValue::from(""), StoreValue::from(7), StoreValue::from("x".repeat(1000))]
+            }
+            Field::Text => vec![StoreValue::from(7), StoreValue::from("x".repeat(1000))],
+            Field::Word => ["", "other"].map(StoreValue::from).to_vec(),
+            Field::Flag => vec![StoreValue::from(1), StoreValue::from("true")],
             Field::Count => {
-                vec![Data::from(0), Data::from(-1), Data::from(1.5), Data::from(100_001)]
+                vec![
+                    StoreValue::from(0),
+                    StoreValue::from(-1),
+                    StoreValue::from(1.5),
+                    StoreValue::from(100_001),
+                ]
             }
-            Field::Amount => [&amounts[..], &[Data::from("1")]].concat(),
+            Field::Amount => [&amounts[..], &[StoreValue::from("1")]].concat(),
             Field::MayBeNull if name == "dueS" => amounts.to_vec(),
-            Field::MayBeNull => vec![Data::from(7)],
+            Field::MayBeNull => vec![StoreValue::from(7)],
         };
         values.extend(more.into_iter().map(Some));
         for value in values {
@@ -272,16 +288,16 @@
         }
     }
     assert!(broken > 100 && asked.state.cache.jobs.get(&JobId::new("wk-1")).is_none());
-    for body in [&b""[..], b"{", b"\xff", &wire::encode(&Data::from("wk-1")), b"\x80"] {
+    for body in [&b""[..], b"{", b"\xff", &wire::encode(&StoreValue::from("wk-1")), b"\x80"] {
         assert_eq!(asked.ask(body).status, 400);
     }
     let mut twice = wire::encode(&whole);
     twice.push(0);
     assert_eq!(asked.ask(&twice).status, 400, "more than one item");
-    assert_eq!(asked.ask(&with("wk-1", "colour", Some(Data::from("red")))).status, 201);
+    assert_eq!(asked.ask(&with("wk-1", "colour", Some(StoreValue::from("red")))).status, 201);
     // Known by now.
     for (name, _) in FIELDS.into_iter().skip(1) {
-        for value in [None, Some(Data::Map(vec![]))] {
+        for value in [None, Some(StoreValue::Map(vec![]))] {
             assert_eq!(asked.ask(&with("wk-1", name, value)).status, 200, "{name}");
         }
     }
@@ -291,7 +307,7 @@
 /// (array: one task; service: all tasks)."
 #[test]
 fn what_can_never_run_is_refused_for_good_unless_its_job_is_known() {
-    let plain = jobs::plain_spec("wk-1", 2);
+    let plain = jobs::fixtures::job_spec("wk-1", 2);
     let spec = || JobSpec { team: "t".into(), ..plain.clone() };
     let never = [
         JobSpec { team: "nobody".into(), ..spec() },
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{FencingToken, MachineId};
-use crate::store::Bucket;
+use crate::store::TokenBucket;
 use crate::wire::{
     self, ListedMachine, MachineIds, MachinePage, MachineType, MachineTypes, RentalRequest,
 };
@@ -71,7 +71,7 @@
 }
 
 pub struct CloudClient {
-    bucket: Bucket,
+    bucket: TokenBucket,
     token: FencingToken,
     counter: u64,
     hires: BTreeMap<u64, Open>,
@@ -94,7 +94,7 @@
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
             // Other controllers may have spent of the same budget just before.
-            bucket: Bucket::new(rps * STATE_BUDGET, 1.0, now),
+            bucket: TokenBucket::new(rps * STATE_BUDGET, 1.0, now),
             token: FencingToken(0),
             counter: 0,
             hires: BTreeMap::new(),
@@ -218,7 +218,7 @@
         }
     }
 
-    pub fn on_reply(
+    pub fn on_response(
         &mut self,
         id: u64,
         reply: Result<Response, CallError>,
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -23,12 +23,12 @@
     core.lead(FencingToken(3), now);
     core.hire(KIND, "f", "z", 2, now);
     let (id, name) = hire_sent(&mut core, now);
-    assert!(core.on_reply(id, Err(CallError::Unknown), now).is_empty());
+    assert!(core.on_response(id, Err(CallError::Unknown), now).is_empty());
     assert_eq!(core.pending(), [(KIND, 2)]);
     let later = now + STATE_RETRY * 3;
     let (id, again) = hire_sent(&mut core, later);
     assert_eq!(name, again);
-    let refused = core.on_reply(id, refusal(NO_CAPACITY), later);
+    let refused = core.on_response(id, refusal(NO_CAPACITY), later);
     assert!(matches!(refused[..], [CloudEvent::Refused(KIND)]));
     core.lead(FencingToken(4), later);
     core.hire(KIND, "f", "z", 1, later);
@@ -47,7 +47,7 @@
     // What was sent keeps its content.
     core.hire(KIND, "f", "z", 1, now);
     assert_eq!(core.pending().len(), 3);
-    assert!(core.on_reply(id, refusal("trouble"), now).is_empty());
+    assert!(core.on_response(id, refusal("trouble"), now).is_empty());
     assert_eq!(core.pending(), [(KIND, 2), (KIND, 1)]);
 }
 
@@ -58,11 +58,11 @@
     core.delete(&MachineId::new("i-1"), now);
     core.poll(true, now);
     let id = core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).unwrap().0;
-    assert!(core.on_reply(id, Err(CallError::NotSent), now).is_empty());
+    assert!(core.on_response(id, Err(CallError::NotSent), now).is_empty());
     core.out.clear();
     core.poll(true, now + STATE_RETRY * 3);
     let (id, _) =
         core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).cloned().unwrap();
-    let events = core.on_reply(id, Ok(Response::empty(200)), now);
+    let events = core.on_response(id, Ok(Response::empty(200)), now);
     assert!(matches!(&events[..], [CloudEvent::Deleted(m)] if m.len() == 1));
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -10,7 +10,6 @@
 use crate::drains::{self, DrainRecord};
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
-use crate::jobs;
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::{Election, ElectionEvent};
@@ -19,10 +18,12 @@
 use crate::settings::Settings;
 use crate::store::records;
 use crate::store::{
-    FLAVOR_PREFIX, FLAVORS_KEY, Item, Origin, Outcome, RELAY_PREFIX, Rank, StoreClient, StoreEvent,
-    StoreRequest, StoreResponse,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, StoreClient, StoreEvent,
+    StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
+};
+use crate::wire::{
+    self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
 };
-use crate::wire::{self, CommandBatch, Data, Heartbeat, NotLeader, Precondition, Write};
 use crate::workers::command_delivery::DirectCall;
 use foldhash::{HashMap, HashMapExt};
 use serde::Serialize;
@@ -214,9 +215,9 @@
         self.handled = now;
         match event {
             Event::Http(ticket, request) => self.on_http(ticket, request, now),
-            Event::State(id, reply) => self.state.on_reply(id, reply, now),
+            Event::State(id, reply) => self.state.on_response(id, reply, now),
             Event::Cloud(id, reply) => {
-                for event in self.cloud.on_reply(id, reply, now) {
+                for event in self.cloud.on_response(id, reply, now) {
                     if let CloudEvent::MachineTypes(found) = &event {
                         self.on_flavors(found.clone());
                     }
@@ -283,7 +284,7 @@
         let fresh = |peer: &PeerView| now.saturating_duration_since(peer.heard) < STATE_LOST;
         let others_fine = self.peers.values().any(|peer| fresh(peer) && !peer.state_lost);
         let elsewhere = self.stands_aside(now) || self.leaves_users(now);
-        self.state.cache.loaded && !(self.state.lost(now) && others_fine) && !elsewhere
+        self.state.cache.loaded && !(self.state.is_unavailable(now) && others_fine) && !elsewhere
     }
 
     /// A leader whose sockets are mostly workers' leaves users to the others, if enough of them have been there
@@ -322,14 +323,14 @@
         self.scheduler = None;
         self.state.set_leading(false, now);
         if let Some(call) = self.election.resign(now) {
-            self.state.election(call, now);
+            self.state.send_election_request(call, now);
         }
     }
 
     fn on_flavors(&mut self, found: Vec<wire::MachineType>) {
         // The catalogue is kept at the store, so that a controller started while the cloud is
         // out can still judge submissions. It only grows: records refer to it.
-        let (known, rev) = self.state.cache.flavors.clone();
+        let (known, rev) = self.state.cache.machine_types.clone();
         let mut all = known.clone();
         wire::merge(&mut all, found);
         // Only a leader, or whoever finds none there yet, writes it.
@@ -338,24 +339,29 @@
         }
         let layout = self.state.layout();
         if !layout.second() || layout.fits(&all) {
-            return self.push_flavors(FLAVORS_KEY.into(), records::data(&all), rev);
+            return self.push_flavors(MACHINE_TYPES_KEY.into(), records::to_value(&all), rev);
         }
         for flavor in all.iter().filter(|flavor| !known.contains(flavor)) {
             // Names may be of any text, keys may not.
-            let key = format!("{FLAVOR_PREFIX}{}", records::tag(&flavor.name));
-            let rev = self.state.cache.flavor_keys.get(&key).copied().unwrap_or_default();
-            self.push_flavors(key, records::data(flavor), rev);
+            let key = format!("{MACHINE_TYPE_PREFIX}{}", records::key_hash(&flavor.name));
+            let rev = self.state.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
+            self.push_flavors(key, records::to_value(flavor), rev);
         }
     }
 
-    fn push_flavors(&mut self, key: String, data: Data, rev: Revision) {
-        let origin = Origin::MachineTypes(key.clone());
-        if self.state.has_item(&origin) {
+    fn push_flavors(&mut self, key: String, data: StoreValue, rev: Revision) {
+        let origin = WriteOrigin::MachineTypes(key.clone());
+        if self.state.is_pending(&origin) {
             return;
         }
         let guards = vec![Precondition { key: key.clone(), rev }];
-        let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
-        self.state.push(Item { rank: Rank::Rest, origin, change });
+        let transaction =
+            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+        self.state.enqueue(PendingWrite {
+            priority: WritePriority::Background,
+            origin,
+            transaction,
+        });
     }
 
     fn on_tick(&mut self, now: Instant) {
@@ -371,7 +377,7 @@
                 from: self.settings.platform.host_name.clone(),
                 seq: self.mesh_seq,
                 leading: self.scheduler.as_ref().and(self.election.token()),
-                state_lost: self.state.lost(now),
+                state_lost: self.state.is_unavailable(now),
                 ack: self.delegated_lease.ack(),
                 up_ms: age_ms(self.started, now),
                 answered_for_leader: self.delegated_lease.answered_for_leader(now),
@@ -393,7 +399,7 @@
             self.format = Some(format);
         }
         if !self.settings.operator.hold_format {
-            self.state.tell_version();
+            self.state.publish_version();
         }
         for (ticket, response) in self.api.tick(&self.state, now) {
             self.reply(ticket, response);
@@ -465,7 +471,7 @@
         let elsewhere = self.worker_elsewhere;
         // Whom another controller hears it sends here at once.
         let missing = elsewhere.is_some_and(|at| at > scheduler.last_report + REDIRECT_MOST);
-        if !missing || silence <= patience || self.state.lost(now) {
+        if !missing || silence <= patience || self.state.is_unavailable(now) {
             return;
         }
         let known = scheduler.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
@@ -479,11 +485,11 @@
     fn log_counts(&mut self, now: Instant) {
         let latency = &self.api.latency_ms;
         tracing::info!(
-            queue = self.state.waiting(),
+            queue = self.state.queue_length(),
             refused = self.api.refused,
             p50_ms = latency.value_at_quantile(0.5),
             p99_ms = latency.value_at_quantile(0.99),
-            state_lost = self.state.lost(now),
+            state_lost = self.state.is_unavailable(now),
             rev = %self.state.cache.rev,
             "requests"
         );
@@ -525,9 +531,9 @@
                 self.lost(why, now);
             }
             self.send_heartbeat(now);
-            let lost = self.state.lost(now);
+            let lost = self.state.is_unavailable(now);
             for call in self.election.poll(&self.state.cache, lost, now) {
-                self.state.election(call, now);
+                self.state.send_election_request(call, now);
             }
             let act = self.may_act(now);
             if act != self.may_act {
@@ -567,12 +573,12 @@
         self.api.given.look(cache);
         if self.state.layout().format >= FORMAT_HEARTBEAT && cache.loaded {
             let me = &self.settings.platform.host_name;
-            let seen = cache.heartbeats.get(me).copied().unwrap_or_default();
+            let seen = cache.controller_leases.get(me).copied().unwrap_or_default();
             let me = self.heartbeat.key().to_owned();
             self.api.promises.under(me, self.heartbeat.revision());
             let version = self.state.cache.versions.get(&self.settings.platform.host_name);
             if let Some(call) = self.heartbeat.poll(seen, version, now) {
-                self.state.heartbeat(call, now);
+                self.state.send_lease_request(call, now);
             }
         }
         if !self.api.asks.is_empty() {
@@ -596,7 +602,7 @@
             StoreEvent::Loaded => {
                 tracing::info!(jobs = self.state.cache.jobs.all.len(), "cache is loaded");
             }
-            StoreEvent::Changed(ids) => {
+            StoreEvent::JobsChanged(ids) => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.on_jobs(&ids, &self.state.cache, now);
                 }
@@ -608,17 +614,17 @@
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(Origin::Operator(ticket), outcome) => {
+            StoreEvent::Outcome(WriteOrigin::Operator(ticket), outcome) => {
                 self.on_ordered(ticket, outcome);
             }
-            StoreEvent::Outcome(Origin::User(ticket), outcome) => {
+            StoreEvent::Outcome(WriteOrigin::User(ticket), outcome) => {
                 let answer = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 if let Some(response) = answer {
                     self.reply(ticket, response);
                 }
             }
             StoreEvent::Outcome(origin, outcome) => {
-                if outcome != Outcome::Committed {
+                if outcome != WriteOutcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
                 if let Some(scheduler) = &mut self.scheduler {
@@ -626,13 +632,13 @@
                 }
             }
             StoreEvent::ControllerLease(call, sent, reply) => {
-                self.heartbeat.on_reply(&call, sent, &reply, now);
+                self.heartbeat.on_response(&call, sent, &reply, now);
             }
             StoreEvent::Election(call, sent, reply) => {
                 let (calls, event) =
-                    self.election.on_reply(&call, sent, &reply, &self.state.cache, now);
+                    self.election.on_response(&call, sent, &reply, &self.state.cache, now);
                 for call in calls {
-                    self.state.election(call, now);
+                    self.state.send_election_request(call, now);
                 }
                 match event {
                     Some(ElectionEvent::Won(token)) => {
@@ -654,7 +660,7 @@
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.flavors.0.is_empty() {
+        if self.state.cache.machine_types.0.is_empty() {
             // Without the catalogue nothing can be judged; it comes from the cloud soon.
             self.state.sync_soon(TAKE_OVER);
             return;
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -87,7 +87,7 @@
             reason: order.reason,
         };
         let key = drains::key(record.kind, &record.name);
-        self.order(ticket, key, records::data(&record))
+        self.order(ticket, key, records::to_value(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
@@ -103,23 +103,28 @@
 
     /// Writes a drain, or that it is taken back, guarded by what this controller knows of it: of two operators at
     /// once one is told to look again.
-    pub(super) fn order(&mut self, ticket: u64, key: String, data: Data) -> Option<Response> {
+    pub(super) fn order(&mut self, ticket: u64, key: String, data: StoreValue) -> Option<Response> {
         if !self.state.cache.loaded {
             return Some(Response::later(503));
         }
         let rev = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
         let guards = vec![Precondition { key: key.clone(), rev }];
-        let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
-        self.state.push(Item { rank: Rank::Awaited, origin: Origin::Operator(ticket), change });
+        let transaction =
+            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+        self.state.enqueue(PendingWrite {
+            priority: WritePriority::Blocking,
+            origin: WriteOrigin::Operator(ticket),
+            transaction,
+        });
         None
     }
 
-    pub(super) fn on_ordered(&mut self, ticket: u64, outcome: Outcome) {
+    pub(super) fn on_ordered(&mut self, ticket: u64, outcome: WriteOutcome) {
         let response = match outcome {
-            Outcome::Committed => Response::empty(200),
-            Outcome::Conflict => Response::empty(409),
-            Outcome::Invalid => Response::empty(422),
-            Outcome::Refused | Outcome::Unknown => Response::later(503),
+            WriteOutcome::Committed => Response::empty(200),
+            WriteOutcome::Conflict => Response::empty(409),
+            WriteOutcome::Invalid => Response::empty(422),
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Response::later(503),
         };
         self.reply(ticket, response);
     }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -60,7 +60,7 @@
             self.look_at_promises(now);
         }
         for (peer, jobs) in by_peer {
-            if !self.state.cache.heartbeats.contains_key(&peer) {
+            if !self.state.cache.controller_leases.contains_key(&peer) {
                 // Nothing reaches it that it would understand for sure.
                 continue;
             }
@@ -195,8 +195,8 @@
     /// is not asked for its own.
     pub(super) fn pledge(&mut self, token: FencingToken, to: &ControllerId, now: Instant) -> bool {
         let cache = &self.state.cache;
-        let shown =
-            self.state.layout().format < FORMAT_HEARTBEAT || cache.heartbeats.contains_key(to);
+        let shown = self.state.layout().format < FORMAT_HEARTBEAT
+            || cache.controller_leases.contains_key(to);
         self.election.pledge(token, cache, shown, now)
     }
 
@@ -214,7 +214,7 @@
         if leader == self.settings.platform.host_name
             || now < self.relay_at
             || now.saturating_duration_since(heard) < DELEGATION_AFTER
-            || self.state.lost(now)
+            || self.state.is_unavailable(now)
         {
             return;
         }
@@ -226,7 +226,7 @@
         let Some(text) = mesh::to_text(message) else { return };
         let layout = self.state.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.settings.platform.host_name);
-        let busy = |state: &StoreClient, n| state.has_item(&Origin::Relay(to.clone(), n));
+        let busy = |state: &StoreClient, n| state.is_pending(&WriteOrigin::Relay(to.clone(), n));
         let mut values = vec![(key.clone(), text)];
         if !layout.fits(&values[0].1) {
             if !layout.second() || busy(&self.state, 1) {
@@ -249,12 +249,16 @@
             let guards = some.iter().map(guard).collect();
             let write = |(key, text): &(String, String)| Write::Put {
                 key: key.clone(),
-                data: Data::Text(text.clone()),
+                data: StoreValue::Text(text.clone()),
                 hold: None,
             };
-            let change = jobs::Change { guards, writes: some.iter().map(write).collect() };
-            let origin = Origin::Relay(to.clone(), if whole { 0 } else { n + 1 });
-            self.state.push(Item { rank: Rank::Awaited, origin, change });
+            let transaction = Transaction { guards, writes: some.iter().map(write).collect() };
+            let origin = WriteOrigin::Relay(to.clone(), if whole { 0 } else { n + 1 });
+            self.state.enqueue(PendingWrite {
+                priority: WritePriority::Blocking,
+                origin,
+                transaction,
+            });
         }
     }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -11,7 +11,7 @@
     node.state.poll(now);
     let (id, _) = node.state.calls.pop_front().unwrap();
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+    node.state.on_response(id, StoreResponse::Range(page), now);
     let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
     node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
@@ -29,7 +29,7 @@
                 let Write::Put { data, .. } = write else { panic!() };
                 got.extend(pieces.take(data.as_text().unwrap()));
             }
-            node.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
+            node.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
         node.state.events.clear();
     }
@@ -47,7 +47,7 @@
         node.state.poll(now);
         let (id, _) = node.state.calls.pop_front().unwrap();
         let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-        node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+        node.state.on_response(id, StoreResponse::Range(page), now);
         node.crowded = crowded;
         for (n, (state_lost, up_s)) in peers.iter().enumerate() {
             let up = Duration::from_secs(*up_s);
@@ -72,7 +72,7 @@
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
     let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
         let cache = &node.state.cache;
         let token = FencingToken(1);
@@ -163,7 +163,7 @@
     node.state.poll(now);
     let (id, _) = node.state.calls.pop_front().unwrap();
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+    node.state.on_response(id, StoreResponse::Range(page), now);
     send(&mut node, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
     let undrain = ops::DrainName { key: key.into(), kind: ops::DrainKind::Zone, name: "a".into() };
     let undrain = serde_json::to_vec(&undrain).unwrap();
@@ -193,7 +193,7 @@
             Some(rev) => StoreResponse::Committed(rev),
             None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
         };
-        node.state.on_reply(id, reply, now);
+        node.state.on_response(id, reply, now);
         while let Some(event) = node.state.events.pop_front() {
             node.on_state(event, now);
         }
@@ -214,8 +214,8 @@
     node.state.poll(start);
     let (id, _) = node.state.calls.pop_front().unwrap();
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), start);
-    node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    node.state.on_response(id, StoreResponse::Range(page), start);
+    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -70,7 +70,7 @@
         let newest = self.state.cache.token.0;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
         let alone = !self.peers.values().any(near)
-            || self.state.lost(now) && self.later_leader(now).is_none();
+            || self.state.is_unavailable(now) && self.later_leader(now).is_none();
         // Whoever holds a later leader's grant keeps to it, and to its bars, though it led itself.
         let latest = newest.max(self.delegated_lease.ack().0);
         let token = match &mut self.scheduler {
@@ -89,7 +89,8 @@
         };
         let cache = &self.state.cache;
         let over = |id| {
-            self.api.given.has(id) || cache.jobs.get(id).is_some_and(|job| job.over().is_some())
+            self.api.given.has(id)
+                || cache.jobs.get(id).is_some_and(|job| job.final_state().is_some())
         };
         let stop = |task: &wire::TaskStatus| wire::WorkerCommand::Stop {
             task: task.task.clone(),
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -2,14 +2,14 @@
 //! before this one pass the keys over and go on placing tasks there while they lead.
 
 use crate::store::records;
-use crate::wire::Data;
+use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
 use troutspindle_protocol::ops::DrainKind;
 
 pub const DRAIN_PREFIX: &str = "t/q/";
 
 /// What stands in the key of an order that was taken back.
-pub const TAKEN_BACK: Data = Data::Bool(false);
+pub const TAKEN_BACK: StoreValue = StoreValue::Bool(false);
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
@@ -27,7 +27,7 @@
 
 /// Names may be of any text, keys may not.
 pub fn key(kind: DrainKind, name: &str) -> String {
-    format!("{DRAIN_PREFIX}{}", records::tag(&(kind, name)))
+    format!("{DRAIN_PREFIX}{}", records::key_hash(&(kind, name)))
 }
 
 /// What is drained, looked up for many machines.
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -7,10 +7,12 @@
 use crate::ids::{Amount, JobId, Revision};
 use crate::jobs::dag::{Dependencies, DependencyOutcome};
 use crate::store::records::{
-    self, CHUNK_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, PIECE_TASKS, Parts, Phase, RECORD_TASKS,
-    Record, data, job_key,
+    self, CHUNK_PREFIX, JobRecord, Layout, PART_PREFIX, PIECE_PREFIX, PIECE_TASKS, Phase,
+    RECORD_TASKS, SpecChunks, job_key,
+};
+use crate::wire::{
+    self, JobKind, JobSpec, JobStatus, Precondition, StoreValue, Transaction, Write,
 };
-use crate::wire::{self, Data, JobKind, JobSpec, JobStatus, Precondition, Write};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -95,23 +97,23 @@
     /// What either layout says is done.
     done: TaskSet,
     keys: MarkKeys,
-    parts: Option<Parts>,
+    parts: Option<SpecChunks>,
 }
 
 #[derive(Debug, Clone)]
 pub enum JobBody {
     Live(Box<LiveJob>),
     /// Over: nothing but the count for display is left.
-    Over {
+    Finished {
         cancelled: bool,
         done: u64,
-        rest: Option<Box<Rest>>,
+        rest: Option<Box<OrphanedTasks>>,
     },
 }
 
 /// What may still be on machines of a job that is over.
 #[derive(Debug, Clone)]
-pub struct Rest {
+pub struct OrphanedTasks {
     pub team: String,
     pub need: Amount,
     /// How many tasks at most, and the time of day in milliseconds when the job ended. Versions
@@ -131,27 +133,27 @@
 impl Job {
     /// The time of day in milliseconds when it ended, if it did and its record says so.
     pub fn ended_ms(&self) -> Option<u64> {
-        (self.over().is_some() && self.ended_ms > 0).then_some(self.ended_ms)
+        (self.final_state().is_some() && self.ended_ms > 0).then_some(self.ended_ms)
     }
     pub fn live(&self) -> Option<&LiveJob> {
         match &self.body {
             JobBody::Live(live) => Some(live),
-            JobBody::Over { .. } => None,
+            JobBody::Finished { .. } => None,
         }
     }
     /// The final status, if the job is over.
-    pub fn over(&self) -> Option<(JobStatus, u64)> {
+    pub fn final_state(&self) -> Option<(JobStatus, u64)> {
         match self.body {
-            JobBody::Over { cancelled: true, done, .. } => Some((JobStatus::Cancelled, done)),
-            JobBody::Over { cancelled: false, done, .. } => Some((JobStatus::Done, done)),
+            JobBody::Finished { cancelled: true, done, .. } => Some((JobStatus::Cancelled, done)),
+            JobBody::Finished { cancelled: false, done, .. } => Some((JobStatus::Done, done)),
             JobBody::Live(_) => None,
         }
     }
     fn fate(&self) -> DependencyOutcome {
         match self.body {
             JobBody::Live(_) => DependencyOutcome::Open,
-            JobBody::Over { cancelled: true, .. } => DependencyOutcome::Cancelled,
-            JobBody::Over { .. } => DependencyOutcome::Done(self.ended_ms),
+            JobBody::Finished { cancelled: true, .. } => DependencyOutcome::Cancelled,
+            JobBody::Finished { .. } => DependencyOutcome::Done(self.ended_ms),
         }
     }
 }
@@ -171,16 +173,16 @@
         self.spec.depends_on.as_deref().unwrap_or_default()
     }
     /// Whether its tasks may run: all that it needs is committed as done.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.open == 0
     }
     /// From when its times count, in milliseconds of the time of day: its submission, or when the
     /// last job that it needs was done.
-    pub fn since_ms(&self) -> u64 {
+    pub fn eligible_ms(&self) -> u64 {
         self.accepted_ms.max(self.ready_ms)
     }
     /// Its record with these marks too, if that is where its marks may be written.
-    fn with_marks(&self, done: &TaskSet, layout: &Layout) -> Option<Record> {
+    fn with_marks(&self, done: &TaskSet, layout: &Layout) -> Option<JobRecord> {
         if !layout.second() {
             return Some(self.record(done.part(0, layout.chunk).hex()));
         }
@@ -190,32 +192,25 @@
         let record = self.record(done.hex());
         layout.fits(&record).then_some(record)
     }
-    fn record(&self, done: String) -> Record {
+    fn record(&self, done: String) -> JobRecord {
         let spec = self.parts.is_none().then(|| self.spec.clone());
-        Record { d: done, x: self.parts.clone(), ..Record::live(self.accepted_ms, spec) }
+        JobRecord { d: done, x: self.parts.clone(), ..JobRecord::live(self.accepted_ms, spec) }
     }
 }
 
-/// One guarded change, as the state core commits it.
-#[derive(Debug, Clone)]
-pub struct Change {
-    pub guards: Vec<Precondition>,
-    pub writes: Vec<Write>,
-}
-
 /// What it takes to accept a job.
-pub enum Accept {
+pub enum Acceptance {
     /// Its record; the guard makes a repeat harmless.
-    Record(Change),
+    JobRecord(Transaction),
     /// Parts of a description too long for the record, which come first, a few at a time.
-    Parts(Change),
+    SpecChunks(Transaction),
 }
 
 /// Creates a job.
-pub fn accept(spec: &Arc<JobSpec>, at_ms: u64, layout: &Layout, jobs: &Jobs) -> Accept {
+pub fn accept(spec: &Arc<JobSpec>, at_ms: u64, layout: &Layout, jobs: &Jobs) -> Acceptance {
     let key = job_key(&spec.id);
     let mut guards = vec![Precondition { key: key.clone(), rev: Revision(0) }];
-    let mut record = Record::live(at_ms, Some(spec.clone()));
+    let mut record = JobRecord::live(at_ms, Some(spec.clone()));
     if layout.second() && !layout.fits(&record) {
         let (tag, parts) = records::spec_parts(spec, layout.value_max);
         let known = jobs.parts.get(&(spec.id.clone(), tag.clone()));
@@ -229,48 +224,52 @@
             for n in missing {
                 let key = records::part_key(&spec.id, &tag, n);
                 guards.push(Precondition { key: key.clone(), rev: Revision(0) });
-                writes.push(Write::Put { key, data: data(&parts[n as usize]), hold: None });
+                writes.push(Write::Put {
+                    key,
+                    data: records::to_value(&parts[n as usize]),
+                    hold: None,
+                });
             }
-            return Accept::Parts(Change { guards, writes });
+            return Acceptance::SpecChunks(Transaction { guards, writes });
         }
         // Parts left over are removed from the first one on, so this guard stands for all.
         let first = records::part_key(&spec.id, &tag, 0);
         guards.push(Precondition { key: first, rev: rev(0).unwrap_or_default() });
-        record.x = Some(Parts { tag, count: parts.len() as u32 });
+        record.x = Some(SpecChunks { tag, count: parts.len() as u32 });
         record.s = None;
     }
-    Accept::Record(Change {
+    Acceptance::JobRecord(Transaction {
         guards,
-        writes: vec![Write::Put { key, data: data(&record), hold: None }],
+        writes: vec![Write::Put { key, data: records::to_value(&record), hold: None }],
     })
 }
 
 /// Ends a job as cancelled.
-pub fn cancel(id: &JobId, job: &Job, now_ms: u64, layout: &Layout) -> Option<Change> {
+pub fn cancel(id: &JobId, job: &Job, now_ms: u64, layout: &Layout) -> Option<Transaction> {
     let live = job.live()?;
     let done = live.done_count();
     let rest = live.spec.tasks.saturating_sub(done);
     // Production told neither how many may run on nor since when.
     let told = layout.second().then_some((rest, now_ms));
     let left =
-        Record { w: Some(records::rest(&live.spec)), ..Record::live(live.accepted_ms, None) };
-    let left = Record { t: told.map(|told| told.0), e: told.map(|told| told.1), ..left };
-    Some(finish(id, job, Record { p: Phase::Cancelled, n: done, ..left }))
+        JobRecord { w: Some(records::rest(&live.spec)), ..JobRecord::live(live.accepted_ms, None) };
+    let left = JobRecord { t: told.map(|told| told.0), e: told.map(|told| told.1), ..left };
+    Some(finish(id, job, JobRecord { p: Phase::Cancelled, n: done, ..left }))
 }
 
 /// The end of a job is one write, whatever keys it has beside its record: those are tidied away
 /// later ([`Jobs::litter`]).
-fn finish(id: &JobId, job: &Job, record: Record) -> Change {
+fn finish(id: &JobId, job: &Job, record: JobRecord) -> Transaction {
     let key = job_key(id);
-    Change {
+    Transaction {
         guards: vec![Precondition { key: key.clone(), rev: job.rev }],
-        writes: vec![Write::Put { key, data: data(&record), hold: None }],
+        writes: vec![Write::Put { key, data: records::to_value(&record), hold: None }],
     }
 }
 
 /// What marks tasks as done, and whether it ends the job.
 pub struct Completion {
-    pub change: Change,
+    pub transaction: Transaction,
     pub ends: bool,
 }
 
@@ -292,21 +291,21 @@
     let count = done.count();
     if live.spec.shape != JobKind::Service && count >= live.spec.tasks {
         let second_runs = Some(second_runs).filter(|runs| *runs > 0 && layout.second());
-        let change = finish(
+        let transaction = finish(
             id,
             job,
-            Record {
+            JobRecord {
                 p: Phase::Done,
                 n: count,
                 e: Some(now_ms),
                 w: second_runs.map(|_| records::rest(&live.spec)),
                 t: second_runs,
-                ..Record::live(live.accepted_ms, None)
+                ..JobRecord::live(live.accepted_ms, None)
             },
         );
-        return Some(Completion { change, ends: true });
+        return Some(Completion { transaction, ends: true });
     }
-    let mut change = Change {
+    let mut transaction = Transaction {
         guards: vec![Precondition { key: job_key(id), rev: job.rev }],
         writes: Vec::new(),
     };
@@ -318,17 +317,18 @@
     let touched: BTreeSet<u32> = new.iter().map(|task| task / size).collect();
     for number in touched.into_iter().take(layout.txn_ops) {
         if let (Some(record), 0) = (&record, number) {
-            let write = Write::Put { key: job_key(id), data: data(record), hold: None };
-            change.writes.push(write);
+            let write =
+                Write::Put { key: job_key(id), data: records::to_value(record), hold: None };
+            transaction.writes.push(write);
             continue;
         }
         let key = marks.key(id, number);
         let rev = live.keys.get(&(marks, number)).copied().unwrap_or_default();
-        change.guards.push(Precondition { key: key.clone(), rev });
-        let value = Data::Text(done.part(number * size, size).hex());
-        change.writes.push(Write::Put { key, data: value, hold: None });
+        transaction.guards.push(Precondition { key: key.clone(), rev });
+        let value = StoreValue::Text(done.part(number * size, size).hex());
+        transaction.writes.push(Write::Put { key, data: value, hold: None });
     }
-    (!change.writes.is_empty()).then_some(Completion { change, ends: false })
+    (!transaction.writes.is_empty()).then_some(Completion { transaction, ends: false })
 }
 
 /// Marks of a job whose record has not been read yet.
@@ -347,7 +347,7 @@
     loose: BTreeMap<JobId, LooseMarks>,
     parts: BTreeMap<(JobId, String), PartTexts>,
     /// Records whose descriptions have not all been read yet.
-    torn: HashMap<JobId, (Record, Revision)>,
+    torn: HashMap<JobId, (JobRecord, Revision)>,
     /// Jobs whose records cannot be read: nobody may be told that they don't exist.
     unreadable: HashSet<JobId>,
     /// Keys that a job which is over has beside its record.
@@ -390,8 +390,8 @@
 
     /// Takes a job's value in. Nothing goes backward: an older revision is ignored, and a job
     /// that is over stays over.
-    pub fn put_job(&mut self, id: JobId, value: &Data, rev: Revision) {
-        let Ok(record) = value.deserialized::<Record>() else {
+    pub fn apply_record(&mut self, id: JobId, value: &StoreValue, rev: Revision) {
+        let Ok(record) = value.deserialized::<JobRecord>() else {
             tracing::error!(key = job_key(&id), "unreadable job record");
             self.unreadable.insert(id);
             return;
@@ -400,7 +400,7 @@
         self.take_record(id, record, rev);
     }
 
-    fn take_record(&mut self, id: JobId, record: Record, rev: Revision) {
+    fn take_record(&mut self, id: JobId, record: JobRecord, rev: Revision) {
         if let Some(job) = self.all.get_mut(&id)
             && (job.rev >= rev || job.live().is_none())
         {
@@ -450,9 +450,9 @@
     fn new_live(
         &mut self,
         id: &JobId,
-        record: &Record,
+        record: &JobRecord,
         spec: Arc<JobSpec>,
-        parts: Option<Parts>,
+        parts: Option<SpecChunks>,
     ) -> Box<LiveJob> {
         let mut done = TaskSet::from_hex(&record.d).unwrap_or_default();
         let mut keys = MarkKeys::new();
@@ -488,7 +488,7 @@
         }
     }
 
-    fn take_end(&mut self, id: JobId, record: Record, rev: Revision) {
+    fn take_end(&mut self, id: JobId, record: JobRecord, rev: Revision) {
         let cancelled = record.p == Phase::Cancelled;
         if record.p == Phase::Live {
             tracing::error!(key = job_key(&id), "a job record without a description");
@@ -496,13 +496,13 @@
             return;
         }
         self.torn.remove(&id);
-        let rest = record.w.map(|(team, cpu, gpu, ram)| Rest {
+        let rest = record.w.map(|(team, cpu, gpu, ram)| OrphanedTasks {
             team,
             need: Amount::need(cpu, gpu, ram),
             tasks: record.t,
             ended_ms: record.e,
         });
-        let body = JobBody::Over { cancelled, done: record.n, rest: rest.map(Box::new) };
+        let body = JobBody::Finished { cancelled, done: record.n, rest: rest.map(Box::new) };
         let job = Job { rev, ended_ms: record.e.unwrap_or(0), body };
         let fate = job.fate();
         let old = self.all.insert(id.clone(), job);
@@ -540,7 +540,7 @@
     /// was never done.
     fn cancel_derived(&mut self, id: &JobId) {
         let Some(job) = self.all.get_mut(id) else { return };
-        let over = JobBody::Over { cancelled: true, done: 0, rest: None };
+        let over = JobBody::Finished { cancelled: true, done: 0, rest: None };
         let body = std::mem::replace(&mut job.body, over);
         if let JobBody::Live(live) = body {
             self.leave_litter(id, Some(&live));
@@ -574,7 +574,13 @@
     }
 
     /// Takes in a key beside a job's record, given without its prefix.
-    fn put_marks(&mut self, marks: Marks, rest: &str, value: &Data, rev: Revision) -> Option<()> {
+    fn put_marks(
+        &mut self,
+        marks: Marks,
+        rest: &str,
+        value: &StoreValue,
+        rev: Revision,
+    ) -> Option<()> {
         let (id, number) = rest.rsplit_once('/')?;
         let number = number.parse::<u32>().ok()?;
         let id = JobId::new(id);
@@ -593,7 +599,7 @@
                     self.changed.push(id);
                 }
             }
-            Some(JobBody::Over { .. }) => {
+            Some(JobBody::Finished { .. }) => {
                 self.litter.insert(marks.key(&id, number), rev);
             }
             None => {
@@ -603,7 +609,7 @@
         Some(())
     }
 
-    fn put_part(&mut self, rest: &str, value: &Data, rev: Revision) -> Option<()> {
+    fn put_part(&mut self, rest: &str, value: &StoreValue, rev: Revision) -> Option<()> {
         let (rest, number) = rest.rsplit_once('/')?;
         let (id, tag) = rest.rsplit_once('/')?;
         let (id, number) = (JobId::new(id), number.parse::<u32>().ok()?);
@@ -621,7 +627,7 @@
     }
 
     /// The description, once all its parts are there; their texts are needed no longer then.
-    fn take_spec(&mut self, id: &JobId, parts: &Parts) -> Option<JobSpec> {
+    fn take_spec(&mut self, id: &JobId, parts: &SpecChunks) -> Option<JobSpec> {
         let texts = self.parts.get_mut(&(id.clone(), parts.tag.clone()))?;
         if !(0..parts.count).all(|n| texts.contains_key(&n)) {
             return None;
@@ -632,7 +638,12 @@
     }
 
     /// Takes in any key of a job's but its record; false if the key is none.
-    pub fn put_beside(&mut self, key: &str, value: Option<&Data>, rev: Revision) -> bool {
+    pub fn apply_auxiliary_key(
+        &mut self,
+        key: &str,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) -> bool {
         let kinds = [(CHUNK_PREFIX, Some(Marks::Chunk)), (PIECE_PREFIX, Some(Marks::Piece))];
         for (prefix, marks) in kinds.into_iter().chain([(PART_PREFIX, None)]) {
             let Some(rest) = key.strip_prefix(prefix) else { continue };
@@ -664,7 +675,7 @@
 
     /// Parts of descriptions whose job was never accepted, though its submission has begun, the
     /// first part of each before the others.
-    pub fn orphans(&self) -> impl Iterator<Item = (&JobId, String, Revision)> {
+    pub fn orphaned_spec_chunks(&self) -> impl Iterator<Item = (&JobId, String, Revision)> {
         let used = |(id, tag): &(JobId, String)| match self.all.get(id).and_then(Job::live) {
             Some(live) => live.parts.as_ref().is_some_and(|parts| parts.tag == *tag),
             None => self.torn.contains_key(id),
@@ -677,50 +688,25 @@
 
     /// What may be tidied up, at most so many writes: keys that jobs which are over have beside
     /// their records, and records of jobs that are cancelled by what they need.
-    pub fn tidy(&self, most: usize) -> Vec<(Write, Revision)> {
+    pub fn garbage(&self, most: usize) -> Vec<(Write, Revision)> {
         let litter =
             self.litter.iter().map(|(key, rev)| (Write::Delete { key: key.clone() }, *rev));
         let derived = self.derived.iter().filter_map(|id| {
-            let record = Record { p: Phase::Cancelled, ..Record::live(0, None) };
-            let write = Write::Put { key: job_key(id), data: data(&record), hold: None };
+            let record = JobRecord { p: Phase::Cancelled, ..JobRecord::live(0, None) };
+            let write =
+                Write::Put { key: job_key(id), data: records::to_value(&record), hold: None };
             Some((write, self.all.get(id)?.rev))
         });
         derived.chain(litter).take(most).collect()
     }
 
     /// A key that was to be removed is not as it was known: whoever reads all keys again finds it.
-    pub fn forget_litter(&mut self, key: &str) {
+    pub fn forget_garbage(&mut self, key: &str) {
         self.litter.remove(key);
     }
 }
 
-/// A plain array for tests, here and elsewhere.
 #[cfg(test)]
-pub(crate) fn plain_spec(id: &str, tasks: u64) -> JobSpec {
-    JobSpec {
-        id: JobId::new(id),
-        class: "c".into(),
-        team: "t".into(),
-        shape: JobKind::Array,
-        urgency: wire::Priority::High,
-        tasks,
-        cpus: 1.0,
-        gpus: 0.0,
-        ram_gb: 1.0,
-        image: "i".into(),
-        image_gb: 1.0,
-        flavors: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        expect_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        due_s: None,
-        depends_on: None,
-    }
-}
-
+pub(crate) mod fixtures;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/jobs/fixtures.rs
@@ -0,0 +1,31 @@
+//! Job descriptions for tests, in this module and elsewhere.
+
+use crate::ids::JobId;
+use crate::wire::{JobKind, JobSpec, Priority};
+
+/// A job array with one requested CPU and 1 GB of memory for each task.
+pub(crate) fn job_spec(id: &str, tasks: u64) -> JobSpec {
+    JobSpec {
+        id: JobId::new(id),
+        class: "c".into(),
+        team: "t".into(),
+        shape: JobKind::Array,
+        urgency: Priority::High,
+        tasks,
+        cpus: 1.0,
+        gpus: 0.0,
+        ram_gb: 1.0,
+        image: "i".into(),
+        image_gb: 1.0,
+        flavors: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        expect_s: 10.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        due_s: None,
+        depends_on: None,
+    }
+}
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 fn spec(id: &str, tasks: u64) -> Arc<JobSpec> {
-    Arc::new(plain_spec(id, tasks))
+    Arc::new(fixtures::job_spec(id, tasks))
 }
 
 const LAYOUT: Layout = Layout { format: 1, chunk: 16_384, txn_ops: 4, value_max: 1800 };
 
-fn record(spec: &Arc<JobSpec>, jobs: &Jobs) -> Change {
+fn record(spec: &Arc<JobSpec>, jobs: &Jobs) -> Transaction {
     match accept(spec, 5, &LAYOUT, jobs) {
-        Accept::Record(change) | Accept::Parts(change) => change,
+        Acceptance::JobRecord(transaction) | Acceptance::SpecChunks(transaction) => transaction,
     }
 }
 
@@ -16,19 +16,19 @@
 #[derive(Default)]
 struct Store {
     rev: u64,
-    keys: BTreeMap<String, (Option<Data>, u64)>,
+    keys: BTreeMap<String, (Option<StoreValue>, u64)>,
 }
 
 impl Store {
-    fn commit(&mut self, change: &Change, layout: &Layout) -> bool {
-        assert!(change.writes.len() <= layout.txn_ops);
-        assert!(change.guards.len() <= layout.txn_ops * 4);
+    fn commit(&mut self, transaction: &Transaction, layout: &Layout) -> bool {
+        assert!(transaction.writes.len() <= layout.txn_ops);
+        assert!(transaction.guards.len() <= layout.txn_ops * 4);
         let rev = |key| self.keys.get(key).filter(|(v, _)| v.is_some()).map_or(0, |(_, r)| *r);
-        if change.guards.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
+        if transaction.guards.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
             return false;
         }
         self.rev += 1;
-        for write in &change.writes {
+        for write in &transaction.writes {
             let value = match write {
                 Write::Put { data, .. } => Some(data.clone()),
                 Write::Delete { .. } => None,
@@ -42,8 +42,8 @@
     fn take(&self, jobs: &mut Jobs, key: &str) {
         let (value, rev) = &self.keys[key];
         match (key.strip_prefix(records::JOB_PREFIX), value) {
-            (Some(id), Some(value)) => jobs.put_job(JobId::new(id), value, Revision(*rev)),
-            _ => drop(jobs.put_beside(key, value.as_ref(), Revision(*rev))),
+            (Some(id), Some(value)) => jobs.apply_record(JobId::new(id), value, Revision(*rev)),
+            _ => drop(jobs.apply_auxiliary_key(key, value.as_ref(), Revision(*rev))),
         }
     }
     /// What a process finds that reads all keys in this order.
@@ -56,12 +56,12 @@
     }
 }
 
-fn apply(jobs: &mut Jobs, change: &Change, rev: u64) {
-    for write in &change.writes {
+fn apply(jobs: &mut Jobs, transaction: &Transaction, rev: u64) {
+    for write in &transaction.writes {
         let Write::Put { key, data, .. } = write else { continue };
         match key.strip_prefix(records::JOB_PREFIX) {
-            Some(id) => jobs.put_job(JobId::new(id), data, Revision(rev)),
-            None => drop(jobs.put_beside(key, Some(data), Revision(rev))),
+            Some(id) => jobs.apply_record(JobId::new(id), data, Revision(rev)),
+            None => drop(jobs.apply_auxiliary_key(key, Some(data), Revision(rev))),
         }
     }
 }
@@ -70,21 +70,21 @@
 fn a_job_ends_with_its_last_task_whatever_the_order_and_repeats() {
     let mut jobs = Jobs::new(LAYOUT.chunk);
     let id = JobId::new("wk-1");
-    let change = record(&spec("wk-1", 40), &jobs);
-    apply(&mut jobs, &change, 1);
+    let transaction = record(&spec("wk-1", 40), &jobs);
+    apply(&mut jobs, &transaction, 1);
     let mut order: Vec<u32> = (0..40).map(|i| (i * 7) % 40).collect();
     order.extend([3, 3, 39]);
     let mut rev = 1;
     for (nth, task) in order.iter().enumerate() {
         let job = jobs.get(&id).unwrap().clone();
         let Some(done) = complete(&id, &job, &[*task, 99], 0, 7, &LAYOUT) else { continue };
-        let change = done.change;
+        let transaction = done.transaction;
         rev += 1;
-        apply(&mut jobs, &change, rev);
-        let over = jobs.get(&id).unwrap().over();
+        apply(&mut jobs, &transaction, rev);
+        let over = jobs.get(&id).unwrap().final_state();
         assert_eq!(over.is_some(), nth >= 39, "{nth}");
     }
-    assert_eq!(jobs.get(&id).unwrap().over(), Some((JobStatus::Done, 40)));
+    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Done, 40)));
 }
 
 #[test]
@@ -94,14 +94,14 @@
     let first = record(&spec("wk-2", 2), &jobs);
     apply(&mut jobs, &first, 1);
     let job = jobs.get(&id).unwrap().clone();
-    let half = complete(&id, &job, &[0], 0, 7, &LAYOUT).unwrap().change;
+    let half = complete(&id, &job, &[0], 0, 7, &LAYOUT).unwrap().transaction;
     apply(&mut jobs, &half, 2);
     apply(&mut jobs, &first, 1);
     assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 1);
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     apply(&mut jobs, &end, 4);
     apply(&mut jobs, &half, 9);
-    assert_eq!(jobs.get(&id).unwrap().over(), Some((JobStatus::Cancelled, 1)));
+    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Cancelled, 1)));
 }
 
 /// A large job that was accepted in the first layout goes on in the second, under limits that
@@ -115,11 +115,12 @@
     {
         let mut store = Store::default();
         let id = JobId::new("wk-1");
-        let Accept::Record(change) = accept(&spec("wk-1", tasks), 5, &first, &Jobs::new(16_384))
+        let Acceptance::JobRecord(transaction) =
+            accept(&spec("wk-1", tasks), 5, &first, &Jobs::new(16_384))
         else {
             panic!()
         };
-        assert!(store.commit(&change, &first));
+        assert!(store.commit(&transaction, &first));
         let mut reported: BTreeSet<u32> = BTreeSet::new();
         let mut committed = TaskSet::default();
         let mut next = 0;
@@ -150,7 +151,7 @@
             let Some(done) = complete(&id, jobs.get(&id).unwrap(), &open, 0, 9, &layout) else {
                 continue;
             };
-            assert!(store.commit(&done.change, &layout));
+            assert!(store.commit(&done.transaction, &layout));
             if let Some(live) = store.read(0..store.keys.len()).get(&id).unwrap().live() {
                 let new: Vec<u32> = live.done.marks().filter(|n| !committed.has(*n)).collect();
                 assert!(new.iter().all(|n| reported.contains(n)));
@@ -161,13 +162,13 @@
         let mut over = None;
         while over.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
             let jobs = store.read(0..store.keys.len());
-            over = jobs.get(&id).unwrap().over();
+            over = jobs.get(&id).unwrap().final_state();
             let (guards, writes) = jobs
-                .tidy(3)
+                .garbage(3)
                 .into_iter()
                 .map(|(write, rev)| (Precondition { key: write.key().into(), rev }, write))
                 .unzip();
-            assert!(store.commit(&Change { guards, writes }, &LAYOUT));
+            assert!(store.commit(&Transaction { guards, writes }, &LAYOUT));
         }
         let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
         assert_eq!(over.unwrap().0, status);
@@ -178,13 +179,13 @@
 #[test]
 fn marks_of_many_keys_go_a_few_at_a_time() {
     let (mut store, id) = (Store::default(), JobId::new("wk-1"));
-    let change = record(&spec("wk-1", 100_000), &Jobs::new(16_384));
-    assert!(store.commit(&change, &LAYOUT));
+    let transaction = record(&spec("wk-1", 100_000), &Jobs::new(16_384));
+    assert!(store.commit(&transaction, &LAYOUT));
     let tasks: Vec<u32> = (0..100_000).step_by(1000).collect();
     for round in 0..7 {
         let jobs = store.read(0..store.keys.len());
         let done = complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).unwrap();
-        assert!(!done.ends && store.commit(&done.change, &LAYOUT), "{round}");
+        assert!(!done.ends && store.commit(&done.transaction, &LAYOUT), "{round}");
     }
     let jobs = store.read(0..store.keys.len());
     assert!(complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).is_none());
@@ -195,7 +196,7 @@
 /// elsewhere goes on with what the first one wrote.
 #[test]
 fn a_description_larger_than_a_value_is_kept_in_parts() {
-    let mut long = plain_spec("wk-9", 2000);
+    let mut long = fixtures::job_spec("wk-9", 2000);
     long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
     long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
     let (long, id) = (Arc::new(long), JobId::new("wk-9"));
@@ -206,9 +207,9 @@
         assert!(jobs.get(&id).is_none());
         steps += 1;
         match accept(&long, 5, &LAYOUT, &jobs) {
-            Accept::Parts(change) => assert!(store.commit(&change, &LAYOUT)),
-            Accept::Record(change) => {
-                assert!(store.commit(&change, &LAYOUT));
+            Acceptance::SpecChunks(transaction) => assert!(store.commit(&transaction, &LAYOUT)),
+            Acceptance::JobRecord(transaction) => {
+                assert!(store.commit(&transaction, &LAYOUT));
                 break;
             }
         }
@@ -221,15 +222,15 @@
         let jobs = store.read(order.into_iter());
         let live = jobs.get(&id).unwrap().live().unwrap();
         assert_eq!(live.spec, long);
-        assert_eq!(jobs.orphans().count(), 0);
+        assert_eq!(jobs.orphaned_spec_chunks().count(), 0);
     }
     let jobs = store.read(0..store.keys.len());
     let done = complete(&id, jobs.get(&id).unwrap(), &[1, 1999], 0, 9, &LAYOUT).unwrap();
-    assert!(!done.ends && store.commit(&done.change, &LAYOUT));
+    assert!(!done.ends && store.commit(&done.transaction, &LAYOUT));
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     assert!(store.commit(&end, &LAYOUT));
     let jobs = store.read(0..store.keys.len());
-    assert_eq!(jobs.tidy(1000).len(), store.keys.len() - 1);
+    assert_eq!(jobs.garbage(1000).len(), store.keys.len() - 1);
 }
 
 fn alone(job: &LiveJob) -> dag::InheritedPriority {
@@ -303,7 +304,7 @@
         for (which, act) in acts {
             let before = store.keys.clone();
             if accepted < count && act < 4 {
-                let mut spec = plain_spec(name(accepted).as_str(), 1);
+                let mut spec = fixtures::job_spec(name(accepted).as_str(), 1);
                 spec.depends_on = Some(depends_on[accepted].iter().map(|n| name(*n)).collect());
                 let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
                 spec.urgency = urgencies[which % 3];
@@ -314,23 +315,23 @@
             } else if accepted > 0 {
                 let n = which % accepted;
                 let job = jobs.get(&name(n)).unwrap().clone();
-                let (change, end) = match (act, job.live()) {
+                let (transaction, end) = match (act, job.live()) {
                     (5, _) => (cancel(&name(n), &job, 9, &LAYOUT), Some(true)),
-                    (6.., Some(live)) if live.ready() => {
+                    (6.., Some(live)) if live.is_ready() => {
                         let done = complete(&name(n), &job, &[0], 0, 9, &LAYOUT);
-                        (done.map(|done| done.change), Some(false))
+                        (done.map(|done| done.transaction), Some(false))
                     }
                     // Tidying up changes no answer.
                     _ => {
-                        let change = jobs.tidy(2).pop().map(|(write, rev)| Change {
+                        let transaction = jobs.garbage(2).pop().map(|(write, rev)| Transaction {
                             guards: vec![Precondition { key: write.key().into(), rev }],
                             writes: vec![write],
                         });
-                        (change, None)
+                        (transaction, None)
                     }
                 };
-                if let Some(change) = change
-                    && store.commit(&change, &LAYOUT)
+                if let Some(transaction) = transaction
+                    && store.commit(&transaction, &LAYOUT)
                 {
                     ended.extend(end.map(|cancelled| (n, cancelled)));
                 }
@@ -353,7 +354,7 @@
                 let plain = plain_state(n, &depends_on, &ended, &mut memo);
                 for jobs in [&jobs, &again] {
                     let job = jobs.get(&name(n)).unwrap();
-                    let state = job.over().map(|(status, _)| status == JobStatus::Cancelled);
+                    let state = job.final_state().map(|(status, _)| status == JobStatus::Cancelled);
                     proptest::prop_assert_eq!(state, plain, "job {}", n);
                     if let Some(live) = job.live() {
                         let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
@@ -384,13 +385,13 @@
                 order.reverse();
             }
             for n in order {
-                let mut spec = plain_spec(name(n).as_str(), 1);
+                let mut spec = fixtures::job_spec(name(n).as_str(), 1);
                 spec.urgency =
                     if n == 4999 { wire::Priority::Production } else { wire::Priority::Low };
                 spec.due_s = Some(if n == 4999 { 1e6 } else { 2e6 });
                 spec.depends_on = Some(depends_on(n).into_iter().map(name).collect());
-                let change = record(&Arc::new(spec), &jobs);
-                apply(&mut jobs, &change, 1);
+                let transaction = record(&Arc::new(spec), &jobs);
+                apply(&mut jobs, &transaction, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
             let alone = |job: &LiveJob| dag::InheritedPriority {
@@ -405,7 +406,7 @@
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
             apply(&mut jobs, &end, 2);
-            let over = jobs.all.values().filter(|job| job.over().is_some()).count();
+            let over = jobs.all.values().filter(|job| job.final_state().is_some()).count();
             let all = if layers == 999 { 4996 } else { 5000 };
             assert_eq!((over, jobs.take_changed().len()), (all, all));
         }
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -11,15 +11,15 @@
 use crate::constants::*;
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
 use crate::store::records::{self, VersionRecord};
-use crate::store::{Cache, HEARTBEAT_PREFIX, StoreRequest, StoreResponse};
-use crate::wire::{Data, Precondition, Transaction, Write};
+use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
 pub fn heartbeat_key(node: &ControllerId) -> String {
-    format!("{HEARTBEAT_PREFIX}{node}")
+    format!("{CONTROLLER_LEASE_PREFIX}{node}")
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,7 +68,7 @@
             return None;
         }
         let call = match self.stage {
-            Stage::Absent => StoreRequest::NewLease(HEARTBEAT_LEASE),
+            Stage::Absent => StoreRequest::GrantLease(HEARTBEAT_LEASE),
             Stage::Leased(lease, _) => {
                 let (record, told) = version?;
                 let epoch = records::version_key(&self.me);
@@ -79,18 +79,18 @@
                         Precondition { key: epoch.clone(), rev: *told },
                     ],
                     writes: vec![
-                        put(&self.key, Data::Bool(true), Some(lease)),
-                        put(&epoch, records::data(record), None),
+                        put(&self.key, StoreValue::Bool(true), Some(lease)),
+                        put(&epoch, records::to_value(record), None),
                     ],
                 })
             }
-            Stage::Held(lease, ..) => StoreRequest::Touch(lease),
+            Stage::Held(lease, ..) => StoreRequest::KeepAlive(lease),
         };
         self.in_flight = true;
         Some(call)
     }
 
-    pub fn on_reply(
+    pub fn on_response(
         &mut self,
         call: &StoreRequest,
         sent: Instant,
@@ -100,7 +100,7 @@
         self.in_flight = false;
         self.due = now + STATE_RETRY * 2;
         match (self.stage, call, reply) {
-            (Stage::Absent, StoreRequest::NewLease(_), StoreResponse::Lease(lease)) => {
+            (Stage::Absent, StoreRequest::GrantLease(_), StoreResponse::LeaseGranted(lease)) => {
                 self.stage = Stage::Leased(*lease, sent);
                 self.due = now;
             }
@@ -115,11 +115,11 @@
             }
             // Perhaps there all the same, or an older one is: a new lease and a new look settle it.
             (Stage::Leased(..), StoreRequest::Commit(_), _) => self.stage = Stage::Absent,
-            (Stage::Held(..), StoreRequest::Touch(_), StoreResponse::Done) => {
+            (Stage::Held(..), StoreRequest::KeepAlive(_), StoreResponse::Done) => {
                 self.renewed = self.renewed.max(sent);
                 self.due = sent + HEARTBEAT_EVERY;
             }
-            (Stage::Held(..), StoreRequest::Touch(_), StoreResponse::Gone) => {
+            (Stage::Held(..), StoreRequest::KeepAlive(_), StoreResponse::Gone) => {
                 self.stage = Stage::Absent;
                 self.due = now;
             }
@@ -202,7 +202,7 @@
             return;
         }
         for peer in &self.peers {
-            let rev = cache.heartbeats.get(peer).copied();
+            let rev = cache.controller_leases.get(peer).copied();
             let format = cache.versions.get(peer).map_or(0, |(v, _)| v.format);
             match self.seen.get_mut(peer) {
                 Some(seen) if seen.rev == rev => {}
--- a/src/leadership/controller_lease/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -33,11 +33,11 @@
     /// What a call of the controller does here.
     fn call(&mut self, call: &StoreRequest, now: Instant) -> StoreResponse {
         match call {
-            StoreRequest::NewLease(life) => {
+            StoreRequest::GrantLease(life) => {
                 self.leases.push(now + *life);
-                StoreResponse::Lease(LeaseId(self.leases.len() as u64 - 1))
+                StoreResponse::LeaseGranted(LeaseId(self.leases.len() as u64 - 1))
             }
-            StoreRequest::Touch(lease) if self.leases[lease.0 as usize] > now => {
+            StoreRequest::KeepAlive(lease) if self.leases[lease.0 as usize] > now => {
                 self.leases[lease.0 as usize] = now + HEARTBEAT_LEASE;
                 StoreResponse::Done
             }
@@ -83,9 +83,9 @@
         cache.loaded = true;
         let version = VersionRecord { format: FORMAT, chunk: 16 };
         cache.versions.insert(name.clone(), (version, Revision(1)));
-        let spec = std::sync::Arc::new(crate::jobs::plain_spec("wk-1", 2));
-        let job = records::data(&records::Record::live(1, Some(spec)));
-        cache.jobs.put_job(id.clone(), &job, Revision(2));
+        let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
+        let job = records::to_value(&records::JobRecord::live(1, Some(spec)));
+        cache.jobs.apply_record(id.clone(), &job, Revision(2));
         let mut promises = CancellationAcks::new(vec![name.clone()], LEASE_S, CANCEL_S);
         let (mut to_other, mut to_us, mut commits) = (Vec::new(), Vec::new(), Vec::new());
         let mut last_blind: Option<Instant> = None;
@@ -130,7 +130,7 @@
                     let reply = store.call(&call, now);
                     let lost = random.random_range(0..10) == 0;
                     let reply = if lost { StoreResponse::Unknown } else { reply };
-                    other.heartbeat.on_reply(&call, now, &reply, now);
+                    other.heartbeat.on_response(&call, now, &reply, now);
                 }
                 if random.random_range(0..5) == 0 {
                     other.synced = Some(now);
@@ -145,9 +145,9 @@
             // We see the store late, ask, and commit what the guards allow, perhaps late.
             if random.random_range(0..4) == 0 {
                 if let Some((rev, ..)) = store.key {
-                    cache.heartbeats.insert(name.clone(), Revision(rev));
+                    cache.controller_leases.insert(name.clone(), Revision(rev));
                 } else {
-                    cache.heartbeats.remove(&name);
+                    cache.controller_leases.remove(&name);
                 }
                 cache.versions.insert(name.clone(), (version, Revision(store.epoch)));
             }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -3,7 +3,7 @@
 use crate::constants::*;
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
-use crate::wire::{Data, Precondition, Transaction, Write};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -144,7 +144,7 @@
         self.role = Role::Follower;
         self.campaign_at = now + RESIGN_REST;
         self.pledges.clear();
-        Some(StoreRequest::DropLease(lease))
+        Some(StoreRequest::RevokeLease(lease))
     }
 
     /// Lets others campaign first for a while: this controller is to be ended.
@@ -163,19 +163,19 @@
                     self.campaign_at = self.campaign_at.max(now + jitter);
                 } else if now >= self.campaign_at.max(self.pledged_until) {
                     self.role = Role::Asking;
-                    calls.push(StoreRequest::NewLease(LEADER_LEASE));
+                    calls.push(StoreRequest::GrantLease(LEADER_LEASE));
                 }
             }
             Role::Settling { lease } => {
                 if now >= self.renew_at && !self.renew_in_flight {
                     self.renew_in_flight = true;
-                    calls.push(StoreRequest::DropLease(*lease));
+                    calls.push(StoreRequest::RevokeLease(*lease));
                 }
             }
             Role::Leading { lease, .. } => {
                 if now >= self.renew_at && !self.renew_in_flight {
                     self.renew_in_flight = true;
-                    calls.push(StoreRequest::Touch(*lease));
+                    calls.push(StoreRequest::KeepAlive(*lease));
                 }
             }
             Role::Asking | Role::Campaigning { .. } => {}
@@ -198,7 +198,7 @@
         })
     }
 
-    pub fn on_reply(
+    pub fn on_response(
         &mut self,
         call: &StoreRequest,
         sent: Instant,
@@ -209,12 +209,12 @@
         let mut calls = Vec::new();
         let mut event = None;
         match (self.role.clone(), call) {
-            (Role::Asking, StoreRequest::NewLease(_)) => match reply {
-                StoreResponse::Lease(lease) => {
+            (Role::Asking, StoreRequest::GrantLease(_)) => match reply {
+                StoreResponse::LeaseGranted(lease) => {
                     // The pledge may have been given, or a leader found, since we asked.
                     if cache.leader.is_some() || now < self.pledged_until {
                         self.stand_back(now);
-                        calls.push(StoreRequest::DropLease(*lease));
+                        calls.push(StoreRequest::RevokeLease(*lease));
                         return (calls, None);
                     }
                     let (old, rev) = cache.token;
@@ -240,17 +240,19 @@
                 }
                 _ => {
                     self.stand_back(now);
-                    calls.push(StoreRequest::DropLease(lease));
+                    calls.push(StoreRequest::RevokeLease(lease));
                 }
             },
-            (Role::Settling { lease }, StoreRequest::DropLease(dropped)) if lease == *dropped => {
+            (Role::Settling { lease }, StoreRequest::RevokeLease(dropped)) if lease == *dropped => {
                 self.renew_in_flight = false;
                 match reply {
                     StoreResponse::Done | StoreResponse::Gone => self.stand_back(now),
                     _ => self.renew_at = now + STATE_RETRY,
                 }
             }
-            (Role::Leading { lease, .. }, StoreRequest::Touch(touched)) if lease == *touched => {
+            (Role::Leading { lease, .. }, StoreRequest::KeepAlive(touched))
+                if lease == *touched =>
+            {
                 self.renew_in_flight = false;
                 match reply {
                     StoreResponse::Done => {
@@ -272,15 +274,19 @@
 
     fn campaign(&self, token: FencingToken, token_rev: Revision, lease: LeaseId) -> Transaction {
         let record = LeaderRecord { node: self.me.clone(), token };
-        let put = |key: &str, data: Data, hold| Write::Put { key: key.into(), data, hold };
+        let put = |key: &str, data: StoreValue, hold| Write::Put { key: key.into(), data, hold };
         Transaction {
             guards: vec![
                 Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
                 Precondition { key: TOKEN_KEY.into(), rev: token_rev },
             ],
             writes: vec![
-                put(LEADER_KEY, Data::serialized(&record).unwrap_or(Data::Null), Some(lease)),
-                put(TOKEN_KEY, Data::from(token.0), None),
+                put(
+                    LEADER_KEY,
+                    StoreValue::serialized(&record).unwrap_or(StoreValue::Null),
+                    Some(lease),
+                ),
+                put(TOKEN_KEY, StoreValue::from(token.0), None),
             ],
         }
     }
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -9,10 +9,10 @@
     let mut election = Election::new(ControllerId::new("a"), 2, 0, now);
     let now = now + PLEDGE * 2;
     let call = election.poll(&cache, false, now).remove(0);
-    let reply = StoreResponse::Lease(LeaseId(7));
-    let (mut calls, _) = election.on_reply(&call, now, &reply, &cache, now);
+    let reply = StoreResponse::LeaseGranted(LeaseId(7));
+    let (mut calls, _) = election.on_response(&call, now, &reply, &cache, now);
     let reply = StoreResponse::Committed(Revision(3));
-    let (_, event) = election.on_reply(&calls.remove(0), now, &reply, &cache, now);
+    let (_, event) = election.on_response(&calls.remove(0), now, &reply, &cache, now);
     assert_eq!(event, Some(ElectionEvent::Won(FencingToken(1))));
     let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
     cache.leader = Some((record, Revision(3)));
@@ -24,8 +24,8 @@
 fn alone(cache: &Cache, now: Instant) -> (Election, StoreRequest) {
     let mut election = Election::new(ControllerId::new("a"), 0, 0, now);
     let call = election.poll(cache, false, now).remove(0);
-    let reply = StoreResponse::Lease(LeaseId(7));
-    let (mut calls, _) = election.on_reply(&call, now, &reply, cache, now);
+    let reply = StoreResponse::LeaseGranted(LeaseId(7));
+    let (mut calls, _) = election.on_response(&call, now, &reply, cache, now);
     (election, calls.remove(0))
 }
 
@@ -34,7 +34,7 @@
     let (mut election, cache, now) = leader(Instant::now());
     let call = election.poll(&cache, false, now).remove(0);
     let late = now + Duration::from_secs(1);
-    election.on_reply(&call, now, &StoreResponse::Done, &cache, late);
+    election.on_response(&call, now, &StoreResponse::Done, &cache, late);
     assert!(election.may_act(true, now + LEADER_LEASE - LEASE_MARGIN * 2));
     assert!(!election.may_act(true, now + LEADER_LEASE - LEASE_MARGIN));
 }
@@ -78,7 +78,7 @@
     let (mut election, commit) = alone(&cache, now);
     assert!(!election.may_act(true, now));
     let reply = StoreResponse::Committed(Revision(3));
-    election.on_reply(&commit, now, &reply, &cache, now);
+    election.on_response(&commit, now, &reply, &cache, now);
     assert!(election.may_act(true, now + LEADER_LEASE * 5));
 }
 
@@ -87,10 +87,10 @@
     let now = Instant::now();
     let cache = loaded();
     let (mut election, commit) = alone(&cache, now);
-    election.on_reply(&commit, now, &StoreResponse::Unknown, &cache, now);
+    election.on_response(&commit, now, &StoreResponse::Unknown, &cache, now);
     let calls = election.poll(&cache, false, now);
-    assert!(matches!(calls[..], [StoreRequest::DropLease(LeaseId(7))]));
-    election.on_reply(&calls[0], now, &StoreResponse::Done, &cache, now);
+    assert!(matches!(calls[..], [StoreRequest::RevokeLease(LeaseId(7))]));
+    election.on_response(&calls[0], now, &StoreResponse::Done, &cache, now);
     assert!(election.poll(&cache, false, now).is_empty());
     assert_eq!(election.poll(&cache, false, now + STATE_RETRY * 2).len(), 1);
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -16,12 +16,12 @@
 };
 use crate::settings::Settings;
 use crate::store::{
-    Bucket, Cache, Item, LEADER_KEY, MACHINE_PREFIX, MachineRecord, Origin, Outcome, Rank,
-    StoreClient,
+    Cache, LEADER_KEY, MACHINE_PREFIX, MachineRecord, PendingWrite, StoreClient, TokenBucket,
+    WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{
-    CommandBatch, Data, Heartbeat, JobKind, MachineType, Precondition, Priority, TaskState,
-    WorkerCommand, Write,
+    CommandBatch, Heartbeat, JobKind, MachineType, Precondition, Priority, StoreValue, TaskState,
+    Transaction, WorkerCommand, Write,
 };
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::failure_attribution::FailureAttribution;
@@ -292,7 +292,7 @@
     /// When any worker of each zone was last heard.
     zone_heard: Vec<Option<Instant>>,
     /// Starts of least urgent tasks, and how many a second they may be.
-    low_starts: Bucket,
+    low_starts: TokenBucket,
     low_rate: f64,
     paced_at: Instant,
     /// When this process last fell behind.
@@ -307,7 +307,7 @@
     /// How many are; and machines to which something may be owed, or whether that may be any.
     under_way: usize,
     /// Questions to machines that have not answered this leader yet.
-    confirms: Bucket,
+    confirms: TokenBucket,
     look_at: BTreeSet<MachineId>,
     look_all: bool,
     /// From which machine on calls are sent next, where not all may be under way at once.
@@ -355,7 +355,7 @@
             since: now,
             counter: 0,
             teams: names.enumerate().map(|(i, name)| (name, i)).collect(),
-            flavors: cache.flavors.0.clone(),
+            flavors: cache.machine_types.0.clone(),
             settings,
             machines: BTreeMap::new(),
             ranks,
@@ -376,7 +376,7 @@
             planned: false,
             reserved: HashSet::new(),
             consolidate_at: now + MOVE_AFTER,
-            low_starts: Bucket::new(LOW_RATE_FIRST, 1.0, now),
+            low_starts: TokenBucket::new(LOW_RATE_FIRST, 1.0, now),
             low_rate: LOW_RATE_FIRST,
             paced_at: now,
             behind_at: None,
@@ -385,7 +385,7 @@
             most_machines: u32::MAX,
             most_direct: usize::MAX,
             under_way: 0,
-            confirms: Bucket::new(confirms, CONFIRM_BURST_S, now),
+            confirms: TokenBucket::new(confirms, CONFIRM_BURST_S, now),
             look_at: BTreeSet::new(),
             look_all: true,
             direct_from: None,
@@ -417,7 +417,7 @@
             if let Some(live) = job.live() {
                 // A predecessor started nothing that still waits for other jobs: the cache holds
                 // all that it committed.
-                let old = live.ready();
+                let old = live.is_ready();
                 scheduler.work.insert(id.clone(), JobProgress { old, ..JobProgress::default() });
             }
         }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -16,7 +16,7 @@
                 JobBody::Live(live) => {
                     self.carried_old |= !live.depends_on().is_empty();
                     let work = self.work.entry(id.clone()).or_default();
-                    if live.ready() {
+                    if live.is_ready() {
                         work.known.get_or_insert(now);
                     }
                     let done: Vec<u32> =
@@ -37,7 +37,7 @@
                         }
                     }
                 }
-                JobBody::Over { cancelled, .. } => {
+                JobBody::Finished { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
                     self.told_cancelled.remove(id);
                     if let Some(work) = self.work.remove(id) {
@@ -91,14 +91,19 @@
         }
     }
 
-    pub fn on_outcome(&mut self, origin: &Origin, outcome: Outcome, state: &mut StoreClient) {
-        if *origin == Origin::Tidy {
+    pub fn on_outcome(
+        &mut self,
+        origin: &WriteOrigin,
+        outcome: WriteOutcome,
+        state: &mut StoreClient,
+    ) {
+        if *origin == WriteOrigin::GarbageCollection {
             return self.tidied(outcome, state);
         }
-        if let Origin::Estimates(bucket) = origin {
+        if let WriteOrigin::RuntimeEstimates(bucket) = origin {
             return self.estimates_told(*bucket, outcome);
         }
-        if let (Origin::MachineKnown(id), Outcome::Committed) = (origin, outcome)
+        if let (WriteOrigin::MachineAdded(id), WriteOutcome::Committed) = (origin, outcome)
             && let Some(machine) = self.machines.get_mut(id)
         {
             machine.recorded = true;
@@ -116,8 +121,8 @@
         };
         self.unrecorded.retain(|id| due(id).is_some());
         for machine in self.unrecorded.iter().filter_map(due) {
-            let origin = Origin::MachineKnown(machine.id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::MachineAdded(machine.id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let Some(address) = machine.address else { continue };
@@ -129,12 +134,12 @@
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
-            let data = Data::serialized(&record).unwrap_or(Data::Null);
-            let change = jobs::Change {
+            let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
+            let transaction = Transaction {
                 guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Put { key, data, hold: None }],
             };
-            state.push(Item { rank: Rank::Awaited, origin, change });
+            state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
         self.store_completions(state, now);
     }
@@ -157,21 +162,25 @@
             .map(|(id, (_, rev))| (id.clone(), *rev))
             .collect();
         for (id, rev) in gone {
-            let origin = Origin::MachineGone(id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::MachineRemoved(id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let key = format!("{MACHINE_PREFIX}{id}");
-            let change = jobs::Change {
+            let transaction = Transaction {
                 guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Delete { key }],
             };
-            state.push(Item { rank: Rank::Rest, origin, change });
+            state.enqueue(PendingWrite {
+                priority: WritePriority::Background,
+                origin,
+                transaction,
+            });
         }
     }
 
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.marks_at && !state.is_behind();
+        let marks = now >= self.marks_at && !state.is_backlogged();
         if marks {
             self.marks_at = now + MARKS_EVERY;
         }
@@ -187,15 +196,15 @@
         // they take. Where the budget is short, only what ends a job goes at once.
         reported.sort_by_key(|(_, work)| Reverse(work.completing.len()));
         for (id, work) in reported {
-            let origin = Origin::Completion(id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::Completion(id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let Some(job) = state.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
                 live.done_count() + (work.completing.len() as u64) < live.spec.tasks
             };
-            if (!marks || state.is_behind()) && job.live().is_none_or(goes_on) {
+            if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
             }
             let tasks: Vec<u32> = work.completing.iter().copied().collect();
@@ -204,13 +213,14 @@
             let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
                 continue;
             };
-            if !done.ends && (!marks || state.is_behind()) {
+            if !done.ends && (!marks || state.is_backlogged()) {
                 continue;
             }
-            let mut change = done.change;
-            change.guards.push(guard.clone());
-            let rank = if done.ends { Rank::Awaited } else { Rank::Completion };
-            state.push(Item { rank, origin, change });
+            let mut transaction = done.transaction;
+            transaction.guards.push(guard.clone());
+            let priority =
+                if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
+            state.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -257,7 +257,7 @@
     }
 
     fn look_whether_late(&mut self, id: &JobId, cache: &Cache, now: Instant) {
-        let Some(live) = self.live(cache, id).filter(|live| live.ready()) else { return };
+        let Some(live) = self.live(cache, id).filter(|live| live.is_ready()) else { return };
         let Some(due_ms) = self.due_ms(&live.spec, live.accepted_ms) else { return };
         let Some(estimate) = self.estimate(id, live, now) else { return };
         let left_s = (due_ms as f64 - self.wall.ms(now) as f64) / 1000.0;
@@ -291,7 +291,7 @@
             return;
         }
         self.learning.read(&state.cache);
-        if state.is_behind() {
+        if state.is_backlogged() {
             return;
         }
         // The quotes of a text are part of its value.
@@ -303,16 +303,20 @@
         let key = key(write.bucket);
         let guards =
             vec![Precondition { key: key.clone(), rev: Revision(write.rev) }, self.leader_guard()];
-        let writes = vec![Write::Put { key, data: Data::from(write.value), hold: None }];
-        let change = jobs::Change { guards, writes };
-        state.push(Item { rank: Rank::Rest, origin: Origin::Estimates(write.bucket), change });
+        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), hold: None }];
+        let transaction = Transaction { guards, writes };
+        state.enqueue(PendingWrite {
+            priority: WritePriority::Background,
+            origin: WriteOrigin::RuntimeEstimates(write.bucket),
+            transaction,
+        });
     }
 
-    pub(super) fn estimates_told(&mut self, bucket: u8, outcome: Outcome) {
+    pub(super) fn estimates_told(&mut self, bucket: u8, outcome: WriteOutcome) {
         let told = match outcome {
-            Outcome::Committed | Outcome::Conflict => Told::Settled,
-            Outcome::Refused | Outcome::Unknown => Told::Unsure,
-            Outcome::Invalid => Told::Invalid,
+            WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Told::Unsure,
+            WriteOutcome::Invalid => Told::Invalid,
         };
         self.learning.learner.keeper.on_told(bucket, told);
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -5,11 +5,11 @@
 use crate::drains::DRAIN_PREFIX;
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
-use crate::jobs::{self, Jobs};
+use crate::jobs::Jobs;
 use crate::settings::KeptLimits;
 use crate::store::records::{FORMAT, Layout, VERSION_PREFIX, VersionRecord};
 use crate::wire::{
-    self, CommitResponse, Data, LeaseCreated, LeaseTtl, MachineType, Transaction, Write,
+    self, CommitResponse, LeaseCreated, LeaseTtl, MachineType, StoreValue, Transaction, Write,
 };
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use rand::rngs::StdRng;
@@ -28,12 +28,12 @@
 pub const PREFIX: &str = "t/";
 pub const LEADER_KEY: &str = "t/a/leader";
 pub const TOKEN_KEY: &str = "t/a/token";
-pub const FLAVORS_KEY: &str = "t/a/flavors";
+pub const MACHINE_TYPES_KEY: &str = "t/a/flavors";
 /// Second layout: one machine type to a key, where all of them are too many for one value.
-pub const FLAVOR_PREFIX: &str = "t/a/f/";
+pub const MACHINE_TYPE_PREFIX: &str = "t/a/f/";
 pub const MACHINE_PREFIX: &str = "t/m/";
 /// heartbeats of the controllers, each attached to a lease: `t/a/p/<node>`.
-pub const HEARTBEAT_PREFIX: &str = "t/a/p/";
+pub const CONTROLLER_LEASE_PREFIX: &str = "t/a/p/";
 /// Run times that were learned: `t/e/<bucket>`. Versions before this one pass them over.
 pub const ESTIMATES_PREFIX: &str = "t/e/";
 /// Messages between controllers that cannot reach each other: `t/x/<from>/<to>`.
@@ -58,11 +58,11 @@
 #[derive(Debug, Clone)]
 pub enum StoreRequest {
     Commit(Transaction),
-    Follow { after: Revision, wait: Duration },
+    Watch { after: Revision, wait: Duration },
     Range { after: Option<String> },
-    NewLease(Duration),
-    Touch(LeaseId),
-    DropLease(LeaseId),
+    GrantLease(Duration),
+    KeepAlive(LeaseId),
+    RevokeLease(LeaseId),
 }
 
 #[derive(Debug)]
@@ -71,14 +71,14 @@
     Conflict(Vec<String>),
     /// 400: the lease that a write names is over, or the request is malformed.
     Invalid,
-    WatchResponse(wire::WatchResponse),
-    RangeResponse(wire::RangeResponse),
-    Lease(LeaseId),
+    Watch(wire::WatchResponse),
+    Range(wire::RangeResponse),
+    LeaseGranted(LeaseId),
     Done,
     /// 404 for a lease, 410 for a follow.
     Gone,
     /// Surely not executed: an outage, a budget, or no connection.
-    Refused,
+    Unavailable,
     /// May have been executed, or may yet be.
     Unknown,
 }
@@ -88,7 +88,7 @@
         let make = |method, target: String, body| (Request { method, target, body }, STATE_TIMEOUT);
         match self {
             StoreRequest::Commit(txn) => make(Method::Post, "/commit".into(), wire::encode(txn)),
-            StoreRequest::Follow { after, wait } => {
+            StoreRequest::Watch { after, wait } => {
                 let target =
                     format!("/follow?starts={PREFIX}&after={after}&waitMs={}", wait.as_millis());
                 let (request, within) = make(Method::Get, target, Vec::new());
@@ -102,14 +102,14 @@
                     Vec::new(),
                 )
             }
-            StoreRequest::NewLease(life) => {
+            StoreRequest::GrantLease(life) => {
                 let body = wire::encode(&LeaseTtl { ttl_ms: life.as_millis() as u64 });
                 make(Method::Post, "/leases".into(), body)
             }
-            StoreRequest::Touch(lease) => {
+            StoreRequest::KeepAlive(lease) => {
                 make(Method::Post, format!("/leases/{lease}/touch"), Vec::new())
             }
-            StoreRequest::DropLease(lease) => {
+            StoreRequest::RevokeLease(lease) => {
                 make(Method::Delete, format!("/leases/{lease}"), Vec::new())
             }
         }
@@ -118,7 +118,7 @@
     pub fn reply(&self, result: Result<Response, CallError>) -> StoreResponse {
         let response = match result {
             Ok(response) => response,
-            Err(CallError::NotSent) => return StoreResponse::Refused,
+            Err(CallError::NotSent) => return StoreResponse::Unavailable,
             Err(CallError::Unknown) => return StoreResponse::Unknown,
         };
         let read = || -> Option<StoreResponse> {
@@ -130,20 +130,20 @@
                     wire::decode::<CommitResponse>(&response.body).ok()?.failed,
                 ),
                 (StoreRequest::Commit(_), 400) => StoreResponse::Invalid,
-                (StoreRequest::Follow { .. }, 200) => {
-                    StoreResponse::WatchResponse(wire::decode(&response.body).ok()?)
+                (StoreRequest::Watch { .. }, 200) => {
+                    StoreResponse::Watch(wire::decode(&response.body).ok()?)
                 }
                 (StoreRequest::Range { .. }, 200) => {
-                    StoreResponse::RangeResponse(wire::decode(&response.body).ok()?)
+                    StoreResponse::Range(wire::decode(&response.body).ok()?)
                 }
-                (StoreRequest::NewLease(_), 200) => {
-                    StoreResponse::Lease(wire::decode::<LeaseCreated>(&response.body).ok()?.lease)
-                }
-                (StoreRequest::Touch(_) | StoreRequest::DropLease(_), 200..=204) => {
+                (StoreRequest::GrantLease(_), 200) => StoreResponse::LeaseGranted(
+                    wire::decode::<LeaseCreated>(&response.body).ok()?.lease,
+                ),
+                (StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_), 200..=204) => {
                     StoreResponse::Done
                 }
                 (_, 404 | 410) => StoreResponse::Gone,
-                (_, 429 | 503) => StoreResponse::Refused,
+                (_, 429 | 503) => StoreResponse::Unavailable,
                 _ => return None,
             })
         };
@@ -153,31 +153,31 @@
 
 /// Whose change an item is: the order of service when the budget is short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
-    User,
+pub enum WritePriority {
+    Interactive,
     /// What somebody waits for: the end of a job, leave to start on a machine, a grant.
-    Awaited,
+    Blocking,
     /// Marks of tasks of a job that goes on.
-    Completion,
-    Rest,
+    Progress,
+    Background,
 }
 
 /// What asked for a change; handed back with its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Origin {
+pub enum WriteOrigin {
     /// Which format this controller reads.
     Version,
     /// What is left over of jobs that are over.
-    Tidy,
+    GarbageCollection,
     /// An operator's order, by its ticket.
     Operator(u64),
     /// Run times that were learned, by bucket.
-    Estimates(u8),
+    RuntimeEstimates(u8),
     /// A user's request, by its ticket.
     User(u64),
     Completion(JobId),
-    MachineKnown(MachineId),
-    MachineGone(MachineId),
+    MachineAdded(MachineId),
+    MachineRemoved(MachineId),
     /// The machine types: all, or those of one key.
     MachineTypes(String),
     /// A message for a controller out of reach, or a part of one.
@@ -185,19 +185,19 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Item {
-    pub rank: Rank,
-    pub origin: Origin,
-    pub change: jobs::Change,
+pub struct PendingWrite {
+    pub priority: WritePriority,
+    pub origin: WriteOrigin,
+    pub transaction: Transaction,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     Committed,
     /// A guard failed: read again and think again.
     Conflict,
     /// Surely not done.
-    Refused,
+    NotExecuted,
     /// Surely not done, and not to be done ever: the service calls it malformed or too large.
     Invalid,
     /// Perhaps done, perhaps yet to be.
@@ -209,10 +209,10 @@
 pub enum StoreEvent {
     Loaded,
     /// Jobs whose records may have changed.
-    Changed(Vec<JobId>),
+    JobsChanged(Vec<JobId>),
     /// The cache is at least as new as the store was when the ticket was taken.
     Synced(u64),
-    Outcome(Origin, Outcome),
+    Outcome(WriteOrigin, WriteOutcome),
     /// Answers to the election's own calls.
     Election(StoreRequest, Instant, StoreResponse),
     /// And to those by which this controller shows that it lives.
@@ -220,8 +220,8 @@
 }
 
 #[derive(Debug)]
-enum Doing {
-    Batch { items: Vec<Item>, txn: Transaction },
+enum InFlight {
+    Batch { items: Vec<PendingWrite>, txn: Transaction },
     Follow,
     Sync { tickets: Vec<u64>, sent: Instant },
     RangeResponse,
@@ -231,16 +231,16 @@
 
 /// A bucket that allows bursts of one second's worth.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     room: f64,
     burst: f64,
     at: Instant,
 }
 
-impl Bucket {
-    pub fn new(rate: f64, burst_s: f64, now: Instant) -> Bucket {
-        Bucket { rate, room: rate * burst_s, burst: burst_s, at: now }
+impl TokenBucket {
+    pub fn new(rate: f64, burst_s: f64, now: Instant) -> TokenBucket {
+        TokenBucket { rate, room: rate * burst_s, burst: burst_s, at: now }
     }
     pub fn set_rate(&mut self, rate: f64, now: Instant) {
         self.refill(now);
@@ -287,12 +287,12 @@
     /// All controllers, this one first.
     names: Vec<ControllerId>,
     loading: Option<Loading>,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// What waits to be written, with what it takes in a request.
-    items: Vec<(Item, usize)>,
+    items: Vec<(PendingWrite, usize)>,
     /// Whose changes wait or are under way: asked for each job with completions, so often.
-    origins: HashSet<Origin>,
+    origins: HashSet<WriteOrigin>,
     batch_in_flight: bool,
     /// So many items go one by one: one of them made the service refuse a whole transaction.
     alone: usize,
@@ -307,7 +307,7 @@
     sync_wanted: Vec<u64>,
     /// Somebody submits or cancels: the sync that waits is not put off for others to join.
     sync_soon: bool,
-    doing: HashMap<u64, Doing>,
+    doing: HashMap<u64, InFlight>,
     next_call: u64,
     /// When the service last answered us with anything but a refusal.
     pub last_ok: Option<Instant>,
@@ -327,8 +327,8 @@
             limits,
             names,
             loading: Some(Loading::default()),
-            requests: Bucket::new(limits.rps, 1.0, now),
-            writes: Bucket::new(limits.write_rps, 1.0, now),
+            requests: TokenBucket::new(limits.rps, 1.0, now),
+            writes: TokenBucket::new(limits.write_rps, 1.0, now),
             items: Vec::new(),
             origins: HashSet::new(),
             batch_in_flight: false,
@@ -382,12 +382,12 @@
     }
 
     /// Tells the others once that this controller reads the newest format.
-    pub fn tell_version(&mut self) {
+    pub fn publish_version(&mut self) {
         let Some(me) = self.names.first() else { return };
         let told = self.cache.versions.get(me);
         if !self.cache.loaded
             || told.is_some_and(|(told, _)| told.format >= FORMAT)
-            || self.has_item(&Origin::Version)
+            || self.is_pending(&WriteOrigin::Version)
         {
             return;
         }
@@ -395,20 +395,24 @@
         let rev = told.map_or(Revision(0), |(_, rev)| *rev);
         let record = VersionRecord { format: FORMAT, chunk: self.cache.jobs.chunk };
         let guards = vec![wire::Precondition { key: key.clone(), rev }];
-        let writes = vec![Write::Put { key, data: records::data(&record), hold: None }];
-        let change = jobs::Change { guards, writes };
-        self.push(Item { rank: Rank::User, origin: Origin::Version, change });
+        let writes = vec![Write::Put { key, data: records::to_value(&record), hold: None }];
+        let transaction = Transaction { guards, writes };
+        self.enqueue(PendingWrite {
+            priority: WritePriority::Interactive,
+            origin: WriteOrigin::Version,
+            transaction,
+        });
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn queue_length(&self) -> usize {
         self.items.len() + self.sync_wanted.len()
     }
 
-    pub fn lost(&self, now: Instant) -> bool {
+    pub fn is_unavailable(&self, now: Instant) -> bool {
         self.last_ok.is_none_or(|at| now.saturating_duration_since(at) > STATE_LOST)
     }
 
-    fn call(&mut self, call: StoreRequest, doing: Doing, now: Instant) {
+    fn call(&mut self, call: StoreRequest, doing: InFlight, now: Instant) {
         self.next_call += 1;
         self.requests.take(1.0, now);
         self.doing.insert(self.next_call, doing);
@@ -431,51 +435,51 @@
         if self.sync_soon { self.sync_after } else { self.sync_joined }
     }
 
-    pub fn push(&mut self, item: Item) {
+    pub fn enqueue(&mut self, item: PendingWrite) {
         self.origins.insert(item.origin.clone());
-        let at = self.items.partition_point(|(other, _)| other.rank <= item.rank);
+        let at = self.items.partition_point(|(other, _)| other.priority <= item.priority);
         // JSON spells numbers and names longer than CBOR does, but by less than a half.
-        let size = wire::encode(&item.change.writes).len() * 3 / 2 + 100;
+        let size = wire::encode(&item.transaction.writes).len() * 3 / 2 + 100;
         self.items.insert(at, (item, size));
     }
 
     /// Whether the budget is short: more waits than two transactions hold.
-    pub fn is_behind(&self) -> bool {
+    pub fn is_backlogged(&self) -> bool {
         self.items.len() > self.limits.txn_ops * 2
     }
 
-    pub fn has_item(&self, origin: &Origin) -> bool {
+    pub fn is_pending(&self, origin: &WriteOrigin) -> bool {
         self.origins.contains(origin)
     }
 
     /// What waits to be written, as if it had been sent.
     #[cfg(test)]
-    pub(crate) fn take_items(&mut self) -> Vec<Item> {
+    pub(crate) fn take_items(&mut self) -> Vec<PendingWrite> {
         self.origins.clear();
         std::mem::take(&mut self.items).into_iter().map(|(item, _)| item).collect()
     }
 
-    fn settle(&mut self, origin: Origin, outcome: Outcome) {
+    fn settle(&mut self, origin: WriteOrigin, outcome: WriteOutcome) {
         self.origins.remove(&origin);
         self.events.push_back(StoreEvent::Outcome(origin, outcome));
     }
 
     /// The election's calls go first and are never held for the budget: there are few.
-    pub fn election(&mut self, call: StoreRequest, now: Instant) {
-        self.call(call.clone(), Doing::Election(call, now), now);
+    pub fn send_election_request(&mut self, call: StoreRequest, now: Instant) {
+        self.call(call.clone(), InFlight::Election(call, now), now);
     }
 
     /// heartbeats are as few.
-    pub fn heartbeat(&mut self, call: StoreRequest, now: Instant) {
-        self.call(call.clone(), Doing::ControllerLease(call, now), now);
+    pub fn send_lease_request(&mut self, call: StoreRequest, now: Instant) {
+        self.call(call.clone(), InFlight::ControllerLease(call, now), now);
     }
 
     pub fn poll(&mut self, now: Instant) {
         if let Some(loading) = &self.loading {
-            let idle = !self.doing.values().any(|doing| matches!(doing, Doing::RangeResponse));
+            let idle = !self.doing.values().any(|doing| matches!(doing, InFlight::RangeResponse));
             if idle && now >= self.follow_after && self.requests.has(1.0, now) {
                 let after = loading.after.clone();
-                self.call(StoreRequest::Range { after }, Doing::RangeResponse, now);
+                self.call(StoreRequest::Range { after }, InFlight::RangeResponse, now);
             }
             return;
         }
@@ -489,14 +493,14 @@
             self.sync_in_flight = true;
             self.sync_soon = false;
             let tickets = std::mem::take(&mut self.sync_wanted);
-            let call = StoreRequest::Follow { after: self.cache.rev, wait: Duration::ZERO };
-            self.call(call, Doing::Sync { tickets, sent: now }, now);
+            let call = StoreRequest::Watch { after: self.cache.rev, wait: Duration::ZERO };
+            self.call(call, InFlight::Sync { tickets, sent: now }, now);
         }
         if !self.follow_in_flight && now >= self.follow_after && self.requests.has(1.0 + spare, now)
         {
             self.follow_in_flight = true;
-            let call = StoreRequest::Follow { after: self.cache.rev, wait: FOLLOW_WAIT };
-            self.call(call, Doing::Follow, now);
+            let call = StoreRequest::Watch { after: self.cache.rev, wait: FOLLOW_WAIT };
+            self.call(call, InFlight::Follow, now);
         }
         if !self.batch_in_flight
             && !self.items.is_empty()
@@ -511,21 +515,21 @@
     /// in it wait for the next.
     fn send_batch(&mut self, now: Instant) {
         let mut txn = Transaction { guards: Vec::new(), writes: Vec::new() };
-        let mut taken: Vec<Item> = Vec::new();
-        let mut left: Vec<(Item, usize)> = Vec::new();
+        let mut taken: Vec<PendingWrite> = Vec::new();
+        let mut left: Vec<(PendingWrite, usize)> = Vec::new();
         let mut keys: HashSet<String> = HashSet::new();
         let mut bytes = 0usize;
         for (item, size) in std::mem::take(&mut self.items) {
-            let ops = txn.writes.len() + item.change.writes.len();
+            let ops = txn.writes.len() + item.transaction.writes.len();
             let fits = taken.is_empty()
                 || (self.alone == 0
                     && ops <= self.limits.txn_ops
-                    && txn.guards.len() + item.change.guards.len() < self.limits.txn_ops * 4
+                    && txn.guards.len() + item.transaction.guards.len() < self.limits.txn_ops * 4
                     && bytes + size < BODY_MAX / 2);
             // Later items wait too once one didn't fit, so that none is overtaken for ever.
-            let shares = item.change.writes.iter().any(|write| keys.contains(write.key()));
+            let shares = item.transaction.writes.iter().any(|write| keys.contains(write.key()));
             // Guards of one key are sent once: two that differ would have one of them unchecked.
-            let clashes = item.change.guards.iter().any(|guard| {
+            let clashes = item.transaction.guards.iter().any(|guard| {
                 txn.guards.iter().any(|other| other.key == guard.key && other.rev != guard.rev)
             });
             if !fits || shares || clashes || (!left.is_empty() && taken.len() > self.limits.txn_ops)
@@ -538,11 +542,11 @@
                 continue;
             }
             bytes += size;
-            for write in &item.change.writes {
+            for write in &item.transaction.writes {
                 keys.insert(write.key().to_owned());
                 txn.writes.push(write.clone());
             }
-            for guard in &item.change.guards {
+            for guard in &item.transaction.guards {
                 if !txn.guards.iter().any(|g| g.key == guard.key) {
                     txn.guards.push(guard.clone());
                 }
@@ -556,7 +560,7 @@
         self.alone = self.alone.saturating_sub(1);
         self.writes.take(txn.writes.len() as f64, now);
         self.batch_in_flight = true;
-        self.call(StoreRequest::Commit(txn.clone()), Doing::Batch { items: taken, txn }, now);
+        self.call(StoreRequest::Commit(txn.clone()), InFlight::Batch { items: taken, txn }, now);
     }
 
     /// When something that waits here could go on, if nothing happens before.
@@ -578,33 +582,31 @@
         STATE_RETRY.mul_f64(1.0 + self.random.random::<f64>() / 2.0)
     }
 
-    pub fn on_reply(&mut self, id: u64, reply: StoreResponse, now: Instant) {
+    pub fn on_response(&mut self, id: u64, reply: StoreResponse, now: Instant) {
         let Some(doing) = self.doing.remove(&id) else { return };
-        if !matches!(reply, StoreResponse::Refused | StoreResponse::Unknown) {
+        if !matches!(reply, StoreResponse::Unavailable | StoreResponse::Unknown) {
             self.last_ok = Some(now);
         }
         match doing {
-            Doing::Election(call, sent) => {
-                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
-                    (&call, &reply)
+            InFlight::Election(call, sent) => {
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) = (&call, &reply)
                 {
                     self.apply_own(txn, *rev);
                 }
                 self.events.push_back(StoreEvent::Election(call, sent, reply));
             }
-            Doing::ControllerLease(call, sent) => {
-                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) =
-                    (&call, &reply)
+            InFlight::ControllerLease(call, sent) => {
+                if let (StoreRequest::Commit(txn), StoreResponse::Committed(rev)) = (&call, &reply)
                 {
                     self.apply_own(txn, *rev);
                 }
                 self.events.push_back(StoreEvent::ControllerLease(call, sent, reply));
             }
-            Doing::RangeResponse => self.on_page(reply, now),
-            Doing::Follow => {
+            InFlight::RangeResponse => self.on_page(reply, now),
+            InFlight::Follow => {
                 self.follow_in_flight = false;
                 match reply {
-                    StoreResponse::WatchResponse(news) => {
+                    StoreResponse::Watch(news) => {
                         // Who leads next is found out from here.
                         let led = self.cache.leader.is_some();
                         let pause = if led { self.follow_pause } else { FOLLOW_PAUSE };
@@ -615,10 +617,10 @@
                     _ => self.follow_after = now + self.pause(),
                 }
             }
-            Doing::Sync { tickets, sent } => {
+            InFlight::Sync { tickets, sent } => {
                 self.sync_in_flight = false;
                 match reply {
-                    StoreResponse::WatchResponse(news) => {
+                    StoreResponse::Watch(news) => {
                         self.sync_after = now + SYNC_PAUSE;
                         self.sync_joined = self.sync_after + SYNC_JOINED;
                         self.synced_at = self.synced_at.max(Some(sent));
@@ -637,22 +639,22 @@
                     }
                 }
             }
-            Doing::Batch { items, txn } => {
+            InFlight::Batch { items, txn } => {
                 self.batch_in_flight = false;
                 match reply {
                     StoreResponse::Committed(rev) => {
                         self.apply_own(&txn, rev);
                         for item in items {
-                            self.settle(item.origin, Outcome::Committed);
+                            self.settle(item.origin, WriteOutcome::Committed);
                         }
                     }
                     StoreResponse::Conflict(failed) => {
                         for item in items {
-                            let guards = &item.change.guards;
+                            let guards = &item.transaction.guards;
                             if guards.iter().any(|guard| failed.contains(&guard.key)) {
-                                self.settle(item.origin, Outcome::Conflict);
+                                self.settle(item.origin, WriteOutcome::Conflict);
                             } else {
-                                self.push(item);
+                                self.enqueue(item);
                             }
                         }
                     }
@@ -660,17 +662,17 @@
                         // Malformed as a whole: whichever item it is must not hold up the others.
                         self.alone = items.len();
                         for item in items {
-                            self.push(item);
+                            self.enqueue(item);
                         }
                     }
                     other => {
                         self.batch_after = now + self.pause();
                         let outcome = match other {
-                            StoreResponse::Refused => Outcome::Refused,
-                            StoreResponse::Invalid => Outcome::Invalid,
-                            _ => Outcome::Unknown,
+                            StoreResponse::Unavailable => WriteOutcome::NotExecuted,
+                            StoreResponse::Invalid => WriteOutcome::Invalid,
+                            _ => WriteOutcome::Unknown,
                         };
-                        if outcome == Outcome::Invalid {
+                        if outcome == WriteOutcome::Invalid {
                             let keys: Vec<&str> = txn.writes.iter().map(Write::key).collect();
                             tracing::error!(?keys, "the state service refuses this for good");
                         }
@@ -700,14 +702,14 @@
     }
 
     fn take_news(&mut self, news: wire::WatchResponse) {
-        for change in news.news {
-            if change.rev <= self.cache.rev {
+        for transaction in news.news {
+            if transaction.rev <= self.cache.rev {
                 continue;
             }
-            if let Some(key) = &change.put {
-                self.cache.take(key, change.data.as_ref(), change.rev);
-            } else if let Some(key) = &change.delete {
-                self.cache.take(key, None, change.rev);
+            if let Some(key) = &transaction.put {
+                self.cache.take(key, transaction.data.as_ref(), transaction.rev);
+            } else if let Some(key) = &transaction.delete {
+                self.cache.take(key, None, transaction.rev);
             }
         }
         self.cache.rev = self.cache.rev.max(news.rev);
@@ -717,7 +719,7 @@
     fn tell_changed(&mut self) {
         let changed = self.cache.jobs.take_changed();
         if !changed.is_empty() {
-            self.events.push_back(StoreEvent::Changed(changed));
+            self.events.push_back(StoreEvent::JobsChanged(changed));
         }
     }
 
@@ -727,7 +729,7 @@
     }
 
     fn on_page(&mut self, reply: StoreResponse, now: Instant) {
-        let StoreResponse::RangeResponse(page) = reply else {
+        let StoreResponse::Range(page) = reply else {
             self.follow_after = now + self.pause();
             return;
         };
@@ -742,7 +744,7 @@
             if let Some(node) = row.key.strip_prefix(VERSION_PREFIX) {
                 loading.versions.insert(ControllerId::new(node));
             }
-            if let Some(node) = row.key.strip_prefix(HEARTBEAT_PREFIX) {
+            if let Some(node) = row.key.strip_prefix(CONTROLLER_LEASE_PREFIX) {
                 loading.heartbeats.insert(ControllerId::new(node));
             }
             if row.key.starts_with(DRAIN_PREFIX) {
@@ -763,7 +765,9 @@
         let keep = |id: &MachineId, rev: Revision| loading.machines.contains(id) || rev > first;
         self.cache.machines.retain(|id, (_, rev)| keep(id, *rev));
         self.cache.versions.retain(|n, (_, rev)| loading.versions.contains(n) || *rev > first);
-        self.cache.heartbeats.retain(|n, rev| loading.heartbeats.contains(n) || *rev > first);
+        self.cache
+            .controller_leases
+            .retain(|n, rev| loading.heartbeats.contains(n) || *rev > first);
         self.cache.drains.retain(|k, (_, rev)| loading.drains.contains(k) || *rev > first);
         self.cache.drain_keys.retain(|k, rev| loading.drains.contains(k) || *rev > first);
         if !loading.leader && self.cache.leader.as_ref().is_some_and(|(_, rev)| *rev <= first) {
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -15,9 +15,9 @@
     pub jobs: Jobs,
     pub leader: Option<(LeaderRecord, Revision)>,
     pub token: (FencingToken, Revision),
-    pub flavors: (Vec<MachineType>, Revision),
+    pub machine_types: (Vec<MachineType>, Revision),
     /// Revisions of the keys that hold one machine type each.
-    pub flavor_keys: HashMap<String, Revision>,
+    pub machine_type_keys: HashMap<String, Revision>,
     /// Which format each controller says that it reads.
     pub versions: BTreeMap<ControllerId, (VersionRecord, Revision)>,
     pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
@@ -28,8 +28,8 @@
     pub drain_keys: BTreeMap<String, Revision>,
     /// Run times that were learned, as they are kept.
     pub estimates: BTreeMap<u8, (Option<String>, Revision)>,
-    /// Revisions of the controllers' heartbeats.
-    pub heartbeats: BTreeMap<ControllerId, Revision>,
+    /// Revisions of the controllers' controller_leases.
+    pub controller_leases: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
     pub relays: HashMap<String, Revision>,
     /// Relayed messages not looked at yet: the key's rest, and the message in hexadecimal.
@@ -55,24 +55,29 @@
             jobs: Jobs::new(chunk),
             leader: None,
             token: Default::default(),
-            flavors: Default::default(),
-            flavor_keys: HashMap::new(),
+            machine_types: Default::default(),
+            machine_type_keys: HashMap::new(),
             versions: BTreeMap::new(),
             machines: BTreeMap::new(),
             drains: BTreeMap::new(),
             drain_keys: BTreeMap::new(),
             estimates: BTreeMap::new(),
-            heartbeats: BTreeMap::new(),
+            controller_leases: BTreeMap::new(),
             relays: HashMap::new(),
             relayed: Vec::new(),
         }
     }
 
     /// Takes in one key's value or, with no value, its removal. Older revisions are ignored.
-    pub(super) fn take(&mut self, key: &str, value: Option<&Data>, rev: Revision) -> Option<()> {
+    pub(super) fn take(
+        &mut self,
+        key: &str,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) -> Option<()> {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
-            self.jobs.put_job(JobId::new(id), value?, rev);
-        } else if self.jobs.put_beside(key, value, rev) {
+            self.jobs.apply_record(JobId::new(id), value?, rev);
+        } else if self.jobs.apply_auxiliary_key(key, value, rev) {
         } else if let Some(node) = key.strip_prefix(VERSION_PREFIX) {
             // Operators remove it before they go back to the version before.
             let Some(value) = value else {
@@ -87,21 +92,21 @@
                 }
                 Err(_) => tracing::error!(key, "unreadable version"),
             }
-        } else if let Some(node) = key.strip_prefix(HEARTBEAT_PREFIX) {
+        } else if let Some(node) = key.strip_prefix(CONTROLLER_LEASE_PREFIX) {
             let node = ControllerId::new(node);
-            if self.heartbeats.get(&node).is_some_and(|old| *old >= rev) {
+            if self.controller_leases.get(&node).is_some_and(|old| *old >= rev) {
                 return None;
             }
             match value {
-                Some(_) => drop(self.heartbeats.insert(node, rev)),
-                None => drop(self.heartbeats.remove(&node)),
+                Some(_) => drop(self.controller_leases.insert(node, rev)),
+                None => drop(self.controller_leases.remove(&node)),
             }
         } else if let Some(id) = key.strip_prefix(MACHINE_PREFIX) {
             let id = MachineId::new(id);
             if self.machines.get(&id).is_some_and(|(_, old)| *old >= rev) {
                 return None;
             }
-            match value.map(Data::deserialized) {
+            match value.map(StoreValue::deserialized) {
                 Some(Ok(record)) => {
                     self.machines.insert(id, (record, rev));
                 }
@@ -117,7 +122,7 @@
                 Some(_) => drop(self.drain_keys.insert(key.to_owned(), rev)),
                 None => drop(self.drain_keys.remove(key)),
             }
-            match value.map(Data::deserialized) {
+            match value.map(StoreValue::deserialized) {
                 Some(Ok(record)) => drop(self.drains.insert(key.to_owned(), (record, rev))),
                 Some(Err(_)) if value != Some(&drains::TAKEN_BACK) => {
                     tracing::error!(key, "unreadable drain");
@@ -128,12 +133,12 @@
             let bucket = u8::from_str_radix(bucket, 16).ok()?;
             let known = self.estimates.entry(bucket).or_default();
             if known.1 < rev {
-                let text = value.and_then(Data::as_text).map(str::to_owned);
+                let text = value.and_then(StoreValue::as_text).map(str::to_owned);
                 // What is no text is kept as one that can't be read, and is replaced.
                 *known = (text.or_else(|| value.map(|_| String::new())), rev);
             }
         } else if let Some(rest) = key.strip_prefix(RELAY_PREFIX) {
-            if let Some(text) = value.and_then(Data::as_text)
+            if let Some(text) = value.and_then(StoreValue::as_text)
                 && self.relays.get(key).is_none_or(|old| *old < rev)
             {
                 self.relays.insert(key.to_owned(), rev);
@@ -150,18 +155,18 @@
             {
                 self.token = (token, rev);
             }
-        } else if key == FLAVORS_KEY
+        } else if key == MACHINE_TYPES_KEY
             && let Some(flavors) = value.and_then(|v| v.deserialized::<Vec<MachineType>>().ok())
-            && self.flavors.1 < rev
+            && self.machine_types.1 < rev
         {
-            self.flavors.1 = rev;
-            wire::merge(&mut self.flavors.0, flavors);
-        } else if key.starts_with(FLAVOR_PREFIX)
+            self.machine_types.1 = rev;
+            wire::merge(&mut self.machine_types.0, flavors);
+        } else if key.starts_with(MACHINE_TYPE_PREFIX)
             && let Some(flavor) = value.and_then(|v| v.deserialized::<MachineType>().ok())
-            && self.flavor_keys.get(key).is_none_or(|old| *old < rev)
+            && self.machine_type_keys.get(key).is_none_or(|old| *old < rev)
         {
-            self.flavor_keys.insert(key.to_owned(), rev);
-            wire::merge(&mut self.flavors.0, vec![flavor]);
+            self.machine_type_keys.insert(key.to_owned(), rev);
+            wire::merge(&mut self.machine_types.0, vec![flavor]);
         }
         None
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -11,7 +11,7 @@
 //! no job is live that such a version accepted.
 
 use crate::ids::{Amount, ControllerId, JobId};
-use crate::wire::{self, Data, JobSpec};
+use crate::wire::{self, JobSpec, StoreValue};
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -60,14 +60,14 @@
 
 /// Where a long description stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Parts {
+pub struct SpecChunks {
     pub tag: String,
     pub count: u32,
 }
 
 /// The value of a job's key; a finished job keeps only its last line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Record {
+pub struct JobRecord {
     pub p: Phase,
     /// Milliseconds of the time of day when it was accepted.
     #[serde(default)]
@@ -94,13 +94,13 @@
     /// Second layout: the description stands elsewhere. Production would take such a record for a
     /// job that is done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub x: Option<Parts>,
+    pub x: Option<SpecChunks>,
 }
 
-impl Record {
-    pub fn live(at: u64, spec: Option<Arc<JobSpec>>) -> Record {
+impl JobRecord {
+    pub fn live(at: u64, spec: Option<Arc<JobSpec>>) -> JobRecord {
         let d = String::new();
-        Record { p: Phase::Live, at, s: spec, d, n: 0, w: None, e: None, t: None, x: None }
+        JobRecord { p: Phase::Live, at, s: spec, d, n: 0, w: None, e: None, t: None, x: None }
     }
 }
 
@@ -112,9 +112,9 @@
     Amount::need(spec.cpus, spec.gpus, spec.ram_gb)
 }
 
-pub fn data<T: Serialize>(value: &T) -> Data {
+pub fn to_value<T: Serialize>(value: &T) -> StoreValue {
     // Our own records always serialize; Null would be refused on reading.
-    Data::serialized(value).unwrap_or(Data::Null)
+    StoreValue::serialized(value).unwrap_or(StoreValue::Null)
 }
 
 pub fn job_key(id: &JobId) -> String {
@@ -172,7 +172,7 @@
 }
 
 /// A text in pieces of at most so many bytes each, as JSON spells them.
-pub fn split(text: &str, most: usize) -> Vec<String> {
+pub fn split_text(text: &str, most: usize) -> Vec<String> {
     let mut parts = vec![String::new()];
     let mut room = most;
     for c in text.chars() {
@@ -190,7 +190,7 @@
 }
 
 /// A short name, the same everywhere, for a part of a key that may hold no spaces.
-pub fn tag<T: Hash>(value: &T) -> String {
+pub fn key_hash<T: Hash>(value: &T) -> String {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     wire::hex(&hasher.finish().to_be_bytes())
@@ -200,9 +200,9 @@
 /// same tag everywhere, so that a submission begun at one controller goes on at another.
 pub fn spec_parts(spec: &JobSpec, value_max: usize) -> (String, Vec<String>) {
     let text = serde_json::to_string(spec).unwrap_or_default();
-    let tag = tag(&(&text, value_max));
+    let tag = key_hash(&(&text, value_max));
     // The quotes of a text are part of it.
-    (tag, split(&text, value_max.saturating_sub(2)))
+    (tag, split_text(&text, value_max.saturating_sub(2)))
 }
 
 pub fn spec_of<'a>(parts: impl Iterator<Item = &'a str>) -> Option<JobSpec> {
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -3,11 +3,13 @@
 
 use std::sync::Arc;
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
-use troutspindle::jobs::{self, Accept, Jobs};
+use troutspindle::jobs::{self, Acceptance, Jobs};
 use troutspindle::peers::mesh;
 use troutspindle::store::records::{JOB_PREFIX, Layout};
-use troutspindle::store::{FLAVORS_KEY, LEADER_KEY, LeaderRecord, MachineRecord, TOKEN_KEY};
-use troutspindle::wire::{self, Data, JobKind, JobSpec, JobStatus, MachineType, Priority, Write};
+use troutspindle::store::{LEADER_KEY, LeaderRecord, MACHINE_TYPES_KEY, MachineRecord, TOKEN_KEY};
+use troutspindle::wire::{
+    self, JobKind, JobSpec, JobStatus, MachineType, Priority, StoreValue, Transaction, Write,
+};
 
 /// While any controller of production may be there.
 const LOW: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
@@ -22,7 +24,7 @@
     text.lines().filter(|line| !line.starts_with('#')).map(fields).collect()
 }
 
-fn value(hex: &str) -> Data {
+fn value(hex: &str) -> StoreValue {
     wire::decode(&wire::unhex(hex).unwrap()).unwrap()
 }
 
@@ -34,8 +36,8 @@
         }
         let data = (hex != "-").then(|| value(hex));
         match (key.strip_prefix(JOB_PREFIX), data) {
-            (Some(id), Some(data)) => jobs.put_job(JobId::new(id), &data, Revision(rev)),
-            (_, data) => drop(jobs.put_beside(key, data.as_ref(), Revision(rev))),
+            (Some(id), Some(data)) => jobs.apply_record(JobId::new(id), &data, Revision(rev)),
+            (_, data) => drop(jobs.apply_auxiliary_key(key, data.as_ref(), Revision(rev))),
         }
     }
 }
@@ -73,19 +75,19 @@
     take(&mut jobs, "accepted", 1);
     let live = jobs.get(&small).unwrap().live().unwrap();
     assert_eq!((&*live.spec, live.accepted_ms), (&spec("wk-1", 20), 1_700_000_000_000));
-    assert!(live.ready());
+    assert!(live.is_ready());
     take(&mut jobs, "some-done", 2);
     for (id, step, tasks) in [(&small, 7, 20), (&large, 9973, 100_000)] {
         let live = jobs.get(id).unwrap().live().unwrap();
         assert!((0..tasks).all(|task| live.is_done(task) == (task % step == 0)), "{id}");
     }
     take(&mut jobs, "cancelled", 3);
-    assert_eq!(jobs.get(&small).unwrap().over(), Some((JobStatus::Cancelled, 3)));
-    assert_eq!(jobs.get(&large).unwrap().over(), Some((JobStatus::Cancelled, 11)));
-    assert!(jobs.tidy(100).is_empty(), "production removes chunks itself");
+    assert_eq!(jobs.get(&small).unwrap().final_state(), Some((JobStatus::Cancelled, 3)));
+    assert_eq!(jobs.get(&large).unwrap().final_state(), Some((JobStatus::Cancelled, 11)));
+    assert!(jobs.garbage(100).is_empty(), "production removes chunks itself");
     let mut jobs = Jobs::new(LOW.chunk);
     take(&mut jobs, "done", 1);
-    assert_eq!(jobs.get(&small).unwrap().over(), Some((JobStatus::Done, 20)));
+    assert_eq!(jobs.get(&small).unwrap().final_state(), Some((JobStatus::Done, 20)));
 
     let of = |key: &str| lines().into_iter().find(|line| line[1] == key).unwrap();
     let machine: MachineRecord = value(of("t/m/i-000231")[2]).deserialized().unwrap();
@@ -93,14 +95,14 @@
     let leader: LeaderRecord = value(of(LEADER_KEY)[2]).deserialized().unwrap();
     assert_eq!(leader, LeaderRecord { node: ControllerId::new("n-1"), token: FencingToken(41) });
     assert_eq!(value(of(TOKEN_KEY)[2]).deserialized::<FencingToken>().unwrap(), FencingToken(41));
-    let flavors: Vec<MachineType> = value(of(FLAVORS_KEY)[2]).deserialized().unwrap();
+    let flavors: Vec<MachineType> = value(of(MACHINE_TYPES_KEY)[2]).deserialized().unwrap();
     assert_eq!((flavors.len(), flavors[0].spot_price), (1, 4.5));
 }
 
 /// While the cluster version is low, records have production's bytes to the letter.
 #[test]
 fn what_is_written_before_the_rise_is_what_production_writes() {
-    let written = |change: &jobs::Change| -> Vec<(String, String)> {
+    let written = |change: &Transaction| -> Vec<(String, String)> {
         let puts = change.writes.iter().filter_map(|write| match write {
             Write::Put { key, data, .. } => Some((key.clone(), wire::hex(&wire::encode(data)))),
             Write::Delete { .. } => None,
@@ -115,14 +117,15 @@
     for (id, tasks, step) in [("wk-1", 20u64, 7), ("wk-2", 100_000, 9973)] {
         let mut jobs = Jobs::new(LOW.chunk);
         let spec = Arc::new(spec(id, tasks));
-        let Accept::Record(change) = jobs::accept(&spec, 1_700_000_000_000, &LOW, &jobs) else {
+        let Acceptance::JobRecord(change) = jobs::accept(&spec, 1_700_000_000_000, &LOW, &jobs)
+        else {
             panic!("in parts")
         };
         assert_eq!(written(&change), made("accepted", id));
         take(&mut jobs, "accepted", 1);
         let job = jobs.get(&JobId::new(id)).unwrap();
         let some: Vec<u32> = (0..tasks as u32).step_by(step).collect();
-        let change = jobs::complete(&JobId::new(id), job, &some, 0, 5, &LOW).unwrap().change;
+        let change = jobs::complete(&JobId::new(id), job, &some, 0, 5, &LOW).unwrap().transaction;
         assert_eq!(written(&change), made("some-done", id));
         take(&mut jobs, "some-done", 2);
         let job = jobs.get(&JobId::new(id)).unwrap();
--- a/tests/wire_format/protocol.rs
+++ b/tests/wire_format/protocol.rs
@@ -6,10 +6,10 @@
     Attempt, ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision, TaskId,
 };
 use troutspindle::wire::{
-    self, Change, CloudError, CommandBatch, CommitResponse, Data, Heartbeat, JobKind, JobName,
-    JobSpec, JobStatus, JobView, KeyValue, LeaseCreated, LeaseTtl, ListedMachine,
-    ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes, NotLeader,
-    Precondition, Priority, RangeResponse, RentalRequest, TaskState, TaskStatus, Transaction,
+    self, CloudError, CommandBatch, CommitResponse, Heartbeat, JobKind, JobName, JobSpec,
+    JobStatus, JobView, KeyValue, LeaseCreated, LeaseTtl, ListedMachine, ListedMachineState,
+    MachineIds, MachinePage, MachineType, MachineTypes, NotLeader, Precondition, Priority,
+    RangeResponse, RentalRequest, StoreValue, TaskState, TaskStatus, Transaction, WatchEvent,
     WatchResponse, WorkerCommand, Write,
 };
 
@@ -158,26 +158,30 @@
             Precondition { key: "t/a/leader".into(), rev: Revision(70_000) },
         ],
         writes: vec![
-            Write::Put { key: "t/a/p/n-1".into(), data: Data::Bool(true), hold: Some(LeaseId(9)) },
-            Write::Put { key: "t/e/07".into(), data: Data::from("text"), hold: None },
+            Write::Put {
+                key: "t/a/p/n-1".into(),
+                data: StoreValue::Bool(true),
+                hold: Some(LeaseId(9)),
+            },
+            Write::Put { key: "t/e/07".into(), data: StoreValue::from("text"), hold: None },
             Write::Delete { key: "t/d/wk-1/0".into() },
         ],
     }
 }
 
 fn row() -> KeyValue {
-    KeyValue { key: "t/a/token".into(), data: Data::from(41), rev: Revision(12) }
+    KeyValue { key: "t/a/token".into(), data: StoreValue::from(41), rev: Revision(12) }
 }
 
-fn changes() -> Vec<Change> {
-    let put = Change {
+fn changes() -> Vec<WatchEvent> {
+    let put = WatchEvent {
         put: Some("t/a/token".into()),
         delete: None,
-        data: Some(Data::from(41)),
+        data: Some(StoreValue::from(41)),
         rev: Revision(12),
     };
     let delete =
-        Change { put: None, delete: Some("t/a/leader".into()), data: None, rev: Revision(13) };
+        WatchEvent { put: None, delete: Some("t/a/leader".into()), data: None, rev: Revision(13) };
     vec![put, delete]
 }
 
@@ -187,7 +191,8 @@
 
 fn users() -> Vec<Sample> {
     let job_name = JobName { id: JobId::new("wk-000412") };
-    let name_alone = Data::Map(vec![(Data::from("nameId"), Data::from("wk-000412"))]);
+    let name_alone =
+        StoreValue::Map(vec![(StoreValue::from("nameId"), StoreValue::from("wk-000412"))]);
     vec![
         Sample::cbor("job-spec", &job_spec()),
         Sample::cbor("job-spec-plain", &plain_job_spec()),
@@ -270,11 +275,15 @@
 /// A peer may write whole amounts as integers, and fields that nobody knows yet.
 #[test]
 fn whole_amounts_and_unknown_fields_are_read() {
-    let whole = |value: &Data| value.as_float().map_or_else(|| value.clone(), |_| Data::from(4));
-    let Data::Map(fields) = wire::decode(&golden_bytes("flavor-least")).unwrap() else { panic!() };
+    let whole = |value: &StoreValue| {
+        value.as_float().map_or_else(|| value.clone(), |_| StoreValue::from(4))
+    };
+    let StoreValue::Map(fields) = wire::decode(&golden_bytes("flavor-least")).unwrap() else {
+        panic!()
+    };
     let fields = fields.iter().map(|(key, value)| (key.clone(), whole(value)));
-    let fields = fields.chain([(Data::from("later"), Data::from("x"))]).collect();
-    let read: MachineType = wire::decode(&wire::encode(&Data::Map(fields))).unwrap();
+    let fields = fields.chain([(StoreValue::from("later"), StoreValue::from("x"))]).collect();
+    let read: MachineType = wire::decode(&wire::encode(&StoreValue::Map(fields))).unwrap();
     let four = MachineType { cpus: 4.0, gpus: 4.0, ram_gb: 4.0, boot_s: 4.0, ..plain_flavor() };
     assert_eq!(read, MachineType { price: 4.0, spot_price: 4.0, ..four });
 }
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -30,17 +30,16 @@
 }
 
 pub fn samples() -> Vec<Sample> {
-    let follow =
-        StoreRequest::Follow { after: Revision(70_000), wait: Duration::from_millis(2500) };
+    let follow = StoreRequest::Watch { after: Revision(70_000), wait: Duration::from_millis(2500) };
     let kind = MachinePool { flavor: 1, zone: 2, spot: true };
     vec![
         state("state-commit", &StoreRequest::Commit(transaction())),
         state("state-follow", &follow),
         state("state-range-first", &StoreRequest::Range { after: None }),
         state("state-range-next", &StoreRequest::Range { after: Some("t/j/wk-1".into()) }),
-        state("state-new-lease", &StoreRequest::NewLease(Duration::from_millis(6000))),
-        state("state-touch", &StoreRequest::Touch(LeaseId(9))),
-        state("state-drop-lease", &StoreRequest::DropLease(LeaseId(9))),
+        state("state-new-lease", &StoreRequest::GrantLease(Duration::from_millis(6000))),
+        state("state-touch", &StoreRequest::KeepAlive(LeaseId(9))),
+        state("state-drop-lease", &StoreRequest::RevokeLease(LeaseId(9))),
         cloud("cloud-flavors", &CloudRequest::MachineTypes),
         cloud("cloud-hire", &CloudRequest::RentalRequest(kind, hire())),
         cloud("cloud-delete", &CloudRequest::Delete(machines())),
--- a/tests/wire_format/sample.rs
+++ b/tests/wire_format/sample.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
-use troutspindle::wire::{self, Data};
+use troutspindle::wire::{self, StoreValue};
 
 type Read = Box<dyn Fn(&[u8]) -> String>;
 
@@ -46,11 +46,13 @@
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
-        let Ok(Data::Map(mut fields)) = Data::serialized(value) else { panic!("{name} is no map") };
+        let Ok(StoreValue::Map(mut fields)) = StoreValue::serialized(value) else {
+            panic!("{name} is no map")
+        };
         let all = fields.len();
         fields.retain(|(key, _)| !key.as_text().is_some_and(|key| keys.contains(&key)));
         assert_eq!(all - fields.len(), keys.len(), "{name} lacks one of {keys:?}");
-        let bytes = wire::encode(&Data::Map(fields));
+        let bytes = wire::encode(&StoreValue::Map(fields));
         Sample::read_by(name, bytes, value, |bytes| wire::decode::<T>(bytes).ok())
     }
 
@@ -59,9 +61,9 @@
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
-        let data = Data::serialized(value).expect("a record serializes");
+        let data = StoreValue::serialized(value).expect("a record serializes");
         Sample::read_by(name, wire::encode(&data), value, |bytes| {
-            wire::decode::<Data>(bytes).ok()?.deserialized::<T>().ok()
+            wire::decode::<StoreValue>(bytes).ok()?.deserialized::<T>().ok()
         })
     }
 
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -8,21 +8,21 @@
 use tokio::time::Instant;
 use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
-use troutspindle::jobs::{self, Accept, Jobs};
+use troutspindle::jobs::{self, Acceptance, Jobs};
 use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
 use troutspindle::leadership::election::Election;
 use troutspindle::settings::KeptLimits;
 use troutspindle::store::records::{
-    CHUNK_PREFIX, JOB_PREFIX, Layout, PART_PREFIX, PIECE_PREFIX, Parts, Phase, Record,
-    VERSION_PREFIX, VersionRecord, chunk_key, job_key, part_key, piece_key, tag, version_key,
+    CHUNK_PREFIX, JOB_PREFIX, JobRecord, Layout, PART_PREFIX, PIECE_PREFIX, Phase, SpecChunks,
+    VERSION_PREFIX, VersionRecord, chunk_key, job_key, key_hash, part_key, piece_key, version_key,
 };
 use troutspindle::store::{
-    Cache, ESTIMATES_PREFIX, FLAVOR_PREFIX, FLAVORS_KEY, HEARTBEAT_PREFIX, LEADER_KEY,
-    LeaderRecord, MACHINE_PREFIX, MachineRecord, PREFIX, RELAY_PREFIX, StoreClient, StoreRequest,
-    StoreResponse, TOKEN_KEY,
+    CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, PREFIX, RELAY_PREFIX, StoreClient,
+    StoreRequest, StoreResponse, TOKEN_KEY,
 };
 use troutspindle::wire::{
-    self, Data, JobSpec, JobStatus, KeyValue, RangeResponse, Transaction, Write,
+    self, JobSpec, JobStatus, KeyValue, RangeResponse, StoreValue, Transaction, Write,
 };
 use troutspindle_protocol::ops::DrainKind;
 use troutspindle_runtime_estimates::{Bucket, Current, Learner, Profile};
@@ -80,8 +80,8 @@
 }
 
 /// With every field, which no job has.
-fn full_record() -> Record {
-    Record {
+fn full_record() -> JobRecord {
+    JobRecord {
         p: Phase::Cancelled,
         at: ACCEPTED_MS,
         s: Some(Arc::new(job_spec())),
@@ -90,26 +90,25 @@
         w: Some(("team-a".into(), 1.5, 0.25, 3.1)),
         e: Some(ENDED_MS),
         t: Some(13),
-        x: Some(Parts { tag: "0123456789abcdef".into(), count: 3 }),
+        x: Some(SpecChunks { tag: "0123456789abcdef".into(), count: 3 }),
     }
 }
 
-fn plain_record(phase: Phase) -> Record {
-    Record { p: phase, ..Record::live(0, None) }
+fn plain_record(phase: Phase) -> JobRecord {
+    JobRecord { p: phase, ..JobRecord::live(0, None) }
 }
 
-fn change(name: &'static str, change: &jobs::Change) -> Sample {
-    let transaction = Transaction { guards: change.guards.clone(), writes: change.writes.clone() };
-    Sample::cbor(name, &transaction)
+fn transaction(name: &'static str, transaction: &Transaction) -> Sample {
+    Sample::cbor(name, transaction)
 }
 
 /// Takes in what a change wrote, all under one revision.
-fn apply(jobs: &mut Jobs, change: &jobs::Change, rev: u64) {
-    for write in &change.writes {
+fn apply(jobs: &mut Jobs, transaction: &Transaction, rev: u64) {
+    for write in &transaction.writes {
         let Write::Put { key, data, .. } = write else { continue };
         match key.strip_prefix(JOB_PREFIX) {
-            Some(id) => jobs.put_job(JobId::new(id), data, Revision(rev)),
-            None => assert!(jobs.put_beside(key, Some(data), Revision(rev)), "{key}"),
+            Some(id) => jobs.apply_record(JobId::new(id), data, Revision(rev)),
+            None => assert!(jobs.apply_auxiliary_key(key, Some(data), Revision(rev)), "{key}"),
         }
     }
 }
@@ -127,9 +126,9 @@
         Life { jobs: Jobs::new(layout.chunk), layout, rev: 0, samples: Vec::new() }
     }
 
-    fn commit(&mut self, name: &'static str, written: &jobs::Change) {
+    fn commit(&mut self, name: &'static str, written: &Transaction) {
         self.rev += 1;
-        self.samples.push(change(name, written));
+        self.samples.push(transaction(name, written));
         apply(&mut self.jobs, written, self.rev);
     }
 
@@ -138,12 +137,12 @@
         let spec = Arc::new(spec.clone());
         let begin = jobs::accept(&spec, ACCEPTED_MS, &self.layout, &self.jobs);
         let record = match (begin, parts_name) {
-            (Accept::Record(record), None) => record,
-            (Accept::Parts(parts), Some(parts_name)) => {
+            (Acceptance::JobRecord(record), None) => record,
+            (Acceptance::SpecChunks(parts), Some(parts_name)) => {
                 self.commit(parts_name, &parts);
                 match jobs::accept(&spec, ACCEPTED_MS, &self.layout, &self.jobs) {
-                    Accept::Record(record) => record,
-                    Accept::Parts(_) => panic!("{name}: more parts"),
+                    Acceptance::JobRecord(record) => record,
+                    Acceptance::SpecChunks(_) => panic!("{name}: more parts"),
                 }
             }
             _ => panic!("{name}: in parts or not"),
@@ -157,7 +156,7 @@
         let known = self.jobs.get(&job()).unwrap();
         let completion =
             jobs::complete(&job(), known, tasks, second_runs, ENDED_MS, &self.layout).unwrap();
-        self.commit(name, &completion.change);
+        self.commit(name, &completion.transaction);
         let known = self.jobs.get(&job()).unwrap();
         let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_done(*task));
         assert!(known.live().is_none_or(done), "{name}");
@@ -171,12 +170,12 @@
     }
 
     fn tidy(&mut self, name: &'static str) {
-        let (writes, _): (Vec<Write>, Vec<Revision>) = self.jobs.tidy(100).into_iter().unzip();
-        self.samples.push(change(name, &jobs::Change { guards: Vec::new(), writes }));
+        let (writes, _): (Vec<Write>, Vec<Revision>) = self.jobs.garbage(100).into_iter().unzip();
+        self.samples.push(transaction(name, &Transaction { guards: Vec::new(), writes }));
     }
 
     fn over(&self) -> Option<(JobStatus, u64)> {
-        self.jobs.get(&job()).unwrap().over()
+        self.jobs.get(&job()).unwrap().final_state()
     }
 }
 
@@ -247,10 +246,10 @@
         Sample::written("key-all", PREFIX),
         Sample::written("key-leader", LEADER_KEY),
         Sample::written("key-token", TOKEN_KEY),
-        Sample::written("key-flavors", FLAVORS_KEY),
-        Sample::written("key-flavor", FLAVOR_PREFIX),
+        Sample::written("key-flavors", MACHINE_TYPES_KEY),
+        Sample::written("key-flavor", MACHINE_TYPE_PREFIX),
         Sample::written("key-machine", MACHINE_PREFIX),
-        Sample::written("key-heartbeats", HEARTBEAT_PREFIX),
+        Sample::written("key-heartbeats", CONTROLLER_LEASE_PREFIX),
         Sample::written("key-heartbeat", heartbeat_key(&node())),
         Sample::written("key-estimates", ESTIMATES_PREFIX),
         Sample::written("key-relay", RELAY_PREFIX),
@@ -268,12 +267,12 @@
         Sample::written("key-drain-zone", drains::key(DrainKind::Zone, "a")),
         Sample::written("key-drain-machine", drains::key(DrainKind::Machine, "a")),
         Sample::written("key-drain-controller", drains::key(DrainKind::Controller, "a")),
-        Sample::written("tag-flavor", tag(&"g8".to_owned())),
+        Sample::written("tag-flavor", key_hash(&"g8".to_owned())),
     ]
 }
 
 /// The state service's client when it has read these rows, under revisions from 1 on.
-fn loaded(rows: Vec<(String, Data)>, now: Instant) -> StoreClient {
+fn loaded(rows: Vec<(String, StoreValue)>, now: Instant) -> StoreClient {
     let limits = KeptLimits {
         rps: 150.0,
         write_rps: 60.0,
@@ -288,7 +287,7 @@
     assert!(matches!(call, StoreRequest::Range { after: None }));
     let rows = (1..).zip(rows).map(|(rev, (key, data))| KeyValue { key, data, rev: Revision(rev) });
     let page = RangeResponse { rows: rows.collect(), truncated: false, rev: Revision(100) };
-    core.on_reply(id, StoreResponse::RangeResponse(page), now);
+    core.on_response(id, StoreResponse::Range(page), now);
     assert!(core.cache.loaded);
     core
 }
@@ -301,22 +300,22 @@
 /// What a controller writes to lead, to show that it lives, and to tell what it reads.
 fn controllers() -> Vec<Sample> {
     let now = Instant::now();
-    let lease = StoreResponse::Lease(LeaseId(9));
-    let cache: Cache = loaded(vec![(TOKEN_KEY.into(), Data::from(40))], now).cache;
+    let lease = StoreResponse::LeaseGranted(LeaseId(9));
+    let cache: Cache = loaded(vec![(TOKEN_KEY.into(), StoreValue::from(40))], now).cache;
 
     let mut election = Election::new(node(), 0, 0, now);
     let asking = election.poll(&cache, false, now).remove(0);
-    let (mut calls, _) = election.on_reply(&asking, now, &lease, &cache, now);
+    let (mut calls, _) = election.on_response(&asking, now, &lease, &cache, now);
     let campaign = committed(calls.remove(0));
 
     let mut heartbeat = ControllerLease::new(&node(), now);
     let version = (version_record(), Revision(12));
     let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
-    heartbeat.on_reply(&asking, now, &lease, now);
+    heartbeat.on_response(&asking, now, &lease, now);
     let first_beat = committed(heartbeat.poll(Revision(0), Some(&version), now).unwrap());
 
     let mut core = loaded(Vec::new(), now);
-    core.tell_version();
+    core.publish_version();
     core.calls.clear();
     core.poll(now + Duration::from_secs(5));
     let told = core.calls.into_iter().map(|(_, call)| call);
@@ -377,7 +376,7 @@
     groups.into_iter().flatten().collect()
 }
 
-fn golden_data(name: &str) -> Data {
+fn golden_data(name: &str) -> StoreValue {
     wire::decode(&golden_bytes(name)).unwrap()
 }
 
@@ -385,26 +384,26 @@
 #[test]
 fn records_are_found_under_their_keys() {
     let drain_key = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
-    let row = |key: &str, data: Data| (key.to_owned(), data);
+    let row = |key: &str, data: StoreValue| (key.to_owned(), data);
     let rows = vec![
         row("t/a/leader", golden_data("record-leader")),
-        row("t/a/token", Data::from(41)),
+        row("t/a/token", StoreValue::from(41)),
         row("t/a/flavors", golden_data("record-flavors")),
         row("t/a/f/0123456789abcdef", golden_data("record-flavor")),
-        row("t/a/p/n-1", Data::Bool(true)),
+        row("t/a/p/n-1", StoreValue::Bool(true)),
         row("t/a/v/n-1", golden_data("record-version")),
-        row("t/e/1f", Data::from("learned")),
+        row("t/e/1f", StoreValue::from("learned")),
         row("t/m/i-000231", golden_data("record-machine")),
-        row("t/x/n-2/n-1", Data::from("00")),
+        row("t/x/n-2/n-1", StoreValue::from("00")),
         row(&drain_key, golden_data("record-drain-zone")),
     ];
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
     assert_eq!(cache.leader, Some((leader_record(), Revision(1))));
     assert_eq!(cache.token, (FencingToken(41), Revision(2)));
-    assert_eq!(cache.flavors, (vec![flavor()], Revision(3)));
-    assert_eq!(cache.flavor_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
-    assert_eq!(cache.heartbeats.get(&node()), Some(&Revision(5)));
+    assert_eq!(cache.machine_types, (vec![flavor()], Revision(3)));
+    assert_eq!(cache.machine_type_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
+    assert_eq!(cache.controller_leases.get(&node()), Some(&Revision(5)));
     assert_eq!(cache.versions.get(&node()), Some(&(version_record(), Revision(6))));
     assert_eq!(cache.estimates.get(&0x1f), Some(&(Some("learned".into()), Revision(7))));
     let machine = cache.machines.get(&MachineId::new("i-000231"));
@@ -420,8 +419,7 @@
     let mut jobs = Jobs::new(SECOND_SMALL.chunk);
     for (rev, name) in (1..).zip(["job-large-parts", "job-large-accept", "job-large-pieces"]) {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
-        let change = jobs::Change { guards: written.guards, writes: written.writes };
-        apply(&mut jobs, &change, rev);
+        apply(&mut jobs, &written, rev);
     }
     let live = jobs.get(&job()).unwrap().live().unwrap();
     assert_eq!(*live.spec, JobSpec { tasks: 10_000, depends_on: None, ..job_spec() });
@@ -437,11 +435,12 @@
     {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         let mut jobs = Jobs::new(SECOND.chunk);
-        let change = jobs::Change { guards: written.guards, writes: written.writes };
-        apply(&mut jobs, &change, 1);
+        apply(&mut jobs, &written, 1);
         let known = jobs.get(&job()).unwrap();
-        assert_eq!((known.over(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
-        let jobs::JobBody::Over { rest: Some(rest), .. } = &known.body else { panic!("{name}") };
+        assert_eq!((known.final_state(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
+        let jobs::JobBody::Finished { rest: Some(rest), .. } = &known.body else {
+            panic!("{name}")
+        };
         assert_eq!((&*rest.team, rest.tasks), ("team-a", Some(left)), "{name}");
         assert_eq!((rest.need.cpu, rest.need.gpu, rest.need.ram), (1_500_000, 250_000, 3_100_000));
     }
