--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -58,12 +58,12 @@
 //! | `spindles` | `machines` | [`MachineIds`], [`MachinePage`] |
 //! | `nameId` | `machine` | [`ListedMachine`] |
 //! | `heldS` | `age_s` | [`ListedMachine`] |
-//! | `keyRev` | `rev` | [`Precondition`], [`KeyValue`], [`Change`] |
+//! | `keyRev` | `rev` | [`Precondition`], [`KeyValue`], [`WatchEvent`] |
 //! | `write` | `key` | [`Write`] |
 //! | `remove` | `key` | [`Write`] |
 //! | `storeRev` | `rev` | [`CommitResponse`], [`RangeResponse`], [`WatchResponse`] |
-//! | `write` | `put` | [`Change`] |
-//! | `remove` | `delete` | [`Change`] |
+//! | `write` | `put` | [`WatchEvent`] |
+//! | `remove` | `delete` | [`WatchEvent`] |
 //! | `lifeMs` | `ttl_ms` | [`LeaseTtl`] |
 //! | `hold` | `lease` | [`LeaseCreated`] |
 
@@ -81,8 +81,8 @@
 pub use codec::{WireError, decode, encode, hex, unhex};
 pub use job::{JobKind, JobName, JobSpec, JobStatus, JobView, Priority};
 pub use store::{
-    Change, CommitResponse, Data, KeyValue, LeaseCreated, LeaseTtl, Precondition, RangeResponse,
-    Transaction, WatchResponse, Write,
+    CommitResponse, KeyValue, LeaseCreated, LeaseTtl, Precondition, RangeResponse, StoreValue,
+    Transaction, WatchEvent, WatchResponse, Write,
 };
 pub use worker::{CommandBatch, Heartbeat, NotLeader, TaskState, TaskStatus, WorkerCommand};
 
--- a/crates/protocol/src/wire/store.rs
+++ b/crates/protocol/src/wire/store.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Any value kept at the state service.
-pub type Data = ciborium::Value;
+pub type StoreValue = ciborium::Value;
 
 /// A condition of a transaction: the key still has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
         #[serde(rename = "write")]
         key: String,
         /// Its new value.
-        data: Data,
+        data: StoreValue,
         /// The lease that the key is attached to; `None` detaches it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         hold: Option<LeaseId>,
@@ -74,7 +74,7 @@
     /// The key.
     pub key: String,
     /// The value.
-    pub data: Data,
+    pub data: StoreValue,
     /// Revision of its last change.
     #[serde(rename = "keyRev")]
     pub rev: Revision,
@@ -95,7 +95,7 @@
 
 /// A change that a watch tells of.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// The key that was set.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
@@ -104,7 +104,7 @@
     pub delete: Option<String>,
     /// The new value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub data: Option<Data>,
+    pub data: Option<StoreValue>,
     /// Revision of the change.
     #[serde(rename = "keyRev")]
     pub rev: Revision,
@@ -117,7 +117,7 @@
     #[serde(rename = "storeRev")]
     pub rev: Revision,
     /// The changes, in order.
-    pub news: Vec<Change>,
+    pub news: Vec<WatchEvent>,
 }
 
 /// Asks for a lease.
