--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -81,7 +81,7 @@
                 trace.add("direct", at_ms, &[node, target.as_bytes(), &body]);
             }
             Effect::Mesh(peer, message) => {
-                let text = mesh::to_text(message).unwrap_or_default();
+                let text = mesh::encode_text(message).unwrap_or_default();
                 trace.add("mesh", at_ms, &[node, peer.as_str().as_bytes(), text.as_bytes()]);
             }
         }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -717,7 +717,7 @@
 
     pub fn mesh(&mut self, from: usize, to: &ControllerId, message: PeerMessage) {
         let to: usize = to.as_str()[2..].parse().unwrap();
-        let text = troutspindle::peers::mesh::to_text(&message).unwrap();
+        let text = troutspindle::peers::mesh::encode_text(&message).unwrap();
         assert!(!self.old[to] || production::reads(&text), "production cannot read {message:?}");
         let copy = self.about_sharing(&message);
         let due = Due::Controller(to, self.incarnation[to], Event::Mesh(message));
@@ -741,10 +741,10 @@
     /// Counts messages about shared reports, and copies some of them.
     fn about_sharing(&mut self, message: &PeerMessage) -> Option<PeerMessage> {
         let what = match message {
-            PeerMessage::Reports { .. } => "reports passed on",
-            PeerMessage::Verdicts { .. } => "verdicts passed back",
-            PeerMessage::Deliver { .. } => "commands passed on",
-            PeerMessage::Delivered { .. } => "results passed back",
+            PeerMessage::RelayedHeartbeats { .. } => "reports passed on",
+            PeerMessage::HeartbeatResults { .. } => "verdicts passed back",
+            PeerMessage::RelayedCommands { .. } => "commands passed on",
+            PeerMessage::CommandResults { .. } => "results passed back",
             _ => return None,
         };
         self.aims.took_effect(what);
--- a/crates/simulation/src/production.rs
+++ b/crates/simulation/src/production.rs
@@ -57,8 +57,8 @@
         seq: u64,
         token: u64,
         number: u64,
-        barred: Vec<String>,
-        lent: Vec<String>,
+        revoked: Vec<String>,
+        delegated: Vec<String>,
     },
     Pledge {
         from: String,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -14,7 +14,7 @@
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::{Election, ElectionEvent};
-use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
+use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use crate::store::records;
@@ -77,7 +77,7 @@
     heard: Instant,
     state_lost: bool,
     up: Duration,
-    extra: PeerExtra,
+    extra: PeerCapabilities,
 }
 
 /// Milliseconds since then.
@@ -106,7 +106,7 @@
     delegated_lease: DelegatedLease,
     heartbeat: ControllerLease,
     /// Relayed messages of which some pieces have come.
-    pieces: HashMap<ControllerId, Pieces>,
+    pieces: HashMap<ControllerId, ChunkAssembler>,
     started: Instant,
     /// The highest token under which another controller told that it leads, and who that was.
     leads: Option<(FencingToken, ControllerId)>,
@@ -411,7 +411,7 @@
             let counts = running.iter().map(|(id, n)| (id.clone(), *n)).take(1500).collect();
             let token = scheduler.token;
             self.api.running = running;
-            self.broadcast(&PeerMessage::Running { token, counts });
+            self.broadcast(&PeerMessage::RunningTasks { token, counts });
         }
         self.resign_if_cut_off(now);
         if self.stands_aside(now) {
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -23,7 +23,7 @@
     let mut traffic = MeshTraffic::new(Instant::now());
     for peer in &platform.others {
         let (tx, rx) = mpsc::channel(32);
-        let (shown, written) = watch::channel(mesh::Written::default());
+        let (shown, written) = watch::channel(mesh::TrafficCounters::default());
         tokio::spawn(mesh::dial(peer.peer_addr, rx, shown));
         traffic.links.push(written);
         dialers.insert(peer.host_name.clone(), tx);
@@ -158,14 +158,14 @@
 
 /// What this controller writes to the others.
 struct MeshTraffic {
-    links: Vec<watch::Receiver<mesh::Written>>,
-    told: mesh::Written,
+    links: Vec<watch::Receiver<mesh::TrafficCounters>>,
+    told: mesh::TrafficCounters,
     told_at: Instant,
 }
 
 impl MeshTraffic {
     fn new(now: Instant) -> MeshTraffic {
-        MeshTraffic { links: Vec::new(), told: mesh::Written::default(), told_at: now }
+        MeshTraffic { links: Vec::new(), told: mesh::TrafficCounters::default(), told_at: now }
     }
 
     /// Tells the log now and then.
@@ -174,7 +174,7 @@
         if passed < COUNTS_EVERY {
             return;
         }
-        let mut all = mesh::Written::default();
+        let mut all = mesh::TrafficCounters::default();
         for link in &self.links {
             let written = *link.borrow();
             all.frames += written.frames;
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -28,7 +28,11 @@
         });
         let me = self.settings.platform.host_name.clone();
         let under = self.heartbeat.revision();
-        self.send(&from, PeerMessage::Promised { from: me, seq, under, jobs, placed }, direct);
+        self.send(
+            &from,
+            PeerMessage::CancellationAck { from: me, seq, under, jobs, placed },
+            direct,
+        );
     }
 
     pub(super) fn send(&mut self, to: &ControllerId, message: PeerMessage, direct: bool) {
@@ -70,7 +74,7 @@
             self.mesh_seq += 1;
             let seq = self.mesh_seq;
             self.api.promises.ask(seq, now);
-            self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, near);
+            self.send(&peer, PeerMessage::CancellationRequest { from, seq, jobs }, near);
         }
     }
 
@@ -131,7 +135,7 @@
                     && self.pledge(token, &from, now)
                 {
                     let cancelled = self.api.cancelled.iter().map(|(id, _)| id.clone());
-                    let pledge = PeerMessage::Pledge {
+                    let pledge = PeerMessage::LeaseExtension {
                         from: self.settings.platform.host_name.clone(),
                         seq,
                         token,
@@ -140,7 +144,7 @@
                     self.out.push(Effect::Mesh(from, pledge));
                 }
             }
-            PeerMessage::Pledge { from, seq, token, cancelled } => {
+            PeerMessage::LeaseExtension { from, seq, token, cancelled } => {
                 let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
                 let ours = self.election.token() == Some(token);
                 if let (Some(asked), true) = (asked, ours) {
@@ -148,20 +152,20 @@
                     self.election.pledged_by(&from, asked);
                 }
             }
-            PeerMessage::Grant { seq, token, number, barred, lent } => {
+            PeerMessage::LeaseGrant { seq, token, number, revoked, delegated } => {
                 if !direct {
                     self.sharing.heard_by_store(token, now);
                 }
                 let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
                 if let Some(asked) = asked {
-                    let lists = (barred, lent);
+                    let lists = (revoked, delegated);
                     self.delegated_lease.take((token, number), lists, direct, asked, now);
                 }
             }
-            PeerMessage::Cancelling { from, seq, jobs } => {
+            PeerMessage::CancellationRequest { from, seq, jobs } => {
                 self.on_cancelling((from, seq), jobs, direct, now);
             }
-            PeerMessage::Promised { from, seq, under, jobs, placed } => {
+            PeerMessage::CancellationAck { from, seq, under, jobs, placed } => {
                 self.api.promises.promised(&from, seq, under, &jobs);
                 if let Some((leader, zones)) = placed {
                     for (id, zones) in jobs.iter().zip(zones) {
@@ -170,20 +174,22 @@
                 }
                 self.look_at_promises(now);
             }
-            PeerMessage::Sharing { from, token, members } => {
+            PeerMessage::ShardAssignment { from, token, members } => {
                 self.on_sharing(from, token, members, now);
             }
-            PeerMessage::Reports { from, token, batch, reports } => {
-                self.on_reports(&from, (token, batch), reports, now);
+            PeerMessage::RelayedHeartbeats { from, token, batch, heartbeats } => {
+                self.on_reports(&from, (token, batch), heartbeats, now);
             }
-            PeerMessage::Verdicts { token, batch, verdicts } => {
-                self.on_verdicts(token, batch, verdicts, now);
+            PeerMessage::HeartbeatResults { token, batch, results } => {
+                self.on_heartbeat_results(token, batch, results, now);
             }
-            PeerMessage::Deliver { from, token, commands } => {
+            PeerMessage::RelayedCommands { from, token, commands } => {
                 self.on_deliver(&from, token, commands, now);
             }
-            PeerMessage::Delivered { token, results } => self.on_delivered(token, results, now),
-            PeerMessage::Running { token, counts } => {
+            PeerMessage::CommandResults { token, results } => {
+                self.on_delivered(token, results, now)
+            }
+            PeerMessage::RunningTasks { token, counts } => {
                 if token >= self.state.cache.token.0 && self.scheduler.is_none() {
                     self.api.running = counts.into_iter().collect();
                 }
@@ -223,7 +229,7 @@
     }
 
     pub(super) fn relay(&mut self, to: &ControllerId, message: &PeerMessage) {
-        let Some(text) = mesh::to_text(message) else { return };
+        let Ok(text) = mesh::encode_text(message) else { return };
         let layout = self.state.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.settings.platform.host_name);
         let busy = |state: &StoreClient, n| state.has_item(&Origin::Relay(to.clone(), n));
@@ -236,7 +242,7 @@
             // A number of its own: pieces of two grants under one would be put together, and a bar
             // be acknowledged that is not in the list.
             self.mesh_seq += 1;
-            let pieces = mesh::in_pieces(&values[0].1, self.mesh_seq, layout.value_max);
+            let pieces = mesh::split_into_chunks(&values[0].1, self.mesh_seq, layout.value_max);
             values = (0..).map(|n| format!("{key}/{n}")).zip(pieces).collect();
         } else if busy(&self.state, 0) {
             return;
@@ -268,10 +274,10 @@
                 continue;
             }
             let whole = match piece {
-                Some(_) => self.pieces.entry(ControllerId::new(from)).or_default().take(&text),
+                Some(_) => self.pieces.entry(ControllerId::new(from)).or_default().push(&text),
                 None => Some(text),
             };
-            if let Some(message) = whole.and_then(|text| mesh::from_text(&text)) {
+            if let Some(message) = whole.and_then(|text| mesh::decode_text(&text).ok()) {
                 self.on_mesh(message, false, now);
             }
         }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -6,9 +6,13 @@
 use super::worker_heartbeats::redirect;
 use super::*;
 use crate::admission::Load;
-use crate::peers::heartbeat_relay::{HeartbeatRelay, RelayedHeartbeat, Verdict};
-use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
-use crate::peers::mesh::PeerExtra;
+use crate::peers::heartbeat_relay::{
+    HeartbeatRelay, HeartbeatResult, OversizedHeartbeat, RelayedHeartbeat,
+};
+use crate::peers::membership::{
+    LeaderLoad, MemberCandidate, Membership, Redirects, choose_members,
+};
+use crate::peers::mesh::PeerCapabilities;
 use crate::settings::ShardHeartbeats;
 use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
 
@@ -52,7 +56,7 @@
 
     /// Whether other controllers take reports for this leader.
     pub(super) fn is_shared(&self) -> bool {
-        !self.members.0.is_empty()
+        !self.members.is_empty()
     }
 
     /// A leader sent something by way of the store: it lives, and does not reach this controller otherwise.
@@ -74,13 +78,13 @@
 
 impl Controller {
     /// What this controller tells of itself beside its status.
-    pub(super) fn peer_extra(&self) -> PeerExtra {
+    pub(super) fn peer_extra(&self) -> PeerCapabilities {
         if self.settings.operator.hold_format {
-            return PeerExtra::default();
+            return PeerCapabilities::default();
         }
         let public = self.sockets.public.max(1);
-        let room = (public.saturating_sub(self.open) * 1000 / public) as u16;
-        PeerExtra { protocol: MESH_PROTOCOL, room }
+        let free_sockets_permille = (public.saturating_sub(self.open) * 1000 / public) as u16;
+        PeerCapabilities { protocol: MESH_PROTOCOL, free_sockets_permille }
     }
 
     /// Whether a peer understands messages about shared reports, and was heard a moment ago.
@@ -108,7 +112,7 @@
 
     /// The leader looks whether reports are to be shared, and tells the others.
     pub(super) fn tell_sharing(&mut self, now: Instant) {
-        self.sharing.redirects.tidy(now);
+        self.sharing.redirects.expire(now);
         let Some(scheduler) = self.scheduler.as_ref().filter(|_| self.may_act(now)) else { return };
         let (token, machines) = (scheduler.token, scheduler.machines.len());
         let was = self.sharing.is_shared();
@@ -126,7 +130,7 @@
             return;
         }
         let (from, members) = (self.settings.platform.host_name.clone(), &self.sharing.members);
-        let message = PeerMessage::Sharing { from, token, members: members.clone() };
+        let message = PeerMessage::ShardAssignment { from, token, members: members.clone() };
         for peer in self.settings.platform.others.iter().map(|peer| &peer.host_name) {
             if self.shares(peer, now) {
                 self.out.push(Effect::Mesh(peer.clone(), message.clone()));
@@ -143,20 +147,21 @@
             let (name, zone) = (peer.host_name.clone(), peer.location.clone());
             // Whether it has the store is nothing to it: what it passes back is the leader's word. In an outage
             // every worker was once sent to the leader, since nobody had the store.
-            let serves = self.shares(&name, now) && !drained(&name);
-            Some(Candidate { name, zone, room: view.extra.room, serves })
+            let is_available = self.shares(&name, now) && !drained(&name);
+            let free_sockets_permille = view.extra.free_sockets_permille;
+            Some(MemberCandidate { name, zone, free_sockets_permille, is_available })
         });
-        let candidates: Vec<Candidate> = candidates.collect();
-        let leader = LeaderView {
+        let candidates: Vec<MemberCandidate> = candidates.collect();
+        let leader = LeaderLoad {
             name: platform.host_name.clone(),
             zone: platform.location.clone(),
             workers: machines,
-            each: self.sockets.machines,
-            helps: self.sharing.leader_helps,
+            workers_per_controller: self.sockets.machines,
+            is_member: self.sharing.leader_helps,
         };
-        let (members, helps) = membership::choose(&candidates, &leader);
-        self.sharing.leader_helps = helps;
-        members
+        let choice = choose_members(&candidates, &leader);
+        self.sharing.leader_helps = choice.includes_leader;
+        choice.membership
     }
 
     /// The controller to which a worker is to be sent from here.
@@ -171,7 +176,7 @@
             return None;
         }
         let owner = owner.clone();
-        self.sharing.redirects.try_send(&report.machine, now).then_some(owner)
+        self.sharing.redirects.try_redirect(&report.machine, now).then_some(owner)
     }
 
     /// A controller that does not lead takes a report: it passes it on if the leader permits that, or answers as one
@@ -192,7 +197,7 @@
         // The leader starts nothing on a worker that it does not hear: who can reach it goes there, as far as it has
         // sockets, and who comes back is kept alive here.
         if let Some(leader) = self.leader_apart(now)
-            && self.sharing.redirects.try_send(&report.machine, now)
+            && self.sharing.redirects.try_redirect(&report.machine, now)
         {
             return Some(redirect(&leader));
         }
@@ -208,14 +213,15 @@
 
     /// Holds a report to pass it on; one that is too large is answered as if it could not be passed on.
     fn hold_or_answer(&mut self, ticket: u64, report: Heartbeat, now: Instant) -> Option<Response> {
-        let large = self.sharing.relay.hold(ticket, report, now)?;
-        Some(self.answer_without_leader(&large, now))
+        let oversized = self.sharing.relay.accept(ticket, report, now);
+        let OversizedHeartbeat(heartbeat) = oversized.err()?;
+        Some(self.answer_without_leader(&heartbeat, now))
     }
 
     /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
     fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
         let (leader, _) = self.state.cache.leader.as_ref()?;
-        let lapsed = self.sharing.relay.lapsed(leader.token, now)?;
+        let lapsed = self.sharing.relay.time_since_assignment(leader.token, now)?;
         let silence = match self.peers.get(&leader.node) {
             Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
             None => lapsed,
@@ -238,7 +244,7 @@
         now: Instant,
     ) {
         if token >= self.state.cache.token.0 && self.scheduler.is_none() {
-            self.sharing.relay.on_term(token, from, members, now);
+            self.sharing.relay.on_assignment(token, from, members, now);
         }
     }
 
@@ -257,8 +263,8 @@
             return;
         };
         match scheduler.on_relayed(from, reports, &self.state.cache, now) {
-            Some(verdicts) => {
-                let message = PeerMessage::Verdicts { token, batch, verdicts };
+            Some(results) => {
+                let message = PeerMessage::HeartbeatResults { token, batch, results };
                 self.out.push(Effect::Mesh(from.clone(), message));
             }
             None => {
@@ -268,15 +274,15 @@
         }
     }
 
-    pub(super) fn on_verdicts(
+    pub(super) fn on_heartbeat_results(
         &mut self,
         token: FencingToken,
         batch: u64,
-        verdicts: Vec<(u32, Verdict)>,
+        results: Vec<(u32, HeartbeatResult)>,
         now: Instant,
     ) {
-        for (ticket, orders) in self.sharing.relay.on_answers(token, batch, verdicts, now) {
-            self.reply(ticket, Response::with(200, wire::encode(&orders)));
+        for reply in self.sharing.relay.on_results(token, batch, results, now) {
+            self.reply(reply.ticket, Response::with(200, wire::encode(&reply.commands)));
         }
     }
 
@@ -332,7 +338,7 @@
         let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
         let me = self.settings.platform.host_name.clone();
         for (to, commands) in self.sharing.deliveries.take_frames() {
-            let message = PeerMessage::Deliver { from: me.clone(), token, commands };
+            let message = PeerMessage::RelayedCommands { from: me.clone(), token, commands };
             self.out.push(Effect::Mesh(to, message));
         }
     }
@@ -341,22 +347,25 @@
     pub(super) fn pump_sharing(&mut self, now: Instant) {
         let from = self.settings.platform.host_name.clone();
         for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
-            let (token, reports) = (batch.token, batch.reports);
-            let message =
-                PeerMessage::Reports { from: from.clone(), token, batch: batch.number, reports };
+            let message = PeerMessage::RelayedHeartbeats {
+                from: from.clone(),
+                token: batch.token,
+                batch: batch.number,
+                heartbeats: batch.heartbeats,
+            };
             self.out.push(Effect::Mesh(batch.leader, message));
         }
         for overdue in self.sharing.relay.take_overdue(now) {
             let response = if self.may_act(now) && self.scheduler.is_some() {
-                self.on_report_as_leader(&overdue.report, now)
+                self.on_report_as_leader(&overdue.heartbeat, now)
             } else {
-                self.answer_without_leader(&overdue.report, now)
+                self.answer_without_leader(&overdue.heartbeat, now)
             };
             self.reply(overdue.ticket, response);
         }
-        self.sharing.relay.forget_beyond(self.sockets.public * 2);
+        self.sharing.relay.evict_beyond(self.sockets.public * 2);
         for (to, token, results) in self.sharing.forwarded.take_results(now) {
-            self.out.push(Effect::Mesh(to, PeerMessage::Delivered { token, results }));
+            self.out.push(Effect::Mesh(to, PeerMessage::CommandResults { token, results }));
         }
         for (machine, sent, result) in self.sharing.deliveries.take_overdue(now) {
             self.on_direct(&machine, sent.as_ref(), result, now);
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -50,7 +50,7 @@
 }
 
 fn heard(node: &mut Controller, n: u16, at: Instant, state_lost: bool, protocol: u8) {
-    let extra = PeerExtra { protocol, room: 900 };
+    let extra = PeerCapabilities { protocol, free_sockets_permille: 900 };
     let view = PeerView { heard: at, state_lost, up: Duration::from_secs(60), extra };
     node.peers.insert(name(n), view);
 }
@@ -67,7 +67,7 @@
     heard(&mut node, 2, start, false, MESH_PROTOCOL);
     heard(&mut node, 3, now, false, 0);
     let members = node.find_members(5, now);
-    let names: Vec<&ControllerId> = members.0.iter().map(|member| &member.name).collect();
+    let names: Vec<&ControllerId> = members.members().iter().map(|member| &member.name).collect();
     assert_eq!(names, [&name(0), &name(1)]);
     // One that is away for a moment counts where it is asked how many could hold workers; one that understands nothing
     // of it does not.
@@ -134,8 +134,8 @@
     let now = Instant::now();
     let mut node = node(now);
     let member = crate::peers::membership::Member { name: name(0), zone: "a".into(), weight: 1000 };
-    let members = crate::peers::membership::Membership(vec![member]);
-    node.sharing.relay.on_term(FencingToken(1), name(0), members, now);
+    let members = crate::peers::membership::Membership::new(vec![member]);
+    node.sharing.relay.on_assignment(FencingToken(1), name(0), members, now);
     let task = |index: u32| wire::TaskStatus {
         task: crate::ids::TaskId { job: JobId::new("wk-1"), index },
         attempt: crate::ids::Attempt(1),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -16,10 +16,16 @@
     node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
-        let barred = names.collect();
-        PeerMessage::Grant { seq: 9, token: FencingToken(41), number, barred, lent: vec![] }
+        let revoked = names.collect();
+        PeerMessage::LeaseGrant {
+            seq: 9,
+            token: FencingToken(41),
+            number,
+            revoked,
+            delegated: vec![],
+        }
     };
-    let (mut pieces, mut got) = (Pieces::default(), Vec::new());
+    let (mut pieces, mut got) = (ChunkAssembler::default(), Vec::new());
     for number in 1..3 {
         node.relay(&ControllerId::new("m"), &grant(number));
         node.state.poll(now);
@@ -27,13 +33,13 @@
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
-                got.extend(pieces.take(data.as_text().unwrap()));
+                got.extend(pieces.push(data.as_text().unwrap()));
             }
             node.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
         node.state.events.clear();
     }
-    let whole: Vec<_> = got.iter().map(|text| mesh::from_text(text)).collect();
+    let whole: Vec<_> = got.iter().map(|text| mesh::decode_text(text).ok()).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
 }
 
@@ -51,8 +57,12 @@
         node.crowded = crowded;
         for (n, (state_lost, up_s)) in peers.iter().enumerate() {
             let up = Duration::from_secs(*up_s);
-            let view =
-                PeerView { heard: now, state_lost: *state_lost, up, extra: PeerExtra::default() };
+            let view = PeerView {
+                heard: now,
+                state_lost: *state_lost,
+                up,
+                extra: PeerCapabilities::default(),
+            };
             node.peers.insert(ControllerId::new(&format!("m-{n}")), view);
         }
         node.is_up(now)
@@ -241,8 +251,8 @@
         node.answer_for_leader(&report(name), now).map(|o| o.token)
     };
     assert_eq!(token(&mut node, "i-1"), Some(FencingToken(1)));
-    let barred = vec![MachineId::new("i-1")];
-    node.delegated_lease.take((FencingToken(2), 1), (barred, vec![]), true, start, start);
+    let revoked = vec![MachineId::new("i-1")];
+    node.delegated_lease.take((FencingToken(2), 1), (revoked, vec![]), true, start, start);
     assert_eq!(node.delegated_lease.ack(), (FencingToken(2), 1));
     assert_eq!(token(&mut node, "i-1"), None);
     assert_eq!(token(&mut node, "i-2"), Some(FencingToken(2)));
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -30,9 +30,9 @@
     until: Instant,
     /// When one came over the mesh last.
     received: Option<Instant>,
-    barred: HashSet<MachineId>,
+    revoked: HashSet<MachineId>,
     /// Those that the leader does not hear itself: they are answered though it is in reach.
-    lent: HashSet<MachineId>,
+    delegated: HashSet<MachineId>,
 }
 
 impl DelegatedLease {
@@ -41,7 +41,7 @@
     pub fn take(
         &mut self,
         (token, number): (FencingToken, u64),
-        (barred, lent): (Vec<MachineId>, Vec<MachineId>),
+        (revoked, delegated): (Vec<MachineId>, Vec<MachineId>),
         direct: bool,
         asked: Instant,
         now: Instant,
@@ -50,11 +50,11 @@
             return;
         }
         let until = asked + DELEGATION_TERM.mul_f64(1.0 - DRIFT);
-        let barred = barred.into_iter().collect();
-        let lent = lent.into_iter().collect();
+        let revoked = revoked.into_iter().collect();
+        let delegated = delegated.into_iter().collect();
         let before = self.grant.as_ref().filter(|g| g.token == token).and_then(|g| g.received);
         let received = if direct { Some(now) } else { before };
-        self.grant = Some(Grant { token, number, until, received, barred, lent });
+        self.grant = Some(Grant { token, number, until, received, revoked, delegated });
     }
 
     pub fn ack(&self) -> (FencingToken, u64) {
@@ -84,8 +84,8 @@
         let grant = self.grant.as_ref()?;
         let near =
             grant.received.is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_AFTER);
-        let near = near && !grant.lent.contains(machine);
-        if grant.token < newest || now >= grant.until || near || grant.barred.contains(machine) {
+        let near = near && !grant.delegated.contains(machine);
+        if grant.token < newest || now >= grant.until || near || grant.revoked.contains(machine) {
             return None;
         }
         self.answered.insert(machine.clone(), now);
@@ -176,13 +176,13 @@
         &mut self,
         to: &ControllerId,
         seq: u64,
-        (barred, lent): (Vec<MachineId>, Vec<MachineId>),
+        (revoked, delegated): (Vec<MachineId>, Vec<MachineId>),
         now: Instant,
     ) -> Option<PeerMessage> {
         let peer = self.peers.get_mut(to)?;
         peer.until = now + DELEGATION_TERM.mul_f64(1.0 + DRIFT);
         let (token, number) = (self.token, self.number);
-        Some(PeerMessage::Grant { seq, token, number, barred, lent })
+        Some(PeerMessage::LeaseGrant { seq, token, number, revoked, delegated })
     }
 
     /// The latest time at which another controller may have answered the machine, which has been
@@ -190,9 +190,9 @@
     pub fn answered_until(
         &self,
         machine: &MachineId,
-        barred_since: Option<u64>,
+        revoked_since: Option<u64>,
     ) -> Option<Instant> {
-        let latest = |peer: &Peer| match barred_since {
+        let latest = |peer: &Peer| match revoked_since {
             // It keeps to the bar; before, it answered when it says, or before it was started.
             Some(number) if peer.acked >= number => {
                 peer.answered.get(machine).map_or(peer.started, |at| (*at).max(peer.started))
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -36,7 +36,7 @@
         let start = Instant::now();
         let mut delegations = Delegations::new(FencingToken(1), [peer.clone()].into_iter(), start);
         let mut delegated_lease = DelegatedLease::default();
-        let mut barred_since = None;
+        let mut revoked_since = None;
         let mut to_leader = Vec::new();
         let mut to_follower = Vec::new();
         let mut last: Option<Instant> = None;
@@ -54,7 +54,7 @@
                 ));
             }
             if random.random_range(0..20) == 0 {
-                barred_since = match barred_since {
+                revoked_since = match revoked_since {
                     None => Some(delegations.number + 1),
                     Some(_) => None,
                 };
@@ -71,20 +71,22 @@
                     now,
                 );
                 delegations.number += 1;
-                let barred = barred_since.map(|_| id()).into_iter().collect();
-                let Some(PeerMessage::Grant { number, barred, lent, .. }) =
-                    delegations.give(&peer, 0, (barred, vec![id()]), now)
+                let revoked = revoked_since.map(|_| id()).into_iter().collect();
+                let Some(PeerMessage::LeaseGrant { number, revoked, delegated, .. }) =
+                    delegations.give(&peer, 0, (revoked, vec![id()]), now)
                 else {
                     panic!()
                 };
                 if random.random_range(0..3) > 0 {
-                    to_follower.push((delay(random), asked, number, barred, lent));
+                    to_follower.push((delay(random), asked, number, revoked, delegated));
                 }
             }
-            for (_, asked, number, barred, lent) in to_follower.extract_if(.., |m| arrived(&m.0)) {
+            for (_, asked, number, revoked, delegated) in
+                to_follower.extract_if(.., |m| arrived(&m.0))
+            {
                 delegated_lease.take(
                     (FencingToken(1), number),
-                    (barred, lent),
+                    (revoked, delegated),
                     step % 2 == 0,
                     asked,
                     now,
@@ -93,7 +95,7 @@
             if delegated_lease.answer(&id(), FencingToken(1), now).is_some() {
                 last = Some(now);
             }
-            let bound = delegations.answered_until(&id(), barred_since);
+            let bound = delegations.answered_until(&id(), revoked_since);
             assert!(last.is_none_or(|at| Some(at) <= bound), "seed {seed} step {step}");
         }
     }
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -1,450 +1,384 @@
-//! Reports that other controllers take and pass on to the leader, and the answers that come back.
+//! The relay of heartbeats: a controller takes its workers' heartbeats and passes them on to the leader.
 //!
-//! A controller that takes a report holds its request open, passes the report on in a batch, and answers with
-//! what the leader says to just this report. It decides nothing: *every answer that renews a lease is the leader's
-//! own, given after the report was sent*, so whatever happens on the way the leader's own record of its last answer
-//! bounds the worker's lease. A report that says what the one before it said travels as its number alone.
-
-use crate::constants::*;
-use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
+//! It keeps the worker's request open, sends the heartbeat in a batch, and answers with the leader's result for
+//! just this heartbeat. It decides nothing: *every answer that renews a lease is the leader's own, given after the
+//! heartbeat was sent*, so whatever happens on the way, the leader's own record of its last answer bounds the
+//! worker's lease. A heartbeat that says what the one before it said travels as its number alone.
+
+mod messages;
+
+pub use messages::{
+    FullHeartbeat, HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
+};
+
+use crate::constants::{
+    RELAY_BATCHES, RELAY_FRAME, RELAY_PAUSE, RELAY_PAUSE_NEWS, RELAY_RESUMES_WITHIN, RELAY_TERM,
+    RELAY_TIMEOUT,
+};
+use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::membership::Membership;
 use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
 use foldhash::{HashMap, HashMapExt};
-use serde::{Deserialize, Serialize};
+use messages::{HEARTBEAT_BYTES, encoded_size};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A report in the form that travels between controllers.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FullHeartbeat {
-    machine: MachineId,
-    address: String,
-    flavor: String,
-    zone: String,
-    spot: bool,
-    agent_epoch: u64,
-    seq: u64,
+/// The leader's permission to relay heartbeats to it, and the controllers that do.
+#[derive(Debug)]
+struct Assignment {
     token: FencingToken,
-    notice_s: Option<f64>,
-    tasks: Vec<RelayedTaskStatus>,
-}
-
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct RelayedTaskStatus {
-    task: TaskId,
-    attempt: Attempt,
-    state: TaskState,
-    why: Option<String>,
-    saved: Option<bool>,
+    leader: ControllerId,
+    members: Membership,
+    received: Instant,
 }
 
-impl FullHeartbeat {
-    /// Bytes that it takes in a frame at the most.
-    pub fn size(&self) -> usize {
-        REPORT_BYTES + self.tasks.len() * TASK_BYTES
+impl Assignment {
+    fn age(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.received)
     }
 }
 
-impl From<Heartbeat> for FullHeartbeat {
-    fn from(report: Heartbeat) -> FullHeartbeat {
-        let task = |shown: TaskStatus| RelayedTaskStatus {
-            task: shown.task,
-            attempt: shown.attempt,
-            state: shown.state,
-            why: shown.why,
-            saved: shown.saved,
-        };
-        FullHeartbeat {
-            machine: report.machine,
-            address: report.address,
-            flavor: report.flavor,
-            zone: report.zone,
-            spot: report.spot,
-            agent_epoch: report.agent_epoch,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks.into_iter().map(task).collect(),
-        }
-    }
+/// A heartbeat whose worker waits for the answer.
+#[derive(Debug)]
+struct PendingHeartbeat {
+    heartbeat: Heartbeat,
+    received: Instant,
+    /// It has to be sent in full.
+    in_full: bool,
 }
 
-impl From<FullHeartbeat> for Heartbeat {
-    fn from(report: FullHeartbeat) -> Heartbeat {
-        let task = |shown: RelayedTaskStatus| TaskStatus {
-            task: shown.task,
-            attempt: shown.attempt,
-            state: shown.state,
-            why: shown.why,
-            saved: shown.saved,
-        };
-        Heartbeat {
-            machine: report.machine,
-            address: report.address,
-            flavor: report.flavor,
-            zone: report.zone,
-            spot: report.spot,
-            agent_epoch: report.agent_epoch,
-            seq: report.seq,
-            token: report.token,
-            notice_s: report.notice_s,
-            tasks: report.tasks.into_iter().map(task).collect(),
-        }
+impl PendingHeartbeat {
+    fn is_overdue(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.received) >= RELAY_TIMEOUT
     }
 }
 
-/// One report of a batch.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum RelayedHeartbeat {
-    Full(FullHeartbeat),
-    /// The same as the report numbered `before` in the same session, under the number `seq`.
-    Same {
-        machine: MachineId,
-        agent_epoch: u64,
-        before: u64,
-        seq: u64,
-    },
-}
-
-/// An order in the form that travels between controllers.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum RelayedCommand {
-    Start(TaskId, Attempt),
-    Stop(TaskId, Attempt, f64),
-    Forget(TaskId, Attempt),
+/// Tickets of heartbeats that are not sent yet.
+#[derive(Debug, Default)]
+struct SendQueue {
+    tickets: Vec<u64>,
+    since: Option<Instant>,
+    /// Some of them say something new.
+    has_changes: bool,
 }
 
-impl From<WorkerCommand> for RelayedCommand {
-    fn from(order: WorkerCommand) -> RelayedCommand {
-        match order {
-            WorkerCommand::Start { task, attempt } => RelayedCommand::Start(task, attempt),
-            WorkerCommand::Stop { task, attempt, grace_s } => {
-                RelayedCommand::Stop(task, attempt, grace_s)
-            }
-            WorkerCommand::Forget { task, attempt } => RelayedCommand::Forget(task, attempt),
-        }
+impl SendQueue {
+    fn push(&mut self, ticket: u64, is_change: bool, now: Instant) {
+        self.tickets.push(ticket);
+        self.has_changes |= is_change;
+        self.since.get_or_insert(now);
     }
-}
 
-impl From<RelayedCommand> for WorkerCommand {
-    fn from(order: RelayedCommand) -> WorkerCommand {
-        match order {
-            RelayedCommand::Start(task, attempt) => WorkerCommand::Start { task, attempt },
-            RelayedCommand::Stop(task, attempt, grace_s) => {
-                WorkerCommand::Stop { task, attempt, grace_s }
-            }
-            RelayedCommand::Forget(task, attempt) => WorkerCommand::Forget { task, attempt },
-        }
+    /// When the next batches are due; changes wait less for others to go with them.
+    fn due(&self) -> Option<Instant> {
+        let pause = if self.has_changes { RELAY_PAUSE_NEWS } else { RELAY_PAUSE };
+        self.since.map(|since| since + pause)
     }
 }
 
-/// What the leader says to a report of a batch. Reports that it does not mention are accepted without orders.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
-    CommandBatch(Vec<RelayedCommand>),
-    /// What it knows of the worker is older or newer than the report meant: it has to see all of it.
-    SendFull,
-}
-
-/// The leader's leave to pass reports on to it.
-#[derive(Debug)]
-struct Term {
-    token: FencingToken,
-    leader: ControllerId,
-    members: Membership,
-    received: Instant,
-}
-
-/// A report whose worker waits for the answer.
-#[derive(Debug)]
-struct Held {
-    report: Heartbeat,
-    taken: Instant,
-    /// It must not be shortened.
-    full: bool,
-}
+/// A heartbeat that is too large to be relayed.
+#[derive(Debug, thiserror::Error)]
+#[error("a heartbeat is too large to be relayed")]
+pub struct OversizedHeartbeat(pub Box<Heartbeat>);
 
-/// Reports that are passed on, at the controller that took them.
+/// A heartbeat that the leader did not answer in time.
 #[derive(Debug)]
-pub struct HeartbeatRelay {
-    term: Option<Term>,
-    /// By the ticket of the request.
-    held: BTreeMap<u64, Held>,
-    /// Not sent yet, since when, and whether any of them says something new.
-    queue: Vec<u64>,
-    queued_at: Option<Instant>,
-    news: bool,
-    /// Batches without an answer.
-    sent: BTreeMap<u64, Vec<u64>>,
-    next_batch: u64,
-    /// The last report of each worker that the leader accepted without any order.
-    known: HashMap<MachineId, Heartbeat>,
+pub struct OverdueHeartbeat {
+    /// Ticket of the worker's request.
+    pub ticket: u64,
+    /// The heartbeat.
+    pub heartbeat: Heartbeat,
 }
 
-/// A report that was held for too long, with the ticket of its request.
+/// The answer to a worker's request.
 #[derive(Debug)]
-pub struct Overdue {
+pub struct WorkerReply {
+    /// Ticket of the request.
     pub ticket: u64,
-    pub report: Heartbeat,
+    /// What the leader says.
+    pub commands: CommandBatch,
 }
 
 /// A batch on its way to the leader.
 #[derive(Debug, PartialEq)]
-pub struct Batch {
+pub struct HeartbeatBatch {
+    /// The leader.
     pub leader: ControllerId,
+    /// Its token.
     pub token: FencingToken,
+    /// Number of the batch.
     pub number: u64,
-    pub reports: Vec<RelayedHeartbeat>,
-}
-
-/// Bytes. What a report takes in a frame at the most, but for its tasks, and each task.
-const REPORT_BYTES: usize = 200;
-const TASK_BYTES: usize = 80;
-
-fn size(report: &Heartbeat) -> usize {
-    REPORT_BYTES + report.tasks.len() * TASK_BYTES
+    /// The heartbeats.
+    pub heartbeats: Vec<RelayedHeartbeat>,
 }
 
-/// Whether a report says what the one before it said, so that hearing it again changes nothing but when the worker
-/// was heard. A task that ended is told in full until it is forgotten, and so is a notice that runs out.
-fn says_the_same(before: &Heartbeat, report: &Heartbeat) -> bool {
-    let running = |task: &TaskStatus| task.state != TaskState::Exited;
-    (before.agent_epoch, before.token) == (report.agent_epoch, report.token)
-        && before.seq < report.seq
-        && (before.notice_s, report.notice_s) == (None, None)
-        && before.address == report.address
-        && before.tasks == report.tasks
-        && report.tasks.iter().all(running)
+/// Heartbeats on their way to the leader, at the controller that took them.
+#[derive(Debug)]
+pub struct HeartbeatRelay {
+    assignment: Option<Assignment>,
+    /// By the ticket of the request.
+    pending: BTreeMap<u64, PendingHeartbeat>,
+    queue: SendQueue,
+    /// Tickets of batches without results, by the number of the batch.
+    in_flight: BTreeMap<u64, Vec<u64>>,
+    last_batch: u64,
+    /// The last heartbeat of each worker that the leader accepted without any command.
+    accepted: HashMap<MachineId, Heartbeat>,
 }
 
 impl HeartbeatRelay {
-    /// Batches are numbered from there on, so that answers to a former life of this process match none.
+    /// A relay that numbers its batches from `first_batch` on: random, so that results for an earlier incarnation
+    /// of this process match none.
     pub fn new(first_batch: u64) -> HeartbeatRelay {
         HeartbeatRelay {
-            term: None,
-            held: BTreeMap::new(),
-            queue: Vec::new(),
-            queued_at: None,
-            news: false,
-            sent: BTreeMap::new(),
-            next_batch: first_batch,
-            known: HashMap::new(),
+            assignment: None,
+            pending: BTreeMap::new(),
+            queue: SendQueue::default(),
+            in_flight: BTreeMap::new(),
+            last_batch: first_batch,
+            accepted: HashMap::new(),
         }
     }
 
-    /// A leader tells that reports may be passed on to it, and who does so.
-    pub fn on_term(
+    /// A leader permits that heartbeats are relayed to it, by these members.
+    pub fn on_assignment(
         &mut self,
         token: FencingToken,
         leader: ControllerId,
         members: Membership,
         now: Instant,
     ) {
-        if self.term.as_ref().is_some_and(|term| term.token > token) {
+        let current = self.assignment.as_ref().map(|assignment| assignment.token);
+        if current.is_some_and(|current| current > token) {
             return;
         }
-        if self.term.as_ref().is_none_or(|term| term.token < token) {
-            // Nothing that was said to its predecessor counts, and no answer of that one is waited for.
-            self.known.clear();
-            let unanswered = std::mem::take(&mut self.sent);
-            self.queue.extend(unanswered.into_values().flatten());
-            self.held.values_mut().for_each(|held| held.full = true);
-            self.queued_at = self.queued_at.or_else(|| (!self.queue.is_empty()).then_some(now));
+        if current.is_none_or(|current| current < token) {
+            self.on_new_leader(now);
         }
-        self.term = Some(Term { token, leader, members, received: now });
+        self.assignment = Some(Assignment { token, leader, members, received: now });
     }
 
-    fn term(&self, newest: FencingToken, now: Instant) -> Option<&Term> {
-        self.term.as_ref().filter(|term| {
-            term.token >= newest
-                && !term.members.0.is_empty()
-                && now.saturating_duration_since(term.received) < RELAY_TERM
+    /// The new leader knows nothing of what its predecessor was told, and no result of that one is waited for.
+    fn on_new_leader(&mut self, now: Instant) {
+        self.accepted.clear();
+        let unanswered = std::mem::take(&mut self.in_flight);
+        self.queue.tickets.extend(unanswered.into_values().flatten());
+        self.pending.values_mut().for_each(|pending| pending.in_full = true);
+        if !self.queue.tickets.is_empty() {
+            self.queue.since.get_or_insert(now);
+        }
+    }
+
+    fn current_assignment(&self, newest: FencingToken, now: Instant) -> Option<&Assignment> {
+        self.assignment.as_ref().filter(|assignment| {
+            assignment.token >= newest
+                && !assignment.members.is_empty()
+                && assignment.age(now) < RELAY_TERM
         })
     }
 
-    /// The members under a term that holds, where `newest` is the latest token that is known.
+    /// The members of the current assignment, where `newest` is the latest token that is known.
     pub fn members(&self, newest: FencingToken, now: Instant) -> Option<&Membership> {
-        self.term(newest, now).map(|term| &term.members)
+        self.current_assignment(newest, now).map(|assignment| &assignment.members)
     }
 
-    /// How long ago the leader with that token last permitted that reports are passed on, if it did.
-    pub fn lapsed(&self, token: FencingToken, now: Instant) -> Option<Duration> {
-        let term = self.term.as_ref()?;
-        (term.token == token && !term.members.0.is_empty())
-            .then(|| now.saturating_duration_since(term.received))
+    /// Time since the leader with that token last permitted that heartbeats are relayed, if it did.
+    pub fn time_since_assignment(&self, token: FencingToken, now: Instant) -> Option<Duration> {
+        let assignment = self.assignment.as_ref()?;
+        let permits = assignment.token == token && !assignment.members.is_empty();
+        permits.then(|| assignment.age(now))
     }
 
-    /// Whether reports were passed on a moment ago: the next leader may say so, too.
+    /// Whether heartbeats were relayed a moment ago, so that the next leader may soon permit it as well.
     pub fn may_resume(&self, now: Instant) -> bool {
-        self.term.as_ref().is_some_and(|term| {
-            !term.members.0.is_empty()
-                && now.saturating_duration_since(term.received) < RELAY_RESUMES_WITHIN
+        self.assignment.as_ref().is_some_and(|assignment| {
+            !assignment.members.is_empty() && assignment.age(now) < RELAY_RESUMES_WITHIN
         })
     }
 
-    /// Takes a report whose worker waits under this ticket; gives it back if it is too large to be passed on.
-    pub fn hold(&mut self, ticket: u64, report: Heartbeat, now: Instant) -> Option<Heartbeat> {
-        if size(&report) > RELAY_FRAME {
-            return Some(report);
+    /// Takes a heartbeat whose worker waits under this ticket; gives it back if it is too large to be relayed.
+    pub fn accept(
+        &mut self,
+        ticket: u64,
+        heartbeat: Heartbeat,
+        now: Instant,
+    ) -> Result<(), OversizedHeartbeat> {
+        if encoded_size(&heartbeat) > RELAY_FRAME {
+            return Err(OversizedHeartbeat(Box::new(heartbeat)));
         }
-        let held = Held { report, taken: now, full: false };
-        let news = !self.is_same(&held);
-        self.held.insert(ticket, held);
-        self.enqueue(ticket, news, now);
-        None
-    }
-
-    fn enqueue(&mut self, ticket: u64, news: bool, now: Instant) {
-        self.queue.push(ticket);
-        self.news |= news;
-        self.queued_at.get_or_insert(now);
+        let pending = PendingHeartbeat { heartbeat, received: now, in_full: false };
+        let is_change = self.unchanged_since(&pending).is_none();
+        self.pending.insert(ticket, pending);
+        self.queue.push(ticket, is_change, now);
+        Ok(())
     }
 
-    /// When the next batch is due, or a report overdue.
+    /// When the next batch is due, or a heartbeat overdue.
     pub fn next_due(&self) -> Option<Instant> {
-        let batch = self.queued_at.map(|at| at + self.pause());
-        let oldest = self.held.values().next().map(|held| held.taken + RELAY_TIMEOUT);
-        batch.into_iter().chain(oldest).min()
+        let oldest = self.pending.values().next().map(|pending| pending.received + RELAY_TIMEOUT);
+        self.queue.due().into_iter().chain(oldest).min()
     }
 
-    /// Reports that change something wait less for others to go with them.
-    fn pause(&self) -> Duration {
-        if self.news { RELAY_PAUSE_NEWS } else { RELAY_PAUSE }
+    /// The accepted heartbeat that says the same, if this one need not be sent in full.
+    fn unchanged_since(&self, pending: &PendingHeartbeat) -> Option<&Heartbeat> {
+        let previous = self.accepted.get(&pending.heartbeat.machine)?;
+        (!pending.in_full && is_unchanged(previous, &pending.heartbeat)).then_some(previous)
     }
 
-    fn is_same(&self, held: &Held) -> bool {
-        let before = self.known.get(&held.report.machine);
-        !held.full && before.is_some_and(|before| says_the_same(before, &held.report))
-    }
-
-    /// What is due to be sent.
-    pub fn take_batches(&mut self, newest: FencingToken, now: Instant) -> Vec<Batch> {
-        let due = self.queued_at.is_some_and(|at| now >= at + self.pause());
-        if !due || self.sent.len() >= RELAY_BATCHES {
+    /// The batches that are due.
+    pub fn take_batches(&mut self, newest: FencingToken, now: Instant) -> Vec<HeartbeatBatch> {
+        let due = self.queue.due().is_some_and(|due| now >= due);
+        if !due || self.in_flight.len() >= RELAY_BATCHES {
             return Vec::new();
         }
-        let Some(term) = self.term(newest, now) else { return Vec::new() };
-        let (leader, token) = (term.leader.clone(), term.token);
+        let Some(assignment) = self.current_assignment(newest, now) else { return Vec::new() };
+        let (leader, token) = (assignment.leader.clone(), assignment.token);
         let mut batches = Vec::new();
-        let mut tickets = std::mem::take(&mut self.queue).into_iter().peekable();
-        while tickets.peek().is_some() {
-            let (mut reports, mut inside, mut bytes) = (Vec::new(), Vec::new(), 0);
-            while let Some(ticket) = tickets.peek().copied() {
-                let Some(held) = self.held.get(&ticket) else {
-                    tickets.next();
-                    continue;
-                };
-                let same = self.is_same(held);
-                let more = if same { REPORT_BYTES } else { size(&held.report) };
-                if bytes + more > RELAY_FRAME {
-                    break;
-                }
-                bytes += more;
-                reports.push(self.relayed(held, same));
-                inside.push(ticket);
-                tickets.next();
-            }
-            if reports.is_empty() {
+        let mut unsent = std::mem::take(&mut self.queue).tickets;
+        unsent.retain(|ticket| self.pending.contains_key(ticket));
+        let mut unsent = unsent.as_slice();
+        while !unsent.is_empty() {
+            let (tickets, rest) = unsent.split_at(self.tickets_in_a_frame(unsent));
+            if tickets.is_empty() {
                 break;
             }
-            self.next_batch += 1;
-            self.sent.insert(self.next_batch, inside);
-            let (leader, number) = (leader.clone(), self.next_batch);
-            batches.push(Batch { leader, token, number, reports });
+            let pending = tickets.iter().filter_map(|ticket| self.pending.get(ticket));
+            let heartbeats = pending.map(|pending| self.relayed(pending)).collect();
+            self.last_batch += 1;
+            self.in_flight.insert(self.last_batch, tickets.to_vec());
+            let (leader, number) = (leader.clone(), self.last_batch);
+            batches.push(HeartbeatBatch { leader, token, number, heartbeats });
+            unsent = rest;
         }
-        (self.queued_at, self.news) = (None, false);
         batches
     }
 
-    fn relayed(&self, held: &Held, same: bool) -> RelayedHeartbeat {
-        let report = &held.report;
-        match self.known.get(&report.machine).filter(|_| same) {
-            Some(before) => RelayedHeartbeat::Same {
-                machine: report.machine.clone(),
-                agent_epoch: report.agent_epoch,
-                before: before.seq,
-                seq: report.seq,
-            },
-            None => RelayedHeartbeat::Full(report.clone().into()),
+    /// How many of the first tickets fit a frame.
+    fn tickets_in_a_frame(&self, tickets: &[u64]) -> usize {
+        let mut free = RELAY_FRAME;
+        let fits = |ticket: &&u64| {
+            let size = self.pending.get(*ticket).map_or(0, |pending| self.relayed_size(pending));
+            let fits = size <= free;
+            free = free.saturating_sub(size);
+            fits
+        };
+        tickets.iter().take_while(fits).count()
+    }
+
+    fn relayed_size(&self, pending: &PendingHeartbeat) -> usize {
+        match self.unchanged_since(pending) {
+            Some(_) => HEARTBEAT_BYTES,
+            None => encoded_size(&pending.heartbeat),
+        }
+    }
+
+    fn relayed(&self, pending: &PendingHeartbeat) -> RelayedHeartbeat {
+        let heartbeat = &pending.heartbeat;
+        match self.unchanged_since(pending) {
+            Some(previous) => RelayedHeartbeat::Unchanged(UnchangedHeartbeat {
+                machine: heartbeat.machine.clone(),
+                agent_epoch: heartbeat.agent_epoch,
+                previous_seq: previous.seq,
+                seq: heartbeat.seq,
+            }),
+            None => RelayedHeartbeat::Full(heartbeat.clone().into()),
         }
     }
 
-    /// The leader's answer to a batch: what to tell which worker.
-    pub fn on_answers(
+    /// The leader's results for a batch: the replies to its workers.
+    pub fn on_results(
         &mut self,
         token: FencingToken,
-        number: u64,
-        verdicts: Vec<(u32, Verdict)>,
+        batch: u64,
+        results: Vec<(u32, HeartbeatResult)>,
         now: Instant,
-    ) -> Vec<(u64, CommandBatch)> {
-        if self.term.as_ref().is_none_or(|term| term.token != token) {
+    ) -> Vec<WorkerReply> {
+        if self.assignment.as_ref().is_none_or(|assignment| assignment.token != token) {
             return Vec::new();
         }
-        let Some(tickets) = self.sent.remove(&number) else { return Vec::new() };
-        let mut verdicts: BTreeMap<u32, Verdict> = verdicts.into_iter().collect();
-        let mut answers = Vec::new();
+        let Some(tickets) = self.in_flight.remove(&batch) else { return Vec::new() };
+        let mut results: BTreeMap<u32, HeartbeatResult> = results.into_iter().collect();
+        let mut replies = Vec::new();
         for (index, ticket) in (0u32..).zip(tickets) {
-            let verdict = verdicts.remove(&index).unwrap_or(Verdict::CommandBatch(Vec::new()));
-            match verdict {
-                Verdict::SendFull => {
-                    if let Some(held) = self.held.get_mut(&ticket) {
-                        held.full = true;
-                        self.enqueue(ticket, true, now);
-                    }
-                }
-                Verdict::CommandBatch(orders) => {
-                    let Some(held) = self.held.remove(&ticket) else { continue };
-                    self.remember(held.report, orders.is_empty());
-                    let orders = orders.into_iter().map(WorkerCommand::from).collect();
-                    answers.push((ticket, CommandBatch { token, agent_epoch: None, orders }));
+            let result = results.remove(&index).unwrap_or(HeartbeatResult::Accepted(Vec::new()));
+            match result {
+                HeartbeatResult::ResendInFull => self.resend_in_full(ticket, now),
+                HeartbeatResult::Accepted(commands) => {
+                    let Some(pending) = self.pending.remove(&ticket) else { continue };
+                    self.record_accepted(pending.heartbeat, commands.is_empty());
+                    let orders = commands.into_iter().map(WorkerCommand::from).collect();
+                    let commands = CommandBatch { token, agent_epoch: None, orders };
+                    replies.push(WorkerReply { ticket, commands });
                 }
             }
         }
-        answers
+        replies
+    }
+
+    fn resend_in_full(&mut self, ticket: u64, now: Instant) {
+        if let Some(pending) = self.pending.get_mut(&ticket) {
+            pending.in_full = true;
+            self.queue.push(ticket, true, now);
+        }
     }
 
-    fn remember(&mut self, report: Heartbeat, accepted: bool) {
-        if accepted {
-            self.known.insert(report.machine.clone(), report);
+    /// A heartbeat that was answered with commands is no base for later ones: the leader may have dropped what
+    /// the worker still shows.
+    fn record_accepted(&mut self, heartbeat: Heartbeat, without_commands: bool) {
+        if without_commands {
+            self.accepted.insert(heartbeat.machine.clone(), heartbeat);
         } else {
-            self.known.remove(&report.machine);
+            self.accepted.remove(&heartbeat.machine);
         }
     }
 
-    /// Reports that nobody answered in time; whatever comes later to them is passed over.
-    pub fn take_overdue(&mut self, now: Instant) -> Vec<Overdue> {
-        let late = |held: &Held| now.saturating_duration_since(held.taken) >= RELAY_TIMEOUT;
+    /// Heartbeats that the leader did not answer in time; later results for them are ignored.
+    pub fn take_overdue(&mut self, now: Instant) -> Vec<OverdueHeartbeat> {
         // Tickets rise with time.
-        let oldest = self.held.iter().take_while(|(_, held)| late(held));
+        let oldest = self.pending.iter().take_while(|(_, pending)| pending.is_overdue(now));
         let overdue: Vec<u64> = oldest.map(|(ticket, _)| *ticket).collect();
         if overdue.is_empty() {
             return Vec::new();
         }
-        self.queue.retain(|ticket| !overdue.contains(ticket));
-        if self.queue.is_empty() {
-            self.queued_at = None;
+        self.queue.tickets.retain(|ticket| !overdue.contains(ticket));
+        if self.queue.tickets.is_empty() {
+            self.queue.since = None;
         }
-        let held = &self.held;
-        self.sent.retain(|_, tickets| {
-            tickets.iter().any(|ticket| held.contains_key(ticket) && !overdue.contains(ticket))
+        let pending = &self.pending;
+        self.in_flight.retain(|_, tickets| {
+            tickets.iter().any(|ticket| pending.contains_key(ticket) && !overdue.contains(ticket))
         });
-        let mut reports = Vec::new();
+        let mut heartbeats = Vec::new();
         for ticket in overdue {
-            let Some(held) = self.held.remove(&ticket) else { continue };
-            self.known.remove(&held.report.machine);
-            reports.push(Overdue { ticket, report: held.report });
+            let Some(PendingHeartbeat { heartbeat, .. }) = self.pending.remove(&ticket) else {
+                continue;
+            };
+            self.accepted.remove(&heartbeat.machine);
+            heartbeats.push(OverdueHeartbeat { ticket, heartbeat });
         }
-        reports
+        heartbeats
     }
 
-    /// Forgets workers that report elsewhere by now, where there are many more than are held.
-    pub fn forget_beyond(&mut self, most: usize) {
-        if self.known.len() > most {
-            self.known.clear();
+    /// Forgets accepted heartbeats once there are more than `limit`: most are of workers that moved elsewhere.
+    pub fn evict_beyond(&mut self, limit: usize) {
+        if self.accepted.len() > limit {
+            self.accepted.clear();
         }
     }
 }
 
+/// Whether a heartbeat says what the previous one said, so that it changes nothing but the time of the last
+/// heartbeat. A task that ended, or a notice of reclamation, is sent in full each time.
+fn is_unchanged(previous: &Heartbeat, heartbeat: &Heartbeat) -> bool {
+    let running = |task: &TaskStatus| task.state != TaskState::Exited;
+    (previous.agent_epoch, previous.token) == (heartbeat.agent_epoch, heartbeat.token)
+        && previous.seq < heartbeat.seq
+        && (previous.notice_s, heartbeat.notice_s) == (None, None)
+        && previous.address == heartbeat.address
+        && previous.tasks == heartbeat.tasks
+        && heartbeat.tasks.iter().all(running)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,12 +1,19 @@
-use super::*;
-use crate::peers::membership::Member;
-use crate::wire::TaskState;
+use super::{
+    HeartbeatBatch, HeartbeatRelay, HeartbeatResult, RelayedCommand, RelayedHeartbeat,
+    UnchangedHeartbeat,
+};
+use crate::constants::{BODY_MAX, RELAY_PAUSE, RELAY_RESUMES_WITHIN, RELAY_TERM, RELAY_TIMEOUT};
+use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
+use crate::peers::membership::{Member, Membership};
+use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus};
 use crate::workers::machine::{HeartbeatEffect, Machine};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use std::time::Duration;
+use tokio::time::Instant;
 
 fn members() -> Membership {
-    Membership(vec![Member { name: ControllerId::new("b"), zone: "a".into(), weight: 1000 }])
+    Membership::new(vec![Member { name: ControllerId::new("b"), zone: "a".into(), weight: 1000 }])
 }
 
 fn report(machine: &str, seq: u64, tasks: &[(&str, TaskState)]) -> Heartbeat {
@@ -33,16 +40,16 @@
 
 fn relay(now: Instant) -> HeartbeatRelay {
     let mut relay = HeartbeatRelay::new(100);
-    relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
+    relay.on_assignment(FencingToken(3), ControllerId::new("a"), members(), now);
     relay
 }
 
 /// Sends what waits, answers all of it without orders, and gives the batch.
-fn pass(relay: &mut HeartbeatRelay, now: Instant) -> Batch {
+fn pass(relay: &mut HeartbeatRelay, now: Instant) -> HeartbeatBatch {
     let mut batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
     let batch = batches.pop().unwrap();
     assert!(batches.is_empty());
-    relay.on_answers(FencingToken(3), batch.number, Vec::new(), now + RELAY_PAUSE);
+    relay.on_results(FencingToken(3), batch.number, Vec::new(), now + RELAY_PAUSE);
     batch
 }
 
@@ -51,18 +58,18 @@
     let now = Instant::now();
     let mut relay = relay(now);
     let running = [("wk-1/0", TaskState::Running)];
-    assert!(relay.hold(1, report("i-1", 1, &running), now).is_none());
+    assert!(relay.accept(1, report("i-1", 1, &running), now).is_ok());
     let first = pass(&mut relay, now);
     assert_eq!((first.leader, first.token), (ControllerId::new("a"), FencingToken(3)));
-    assert!(matches!(first.reports[..], [RelayedHeartbeat::Full(_)]));
-    relay.hold(2, report("i-1", 2, &running), now);
+    assert!(matches!(first.heartbeats[..], [RelayedHeartbeat::Full(_)]));
+    relay.accept(2, report("i-1", 2, &running), now).unwrap();
     let machine = MachineId::new("i-1");
-    let same = RelayedHeartbeat::Same { machine, agent_epoch: 1, before: 1, seq: 2 };
-    assert_eq!(pass(&mut relay, now).reports, [same]);
+    let same = UnchangedHeartbeat { machine, agent_epoch: 1, previous_seq: 1, seq: 2 };
+    assert_eq!(pass(&mut relay, now).heartbeats, [RelayedHeartbeat::Unchanged(same)]);
     // The end of a task is told in full as long as it is shown.
     for seq in 3..5 {
-        relay.hold(seq, report("i-1", seq, &[("wk-1/0", TaskState::Exited)]), now);
-        assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
+        relay.accept(seq, report("i-1", seq, &[("wk-1/0", TaskState::Exited)]), now).unwrap();
+        assert!(matches!(pass(&mut relay, now).heartbeats[..], [RelayedHeartbeat::Full(_)]));
     }
 }
 
@@ -71,34 +78,38 @@
 fn orders_make_the_next_report_full() {
     let now = Instant::now();
     let mut relay = relay(now);
-    relay.hold(1, report("i-1", 1, &[]), now);
+    relay.accept(1, report("i-1", 1, &[]), now).unwrap();
     let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
     let order = RelayedCommand::Start(TaskId::parse("wk-1/0").unwrap(), Attempt(9));
-    let verdicts = vec![(0, Verdict::CommandBatch(vec![order.clone()]))];
-    let answers = relay.on_answers(FencingToken(3), batch.number, verdicts, now);
+    let results = vec![(0, HeartbeatResult::Accepted(vec![order.clone()]))];
+    let answers = relay.on_results(FencingToken(3), batch.number, results, now);
     let orders =
         CommandBatch { token: FencingToken(3), agent_epoch: None, orders: vec![order.into()] };
     assert_eq!(answers.len(), 1);
-    assert_eq!((answers[0].0, answers[0].1.orders.clone()), (1, orders.orders));
-    relay.hold(2, report("i-1", 2, &[]), now);
-    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
+    assert_eq!((answers[0].ticket, answers[0].commands.orders.clone()), (1, orders.orders));
+    relay.accept(2, report("i-1", 2, &[]), now).unwrap();
+    assert!(matches!(pass(&mut relay, now).heartbeats[..], [RelayedHeartbeat::Full(_)]));
     // An answer to an answered batch, or under another token, changes nothing.
-    assert!(relay.on_answers(FencingToken(3), batch.number, Vec::new(), now).is_empty());
-    assert!(relay.on_answers(FencingToken(2), batch.number, Vec::new(), now).is_empty());
+    assert!(relay.on_results(FencingToken(3), batch.number, Vec::new(), now).is_empty());
+    assert!(relay.on_results(FencingToken(2), batch.number, Vec::new(), now).is_empty());
 }
 
 #[test]
 fn a_leader_that_does_not_know_what_was_said_gets_all_of_it() {
     let now = Instant::now();
     let mut relay = relay(now);
-    relay.hold(1, report("i-1", 1, &[]), now);
+    relay.accept(1, report("i-1", 1, &[]), now).unwrap();
     pass(&mut relay, now);
-    relay.hold(2, report("i-1", 2, &[]), now);
+    relay.accept(2, report("i-1", 2, &[]), now).unwrap();
     let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
-    let answers =
-        relay.on_answers(FencingToken(3), batch.number, vec![(0, Verdict::SendFull)], now);
+    let answers = relay.on_results(
+        FencingToken(3),
+        batch.number,
+        vec![(0, HeartbeatResult::ResendInFull)],
+        now,
+    );
     assert!(answers.is_empty());
-    assert!(matches!(pass(&mut relay, now).reports[..], [RelayedHeartbeat::Full(_)]));
+    assert!(matches!(pass(&mut relay, now).heartbeats[..], [RelayedHeartbeat::Full(_)]));
 }
 
 /// Nothing that was said to one leader counts for the next, and what it did not answer goes to the next at once.
@@ -106,18 +117,18 @@
 fn a_new_leader_is_told_everything_and_an_old_one_is_not_believed() {
     let now = Instant::now();
     let mut relay = relay(now);
-    relay.hold(1, report("i-1", 1, &[]), now);
+    relay.accept(1, report("i-1", 1, &[]), now).unwrap();
     pass(&mut relay, now);
-    relay.hold(2, report("i-1", 2, &[]), now);
+    relay.accept(2, report("i-1", 2, &[]), now).unwrap();
     let lost = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
-    relay.on_term(FencingToken(4), ControllerId::new("c"), members(), now);
-    assert!(relay.on_answers(FencingToken(3), lost.number, Vec::new(), now).is_empty());
+    relay.on_assignment(FencingToken(4), ControllerId::new("c"), members(), now);
+    assert!(relay.on_results(FencingToken(3), lost.number, Vec::new(), now).is_empty());
     assert!(relay.members(FencingToken(5), now).is_none());
     let again = relay.take_batches(FencingToken(4), now + RELAY_PAUSE).pop().unwrap();
     assert_eq!(again.leader, ControllerId::new("c"));
-    assert!(matches!(again.reports[..], [RelayedHeartbeat::Full(_)]));
-    relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
-    assert_eq!(relay.on_answers(FencingToken(4), again.number, Vec::new(), now).len(), 1);
+    assert!(matches!(again.heartbeats[..], [RelayedHeartbeat::Full(_)]));
+    relay.on_assignment(FencingToken(3), ControllerId::new("a"), members(), now);
+    assert_eq!(relay.on_results(FencingToken(4), again.number, Vec::new(), now).len(), 1);
 }
 
 #[test]
@@ -128,16 +139,16 @@
     assert!(relay.members(FencingToken(3), now + RELAY_TERM).is_none());
     assert!(relay.may_resume(now + RELAY_TERM));
     assert!(!relay.may_resume(now + RELAY_RESUMES_WITHIN));
-    relay.hold(1, report("i-1", 1, &[]), now);
+    relay.accept(1, report("i-1", 1, &[]), now).unwrap();
     relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
-    relay.hold(2, report("i-2", 1, &[]), now + RELAY_PAUSE);
+    relay.accept(2, report("i-2", 1, &[]), now + RELAY_PAUSE).unwrap();
     assert!(relay.take_overdue(now + RELAY_TIMEOUT / 2).is_empty());
     let overdue = relay.take_overdue(now + RELAY_TIMEOUT);
     assert_eq!(overdue.iter().map(|overdue| overdue.ticket).collect::<Vec<u64>>(), [1]);
     assert_eq!(relay.take_overdue(now + RELAY_TIMEOUT * 2).len(), 1);
     assert_eq!(relay.next_due(), None);
     // Nobody is told to stop sharing by a term without members.
-    relay.on_term(FencingToken(3), ControllerId::new("a"), Membership::default(), now);
+    relay.on_assignment(FencingToken(3), ControllerId::new("a"), Membership::default(), now);
     assert!(relay.members(FencingToken(3), now).is_none() && !relay.may_resume(now));
 }
 
@@ -149,17 +160,17 @@
     let many: Vec<(&str, TaskState)> =
         names.iter().map(|name| (name.as_str(), TaskState::Running)).collect();
     for ticket in 0..40 {
-        assert!(relay.hold(ticket, report(&format!("i-{ticket}"), 1, &many), now).is_none());
+        assert!(relay.accept(ticket, report(&format!("i-{ticket}"), 1, &many), now).is_ok());
     }
     let batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
-    assert_eq!(batches.iter().map(|batch| batch.reports.len()).sum::<usize>(), 40);
+    assert_eq!(batches.iter().map(|batch| batch.heartbeats.len()).sum::<usize>(), 40);
     for batch in batches {
-        assert!(postcard::to_stdvec(&batch.reports).unwrap().len() < BODY_MAX);
+        assert!(postcard::to_stdvec(&batch.heartbeats).unwrap().len() < BODY_MAX);
     }
-    relay.hold(50, report("i-1", 2, &many), now);
+    relay.accept(50, report("i-1", 2, &many), now).unwrap();
     assert!(relay.take_batches(FencingToken(3), now + RELAY_PAUSE * 2).is_empty());
     let huge: Vec<(&str, TaskState)> = many.iter().cycle().take(700).copied().collect();
-    assert!(relay.hold(60, report("i-9", 1, &huge), now).is_some());
+    assert!(relay.accept(60, report("i-9", 1, &huge), now).is_err());
 }
 
 /// Two leaders hear the same worker, one each report in full and one as it is passed on: they know the same, whatever
@@ -177,7 +188,7 @@
         let mut tasks: Vec<(String, TaskState)> = Vec::new();
         for seq in 1..60u64 {
             let now = start + Duration::from_secs(seq * 10);
-            relay.on_term(FencingToken(3), ControllerId::new("a"), members(), now);
+            relay.on_assignment(FencingToken(3), ControllerId::new("a"), members(), now);
             if random.random_range(0..3) == 0 {
                 let state = states[random.random_range(0..states.len())];
                 let name = format!("wk-1/{}", random.random_range(0..4));
@@ -205,7 +216,7 @@
                 }
                 // Lost on its way to both.
                 1 => {
-                    relay.hold(seq, report, now);
+                    relay.accept(seq, report, now).unwrap();
                     relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
                     relay.take_overdue(now + RELAY_TIMEOUT);
                     continue;
@@ -213,25 +224,25 @@
                 _ => {}
             }
             plain.hear(&report, FencingToken(3), now);
-            relay.hold(seq, report, now);
+            relay.accept(seq, report, now).unwrap();
             loop {
                 let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
                 passed += 1;
-                let verdict = match batch.reports.into_iter().next().unwrap() {
+                let result = match batch.heartbeats.into_iter().next().unwrap() {
                     RelayedHeartbeat::Full(full) => {
                         differs.hear(&full.into(), FencingToken(3), now);
-                        Verdict::CommandBatch(Vec::new())
+                        HeartbeatResult::Accepted(Vec::new())
                     }
-                    RelayedHeartbeat::Same { agent_epoch, before, seq, .. } => {
+                    RelayedHeartbeat::Unchanged(unchanged) => {
                         short += 1;
-                        match differs.hear_same(agent_epoch, before, seq, FencingToken(3), now) {
-                            true => Verdict::CommandBatch(Vec::new()),
-                            false => Verdict::SendFull,
+                        match differs.hear_same(&unchanged, FencingToken(3), now) {
+                            true => HeartbeatResult::Accepted(Vec::new()),
+                            false => HeartbeatResult::ResendInFull,
                         }
                     }
                 };
-                let verdicts = vec![(0, verdict)];
-                if !relay.on_answers(FencingToken(3), batch.number, verdicts, now).is_empty() {
+                let results = vec![(0, result)];
+                if !relay.on_results(FencingToken(3), batch.number, results, now).is_empty() {
                     break;
                 }
             }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,35 +1,55 @@
-//! Which controller takes the reports of which worker.
+//! Shards: which controller takes the heartbeats of which worker.
 //!
-//! Weighted rendezvous hashing over the controllers that serve: everybody who knows the members works out the same
-//! owner without a table, and a controller that comes or goes moves only its own share of the workers.
+//! Weighted rendezvous hashing over the members: whoever knows them computes the same owner without a table, and a
+//! controller that comes or goes moves only its own shard.
 
-use crate::constants::*;
+use crate::constants::{
+    LEADER_HELPS_ABOVE, LEADER_HELPS_BELOW, LEADER_WEIGHT, MEMBER_WEIGHT, REDIRECT_ONCE_IN,
+    ROOM_NONE, ROOM_SHORT, SAME_ZONE_WEIGHT,
+};
 use crate::ids::{ControllerId, MachineId};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A controller that takes reports.
+/// A controller that takes heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// The controller.
     pub name: ControllerId,
+    /// Its zone.
     pub zone: String,
-    /// Its share relative to the others', in thousandths. None at 0.
+    /// Its share relative to the others', in thousandths; with 0 it has no shard.
     pub weight: u32,
 }
 
-/// The controllers that take reports, as the leader sees them.
+/// The controllers that take heartbeats, as the leader assigned them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Membership(pub Vec<Member>);
+pub struct Membership(Vec<Member>);
 
 impl Membership {
-    /// The controller that takes a worker's reports; one in its own zone is more likely.
+    /// A membership of these controllers.
+    pub fn new(members: Vec<Member>) -> Membership {
+        Membership(members)
+    }
+
+    /// The members, those without a shard included.
+    pub fn members(&self) -> &[Member] {
+        &self.0
+    }
+
+    /// Whether there are no members, so that only the leader takes heartbeats.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// The controller that takes a worker's heartbeats; one in the worker's zone is more likely.
     pub fn owner(&self, worker: &MachineId, zone: &str) -> Option<&ControllerId> {
         let mut best: Option<(f64, &ControllerId)> = None;
         for member in self.0.iter().filter(|member| member.weight > 0) {
-            let near = if member.zone == zone { SAME_ZONE_WEIGHT } else { 1.0 };
-            let weight = f64::from(member.weight) * near;
+            let zone_factor = if member.zone == zone { SAME_ZONE_WEIGHT } else { 1.0 };
+            let weight = f64::from(member.weight) * zone_factor;
             let score = -unit_hash(&member.name, worker).ln() / weight;
             if best.is_none_or(|(least, _)| score < least) {
                 best = Some((score, &member.name));
@@ -38,92 +58,107 @@
         best.map(|(_, name)| name)
     }
 
-    /// Whether that controller takes any.
+    /// Whether that controller has a shard.
     pub fn contains(&self, name: &ControllerId) -> bool {
         self.0.iter().any(|member| member.name == *name && member.weight > 0)
     }
 }
 
-/// A controller that might take reports, as the leader sees it.
+/// A controller that might take heartbeats, as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Candidate {
+pub struct MemberCandidate {
+    /// The controller.
     pub name: ControllerId,
+    /// Its zone.
     pub zone: String,
     /// Thousandths of its public sockets that are free.
-    pub room: u16,
-    /// It is heard, understands what passes on, and is not drained.
-    pub serves: bool,
+    pub free_sockets_permille: u16,
+    /// It is in reach, understands relayed heartbeats, and is not drained.
+    pub is_available: bool,
 }
 
-/// What the leader reckons with when it says who the members are.
+/// The leader's own part in the choice of members.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LeaderView {
+pub struct LeaderLoad {
+    /// The leader.
     pub name: ControllerId,
+    /// Its zone.
     pub zone: String,
-    /// Workers, and how many of them one controller can hold.
+    /// Workers of the cluster.
     pub workers: usize,
-    pub each: u32,
-    /// Whether the leader has taken some so far.
-    pub helps: bool,
+    /// Workers that one controller can hold.
+    pub workers_per_controller: u32,
+    /// Whether the leader has a shard so far.
+    pub is_member: bool,
+}
+
+/// The members that the leader chose.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct MemberChoice {
+    /// The members.
+    pub membership: Membership,
+    /// Whether the leader is one of them.
+    pub includes_leader: bool,
 }
 
-/// The members: who serves, by its room, and the leader itself where the others would hold much of what they can.
-/// Nobody if no other serves. Also tells whether the leader is among them.
-pub fn choose(candidates: &[Candidate], leader: &LeaderView) -> (Membership, bool) {
-    let serving = candidates.iter().filter(|candidate| candidate.serves);
-    let mut members: Vec<Member> = serving
+/// Chooses the members: controllers that are available, weighted by their free sockets, and the leader itself where
+/// the workers would fill much of what the others can hold. None if no other controller can take any.
+pub fn choose_members(candidates: &[MemberCandidate], leader: &LeaderLoad) -> MemberChoice {
+    let available = candidates.iter().filter(|candidate| candidate.is_available);
+    let mut members: Vec<Member> = available
         .map(|candidate| Member {
             name: candidate.name.clone(),
             zone: candidate.zone.clone(),
-            weight: weight_of(candidate.room),
+            weight: weight_for(candidate.free_sockets_permille),
         })
         .collect();
     if members.iter().all(|member| member.weight == 0) {
-        return (Membership::default(), false);
+        return MemberChoice::default();
     }
-    let held = leader.workers as f64 / (members.len() as f64 * f64::from(leader.each.max(1)));
-    let above = if leader.helps { LEADER_HELPS_BELOW } else { LEADER_HELPS_ABOVE };
-    let helps = held > above;
-    if helps {
+    let capacity = members.len() as f64 * f64::from(leader.workers_per_controller.max(1));
+    let load = leader.workers as f64 / capacity;
+    let threshold = if leader.is_member { LEADER_HELPS_BELOW } else { LEADER_HELPS_ABOVE };
+    let includes_leader = load > threshold;
+    if includes_leader {
         let (name, zone) = (leader.name.clone(), leader.zone.clone());
         members.push(Member { name, zone, weight: LEADER_WEIGHT });
     }
-    (Membership(members), helps)
+    MemberChoice { membership: Membership(members), includes_leader }
 }
 
-/// Weight of a controller with so many thousandths of its sockets free.
-fn weight_of(room: u16) -> u32 {
-    let free = f64::from(room) / 1000.0;
-    if free < ROOM_NONE {
+/// Weight of a controller by its free sockets.
+fn weight_for(free_sockets_permille: u16) -> u32 {
+    let free_share = f64::from(free_sockets_permille) / 1000.0;
+    if free_share < ROOM_NONE {
         0
-    } else if free < ROOM_SHORT {
+    } else if free_share < ROOM_SHORT {
         MEMBER_WEIGHT / 4
     } else {
         MEMBER_WEIGHT
     }
 }
 
-/// Workers that were sent to another controller a moment ago.
+/// Workers that were redirected to another controller a moment ago.
 #[derive(Debug, Default)]
 pub struct Redirects {
-    sent: HashMap<MachineId, Instant>,
+    last_redirect: HashMap<MachineId, Instant>,
 }
 
 impl Redirects {
-    /// Whether a worker may be sent away now. One that was a moment ago and is back is taken: its next controller may
-    /// know other members, and would send it back for ever.
-    pub fn try_send(&mut self, worker: &MachineId, now: Instant) -> bool {
-        let sent_at = self.sent.get(worker);
-        if sent_at.is_some_and(|at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN) {
+    /// Records a redirect, unless the worker was redirected a moment ago: controllers that know different members
+    /// would send it back and forth for ever.
+    pub fn try_redirect(&mut self, worker: &MachineId, now: Instant) -> bool {
+        let last = self.last_redirect.get(worker);
+        if last.is_some_and(|at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN) {
             return false;
         }
-        self.sent.insert(worker.clone(), now);
+        self.last_redirect.insert(worker.clone(), now);
         true
     }
 
-    /// Forgets those that were sent long ago.
-    pub fn tidy(&mut self, now: Instant) {
-        self.sent.retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN);
+    /// Drops records of redirects that do not matter any more.
+    pub fn expire(&mut self, now: Instant) {
+        self.last_redirect.retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN);
     }
 }
 
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -1,5 +1,10 @@
-use super::*;
+use super::{
+    LeaderLoad, Member, MemberCandidate, MemberChoice, Membership, Redirects, choose_members,
+};
+use crate::constants::REDIRECT_ONCE_IN;
+use crate::ids::{ControllerId, MachineId};
 use std::collections::BTreeMap;
+use tokio::time::Instant;
 
 fn members(weights: &[u32]) -> Membership {
     let member = |(n, weight): (usize, &u32)| Member {
@@ -7,7 +12,7 @@
         zone: if n.is_multiple_of(2) { "a" } else { "b" }.into(),
         weight: *weight,
     };
-    Membership(weights.iter().enumerate().map(member).collect())
+    Membership::new(weights.iter().enumerate().map(member).collect())
 }
 
 fn workers() -> impl Iterator<Item = (MachineId, &'static str)> {
@@ -43,13 +48,18 @@
     assert_eq!(Membership::default().owner(&MachineId::new("i-1"), "a"), None);
 }
 
-fn candidate(n: usize, room: u16, serves: bool) -> Candidate {
-    Candidate { name: ControllerId::new(&format!("spindle-{n}")), zone: "a".into(), room, serves }
+fn candidate(n: usize, free_sockets_permille: u16, is_available: bool) -> MemberCandidate {
+    MemberCandidate {
+        name: ControllerId::new(&format!("spindle-{n}")),
+        zone: "a".into(),
+        free_sockets_permille,
+        is_available,
+    }
 }
 
-fn leader(workers: usize, helps: bool) -> LeaderView {
+fn leader(workers: usize, is_member: bool) -> LeaderLoad {
     let name = ControllerId::new("leader");
-    LeaderView { name, zone: "a".into(), workers, each: 1000, helps }
+    LeaderLoad { name, zone: "a".into(), workers, workers_per_controller: 1000, is_member }
 }
 
 #[test]
@@ -60,26 +70,31 @@
         candidate(2, 100, true),
         candidate(3, 10, true),
     ];
-    let (members, helps) = choose(&candidates, &leader(100, false));
-    let weights: Vec<(&str, u32)> = members.0.iter().map(|m| (m.name.as_str(), m.weight)).collect();
+    let MemberChoice { membership, includes_leader } =
+        choose_members(&candidates, &leader(100, false));
+    let weights: Vec<(&str, u32)> =
+        membership.members().iter().map(|m| (m.name.as_str(), m.weight)).collect();
     let expected = [("spindle-0", 1000), ("spindle-2", 250), ("spindle-3", 0)];
-    assert!(weights == expected && !helps, "{weights:?}");
-    assert!(members.contains(&ControllerId::new("spindle-2")));
-    assert!(!members.contains(&ControllerId::new("spindle-3")));
+    assert!(weights == expected && !includes_leader, "{weights:?}");
+    assert!(membership.contains(&ControllerId::new("spindle-2")));
+    assert!(!membership.contains(&ControllerId::new("spindle-3")));
     // Nobody passes reports on where nobody else can take any.
     for none in [vec![], vec![candidate(0, 900, false)], vec![candidate(0, 10, true)]] {
-        assert_eq!(choose(&none, &leader(100, true)), (Membership::default(), false));
+        assert_eq!(choose_members(&none, &leader(100, true)), MemberChoice::default());
     }
 }
 
 #[test]
 fn the_leader_takes_some_where_the_others_have_little_room() {
     let two = [candidate(0, 900, true), candidate(1, 900, true)];
-    assert!(!choose(&two, &leader(700, false)).1);
-    assert!(choose(&two, &leader(700, true)).1, "it goes on until it is clearly too little");
-    assert!(!choose(&two, &leader(600, true)).1);
-    let (members, helps) = choose(&two, &leader(1200, false));
-    assert!(helps && members.contains(&ControllerId::new("leader")));
+    assert!(!choose_members(&two, &leader(700, false)).includes_leader);
+    assert!(
+        choose_members(&two, &leader(700, true)).includes_leader,
+        "it goes on until it is clearly too little"
+    );
+    assert!(!choose_members(&two, &leader(600, true)).includes_leader);
+    let MemberChoice { membership, includes_leader } = choose_members(&two, &leader(1200, false));
+    assert!(includes_leader && membership.contains(&ControllerId::new("leader")));
 }
 
 /// Two controllers that know different members would send a worker back and forth until its lease is over.
@@ -87,9 +102,9 @@
 fn a_worker_is_sent_away_once_in_a_while() {
     let now = Instant::now();
     let (mut redirects, id) = (Redirects::default(), MachineId::new("i-1"));
-    assert!(redirects.try_send(&id, now));
-    redirects.tidy(now + REDIRECT_ONCE_IN / 2);
-    assert!(!redirects.try_send(&id, now + REDIRECT_ONCE_IN / 2));
-    assert!(redirects.try_send(&MachineId::new("i-2"), now));
-    assert!(redirects.try_send(&id, now + REDIRECT_ONCE_IN));
+    assert!(redirects.try_redirect(&id, now));
+    redirects.expire(now + REDIRECT_ONCE_IN / 2);
+    assert!(!redirects.try_redirect(&id, now + REDIRECT_ONCE_IN / 2));
+    assert!(redirects.try_redirect(&MachineId::new("i-2"), now));
+    assert!(redirects.try_redirect(&id, now + REDIRECT_ONCE_IN));
 }
--- /dev/null
+++ b/src/peers/mesh/chunking.rs
@@ -0,0 +1,41 @@
+//! Large messages on their way by the key-value store: chunks that each fit a stored value.
+
+use crate::store::records;
+use std::collections::BTreeMap;
+
+/// Bytes. What stands before the text of a chunk at the most.
+const CHUNK_HEADER_BYTES: usize = 40;
+
+/// Splits a message's text into chunks of at most `value_max` bytes each: `<seq>.<count>.<index>:<text>`.
+pub fn split_into_chunks(text: &str, seq: u64, value_max: usize) -> Vec<String> {
+    let size = value_max.saturating_sub(CHUNK_HEADER_BYTES).max(1);
+    let chunks = records::split(text, size);
+    let count = chunks.len();
+    let numbered = chunks.into_iter().enumerate();
+    numbered.map(|(index, chunk)| format!("{seq}.{count}.{index}:{chunk}")).collect()
+}
+
+/// Puts the chunks of one sender's newest message together.
+#[derive(Debug, Default)]
+pub struct ChunkAssembler {
+    seq: u64,
+    chunks: BTreeMap<usize, String>,
+}
+
+impl ChunkAssembler {
+    /// Adds a chunk; returns the message's text once all of its chunks are there.
+    pub fn push(&mut self, chunk: &str) -> Option<String> {
+        let (header, text) = chunk.split_once(':')?;
+        let mut numbers = header.split('.').map(str::parse::<u64>);
+        let seq = numbers.next()?.ok()?;
+        let count = numbers.next()?.ok()?;
+        let index = numbers.next()?.ok()?;
+        if seq != self.seq {
+            // A restarted sender counts from elsewhere: whatever comes last is its newest message.
+            *self = ChunkAssembler { seq, chunks: BTreeMap::new() };
+        }
+        self.chunks.insert(index as usize, text.to_owned());
+        (self.chunks.len() as u64 == count)
+            .then(|| self.chunks.values().map(String::as_str).collect())
+    }
+}
--- /dev/null
+++ b/src/peers/mesh/dialer.rs
@@ -0,0 +1,114 @@
+//! The sending side of the mesh.
+
+use super::framing::encode_frame;
+use super::message::PeerMessage;
+use crate::constants::{ACKNOWLEDGEMENTS_AT_ONCE, CONNECT_TIMEOUT, FULL_PAUSE, STATE_RETRY};
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{Instant, sleep, timeout};
+
+/// What was written to a peer since the start.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TrafficCounters {
+    /// Frames.
+    pub frames: u64,
+    /// Their bytes.
+    pub bytes: u64,
+}
+
+/// Sends messages to one peer, redialling as needed, until the channel is closed. A message that cannot be sent is
+/// dropped: its sender sends newer ones.
+pub async fn dial(
+    address: SocketAddr,
+    mut outgoing: mpsc::Receiver<PeerMessage>,
+    traffic: watch::Sender<TrafficCounters>,
+) {
+    while !(outgoing.is_closed() && outgoing.is_empty()) {
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
+            sleep(STATE_RETRY).await;
+            // What queued up meanwhile is out of date.
+            while outgoing.try_recv().is_ok() {}
+            continue;
+        };
+        let _ = stream.set_nodelay(true);
+        let Ok(connection) = PeerConnection::new(stream) else { continue };
+        send_messages(connection, &mut outgoing, &traffic).await;
+    }
+}
+
+/// Sends messages on one connection until it fails or the channel is closed.
+async fn send_messages(
+    mut connection: PeerConnection,
+    outgoing: &mut mpsc::Receiver<PeerMessage>,
+    traffic: &watch::Sender<TrafficCounters>,
+) {
+    while let Some(message) = outgoing.recv().await {
+        let frame = match encode_frame(&message) {
+            Ok(frame) => frame,
+            Err(error) => {
+                tracing::warn!(%error, "message to a controller dropped");
+                continue;
+            }
+        };
+        if !matches!(timeout(CONNECT_TIMEOUT, connection.send(&frame)).await, Ok(Ok(()))) {
+            return;
+        }
+        traffic.send_modify(|counters| {
+            counters.frames += 1;
+            counters.bytes += frame.len() as u64;
+        });
+    }
+}
+
+/// A connection that is only written to. Acknowledgements are read when the next frame is written, so that they
+/// wake nobody until then; a stream that the runtime watches would wake it for each, so it is taken from it.
+struct PeerConnection {
+    stream: std::net::TcpStream,
+    /// When frames were written that are not acknowledged yet.
+    unacknowledged: VecDeque<Instant>,
+}
+
+impl PeerConnection {
+    fn new(stream: TcpStream) -> io::Result<PeerConnection> {
+        Ok(PeerConnection { stream: stream.into_std()?, unacknowledged: VecDeque::new() })
+    }
+
+    /// Writes a frame, unless an earlier one has been without acknowledgement for too long.
+    async fn send(&mut self, mut frame: &[u8]) -> io::Result<()> {
+        self.read_acknowledgements()?;
+        let overdue = |sent: &Instant| sent.elapsed() > CONNECT_TIMEOUT;
+        if self.unacknowledged.front().is_some_and(overdue) {
+            return Err(ErrorKind::TimedOut.into());
+        }
+        while !frame.is_empty() {
+            match self.stream.write(frame) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(written) => frame = &frame[written..],
+                Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(FULL_PAUSE).await,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
+            }
+        }
+        self.unacknowledged.push_back(Instant::now());
+        Ok(())
+    }
+
+    fn read_acknowledgements(&mut self) -> io::Result<()> {
+        let mut buffer = [0; ACKNOWLEDGEMENTS_AT_ONCE];
+        while !self.unacknowledged.is_empty() {
+            match self.stream.read(&mut buffer) {
+                Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
+                Ok(count) => {
+                    drop(self.unacknowledged.drain(..count.min(self.unacknowledged.len())))
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(())
+    }
+}
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,14 +1,20 @@
-use super::*;
+use super::framing::{decode_body, encode_frame};
+use super::{PeerCapabilities, PeerMessage, decode_text, dial, encode_text, serve};
+use crate::constants::{MESH_EVERY, MESH_PROTOCOL};
+use crate::ids::{ControllerId, FencingToken, JobId};
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::time::sleep;
 
 fn beat(seq: u64) -> PeerMessage {
-    PeerMessage::Running { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
+    PeerMessage::RunningTasks { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
 }
 
 /// What stands behind a status in its frame is read by who knows of it; the message before it is the same to the
 /// byte, and a status without it tells nothing. Versions before this one read a message and no more of its frame.
 #[test]
 fn what_else_a_status_tells_stands_behind_it() {
-    let extra = PeerExtra { protocol: MESH_PROTOCOL, room: 700 };
+    let extra = PeerCapabilities { protocol: MESH_PROTOCOL, free_sockets_permille: 700 };
     let status = |extra| PeerMessage::PeerStatus {
         from: ControllerId::new("a"),
         seq: 1,
@@ -20,13 +26,19 @@
         worker_ms: None,
         extra,
     };
-    let bytes = frame(&status(extra)).unwrap().split_off(4);
-    let plain = postcard::to_stdvec(&status(PeerExtra::default())).unwrap();
+    let bytes = encode_frame(&status(extra)).unwrap().split_off(4);
+    let plain = postcard::to_stdvec(&status(PeerCapabilities::default())).unwrap();
     assert_eq!(bytes[..plain.len()], plain);
-    assert_eq!(read_body(&bytes), Some(status(extra)));
-    assert_eq!(read_body(&plain), Some(status(PeerExtra::default())));
-    assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).unwrap(), status(PeerExtra::default()));
-    assert_eq!(from_text(&to_text(&status(extra)).unwrap()), Some(status(PeerExtra::default())));
+    assert_eq!(decode_body(&bytes).unwrap(), status(extra));
+    assert_eq!(decode_body(&plain).unwrap(), status(PeerCapabilities::default()));
+    assert_eq!(
+        postcard::from_bytes::<PeerMessage>(&bytes).unwrap(),
+        status(PeerCapabilities::default())
+    );
+    assert_eq!(
+        decode_text(&encode_text(&status(extra)).unwrap()).unwrap(),
+        status(PeerCapabilities::default())
+    );
 }
 
 /// Messages of any size arrive in order, whatever is in the way of their acknowledgements.
@@ -39,7 +51,7 @@
     let (tx, rx) = mpsc::channel(300);
     tokio::spawn(dial(address, rx, watch::Sender::default()));
     let counts = (0..4_000).map(|n| (JobId::new(&format!("wk-{n:09}")), n)).collect();
-    let large = PeerMessage::Running { token: FencingToken(7), counts };
+    let large = PeerMessage::RunningTasks { token: FencingToken(7), counts };
     for seq in 0..200 {
         tx.send(beat(seq)).await.unwrap();
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -118,7 +118,7 @@
         machine.owed = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
             call(machine.agent_epoch, orders)
-        } else if machine.lent || machine.silent_for(now) > late {
+        } else if machine.delegated || machine.silent_for(now) > late {
             // Its answer will show that it is in our reach again, or that it lives.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
@@ -515,7 +515,7 @@
         let quiet = self.settings.worker_lease() * 3 / 4;
         let survey = self.survey(now);
         let cut_off = self.cut_off_zones(&survey, now);
-        let (mut barred, mut lent) = (Vec::new(), Vec::new());
+        let (mut revoked, mut delegated) = (Vec::new(), Vec::new());
         let every = self.settings.report_every();
         for machine in self.machines.values_mut() {
             let told = self.delegations.told(&machine.id);
@@ -524,20 +524,20 @@
             let dead =
                 machine.silent_for(now) > quiet && !cut_off[machine.zone] && !answered_for_leader;
             if dead || (machine.silent_for(now) > every && machine.is_doomed()) {
-                machine.barred_since.get_or_insert(self.delegations.number);
-                barred.push(machine.id.clone());
+                machine.revoked_since.get_or_insert(self.delegations.number);
+                revoked.push(machine.id.clone());
                 continue;
             }
-            machine.barred_since = None;
+            machine.revoked_since = None;
             // Perhaps out of our reach alone: whoever hears it answers it, though we are near.
-            machine.lent =
+            machine.delegated =
                 machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
-            if machine.lent {
+            if machine.delegated {
                 self.look_at.insert(machine.id.clone());
-                lent.push(machine.id.clone());
+                delegated.push(machine.id.clone());
             }
         }
-        self.delegations.give(to, seq, (barred, lent), now)
+        self.delegations.give(to, seq, (revoked, delegated), now)
     }
 
     // ---- time -----------------------------------------------------------------------------
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -150,7 +150,7 @@
             // A predecessor's right had ended when ours began, and what others may answer on
             // our behalf is bounded: once the lease has surely run out, the worker has killed
             // what it had.
-            let others = self.delegations.answered_until(&machine.id, machine.barred_since);
+            let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
             let beyond = machine.life == MachineState::Up
                 && machine.lease_over(self.delegations.told(&machine.id), lease, now)
                 && !cut_off[machine.zone];
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -4,7 +4,9 @@
 //! about a worker is decided anywhere else.
 
 use super::*;
-use crate::peers::heartbeat_relay::{RelayedCommand, RelayedHeartbeat, Verdict};
+use crate::peers::heartbeat_relay::{
+    HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
+};
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
@@ -14,43 +16,43 @@
         reports: Vec<RelayedHeartbeat>,
         cache: &Cache,
         now: Instant,
-    ) -> Option<Vec<(u32, Verdict)>> {
-        let mut verdicts = Vec::new();
+    ) -> Option<Vec<(u32, HeartbeatResult)>> {
+        let mut results = Vec::new();
         for (place, relayed) in (0u32..).zip(reports) {
-            let verdict = match relayed {
+            let result = match relayed {
                 RelayedHeartbeat::Full(report) => {
                     let report = Heartbeat::from(report);
                     let orders = self.on_report(&report, cache, now)?.orders;
                     if let Some(machine) = self.machines.get_mut(&report.machine) {
                         machine.relayed_by = Some((from.clone(), now));
                     }
-                    Verdict::CommandBatch(orders.into_iter().map(RelayedCommand::from).collect())
-                }
-                RelayedHeartbeat::Same { machine, agent_epoch, before, seq } => {
-                    self.on_same(from, &machine, (agent_epoch, before, seq), now)
+                    HeartbeatResult::Accepted(
+                        orders.into_iter().map(RelayedCommand::from).collect(),
+                    )
                 }
+                RelayedHeartbeat::Unchanged(unchanged) => self.on_unchanged(from, &unchanged, now),
             };
-            if verdict != Verdict::CommandBatch(Vec::new()) {
-                verdicts.push((place, verdict));
+            if !result.is_default() {
+                results.push((place, result));
             }
         }
-        Some(verdicts)
+        Some(results)
     }
 
     /// A worker reports what it reported before.
-    fn on_same(
+    fn on_unchanged(
         &mut self,
         from: &ControllerId,
-        id: &MachineId,
-        (agent_epoch, before, seq): (u64, u64, u64),
+        unchanged: &UnchangedHeartbeat,
         now: Instant,
-    ) -> Verdict {
+    ) -> HeartbeatResult {
+        let id = &unchanged.machine;
         let (token, quiet) = (self.token, self.settings.report_every() * 2);
-        let known = |machine: &mut Machine| machine.hear_same(agent_epoch, before, seq, token, now);
-        let Some(machine) = self.machines.get_mut(id) else { return Verdict::SendFull };
+        let known = |machine: &mut Machine| machine.hear_same(unchanged, token, now);
+        let Some(machine) = self.machines.get_mut(id) else { return HeartbeatResult::ResendInFull };
         let was_silent = machine.silent_for(now) > quiet;
         if !known(machine) {
-            return Verdict::SendFull;
+            return HeartbeatResult::ResendInFull;
         }
         // Nothing was placed on it meanwhile.
         self.plan_wanted |= was_silent;
@@ -59,7 +61,7 @@
         self.last_report = now;
         self.reports += 1;
         let orders = self.orders_in_answer(id, now).unwrap_or_default();
-        Verdict::CommandBatch(orders.into_iter().map(RelayedCommand::from).collect())
+        HeartbeatResult::Accepted(orders.into_iter().map(RelayedCommand::from).collect())
     }
 
     /// The controller that takes a worker's reports, if it passed one on lately.
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -819,7 +819,7 @@
     flies(&mut bench, false);
     bench.now += bench.scheduler.settings.worker_lease();
     bench.scheduler.grant(&ControllerId::new("n-1"), 1, bench.now);
-    assert!(bench.scheduler.machines[&machine].barred_since.is_some());
+    assert!(bench.scheduler.machines[&machine].revoked_since.is_some());
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), Some(FencingToken(1)));
     assert_eq!(bench.scheduler.machines[&machine].answered, bench.now);
     flies(&mut bench, true);
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -276,7 +276,7 @@
         let mut frames = Vec::new();
         for ((from, token), results) in std::mem::take(&mut self.results) {
             let size = |(_, result): &(u64, DeliveryResult)| match result {
-                DeliveryResult::Heartbeat(report) => report.size().min(RESULT_BYTES),
+                DeliveryResult::Heartbeat(report) => report.encoded_size().min(RESULT_BYTES),
                 _ => DELIVERY_BYTES,
             };
             for part in in_frames(results, size) {
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -7,6 +7,7 @@
 
 use crate::constants::*;
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, MachineId, TaskId};
+use crate::peers::heartbeat_relay::UnchangedHeartbeat;
 use crate::placement::{Basket, Images};
 use crate::wire::{Heartbeat, Priority, TaskState, WorkerCommand};
 use foldhash::{HashSet, HashSetExt};
@@ -142,11 +143,11 @@
     pub answered: Instant,
     pub heard: Option<Instant>,
     /// Barred from being answered_for_leader for, without a break since the grant of this number.
-    pub barred_since: Option<u64>,
+    pub revoked_since: Option<u64>,
     pub recall_at: Option<Instant>,
     /// Other controllers may answer it though the leader is in their reach: the leader itself does
     /// not hear it.
-    pub lent: bool,
+    pub delegated: bool,
     pub entries: BTreeMap<(TaskId, Attempt), PlacedAttempt>,
     /// Attempts up to this one ended with a lease that has surely run out. A report that still
     /// shows them was held back by the network and is as old as they are.
@@ -223,9 +224,9 @@
             token: FencingToken(0),
             answered: now,
             heard: None,
-            barred_since: None,
+            revoked_since: None,
             recall_at: None,
-            lent: false,
+            delegated: false,
             entries: BTreeMap::new(),
             dead_below: Attempt(0),
             idle_since: None,
@@ -350,13 +351,13 @@
     /// known of it is not that report, so all of it has to be seen.
     pub fn hear_same(
         &mut self,
-        agent_epoch: u64,
-        before: u64,
-        seq: u64,
+        unchanged: &UnchangedHeartbeat,
         ours: FencingToken,
         now: Instant,
     ) -> bool {
-        let known = (self.agent_epoch, self.seq) == (agent_epoch, before) && before < seq;
+        let UnchangedHeartbeat { agent_epoch, previous_seq, seq, .. } = *unchanged;
+        let known =
+            (self.agent_epoch, self.seq) == (agent_epoch, previous_seq) && previous_seq < seq;
         if !known || self.needs_full || self.token != ours || self.life == MachineState::Booting {
             return false;
         }
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -1,4 +1,8 @@
 use super::*;
+
+fn unchanged(agent_epoch: u64, previous_seq: u64, seq: u64) -> UnchangedHeartbeat {
+    UnchangedHeartbeat { machine: MachineId::new("i-1"), agent_epoch, previous_seq, seq }
+}
 use crate::wire::TaskStatus;
 
 const OURS: FencingToken = FencingToken(4);
@@ -179,15 +183,15 @@
         ));
         machine
     };
-    assert!(heard().hear_same(1, 5, 6, OURS, now));
+    assert!(heard().hear_same(&unchanged(1, 5, 6), OURS, now));
     for (agent_epoch, before, seq) in [(1, 4, 6), (1, 6, 7), (2, 5, 6), (1, 5, 5)] {
-        assert!(!heard().hear_same(agent_epoch, before, seq, OURS, now));
+        assert!(!heard().hear_same(&unchanged(agent_epoch, before, seq), OURS, now));
     }
     // Nor under another token than the one that the report was heard with.
-    assert!(!heard().hear_same(1, 5, 6, FencingToken(OURS.0 + 1), now));
+    assert!(!heard().hear_same(&unchanged(1, 5, 6), FencingToken(OURS.0 + 1), now));
     let mut ended = machine();
     ended.hear(&report(1, 5, &[(0, 9, TaskState::Exited)]), OURS, now);
-    assert!(!ended.hear_same(1, 5, 6, OURS, now));
+    assert!(!ended.hear_same(&unchanged(1, 5, 6), OURS, now));
     // Seen once and left out while a copy of its start has no answer: it stays booked until a report after that answer.
     let mut flying = heard();
     let start = WorkerCommand::Start { task: task(0), attempt: Attempt(9) };
@@ -195,7 +199,7 @@
     flying.hear(&report(1, 6, &[]), OURS, now);
     assert_eq!(flying.entries.len(), 1);
     flying.note_flying(&[start], -1);
-    assert!(!flying.hear_same(1, 6, 7, OURS, now), "it would stay booked for ever");
+    assert!(!flying.hear_same(&unchanged(1, 6, 7), OURS, now), "it would stay booked for ever");
     let facts = facts(flying.hear(&report(1, 7, &[]), OURS, now));
     assert!(matches!(facts[..], [TaskEvent::Vanished(..)]) && flying.entries.is_empty());
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -137,12 +137,12 @@
         lines().iter().filter(|line| line[0] == "frame").map(|line| line[2]).collect();
     assert_eq!(frames.len(), 5);
     for hex in frames {
-        let message = mesh::from_text(hex).unwrap();
-        assert_eq!(mesh::to_text(&message).unwrap(), hex, "{message:?}");
+        let message = mesh::decode_text(hex).unwrap();
+        assert_eq!(mesh::encode_text(&message).unwrap(), hex, "{message:?}");
     }
-    let last = mesh::from_text(lines().last().unwrap()[2]).unwrap();
+    let last = mesh::decode_text(lines().last().unwrap()[2]).unwrap();
     let counts = vec![(JobId::new("wk-000412"), 16)];
-    assert_eq!(last, mesh::PeerMessage::Running { token: FencingToken(41), counts });
+    assert_eq!(last, mesh::PeerMessage::RunningTasks { token: FencingToken(41), counts });
 }
 
 /// A grant that bars or lends hundreds of machines goes by way of the store in pieces, each of which
@@ -150,24 +150,24 @@
 #[test]
 fn a_message_too_large_for_a_value_goes_in_pieces() {
     let names = |from: u32| (from..from + 300).map(|n| MachineId::new(&format!("i-{n:06}")));
-    let message = |number| mesh::PeerMessage::Grant {
+    let message = |number| mesh::PeerMessage::LeaseGrant {
         seq: 9,
         token: FencingToken(41),
         number,
-        barred: names(0).collect(),
-        lent: names(1000).collect(),
+        revoked: names(0).collect(),
+        delegated: names(1000).collect(),
     };
-    let mut pieces = mesh::Pieces::default();
+    let mut pieces = mesh::ChunkAssembler::default();
     for (number, lose) in [(1, false), (2, true), (3, false)] {
-        let text = mesh::to_text(&message(number)).unwrap();
-        let sent = mesh::in_pieces(&text, number, 1800);
+        let text = mesh::encode_text(&message(number)).unwrap();
+        let sent = mesh::split_into_chunks(&text, number, 1800);
         assert!(
             sent.len() > 5
                 && sent.iter().all(|p| troutspindle::store::records::json_len(p) <= 1800)
         );
         let sent = sent.iter().enumerate().filter(|(n, _)| !(lose && *n == 2));
-        let got: Vec<String> = sent.filter_map(|(_, piece)| pieces.take(piece)).collect();
-        let whole: Vec<_> = got.iter().filter_map(|text| mesh::from_text(text)).collect();
+        let got: Vec<String> = sent.filter_map(|(_, piece)| pieces.push(piece)).collect();
+        let whole: Vec<_> = got.iter().filter_map(|text| mesh::decode_text(text).ok()).collect();
         assert_eq!(whole, if lose { vec![] } else { vec![message(number)] });
     }
 }
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -10,11 +10,11 @@
 use tokio::time::timeout;
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::peers::heartbeat_relay::{
-    FullHeartbeat, RelayedCommand, RelayedHeartbeat, Verdict,
+    FullHeartbeat, HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
 use troutspindle::peers::membership::{Member, Membership};
 use troutspindle::peers::mesh::{
-    PeerExtra, PeerMessage, dial, from_text, in_pieces, serve, to_text,
+    PeerCapabilities, PeerMessage, decode_text, dial, encode_text, serve, split_into_chunks,
 };
 use troutspindle::wire;
 use troutspindle::workers::command_delivery::{Delivery, DeliveryResult};
@@ -33,7 +33,7 @@
     MachineId::new(&format!("i-{number:06}"))
 }
 
-fn status(extra: PeerExtra) -> PeerMessage {
+fn status(extra: PeerCapabilities) -> PeerMessage {
     PeerMessage::PeerStatus {
         from: sender(),
         seq: 300,
@@ -57,44 +57,50 @@
         up_ms: 0,
         answered_for_leader: Vec::new(),
         worker_ms: None,
-        extra: PeerExtra::default(),
+        extra: PeerCapabilities::default(),
     }
 }
 
-fn extra() -> PeerExtra {
-    PeerExtra { protocol: 1, room: 700 }
+fn extra() -> PeerCapabilities {
+    PeerCapabilities { protocol: 1, free_sockets_permille: 700 }
 }
 
 fn grant() -> PeerMessage {
-    PeerMessage::Grant {
+    PeerMessage::LeaseGrant {
         seq: 300,
         token: TOKEN,
         number: 301,
-        barred: vec![machine(1), machine(2)],
-        lent: vec![machine(3)],
+        revoked: vec![machine(1), machine(2)],
+        delegated: vec![machine(3)],
     }
 }
 
 fn plain_grant() -> PeerMessage {
-    PeerMessage::Grant { seq: 1, token: TOKEN, number: 0, barred: Vec::new(), lent: Vec::new() }
+    PeerMessage::LeaseGrant {
+        seq: 1,
+        token: TOKEN,
+        number: 0,
+        revoked: Vec::new(),
+        delegated: Vec::new(),
+    }
 }
 
 fn pledge(cancelled: Vec<JobId>) -> PeerMessage {
-    PeerMessage::Pledge { from: sender(), seq: 300, token: TOKEN, cancelled }
+    PeerMessage::LeaseExtension { from: sender(), seq: 300, token: TOKEN, cancelled }
 }
 
 fn running() -> PeerMessage {
     let counts = jobs().into_iter().zip([16, 300]).collect();
-    PeerMessage::Running { token: TOKEN, counts }
+    PeerMessage::RunningTasks { token: TOKEN, counts }
 }
 
 fn cancelling(jobs: Vec<JobId>) -> PeerMessage {
-    PeerMessage::Cancelling { from: sender(), seq: 300, jobs }
+    PeerMessage::CancellationRequest { from: sender(), seq: 300, jobs }
 }
 
 fn promised() -> PeerMessage {
     let zones = vec![vec!["a".into(), "b".into()], Vec::new()];
-    PeerMessage::Promised {
+    PeerMessage::CancellationAck {
         from: sender(),
         seq: 300,
         under: Revision(70_000),
@@ -104,7 +110,7 @@
 }
 
 fn plain_promised() -> PeerMessage {
-    PeerMessage::Promised {
+    PeerMessage::CancellationAck {
         from: sender(),
         seq: 1,
         under: Revision(0),
@@ -114,7 +120,7 @@
 }
 
 fn sharing(members: Vec<Member>) -> PeerMessage {
-    PeerMessage::Sharing { from: sender(), token: TOKEN, members: Membership(members) }
+    PeerMessage::ShardAssignment { from: sender(), token: TOKEN, members: Membership::new(members) }
 }
 
 fn members() -> Vec<Member> {
@@ -131,20 +137,21 @@
 }
 
 fn reports() -> PeerMessage {
-    let same = RelayedHeartbeat::Same {
+    let same = UnchangedHeartbeat {
         machine: machine(1),
         agent_epoch: 300,
-        before: 70_000,
+        previous_seq: 70_000,
         seq: 70_001,
     };
-    let reports = vec![RelayedHeartbeat::Full(full_report()), same];
-    PeerMessage::Reports { from: sender(), token: TOKEN, batch: 301, reports }
+    let heartbeats = vec![RelayedHeartbeat::Full(full_report()), RelayedHeartbeat::Unchanged(same)];
+    PeerMessage::RelayedHeartbeats { from: sender(), token: TOKEN, batch: 301, heartbeats }
 }
 
 fn verdicts() -> PeerMessage {
     let relayed = orders().into_iter().map(RelayedCommand::from).collect();
-    let verdicts = vec![(0, Verdict::CommandBatch(relayed)), (300, Verdict::SendFull)];
-    PeerMessage::Verdicts { token: TOKEN, batch: 301, verdicts }
+    let results =
+        vec![(0, HeartbeatResult::Accepted(relayed)), (300, HeartbeatResult::ResendInFull)];
+    PeerMessage::HeartbeatResults { token: TOKEN, batch: 301, results }
 }
 
 fn deliver() -> PeerMessage {
@@ -166,7 +173,7 @@
         orders: Vec::new(),
         ..command.clone()
     };
-    PeerMessage::Deliver { from: sender(), token: TOKEN, commands: vec![command, question] }
+    PeerMessage::RelayedCommands { from: sender(), token: TOKEN, commands: vec![command, question] }
 }
 
 fn delivered() -> PeerMessage {
@@ -175,21 +182,21 @@
         (303, DeliveryResult::NotSent),
         (304, DeliveryResult::Unknown),
     ];
-    PeerMessage::Delivered { token: TOKEN, results }
+    PeerMessage::CommandResults { token: TOKEN, results }
 }
 
 fn message(name: &'static str, value: &PeerMessage) -> Sample {
-    let text = to_text(value).expect("a message serializes");
+    let text = encode_text(value).expect("a message serializes");
     Sample::read_by(name, wire::unhex(&text).expect("hexadecimal"), value, |bytes| {
-        from_text(&wire::hex(bytes))
+        decode_text(&wire::hex(bytes)).ok()
     })
 }
 
 pub fn samples() -> Vec<Sample> {
-    let text = to_text(&grant()).expect("a message serializes");
+    let text = encode_text(&grant()).expect("a message serializes");
     vec![
         // What stands behind a status in its frame is not part of its text.
-        message("mesh-status", &status(PeerExtra::default())),
+        message("mesh-status", &status(PeerCapabilities::default())),
         message("mesh-status-plain", &plain_status()),
         message("mesh-grant", &grant()),
         message("mesh-grant-plain", &plain_grant()),
@@ -206,7 +213,7 @@
         message("mesh-verdicts", &verdicts()),
         message("mesh-deliver", &deliver()),
         message("mesh-delivered", &delivered()),
-        Sample::written("mesh-pieces", in_pieces(&text, 300, 80).join("\n")),
+        Sample::written("mesh-pieces", split_into_chunks(&text, 300, 80).join("\n")),
     ]
 }
 
