--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -11,10 +11,7 @@
     FullHeartbeat, HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
 
-use crate::constants::{
-    RELAY_BATCHES, RELAY_FRAME, RELAY_PAUSE, RELAY_PAUSE_NEWS, RELAY_RESUMES_WITHIN, RELAY_TERM,
-    RELAY_TIMEOUT,
-};
+use crate::constants::RELAY_FRAME;
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::membership::Membership;
 use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
@@ -24,6 +21,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// How long an assignment holds after it was received: three of the leader's messages.
+pub const RELAY_TERM: Duration = Duration::from_millis(1600);
+/// How long after the last assignment a new leader is waited for: thousands of workers redirected to it at once would
+/// use up its sockets.
+pub const RELAY_RESUMES_WITHIN: Duration = Duration::from_secs(12);
+/// How long the leader's result for a heartbeat is waited for. The worker, which waits for 4 s, still does by then.
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
+/// How long unchanged heartbeats wait for others to go with them.
+pub const RELAY_PAUSE: Duration = Duration::from_millis(60);
+/// How long heartbeats wait of which one says something new.
+pub const RELAY_PAUSE_NEWS: Duration = Duration::from_millis(12);
+/// Count. Batches in flight at the most, so that a leader that falls behind gets fewer and larger ones.
+pub const RELAY_BATCHES: usize = 8;
+
 /// The leader's permission to relay heartbeats to it, and the controllers that do.
 #[derive(Debug)]
 struct Assignment {
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,8 +1,8 @@
 use super::{
-    HeartbeatBatch, HeartbeatRelay, HeartbeatResult, RelayedCommand, RelayedHeartbeat,
-    UnchangedHeartbeat,
+    HeartbeatBatch, HeartbeatRelay, HeartbeatResult, RELAY_PAUSE, RELAY_RESUMES_WITHIN, RELAY_TERM,
+    RELAY_TIMEOUT, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
-use crate::constants::{BODY_MAX, RELAY_PAUSE, RELAY_RESUMES_WITHIN, RELAY_TERM, RELAY_TIMEOUT};
+use crate::constants::BODY_MAX;
 use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::peers::membership::{Member, Membership};
 use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus};
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -3,16 +3,31 @@
 //! Weighted rendezvous hashing over the members: whoever knows them computes the same owner without a table, and a
 //! controller that comes or goes moves only its own shard.
 
-use crate::constants::{
-    LEADER_HELPS_ABOVE, LEADER_HELPS_BELOW, LEADER_WEIGHT, MEMBER_WEIGHT, REDIRECT_ONCE_IN,
-    ROOM_NONE, ROOM_SHORT, SAME_ZONE_WEIGHT,
-};
 use crate::ids::{ControllerId, MachineId};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Times as likely as another a controller owns a worker of its own zone, so that most workers behind a cut can reach
+/// their owner, and zones of unlike size still load their controllers much alike.
+const SAME_ZONE_WEIGHT: f64 = 4.0;
+/// Thousandths. Weight of a controller with enough free sockets.
+const MEMBER_WEIGHT: u32 = 1000;
+/// Thousandths. Weight of a leader that is a member.
+const LEADER_WEIGHT: u32 = 400;
+/// Share of the other controllers' capacity in use from which on the leader is a member.
+const LEADER_JOINS_ABOVE: f64 = 0.4;
+/// Share below which it is none again.
+const LEADER_LEAVES_BELOW: f64 = 0.32;
+/// Share of public sockets free below which a controller's weight falls to a quarter.
+const FREE_SOCKETS_LOW: f64 = 0.12;
+/// Share below which it falls to none.
+const FREE_SOCKETS_EXHAUSTED: f64 = 0.05;
+/// A worker is redirected at most once in this time.
+const REDIRECT_INTERVAL: Duration = Duration::from_secs(10);
+
 /// A controller that takes heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
@@ -117,7 +132,7 @@
     }
     let capacity = members.len() as f64 * f64::from(leader.workers_per_controller.max(1));
     let load = leader.workers as f64 / capacity;
-    let threshold = if leader.is_member { LEADER_HELPS_BELOW } else { LEADER_HELPS_ABOVE };
+    let threshold = if leader.is_member { LEADER_LEAVES_BELOW } else { LEADER_JOINS_ABOVE };
     let includes_leader = load > threshold;
     if includes_leader {
         let (name, zone) = (leader.name.clone(), leader.zone.clone());
@@ -129,9 +144,9 @@
 /// Weight of a controller by its free sockets.
 fn weight_for(free_sockets_permille: u16) -> u32 {
     let free_share = f64::from(free_sockets_permille) / 1000.0;
-    if free_share < ROOM_NONE {
+    if free_share < FREE_SOCKETS_EXHAUSTED {
         0
-    } else if free_share < ROOM_SHORT {
+    } else if free_share < FREE_SOCKETS_LOW {
         MEMBER_WEIGHT / 4
     } else {
         MEMBER_WEIGHT
@@ -149,7 +164,7 @@
     /// would send it back and forth for ever.
     pub fn try_redirect(&mut self, worker: &MachineId, now: Instant) -> bool {
         let last = self.last_redirect.get(worker);
-        if last.is_some_and(|at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN) {
+        if last.is_some_and(|at| now.saturating_duration_since(*at) < REDIRECT_INTERVAL) {
             return false;
         }
         self.last_redirect.insert(worker.clone(), now);
@@ -158,7 +173,7 @@
 
     /// Drops records of redirects that do not matter any more.
     pub fn expire(&mut self, now: Instant) {
-        self.last_redirect.retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_ONCE_IN);
+        self.last_redirect.retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_INTERVAL);
     }
 }
 
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::{
-    LeaderLoad, Member, MemberCandidate, MemberChoice, Membership, Redirects, choose_members,
+    LeaderLoad, Member, MemberCandidate, MemberChoice, Membership, REDIRECT_INTERVAL, Redirects,
+    choose_members,
 };
-use crate::constants::REDIRECT_ONCE_IN;
 use crate::ids::{ControllerId, MachineId};
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -103,8 +103,8 @@
     let now = Instant::now();
     let (mut redirects, id) = (Redirects::default(), MachineId::new("i-1"));
     assert!(redirects.try_redirect(&id, now));
-    redirects.expire(now + REDIRECT_ONCE_IN / 2);
-    assert!(!redirects.try_redirect(&id, now + REDIRECT_ONCE_IN / 2));
+    redirects.expire(now + REDIRECT_INTERVAL / 2);
+    assert!(!redirects.try_redirect(&id, now + REDIRECT_INTERVAL / 2));
     assert!(redirects.try_redirect(&MachineId::new("i-2"), now));
-    assert!(redirects.try_redirect(&id, now + REDIRECT_ONCE_IN));
+    assert!(redirects.try_redirect(&id, now + REDIRECT_INTERVAL));
 }
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -14,7 +14,7 @@
 pub use dialer::{TrafficCounters, dial};
 pub use framing::{FrameError, decode_text, encode_text};
 pub use listener::serve;
-pub use message::{PeerCapabilities, PeerMessage};
+pub use message::{MESH_PROTOCOL, PeerCapabilities, PeerMessage};
 
 #[cfg(test)]
 mod tests;
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -2,14 +2,20 @@
 
 use super::framing::encode_frame;
 use super::message::PeerMessage;
-use crate::constants::{ACKNOWLEDGEMENTS_AT_ONCE, CONNECT_TIMEOUT, FULL_PAUSE, STATE_RETRY};
+use crate::constants::{CONNECT_TIMEOUT, STATE_RETRY};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
 
+/// Pause before more of a frame is written to a connection whose buffer is full.
+const WRITE_RETRY: Duration = Duration::from_millis(5);
+/// Bytes. Acknowledgements read at once, one byte each: more than a peer can owe.
+const ACK_BUFFER_BYTES: usize = 64;
+
 /// What was written to a peer since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
@@ -87,7 +93,7 @@
             match self.stream.write(frame) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(written) => frame = &frame[written..],
-                Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(FULL_PAUSE).await,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(WRITE_RETRY).await,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
@@ -97,7 +103,7 @@
     }
 
     fn read_acknowledgements(&mut self) -> io::Result<()> {
-        let mut buffer = [0; ACKNOWLEDGEMENTS_AT_ONCE];
+        let mut buffer = [0; ACK_BUFFER_BYTES];
         while !self.unacknowledged.is_empty() {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
--- a/src/peers/mesh/message.rs
+++ b/src/peers/mesh/message.rs
@@ -136,6 +136,9 @@
     },
 }
 
+/// Version of the messages that this program understands: 1 added relayed heartbeats.
+pub const MESH_PROTOCOL: u8 = 1;
+
 /// What a controller offers to its peers, sent with its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PeerCapabilities {
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,6 +1,6 @@
 use super::framing::{decode_body, encode_frame};
-use super::{PeerCapabilities, PeerMessage, decode_text, dial, encode_text, serve};
-use crate::constants::{MESH_EVERY, MESH_PROTOCOL};
+use super::{MESH_PROTOCOL, PeerCapabilities, PeerMessage, decode_text, dial, encode_text, serve};
+use crate::controller::MESH_EVERY;
 use crate::ids::{ControllerId, FencingToken, JobId};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
