--- a/crates/simulation/src/aims.rs
+++ b/crates/simulation/src/aims.rs
@@ -1,7 +1,13 @@
 //! Troubles that bring a meeting about on purpose. Each counts how often it took effect: a day in which
 //! one did not shows nothing.
 
-use super::*;
+use crate::event::{Due, Fault};
+use crate::model::UserJob;
+use crate::world::World;
+use rand::Rng;
+use std::collections::BTreeMap;
+use troutspindle::ids::{MachineId, TaskId};
+use troutspindle::wire::CommandBatch;
 
 #[derive(Default)]
 pub struct Aims {
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,6 +1,20 @@
 //! The cloud.
 
-use super::*;
+use crate::config::ZONES;
+use crate::event::Due;
+use crate::model::Worker;
+use crate::world::World;
+use rand::Rng;
+use std::collections::BTreeMap;
+use troutspindle::cloud::{CloudRequest, NO_CAPACITY};
+use troutspindle::controller::Event;
+use troutspindle::http::{CallError, Response};
+use troutspindle::ids::{FencingToken, MachineId};
+use troutspindle::wire;
+use troutspindle::wire::{
+    ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType, MachineTypes,
+    TaskState,
+};
 
 impl World {
     pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,6 +1,9 @@
 //! Troubles, and days made of them.
 
-use super::*;
+use crate::event::{Due, Fault};
+use crate::world::World;
+use troutspindle::wire::{JobKind, TaskState};
+use troutspindle_runtime_estimates::Bucket;
 
 impl World {
     pub fn fault(&mut self, fault: Fault) {
--- a/crates/simulation/src/looks.rs
+++ b/crates/simulation/src/looks.rs
@@ -1,7 +1,15 @@
 //! Requests beside the usual ones: looks at all nodes within milliseconds, and odd requests. Several
 //! requests of one user may be under way; answers are judged by real time alone.
 
-use super::*;
+use crate::event::Due;
+use crate::model::Ticket;
+use crate::world::World;
+use rand::Rng;
+use troutspindle::controller::Event;
+use troutspindle::http::{Method, Request, Response};
+use troutspindle::ids::JobId;
+use troutspindle::wire;
+use troutspindle::wire::{JobSpec, JobStatus, JobView, StoreValue};
 
 /// What an answer told a user of a job, the newer the greater; both last ones are final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -1,7 +1,17 @@
 //! The state service.
 
-use super::aims::Carried;
-use super::*;
+use crate::aims::Carried;
+use crate::config::as_production;
+use crate::event::Due;
+use crate::production;
+use crate::store_core::CommitError;
+use crate::world::World;
+use rand::Rng;
+use troutspindle::controller::Event;
+use troutspindle::ids::{LeaseId, Revision};
+use troutspindle::store::{StoreRequest, StoreResponse};
+use troutspindle::wire;
+use troutspindle::wire::{KeyValue, RangeResponse, StoreValue, WatchResponse, Write};
 
 impl World {
     /// A transaction that took its time is carried out, and answered.
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,6 +1,14 @@
 //! Users, and the rules that are seen in what they are told.
 
-use super::*;
+use crate::event::Due;
+use crate::looks::Told;
+use crate::model::UserJob;
+use crate::world::World;
+use rand::Rng;
+use troutspindle::http::{Method, Request, Response};
+use troutspindle::ids::{JobId, TaskId};
+use troutspindle::wire;
+use troutspindle::wire::{JobKind, JobSpec, JobStatus, JobView, Priority};
 
 impl World {
     pub fn submit_at(&mut self, t: u64, number: u64, service: bool, abort_at: Option<u64>) {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,6 +1,18 @@
 //! Workers, and the rules that are seen when they start tasks.
 
-use super::*;
+use crate::config::{CANCEL_MS, LEASE_MS, REPORT_MS, TEAMS, ZONES};
+use crate::event::Due;
+use crate::model::{Running, Worker};
+use crate::world::World;
+use rand::Rng;
+use troutspindle::controller::Event;
+use troutspindle::http::{CallError, Response};
+use troutspindle::ids::{Attempt, JobId, MachineId, TaskId};
+use troutspindle::wire;
+use troutspindle::wire::{
+    CommandBatch, Heartbeat, JobKind, NotLeader, TaskState, TaskStatus, WorkerCommand,
+};
+use troutspindle::workers::command_delivery::DirectCall;
 
 impl World {
     pub fn worker(&mut self, id: MachineId) {
--- a/tests/aimed.rs
+++ b/tests/aimed.rs
@@ -1,7 +1,10 @@
 //! Meetings brought about on purpose: the second trouble is aimed at the milliseconds in which the first one
 //! matters, and a day in which a trouble did not take effect fails. `docs/meetings.md` says what each is about.
 
-use troutspindle_simulation::*;
+use troutspindle::wire::JobSpec;
+use troutspindle_simulation::{
+    Due, Fault, NODES, PLENTY, TEAMS, UserJob, World, ZONES, seeds_asked,
+};
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,6 +1,18 @@
 //! Days of troubles with three controllers in the simulated world of `crates/simulation`.
 
-use troutspindle_simulation::*;
+use rand::Rng;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use std::collections::VecDeque;
+use troutspindle::controller::Controller;
+use troutspindle::drains::DrainRecord;
+use troutspindle::ids::{JobId, Revision};
+use troutspindle::store::StoreResponse;
+use troutspindle::wire::{JobKind, Priority, TaskState, WorkerCommand, Write};
+use troutspindle::workers::command_delivery::DirectCall;
+use troutspindle::{drains, wire};
+use troutspindle_protocol::operator_api::DrainKind;
+use troutspindle_simulation::{Due, FLOOR, Fault, NODES, PLENTY, UserJob, Worker, World, settings};
 
 /// Pipelines of five jobs, one after another: a first one, three that need it and a closing one.
 /// Of the last pipelines, first, middle or closing jobs are cancelled.
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,7 +1,12 @@
 //! Two or three troubles meet: the second falls into each phase of the first (before it is noticed, while
 //! leases run, in the election, after the take-over). `docs/meetings.md` says what each meeting is about.
 
-use troutspindle_simulation::*;
+use rand::Rng;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use troutspindle::ids::JobId;
+use troutspindle::wire::JobKind;
+use troutspindle_simulation::{Due, Fault, World, seeds_asked};
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
--- a/tests/refused_leader.rs
+++ b/tests/refused_leader.rs
@@ -1,7 +1,9 @@
 //! The state service refuses the leader alone, another controller confirms cancellations, and then the
 //! service is down for all, longer than `cancel_s`, while workers go on reporting to the old leader.
 
-use troutspindle_simulation::*;
+use std::collections::BTreeMap;
+use troutspindle::ids::JobId;
+use troutspindle_simulation::{Due, Fault, UserJob, World, ZONES};
 
 const REFUSED_AT: u64 = 30_000;
 /// Longer than a cancelled job has, and than any bound of the controllers.
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -1,7 +1,7 @@
 //! Reports shared out among the controllers, with troubles at the moments in which something passes between them.
 //! `docs/scale/design.md` has the sentences that are held here; each names its test.
 
-use troutspindle_simulation::*;
+use troutspindle_simulation::{Due, Fault, NODES, World, seeds_asked};
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
