--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud.
 
 use crate::config::ZONES;
-use crate::event::Due;
+use crate::event::SimEvent;
 use crate::model::Worker;
 use crate::world::World;
 use rand::Rng;
@@ -18,14 +18,18 @@
 
 impl World {
     pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
-        if self.on_island(node) {
+        if self.is_isolated(node) {
             let gives_up = Event::Cloud(id, Err(CallError::Unknown));
-            return self.at(self.t + 4000, Due::Controller(node, incarnation, gives_up));
+            return self.at(self.now_ms + 4000, SimEvent::Controller(node, incarnation, gives_up));
         }
         if self.cloud_out {
             let body = wire::encode(&wire::CloudError { error: "trouble".into() });
             let refusal = Ok(Response::with(503, body));
-            return self.soon(Due::Controller(node, incarnation, Event::Cloud(id, refusal)));
+            return self.schedule_soon(SimEvent::Controller(
+                node,
+                incarnation,
+                Event::Cloud(id, refusal),
+            ));
         }
         let rents = matches!(call, CloudRequest::RentalRequest(..));
         let response = match call {
@@ -77,7 +81,7 @@
                 Response::empty(200)
             }
             CloudRequest::List { .. } => {
-                let t = self.t;
+                let t = self.now_ms;
                 let rows = self.workers.iter().filter(|(_, w)| !w.gone && w.up_at + 2000 <= t);
                 let machines = rows
                     .map(|(id, worker)| ListedMachine {
@@ -94,27 +98,27 @@
             }
         };
         let lost = self.random.random_range(0..40) == 0;
-        if rents && self.aims.quick_boots {
+        if rents && self.targeted_faults.quick_boots {
             // The machines are up and report before whoever rented them hears of them.
-            let late = self.t + self.random.random_range(300..3000);
+            let late = self.now_ms + self.random.random_range(300..3000);
             return self
-                .at(late, Due::Controller(node, incarnation, Event::Cloud(id, Ok(response))));
+                .at(late, SimEvent::Controller(node, incarnation, Event::Cloud(id, Ok(response))));
         }
         let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
-        self.soon(Due::Controller(node, incarnation, Event::Cloud(id, result)));
+        self.schedule_soon(SimEvent::Controller(node, incarnation, Event::Cloud(id, result)));
     }
 
     pub fn rent(&mut self, zone: usize, spot: bool) -> MachineId {
         self.next_machine += 1;
         let id = MachineId::new(&format!("i-{:06}", self.next_machine));
         let mut boot = self.random.random_range(1000..8000);
-        if self.aims.quick_boots {
+        if self.targeted_faults.quick_boots {
             boot = self.random.random_range(50..2000);
-            self.aims.took_effect("quick boots");
+            self.targeted_faults.record_effect("quick boots");
         }
         let never = self.bad_boots && self.random.random_range(0..3) == 0;
         let factor = if self.bad_boots { 3 } else { 1 };
-        let up_at = if never { u64::MAX / 2 } else { self.t + boot * factor };
+        let up_at = if never { u64::MAX / 2 } else { self.now_ms + boot * factor };
         self.workers.insert(
             id.clone(),
             Worker {
@@ -135,7 +139,7 @@
                 tasks_left_empty: false,
             },
         );
-        self.at(up_at, Due::Worker(id.clone()));
+        self.at(up_at, SimEvent::Worker(id.clone()));
         id
     }
 }
--- a/crates/simulation/src/config.rs
+++ b/crates/simulation/src/config.rs
@@ -1,6 +1,6 @@
 //! How the simulated controllers, zones and teams are set up.
 
-use crate::production;
+use crate::previous_version;
 use crate::world::World;
 use std::sync::Arc;
 use troutspindle::settings::Settings;
@@ -13,12 +13,12 @@
 pub const CANCEL_MS: u64 = 32_000;
 
 /// Controllers on a usual day.
-pub const NODES: usize = 3;
+pub const CONTROLLERS: usize = 3;
 
 pub const ZONES: [&str; 2] = ["a", "b"];
 
 /// Ordinary and spot machines of a zone on a usual day.
-pub const PLENTY: [usize; 2] = [6, 6];
+pub const DEFAULT_CAPACITY: [usize; 2] = [6, 6];
 
 /// Floors are on in every play, as in `run`: no rule may depend on them.
 pub const FLOOR: f64 = 0.7;
@@ -35,16 +35,16 @@
 
 /// How a controller is set up; `old` stands for one of the version before this one.
 pub fn settings(count: usize, node: usize, old: bool, floor: f64) -> Arc<Settings> {
-    settings_sharing(count, node, old, floor, sharing_asked())
+    settings_with_sharding(count, node, old, floor, sharding_requested())
 }
 
 /// Whether a person asked in SHARE for days on which reports are shared out.
-pub fn sharing_asked() -> bool {
+pub fn sharding_requested() -> bool {
     std::env::var("SHARE").is_ok()
 }
 
 /// The same, where the leader shares workers' reports out or keeps to the usual rule.
-pub fn settings_sharing(
+pub fn settings_with_sharding(
     count: usize,
     node: usize,
     old: bool,
@@ -87,7 +87,8 @@
 /// A value as production keeps it: without the fields that it doesn't know.
 pub fn as_production(data: &StoreValue) -> StoreValue {
     let StoreValue::Map(fields) = data else { return data.clone() };
-    let known = |key: &StoreValue| key.as_text().is_none_or(|k| !production::UNKNOWN.contains(&k));
+    let known =
+        |key: &StoreValue| key.as_text().is_none_or(|k| !previous_version::UNKNOWN.contains(&k));
     let kept = fields.iter().filter(|(key, _)| known(key));
     StoreValue::Map(kept.map(|(key, value)| (key.clone(), as_production(value))).collect())
 }
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -112,7 +112,7 @@
         for (key, (data, revision, lease)) in &self.store.keys {
             let head = [*revision, lease.map_or(0, |lease| lease + 1)];
             let head: Vec<u8> = head.iter().flat_map(|number| number.to_le_bytes()).collect();
-            trace.add("stored", self.t, &[key.as_bytes(), &head, &wire::encode(data)]);
+            trace.add("stored", self.now_ms, &[key.as_bytes(), &head, &wire::encode(data)]);
         }
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,6 +1,6 @@
 //! Troubles, and days made of them.
 
-use crate::event::{Due, Fault};
+use crate::event::{Fault, SimEvent};
 use crate::world::World;
 use troutspindle::wire::{JobKind, TaskState};
 use troutspindle_runtime_estimates::Bucket;
@@ -8,46 +8,47 @@
 impl World {
     pub fn fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Crash(node) => self.fault(Fault::Blink(node, 4000)),
-            Fault::Blink(node, back) => {
+            Fault::Crash(node) => self.fault(Fault::CrashAndRestart(node, 4000)),
+            Fault::CrashAndRestart(node, back) => {
                 self.nodes[node] = None;
                 self.incarnation[node] += 1;
                 self.tickets[node].clear();
-                self.at(self.t + back, Due::Restart(node));
+                self.at(self.now_ms + back, SimEvent::Restart(node));
             }
             Fault::CutNode(node, on) => self.cut_node[node] = on,
             Fault::CutZones(on) => self.cut_zones = on,
-            Fault::Island(on) => self.island = on,
+            Fault::IsolateZone(on) => self.isolated_zone = on,
             Fault::CutWorkers(on) => {
                 let leader = (0..self.nodes.len()).find(|node| self.leads(*node));
                 self.cut_workers = leader.filter(|_| on);
             }
-            Fault::Deaf(node, on) => self.deaf = on.then_some(node),
+            Fault::CutControllerFromWorkers(node, on) => self.deaf = on.then_some(node),
             Fault::Outage(on) => {
                 self.store.out = on;
-                let t = self.t;
+                let t = self.now_ms;
                 for (ms, until) in self.store.leases.values_mut() {
                     *until = t + *ms;
                 }
             }
-            Fault::Refused(node, on) => self.refused = on.then_some(node),
+            Fault::StoreRefuses(node, on) => self.refused = on.then_some(node),
             Fault::CloudOutage(on) => self.cloud_out = on,
             Fault::Capacity(machines) => self.capacity = machines,
-            Fault::BadBoots(on) => self.bad_boots = on,
-            Fault::Mesh(on) => self.no_mesh = on,
+            Fault::FailedBoots(on) => self.bad_boots = on,
+            Fault::RefusePeerConnections(on) => self.no_mesh = on,
             Fault::SlowNode(node, on) => self.slow_node = on.then_some(node),
             Fault::SlowMachines(on) => self.slow_machines = on,
-            Fault::Polls(on) => self.polls = on,
-            Fault::Stand(node, on) => {
-                self.standing[node] = on;
+            Fault::PollStorm(on) => self.polls = on,
+            Fault::Stall(node, on) => {
+                self.stalled[node] = on;
                 let woken = |(other, _): &mut (usize, _)| !on && *other == node;
-                for (node, effects) in self.unsent.extract_if(.., woken).collect::<Vec<_>>() {
+                for (node, effects) in self.unsent_effects.extract_if(.., woken).collect::<Vec<_>>()
+                {
                     if self.nodes[node].is_some() {
                         self.carry_out(node, effects);
                     }
                 }
                 // Whatever queued up comes at once, in order; what is for others waits on.
-                for due in std::mem::take(&mut self.asleep) {
+                for due in std::mem::take(&mut self.stalled_events) {
                     self.step(due);
                 }
             }
@@ -56,40 +57,40 @@
                 self.incarnation[node] += 1;
                 self.tickets[node].clear();
                 self.down[node] = true;
-                self.at(self.t + 60_000, Due::Restart(node));
+                self.at(self.now_ms + 60_000, SimEvent::Restart(node));
             }
             Fault::Upgrade(node) => {
                 self.old[node] = false;
                 self.fault(Fault::Crash(node));
             }
-            Fault::Busy(cost) => self.cost = cost,
-            Fault::LateWrites(on) => self.late_writes = on,
-            Fault::LateReports(on) => self.late_reports = on,
-            Fault::DeafWorkers(zone, on) => self.deaf_zone = on.then_some(zone),
-            Fault::Hang(zone, on) => self.hung_zone = on.then_some(zone),
-            Fault::Alone(node, on) => self.alone = on.then_some(node),
-            Fault::Mute(node, on) => self.mute = on.then_some(node),
-            Fault::Unhearing(node, on) => self.unhearing = on.then_some(node),
-            Fault::Limits => self.limits = (4, 2048),
-            Fault::TakeSpot => {
+            Fault::EventCost(cost) => self.cost = cost,
+            Fault::DelayedCommits(on) => self.late_writes = on,
+            Fault::DelayedHeartbeats(on) => self.late_reports = on,
+            Fault::DropResponsesToWorkers(zone, on) => self.deaf_zone = on.then_some(zone),
+            Fault::HangWorkers(zone, on) => self.hung_zone = on.then_some(zone),
+            Fault::IsolateController(node, on) => self.isolated = on.then_some(node),
+            Fault::DropOutgoingPeerMessages(node, on) => self.drops_outgoing = on.then_some(node),
+            Fault::DropIncomingPeerMessages(node, on) => self.drops_incoming = on.then_some(node),
+            Fault::TightenStoreLimits => self.limits = (4, 2048),
+            Fault::ReclaimSpotMachines => {
                 for worker in self.workers.values_mut().filter(|w| w.spot) {
                     worker.gone = true;
                     worker.tasks.clear();
                 }
             }
-            fault @ (Fault::LostAnswers(_)
-            | Fault::SlowWrites(_)
-            | Fault::CopiesForNext(_)
-            | Fault::MuteWorkers(..)
-            | Fault::HeldCommands(_)
-            | Fault::CloseLooks(_)
+            fault @ (Fault::LoseCommitResponses(_)
+            | Fault::SlowCommits(_)
+            | Fault::ReplayHeartbeatsToNextLeader(_)
+            | Fault::WorkersCannotConnect(..)
+            | Fault::DelayedCommands(_)
+            | Fault::RapidRequests(_)
             | Fault::CancelNow(_)
             | Fault::CancelAtEnd(_)
-            | Fault::OddRequests(_)
-            | Fault::LoseMachines(_)
-            | Fault::LeaderEnds(_)
-            | Fault::QuickBoots(_)) => self.aim(fault),
-            Fault::TakeMachine => {
+            | Fault::InvalidRequests(_)
+            | Fault::KillMachines(_)
+            | Fault::CrashLeader(_)
+            | Fault::FastBoots(_)) => self.aim(fault),
+            Fault::ReclaimMachine => {
                 if let Some(worker) = self.workers.values_mut().find(|w| !w.gone && w.spot) {
                     worker.gone = true;
                     worker.tasks.clear();
@@ -98,7 +99,7 @@
         }
         // Whatever was held back comes once its way is open again; what isn't is held anew.
         for due in std::mem::take(&mut self.held) {
-            self.soon(due);
+            self.schedule_soon(due);
         }
     }
 
@@ -147,14 +148,14 @@
             world.submit_at(3000, n, true, (n == 2).then_some(70_000));
         }
         for n in 3..18 {
-            let abort_at = (n % 5 == 0).then_some(n * 3000 + 6000);
-            world.submit_at(n * 3000, n, false, abort_at);
+            let cancel_at = (n % 5 == 0).then_some(n * 3000 + 6000);
+            world.submit_at(n * 3000, n, false, cancel_at);
         }
         for (t, fault) in faults {
-            world.at(*t, Due::Fault(*fault));
+            world.at(*t, SimEvent::Fault(*fault));
         }
         world.run(170_000);
-        assert!(world.broken.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
         for (number, job) in &world.jobs {
             let cancelled = job.told_cancelled.is_some();
             match job.spec.shape {
@@ -171,7 +172,7 @@
 }
 
 /// Which seeds a person asked for in SEEDS, from which to which.
-pub fn seeds_asked(usual: &str) -> std::ops::Range<u64> {
+pub fn seeds_requested(usual: &str) -> std::ops::Range<u64> {
     let seeds = std::env::var("SEEDS").unwrap_or(usual.into());
     let (from, to) = seeds.split_once("..").unwrap();
     from.parse().unwrap()..to.parse().unwrap()
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -4,30 +4,30 @@
 //! The stand-ins follow PROTOCOL and know nothing of the controllers' insides. Messages are
 //! delayed at random, lost by cuts, or held back and delivered when the cut ends.
 
-mod aims;
 mod cloud;
 mod config;
 mod digest;
 mod event;
+mod extra_requests;
 mod faults;
-mod looks;
+pub mod in_memory_store;
 mod model;
 mod network;
-mod production;
-mod store;
-pub mod store_core;
+mod previous_version;
+mod store_service;
+mod targeted_faults;
 mod users;
 mod workers;
 mod world;
 
-pub use aims::Aims;
 pub use config::{
-    CANCEL_MS, FLOOR, LEARNING, LEASE_MS, NODES, PLENTY, REPORT_MS, TEAMS, ZONES, as_production,
-    settings, settings_sharing, sharing_asked,
+    CANCEL_MS, CONTROLLERS, DEFAULT_CAPACITY, FLOOR, LEARNING, LEASE_MS, REPORT_MS, TEAMS, ZONES,
+    as_production, settings, settings_with_sharding, sharding_requested,
 };
-pub use event::{Due, Fault};
-pub use faults::seeds_asked;
-pub use looks::{Ask, Asked, Told};
+pub use event::{Fault, SimEvent};
+pub use extra_requests::{ExtraRequest, ReportedStatus, RequestKind};
+pub use faults::seeds_requested;
+pub use in_memory_store::{CommitError, Store};
 pub use model::{Running, Ticket, UserJob, Worker};
-pub use store_core::{CommitError, Store};
+pub use targeted_faults::TargetedFaults;
 pub use world::World;
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -1,6 +1,6 @@
 //! Workers, tasks and users' jobs as the simulated world has them.
 
-use crate::looks::{Asked, Told};
+use crate::extra_requests::{ExtraRequest, ReportedStatus};
 use std::collections::BTreeMap;
 use troutspindle::ids::{Attempt, FencingToken, MachineId, TaskId};
 use troutspindle::wire::{JobSpec, TaskState};
@@ -35,7 +35,7 @@
 pub struct UserJob {
     pub spec: JobSpec,
     pub accepted: bool,
-    pub abort_at: Option<u64>,
+    pub cancel_at: Option<u64>,
     /// When its user asked to cancel it.
     pub asked_abort: bool,
     pub told_cancelled: Option<u64>,
@@ -43,20 +43,20 @@
     pub put_off: u32,
     pub told_done: bool,
     /// Submitted with a mistake: it fails wherever it runs.
-    pub broken: bool,
+    pub always_fails: bool,
     /// How many of its tasks were on machines when its user was told that it is cancelled.
     pub ran_when_told: usize,
     /// When it asked last, and for what: 0 submit, 1 poll, 2 abort.
     pub asked: Option<(u64, u8)>,
     /// What its user was told first, of each kind, and when that arrived.
-    pub told: Vec<(u64, Told)>,
+    pub told: Vec<(u64, ReportedStatus)>,
     /// The event in which its last usual request was sent.
     pub sent: u64,
     pub last_good: u64,
 }
 
 pub enum Ticket {
-    Hello(MachineId, u64),
+    Heartbeat(MachineId, u64),
     User(u64, u64),
-    Look(Asked),
+    ExtraRequest(ExtraRequest),
 }
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store_service.rs
@@ -1,10 +1,10 @@
 //! The state service.
 
-use crate::aims::Carried;
 use crate::config::as_production;
-use crate::event::Due;
-use crate::production;
-use crate::store_core::CommitError;
+use crate::event::SimEvent;
+use crate::in_memory_store::CommitError;
+use crate::previous_version;
+use crate::targeted_faults::CommitDelivery;
 use crate::world::World;
 use rand::Rng;
 use troutspindle::controller::Event;
@@ -18,17 +18,17 @@
     pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
         let refuses = self.store.out || self.refused == Some(node);
         let reply = if refuses { StoreResponse::Unavailable } else { self.commit(txn) };
-        self.at(self.t + 3, Due::Controller(node, incarnation, Event::State(id, reply)));
+        self.at(self.now_ms + 3, SimEvent::Controller(node, incarnation, Event::State(id, reply)));
     }
 
     pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
-        if self.on_island(node) || self.alone == Some(node) {
+        if self.is_isolated(node) || self.isolated == Some(node) {
             let gives_up = Event::State(id, StoreResponse::Unknown);
             if matches!(call, StoreRequest::Commit(_)) {
                 // Held back, and applied when the cut ends.
-                self.held.push(Due::State(node, incarnation, id, call));
+                self.held.push(SimEvent::State(node, incarnation, id, call));
             }
-            return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
+            return self.at(self.now_ms + 1500, SimEvent::Controller(node, incarnation, gives_up));
         }
         if self.late_writes
             && !self.store.out
@@ -37,16 +37,16 @@
             && self.random.random_range(0..3) == 0
         {
             let StoreRequest::Commit(txn) = call else { return };
-            let later = self.t + self.random.random_range(2000..12_000);
-            self.at(later, Due::LateWrite(txn));
+            let later = self.now_ms + self.random.random_range(2000..12_000);
+            self.at(later, SimEvent::DelayedCommit(txn));
             let gives_up = Event::State(id, StoreResponse::Unknown);
-            return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
+            return self.at(self.now_ms + 1500, SimEvent::Controller(node, incarnation, gives_up));
         }
         let reply = if self.store.out || self.refused == Some(node) {
             if let StoreRequest::Watch { after, wait } = &call
                 && !wait.is_zero()
             {
-                let until = self.t + wait.as_millis() as u64;
+                let until = self.now_ms + wait.as_millis() as u64;
                 self.store.waiting.push((node, incarnation, id, after.0, until));
                 return;
             }
@@ -55,7 +55,7 @@
             match call {
                 StoreRequest::Watch { after, wait } => {
                     if !wait.is_zero() && self.store.rev <= after.0 {
-                        let until = self.t + wait.as_millis() as u64;
+                        let until = self.now_ms + wait.as_millis() as u64;
                         self.store.waiting.push((node, incarnation, id, after.0, until));
                         return;
                     }
@@ -80,12 +80,12 @@
                 StoreRequest::GrantLease(life) => {
                     self.store.next_lease += 1;
                     let ms = life.as_millis() as u64;
-                    self.store.leases.insert(self.store.next_lease, (ms, self.t + ms));
+                    self.store.leases.insert(self.store.next_lease, (ms, self.now_ms + ms));
                     StoreResponse::LeaseGranted(LeaseId(self.store.next_lease))
                 }
                 StoreRequest::KeepAlive(lease) => match self.store.leases.get_mut(&lease.0) {
                     Some((ms, until)) => {
-                        *until = self.t + *ms;
+                        *until = self.now_ms + *ms;
                         StoreResponse::Done
                     }
                     None => StoreResponse::Gone,
@@ -100,17 +100,21 @@
                             *data = as_production(data);
                         }
                     }
-                    match self.carried() {
-                        Carried::Usual => self.commit(txn),
-                        Carried::Unheard => {
+                    match self.choose_commit_delivery() {
+                        CommitDelivery::Usual => self.commit(txn),
+                        CommitDelivery::ResponseLost => {
                             self.commit(txn);
                             let gives_up = Event::State(id, StoreResponse::Unknown);
-                            return self
-                                .at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
+                            return self.at(
+                                self.now_ms + 1500,
+                                SimEvent::Controller(node, incarnation, gives_up),
+                            );
                         }
-                        Carried::Later(ms) => {
-                            return self
-                                .at(self.t + ms, Due::SlowWrite(node, incarnation, id, txn));
+                        CommitDelivery::Later(ms) => {
+                            return self.at(
+                                self.now_ms + ms,
+                                SimEvent::SlowCommit(node, incarnation, id, txn),
+                            );
                         }
                     }
                 }
@@ -119,18 +123,18 @@
         // Now and then an answer gets lost after the deed.
         let lost = self.random.random_range(0..200) == 0;
         let reply = if lost { StoreResponse::Unknown } else { reply };
-        self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
+        self.schedule_soon(SimEvent::Controller(node, incarnation, Event::State(id, reply)));
     }
 
     /// What a node of the old version makes of a value: it has to be able to read it, and drops the
     /// fields that it doesn't know.
     pub fn shown(&self, key: &str, data: &StoreValue) -> StoreValue {
         if key.starts_with("t/j/") {
-            let record: production::Record = data.deserialized().unwrap();
+            let record: previous_version::Record = data.deserialized().unwrap();
             // It takes a live record without a description for a job that is done.
-            assert!(record.s.is_some() || record.p != production::Phase::Live, "{key}");
+            assert!(record.s.is_some() || record.p != previous_version::Phase::Live, "{key}");
         } else if key.starts_with("t/x/") && key.matches('/').count() == 3 {
-            assert!(production::reads(data.as_text().unwrap()), "{key}");
+            assert!(previous_version::reads(data.as_text().unwrap()), "{key}");
         }
         as_production(data)
     }
@@ -147,10 +151,10 @@
 
     pub fn commit(&mut self, txn: wire::Transaction) -> StoreResponse {
         let outcome = self.store.commit(txn, self.limits);
-        self.digest.committed(self.t, self.store.rev, outcome.is_ok());
+        self.digest.committed(self.now_ms, self.store.rev, outcome.is_ok());
         match outcome {
             Ok(rev) => {
-                self.wake_follows();
+                self.complete_watches();
                 StoreResponse::Committed(rev)
             }
             Err(CommitError::Conflict(failed)) => StoreResponse::Conflict(failed),
@@ -166,11 +170,11 @@
         self.store.news(after)
     }
 
-    pub fn wake_follows(&mut self) {
+    pub fn complete_watches(&mut self) {
         if self.store.out {
             return;
         }
-        let (t, rev) = (self.t, self.store.rev);
+        let (t, rev) = (self.now_ms, self.store.rev);
         let ready: Vec<_> = self
             .store
             .waiting
@@ -178,19 +182,19 @@
             .collect();
         for (node, incarnation, id, after, _) in ready {
             let reply = StoreResponse::Watch(self.news_for(node, after));
-            self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
+            self.schedule_soon(SimEvent::Controller(node, incarnation, Event::State(id, reply)));
         }
     }
 
     pub fn end_lease(&mut self, lease: u64) {
         self.store.end_lease(lease);
-        self.wake_follows();
+        self.complete_watches();
     }
 
     pub fn end_leases(&mut self) {
         if !self.store.out {
-            self.store.end_expired_leases(self.t);
+            self.store.end_expired_leases(self.now_ms);
         }
-        self.wake_follows();
+        self.complete_watches();
     }
 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,7 +1,7 @@
 //! Users, and the rules that are seen in what they are told.
 
-use crate::event::Due;
-use crate::looks::Told;
+use crate::event::SimEvent;
+use crate::extra_requests::ReportedStatus;
 use crate::model::UserJob;
 use crate::world::World;
 use rand::Rng;
@@ -11,7 +11,7 @@
 use troutspindle::wire::{JobKind, JobSpec, JobStatus, JobView, Priority};
 
 impl World {
-    pub fn submit_at(&mut self, t: u64, number: u64, service: bool, abort_at: Option<u64>) {
+    pub fn submit_at(&mut self, t: u64, number: u64, service: bool, cancel_at: Option<u64>) {
         let tasks = if service { 4 } else { self.random.random_range(1..9) };
         let spec = JobSpec {
             id: JobId::new(&format!("wk-{number}")),
@@ -39,38 +39,38 @@
         let job = UserJob {
             spec,
             accepted: false,
-            abort_at,
+            cancel_at,
             asked_abort: false,
             told_cancelled: None,
             ran_when_told: 0,
             put_off: 0,
             told_done: false,
-            broken: false,
+            always_fails: false,
             asked: None,
             told: Vec::new(),
             sent: 0,
             last_good: t,
         };
         self.jobs.insert(number, job);
-        self.at(t, Due::User(number));
+        self.at(t, SimEvent::User(number));
     }
 
     pub fn user(&mut self, number: u64) {
-        let t = self.t;
+        let t = self.now_ms;
         let job = &self.jobs[&number];
         if job.asked.is_some_and(|(since, _)| t < since + 5000) {
-            return self.at(t + 500, Due::User(number));
+            return self.at(t + 500, SimEvent::User(number));
         }
         let over = job.told_done || job.told_cancelled.is_some();
         let id = job.spec.id.clone();
         let depends_on: Vec<u64> = job.spec.depends_on.iter().flatten().map(Self::number).collect();
         if depends_on.iter().any(|need| !self.jobs[need].accepted) {
-            return self.at(t + 200, Due::User(number));
+            return self.at(t + 200, SimEvent::User(number));
         }
         let (kind, request) = if !job.accepted {
             let body = wire::encode(&job.spec);
             (0, Request { method: Method::Post, target: "/api/jobs".into(), body })
-        } else if !over && job.abort_at.is_some_and(|at| t >= at) {
+        } else if !over && job.cancel_at.is_some_and(|at| t >= at) {
             let target = format!("/api/jobs/{id}/abort");
             (2, Request { method: Method::Post, target, body: Vec::new() })
         } else {
@@ -88,10 +88,10 @@
         job.sent = self.events;
         job.asked_abort |= kind == 2;
         let any = self.random.random_range(0..self.nodes.len());
-        let node = self.abort_at.filter(|_| kind == 2).unwrap_or(any);
-        self.soon(Due::UserAsks(node, number, request));
+        let node = self.cancel_at.filter(|_| kind == 2).unwrap_or(any);
+        self.schedule_soon(SimEvent::UserRequest(node, number, request));
         let wait = if over { 20_000 } else { 1500 } / if self.polls { 8 } else { 1 };
-        self.at(t + wait, Due::User(number));
+        self.at(t + wait, SimEvent::User(number));
     }
 
     pub fn user_answer(&mut self, number: u64, asked: u64, response: &Response) {
@@ -109,7 +109,7 @@
     /// The rules that an answer to a user may break, whichever of its requests it answers: one that
     /// was sent at this time, and in this event.
     pub fn judge(&mut self, number: u64, kind: u8, (asked, sent): (u64, u64), response: &Response) {
-        let t = self.t;
+        let t = self.now_ms;
         let before = self.before(number);
         let wanted = before.iter().any(|n| self.jobs[n].asked_abort);
         let told = before.iter().filter_map(|n| self.jobs[n].told_cancelled).min();
@@ -119,7 +119,7 @@
         let job = self.jobs.get_mut(&number).unwrap();
         job.last_good = t;
         let mut wrong = Vec::new();
-        let says = Told::of(response);
+        let says = ReportedStatus::of(response);
         // What had arrived before the request was sent; users compare no others.
         let known = job.told.iter().filter(|(at, _)| *at < sent).map(|(_, told)| *told).max();
         if known.is_some_and(|known| says < Some(known)) {
@@ -146,7 +146,7 @@
             }
             let open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
             // An answer that was on its way when another one came may still say that it is open.
-            let later = !open || known >= Some(Told::Done);
+            let later = !open || known >= Some(ReportedStatus::Done);
             let back = later && job.told_done && view.status != JobStatus::Done
                 || later && job.told_cancelled.is_some() && view.status != JobStatus::Cancelled
                 || (view.status == JobStatus::Cancelled && !wanted);
@@ -164,24 +164,24 @@
             }
         }
         for what in wrong {
-            self.break_rule(what);
+            self.record_violation(what);
         }
         if news {
-            self.look_closely(number);
+            self.send_rapid_requests(number);
         }
     }
 }
 
 impl World {
     /// All troubles have been over for long: each job is over or runs as a whole, and its user hears of it.
-    pub fn afterwards(&mut self) {
+    pub fn check_final_state(&mut self) {
         for (number, job) in &self.jobs {
             let cancelled = job.told_cancelled.is_some();
             let whole = self.running(*number) as u64 == job.spec.tasks;
             let outlasts = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
-            let what = if self.t > job.last_good + 75_000 {
+            let what = if self.now_ms > job.last_good + 75_000 {
                 "forgotten: nobody is told of it"
-            } else if job.abort_at.is_some() && !cancelled && !job.told_done {
+            } else if job.cancel_at.is_some() && !cancelled && !job.told_done {
                 "it was never cancelled"
             } else if outlasts && !cancelled && !whole {
                 "it does not run"
@@ -190,7 +190,7 @@
             } else {
                 continue;
             };
-            self.broken.push(format!("{number}: {what}"));
+            self.violations.push(format!("{number}: {what}"));
         }
     }
 }
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,7 +1,7 @@
 //! Workers, and the rules that are seen when they start tasks.
 
 use crate::config::{CANCEL_MS, LEASE_MS, REPORT_MS, TEAMS, ZONES};
-use crate::event::Due;
+use crate::event::SimEvent;
 use crate::model::{Running, Worker};
 use crate::world::World;
 use rand::Rng;
@@ -16,13 +16,13 @@
 
 impl World {
     pub fn worker(&mut self, id: MachineId) {
-        let t = self.t;
+        let t = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if worker.gone {
             return;
         }
         if self.hung_zone == Some(worker.zone) {
-            return self.at(t + 100, Due::Worker(id));
+            return self.at(t + 100, SimEvent::Worker(id));
         }
         if t > worker.renewed + LEASE_MS {
             worker.agent_epoch += 1;
@@ -36,7 +36,7 @@
             (late && running.state != TaskState::Exited).then(|| task.clone())
         };
         if let Some(task) = worker.tasks.iter().find_map(outlives) {
-            self.break_rule(format!("ran_cancelled: {task} is still there"));
+            self.record_violation(format!("ran_cancelled: {task} is still there"));
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let mut finished = Vec::new();
@@ -65,11 +65,11 @@
             worker.next_report = t + 1000;
         }
         let wants = worker.asked.is_none() && (t >= worker.next_report || worker.changed);
-        if wants && self.aims.mute_zone == Some(worker.zone) {
+        if wants && self.targeted_faults.mute_zone == Some(worker.zone) {
             // It can't open a connection, and tries the next node a second later.
             (worker.changed, worker.next_report) = (false, t + 1000);
             worker.target = (worker.target + 1) % self.nodes.len();
-            self.aims.took_effect("mute workers");
+            self.targeted_faults.record_effect("mute workers");
         } else if wants {
             worker.changed = false;
             worker.next_report = t + REPORT_MS;
@@ -82,12 +82,12 @@
                 // Nobody reads the answer to a copy: it bears a number that no question has.
                 let later = t + self.random.random_range(2000..28_000);
                 let node = self.random.random_range(0..self.nodes.len());
-                self.at(later, Due::Hello(node, id.clone(), body.clone(), 0));
+                self.at(later, SimEvent::Heartbeat(node, id.clone(), body.clone(), 0));
             }
-            self.keep_copy(&id, &body);
-            self.soon(Due::Hello(target, id.clone(), body, seq));
+            self.keep_heartbeat_copy(&id, &body);
+            self.schedule_soon(SimEvent::Heartbeat(target, id.clone(), body, seq));
         }
-        self.at(t + 100, Due::Worker(id));
+        self.at(t + 100, SimEvent::Worker(id));
     }
 
     pub fn report(id: &MachineId, worker: &Worker) -> Heartbeat {
@@ -112,15 +112,15 @@
         }
     }
 
-    pub fn hello_answer(&mut self, id: MachineId, seq: u64, response: Response) {
-        let t = self.t;
+    pub fn on_heartbeat_response(&mut self, id: MachineId, seq: u64, response: Response) {
+        let t = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let Some((asked, agent_epoch, since)) = worker.asked else { return };
         if asked != seq || worker.gone {
             return;
         }
         if self.hung_zone == Some(worker.zone) && t < since + 4000 {
-            return self.at(t + 200, Due::HelloAnswer(id, seq, response));
+            return self.at(t + 200, SimEvent::HeartbeatResponse(id, seq, response));
         }
         worker.asked = None;
         if response.status != 200 {
@@ -153,25 +153,25 @@
             DirectCall::Status => None,
         };
         let unknown = Event::DirectCall(id.clone(), sent.clone(), Err(CallError::Unknown));
-        if worker.gone || worker.up_at > self.t {
-            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
+        if worker.gone || worker.up_at > self.now_ms {
+            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         let zone = worker.zone;
         if self.deaf_zone == Some(zone) {
-            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
+            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
-        if self.apart(node, zone) || self.hung_zone == Some(zone) {
-            self.held.push(Due::DirectCall(node, incarnation, id, direct));
-            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
+        if self.is_cut_off(node, zone) || self.hung_zone == Some(zone) {
+            self.held.push(SimEvent::DirectCall(node, incarnation, id, direct));
+            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
-        let held = self.aims.held_commands && self.random.random_range(0..3) == 0;
+        let held = self.targeted_faults.held_commands && self.random.random_range(0..3) == 0;
         if held && self.random.random() {
             // Held up on its way, and executed when nobody waits for the answer any more.
             if let Some(orders) = sent {
-                let later = self.t + self.random.random_range(1000..9000);
-                self.at(later, Due::HeldOrders(id, orders));
+                let later = self.now_ms + self.random.random_range(1000..9000);
+                self.at(later, SimEvent::DelayedCommands(id, orders));
             }
-            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
+            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let valid = sent.as_ref().is_none_or(|orders| {
@@ -186,9 +186,13 @@
         let report = Self::report(&id, worker);
         if held {
             // It was carried out, and its answer is held up.
-            return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
+            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
-        self.soon(Due::Controller(node, incarnation, Event::DirectCall(id, sent, Ok(report))));
+        self.schedule_soon(SimEvent::Controller(
+            node,
+            incarnation,
+            Event::DirectCall(id, sent, Ok(report)),
+        ));
     }
 
     pub fn execute(&mut self, id: &MachineId, orders: Vec<WorkerCommand>) {
@@ -223,11 +227,11 @@
     pub fn start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
         let number: u64 = task.job.as_str()[3..].parse().unwrap();
         let Some(job) = self.jobs.get(&number) else {
-            return self.break_rule(format!("{task} is of no job"));
+            return self.record_violation(format!("{task} is of no job"));
         };
-        let (spec, broken) = (job.spec.clone(), job.broken);
-        let late = job.told_cancelled.is_some_and(|at| self.t > at + CANCEL_MS);
-        let t = self.t;
+        let (spec, always_fails) = (job.spec.clone(), job.always_fails);
+        let late = job.told_cancelled.is_some_and(|at| self.now_ms > at + CANCEL_MS);
+        let t = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
         // What its owner takes to run for minutes outlasts any day.
         let long = self.long_tasks || spec.expect_s > 60.0;
@@ -252,7 +256,7 @@
             task.clone(),
             Running { attempt, state: TaskState::Fetching, why: None, ready_at, ends_at },
         );
-        if broken {
+        if always_fails {
             let running = worker.tasks.get_mut(&task).unwrap();
             (running.state, running.why) = (TaskState::Exited, Some("error".into()));
         }
@@ -263,16 +267,16 @@
             let tasks = self.jobs[&Self::number(need)].spec.tasks as u32;
             let done = |index| self.finished.contains_key(&TaskId { job: need.clone(), index });
             if !(0..tasks).all(done) {
-                self.break_rule(format!("too_early: {task} before {need}"));
+                self.record_violation(format!("too_early: {task} before {need}"));
             }
         }
         let worker = self.workers.get_mut(id).unwrap();
         let (zone, spot) = (worker.zone, worker.spot);
         if late {
-            self.break_rule(format!("ran_cancelled: {task}"));
+            self.record_violation(format!("ran_cancelled: {task}"));
         }
         if spot && !spec.spot {
-            self.break_rule(format!("wrong_place: {task} on spot"));
+            self.record_violation(format!("wrong_place: {task} on spot"));
         }
         let team = spec.team.clone();
         let mut cpus = 0.0;
@@ -293,17 +297,17 @@
             }
         }
         if !elsewhere.is_empty() {
-            self.break_rule(format!("ran_twice: {task} on {id} and {elsewhere:?}"));
+            self.record_violation(format!("ran_twice: {task} on {id} and {elsewhere:?}"));
         }
         let most = TEAMS.iter().find(|(name, ..)| *name == team).map_or(0.0, |team| team.2);
         if cpus > most {
-            self.break_rule(format!("quota: {team} uses {cpus} of {most}, by {task}"));
+            self.record_violation(format!("quota: {team} uses {cpus} of {most}, by {task}"));
         }
         if spec.zone.as_ref().is_some_and(|bound| *bound != ZONES[zone]) {
-            self.break_rule(format!("wrong_place: {task} in zone {}", ZONES[zone]));
+            self.record_violation(format!("wrong_place: {task} in zone {}", ZONES[zone]));
         }
         if spec.spread && same_zone > spec.tasks.div_ceil(2) {
-            self.break_rule(format!("wrong_place: {same_zone} of {} in a zone", spec.tasks));
+            self.record_violation(format!("wrong_place: {same_zone} of {} in a zone", spec.tasks));
         }
     }
 
--- a/tests/aimed.rs
+++ b/tests/aimed.rs
@@ -3,7 +3,7 @@
 
 use troutspindle::wire::JobSpec;
 use troutspindle_simulation::{
-    Due, Fault, NODES, PLENTY, TEAMS, UserJob, World, ZONES, seeds_asked,
+    CONTROLLERS, DEFAULT_CAPACITY, Fault, SimEvent, TEAMS, UserJob, World, ZONES, seeds_requested,
 };
 
 const BEGIN: u64 = 30_000;
@@ -34,10 +34,10 @@
     /// Plays the rest of the day.
     fn play(mut self, troubles: &Troubles) -> (World, String) {
         for (at, trouble) in troubles {
-            self.world.at(*at, Due::Fault(*trouble));
+            self.world.at(*at, SimEvent::Fault(*trouble));
         }
         self.world.run(OVER + 85_000);
-        self.world.afterwards();
+        self.world.check_final_state();
         (self.world, self.what)
     }
 }
@@ -48,16 +48,16 @@
 type Meet = fn(u64) -> Meeting;
 
 /// How many of these days break a rule; all of them have to bring their meeting about.
-fn broken(meeting: Meet, seeds: std::ops::Range<u64>) -> usize {
+fn violations(meeting: Meet, seeds: std::ops::Range<u64>) -> usize {
     let mut days = 0;
     for seed in seeds {
         let (day, troubles, effects) = meeting(seed);
         let (world, what) = day.play(&troubles);
         for effect in effects {
-            assert!(world.aims.effects(effect) > 0, "did not happen: {effect}, {what}");
+            assert!(world.targeted_faults.effects(effect) > 0, "did not happen: {effect}, {what}");
         }
-        if !world.broken.is_empty() {
-            let some = &world.broken[..world.broken.len().min(3)];
+        if !world.violations.is_empty() {
+            let some = &world.violations[..world.violations.len().min(3)];
             println!("{what}, {troubles:?}: {some:#?}");
             days += 1;
         }
@@ -66,7 +66,7 @@
 }
 
 fn holds(meeting: Meet, seeds: std::ops::Range<u64>) {
-    assert_eq!(broken(meeting, seeds), 0);
+    assert_eq!(violations(meeting, seeds), 0);
 }
 
 /// For so long.
@@ -123,17 +123,20 @@
 fn close_looks(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "close looks", usual);
     let leader = day.leader();
-    let other = (leader + 1) % NODES;
-    day.world.fault(Fault::CloseLooks(true));
+    let other = (leader + 1) % CONTROLLERS;
+    day.world.fault(Fault::RapidRequests(true));
     let more = match seed % 6 {
         0 => vec![],
-        1 => lasting(BEGIN, 30_000, Fault::SlowWrites),
-        2 => lasting(BEGIN, 30_000, Fault::LateWrites),
-        3 => vec![(BEGIN + 300, Fault::Blink(other, 60)), (BEGIN + 4000, Fault::Blink(leader, 60))],
-        4 => lasting(BEGIN, 8000, |on| Fault::Refused(leader, on)),
-        _ => lasting(BEGIN, 2500, |on| Fault::Stand(other, on)),
+        1 => lasting(BEGIN, 30_000, Fault::SlowCommits),
+        2 => lasting(BEGIN, 30_000, Fault::DelayedCommits),
+        3 => vec![
+            (BEGIN + 300, Fault::CrashAndRestart(other, 60)),
+            (BEGIN + 4000, Fault::CrashAndRestart(leader, 60)),
+        ],
+        4 => lasting(BEGIN, 8000, |on| Fault::StoreRefuses(leader, on)),
+        _ => lasting(BEGIN, 2500, |on| Fault::Stall(other, on)),
     };
-    let troubles = [lasting(BEGIN, 40_000, Fault::OddRequests), more].concat();
+    let troubles = [lasting(BEGIN, 40_000, Fault::InvalidRequests), more].concat();
     (day, troubles, &["close looks", "odd requests"])
 }
 
@@ -146,11 +149,14 @@
 fn lost_answers(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "lost answers", usual);
     let leader = day.leader();
-    day.world.fault(Fault::CloseLooks(true));
-    let lost = lasting(BEGIN, 40_000, Fault::LostAnswers);
+    day.world.fault(Fault::RapidRequests(true));
+    let lost = lasting(BEGIN, 40_000, Fault::LoseCommitResponses);
     // The leader ends in the midst of a write, a hundred milliseconds after the last time, and so on.
     let ends = BEGIN + 5000 + 137 * (seed % 40);
-    let ends = vec![(ends, Fault::Blink(leader, 200)), (ends + 9000, Fault::Blink(leader, 60))];
+    let ends = vec![
+        (ends, Fault::CrashAndRestart(leader, 200)),
+        (ends + 9000, Fault::CrashAndRestart(leader, 60)),
+    ];
     (day, [lost, ends].concat(), &["lost answers", "close looks"])
 }
 
@@ -165,14 +171,14 @@
     let leader = day.leader();
     let zone = (seed % 2) as usize;
     let away = match seed % 4 {
-        0 => lasting(BEGIN, 11_000, |on| Fault::Hang(zone, on)),
-        1 => lasting(BEGIN, 11_000, |on| Fault::DeafWorkers(zone, on)),
+        0 => lasting(BEGIN, 11_000, |on| Fault::HangWorkers(zone, on)),
+        1 => lasting(BEGIN, 11_000, |on| Fault::DropResponsesToWorkers(zone, on)),
         2 => lasting(BEGIN, 20_000, Fault::CutZones),
-        _ => lasting(BEGIN, 13_000, |on| Fault::MuteWorkers(zone, on)),
+        _ => lasting(BEGIN, 13_000, |on| Fault::WorkersCannotConnect(zone, on)),
     };
     let cancelled = vec![(BEGIN + 100, Fault::CancelNow(6))];
     let ends = BEGIN + 150 + (seed % 40) * 83;
-    let ends = vec![(ends, Fault::Blink(leader, 100 + 40 * (seed % 5)))];
+    let ends = vec![(ends, Fault::CrashAndRestart(leader, 100 + 40 * (seed % 5)))];
     (day, [away, cancelled, ends].concat(), &["cancel now"])
 }
 
@@ -185,17 +191,17 @@
 fn hand_over(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "hand-over", usual);
     let leader = day.leader();
-    day.world.fault(Fault::CloseLooks(true));
+    day.world.fault(Fault::RapidRequests(true));
     let over = match seed % 5 {
-        0 => vec![(BEGIN, Fault::Blink(leader, 80))],
-        1 => lasting(BEGIN, 6000, |on| Fault::Refused(leader, on)),
-        2 => lasting(BEGIN, 8000, |on| Fault::Stand(leader, on)),
-        3 => lasting(BEGIN, 9000, |on| Fault::Alone(leader, on)),
-        _ => lasting(BEGIN, 9000, |on| Fault::Deaf(leader, on)),
+        0 => vec![(BEGIN, Fault::CrashAndRestart(leader, 80))],
+        1 => lasting(BEGIN, 6000, |on| Fault::StoreRefuses(leader, on)),
+        2 => lasting(BEGIN, 8000, |on| Fault::Stall(leader, on)),
+        3 => lasting(BEGIN, 9000, |on| Fault::IsolateController(leader, on)),
+        _ => lasting(BEGIN, 9000, |on| Fault::CutControllerFromWorkers(leader, on)),
     };
     let first = BEGIN + (seed % 40) * 190;
     let off = (0..6).map(|n| (first + n * 311, Fault::CancelNow(2))).collect();
-    let held = lasting(BEGIN - 500, 9000, Fault::HeldCommands);
+    let held = lasting(BEGIN - 500, 9000, Fault::DelayedCommands);
     (day, [over, off, held].concat(), &["cancel now", "close looks"])
 }
 
@@ -208,19 +214,20 @@
 fn quick_boots(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "quick boots", one_service);
     let leader = day.leader();
-    day.world.fault(Fault::QuickBoots(true));
+    day.world.fault(Fault::FastBoots(true));
     for n in 0..12 {
         day.world.submit_at(BEGIN + 40 * n, 500 + n, n % 6 == 0, None);
         change(&mut day.world, 500 + n, |spec| (spec.tasks, spec.cpus) = (4, 2.0));
     }
     let lag = match seed % 3 {
-        0 => lasting(BEGIN - 100, 20_000, Fault::SlowWrites),
-        1 => lasting(BEGIN - 100, 20_000, Fault::LateWrites),
-        _ => lasting(BEGIN - 100, 20_000, Fault::LostAnswers),
+        0 => lasting(BEGIN - 100, 20_000, Fault::SlowCommits),
+        1 => lasting(BEGIN - 100, 20_000, Fault::DelayedCommits),
+        _ => lasting(BEGIN - 100, 20_000, Fault::LoseCommitResponses),
     };
     let ends = BEGIN + 400 + (seed % 40) * 211;
-    let ends = vec![(ends, Fault::Blink(leader, 150)), (ends + 4700, Fault::Crash(leader))];
-    let held = lasting(BEGIN, 12_000, Fault::HeldCommands);
+    let ends =
+        vec![(ends, Fault::CrashAndRestart(leader, 150)), (ends + 4700, Fault::Crash(leader))];
+    let held = lasting(BEGIN, 12_000, Fault::DelayedCommands);
     (day, [lag, ends, held].concat(), &["quick boots"])
 }
 
@@ -233,7 +240,7 @@
 fn copies_for_next(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "copies for the next", usual);
     let leader = day.leader();
-    day.world.fault(Fault::CopiesForNext(true));
+    day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
     for n in 0..6 {
         day.world.submit_at(BEGIN, 600 + n, n % 2 == 0, None);
         change(&mut day.world, 600 + n, |spec| {
@@ -242,13 +249,14 @@
     }
     // Tasks move on after the copy was made: their machines are taken, or lose their lease.
     let moves = match seed % 3 {
-        0 => vec![(BEGIN + 3000, Fault::TakeSpot)],
-        1 => lasting(BEGIN + 1000, 19_000, |on| Fault::DeafWorkers(1, on)),
-        _ => vec![(BEGIN + 2000, Fault::TakeMachine), (BEGIN + 6000, Fault::TakeMachine)],
+        0 => vec![(BEGIN + 3000, Fault::ReclaimSpotMachines)],
+        1 => lasting(BEGIN + 1000, 19_000, |on| Fault::DropResponsesToWorkers(1, on)),
+        _ => vec![(BEGIN + 2000, Fault::ReclaimMachine), (BEGIN + 6000, Fault::ReclaimMachine)],
     };
     let ends = BEGIN + 9000 + (seed % 40) * 417;
-    let ends = vec![(ends, Fault::Blink(leader, 120)), (ends + 8000, Fault::Crash(leader))];
-    let slow = lasting(BEGIN, 40_000, Fault::HeldCommands);
+    let ends =
+        vec![(ends, Fault::CrashAndRestart(leader, 120)), (ends + 8000, Fault::Crash(leader))];
+    let slow = lasting(BEGIN, 40_000, Fault::DelayedCommands);
     (day, [moves, ends, slow].concat(), &["copies for next"])
 }
 
@@ -273,10 +281,11 @@
 fn bound_to_a_zone(seed: u64) -> Meeting {
     let day = Day::new(seed, "bound to a zone", bound);
     let zone = (seed % 2) as usize;
-    let lost = vec![(BEGIN, Fault::LoseMachines(3)), (BEGIN + 20_000, Fault::LoseMachines(2))];
-    let none = vec![(BEGIN, Fault::Capacity([6, 0])), (BEGIN + 9000, Fault::Capacity(PLENTY))];
-    let hung = lasting(BEGIN + 300, 12_000, |on| Fault::Hang(zone, on));
-    let ends = vec![(BEGIN + 500 + (seed % 40) * 251, Fault::LeaderEnds(120))];
+    let lost = vec![(BEGIN, Fault::KillMachines(3)), (BEGIN + 20_000, Fault::KillMachines(2))];
+    let none =
+        vec![(BEGIN, Fault::Capacity([6, 0])), (BEGIN + 9000, Fault::Capacity(DEFAULT_CAPACITY))];
+    let hung = lasting(BEGIN + 300, 12_000, |on| Fault::HangWorkers(zone, on));
+    let ends = vec![(BEGIN + 500 + (seed % 40) * 251, Fault::CrashLeader(120))];
     (day, [lost, none, hung, ends].concat(), &["machines lost", "leader ends"])
 }
 
@@ -290,13 +299,13 @@
     let day = Day::new(seed, "ten leaders", usual);
     let every = 4200 + 37 * (seed % 40);
     let mut troubles: Troubles = (0..10)
-        .map(|n| (BEGIN + every * n, Fault::LeaderEnds(60 + 90 * (n + seed) % 700)))
+        .map(|n| (BEGIN + every * n, Fault::CrashLeader(60 + 90 * (n + seed) % 700)))
         .collect();
     if seed.is_multiple_of(2) {
         troubles.extend(lasting(BEGIN + 12_000, 9000, Fault::Outage));
         troubles.extend(lasting(BEGIN + 30_000, 5000, Fault::Outage));
     }
-    troubles.extend(lasting(BEGIN, 44_000, Fault::CopiesForNext));
+    troubles.extend(lasting(BEGIN, 44_000, Fault::ReplayHeartbeatsToNextLeader));
     (day, troubles, &["leader ends", "copies for next"])
 }
 
@@ -305,16 +314,20 @@
     holds(ten_leaders, 900..908);
     let (day, troubles, _) = ten_leaders(901);
     let (world, _) = day.play(&troubles);
-    assert!(world.aims.effects("leader ends") >= 8, "{}", world.aims.effects("leader ends"));
+    assert!(
+        world.targeted_faults.effects("leader ends") >= 8,
+        "{}",
+        world.targeted_faults.effects("leader ends")
+    );
 }
 
 /// No controller is there for longer than a lease, and jobs are called off just before.
 fn all_away(seed: u64) -> Meeting {
     let mut day = Day::new(seed, "all away", usual);
-    day.world.fault(Fault::CopiesForNext(true));
+    day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
     let gap = 13 * (seed % 40);
     let mut troubles = vec![(BEGIN - 1, Fault::CancelNow(4))];
-    troubles.extend((0..NODES).map(|n| (BEGIN + gap * (1 + n as u64), Fault::Down(n))));
+    troubles.extend((0..CONTROLLERS).map(|n| (BEGIN + gap * (1 + n as u64), Fault::Down(n))));
     (day, troubles, &["cancel now", "copies for next"])
 }
 
@@ -328,7 +341,7 @@
 fn four_jobs_a_second_for_minutes_with_a_quarter_cancelled() {
     for seed in 700..702u64 {
         let mut world = World::new(seed);
-        world.aims.cancel_at_end = true;
+        world.targeted_faults.cancel_at_end = true;
         let count = 4 * 150;
         for n in 0..count {
             let at = 12_000 + n * 250;
@@ -338,15 +351,15 @@
         }
         world.run(60_000);
         let leader = world.leader();
-        world.fault(Fault::Blink(leader, 100));
+        world.fault(Fault::CrashAndRestart(leader, 100));
         world.run(95_000);
         let leader = world.leader();
-        world.fault(Fault::Refused(leader, true));
-        world.at(110_000, Due::Fault(Fault::Refused(leader, false)));
+        world.fault(Fault::StoreRefuses(leader, true));
+        world.at(110_000, SimEvent::Fault(Fault::StoreRefuses(leader, false)));
         world.run(12_000 + count * 250 + 90_000);
-        world.afterwards();
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
-        assert!(world.aims.effects("cancel at end") > 100);
+        world.check_final_state();
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
+        assert!(world.targeted_faults.effects("cancel at end") > 100);
         let told = |job: &&UserJob| job.told_cancelled.is_some();
         assert!(world.jobs.values().filter(told).count() as u64 > count / 5);
     }
@@ -367,10 +380,10 @@
 #[test]
 #[ignore = "minutes; SEEDS: from which to which"]
 fn thousands_of_days() {
-    let seeds = seeds_asked("1000..1200");
+    let seeds = seeds_requested("1000..1200");
     let mut all = 0;
     for (name, meeting) in MEETINGS {
-        let days = broken(meeting, seeds.clone());
+        let days = violations(meeting, seeds.clone());
         println!("{name}: {} days, {days} broken", seeds.end - seeds.start);
         all += days;
     }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -12,7 +12,9 @@
 use troutspindle::workers::command_delivery::DirectCall;
 use troutspindle::{drains, wire};
 use troutspindle_protocol::operator_api::DrainKind;
-use troutspindle_simulation::{Due, FLOOR, Fault, NODES, PLENTY, UserJob, Worker, World, settings};
+use troutspindle_simulation::{
+    CONTROLLERS, DEFAULT_CAPACITY, FLOOR, Fault, SimEvent, UserJob, Worker, World, settings,
+};
 
 /// Pipelines of five jobs, one after another: a first one, three that need it and a closing one.
 /// Of the last pipelines, first, middle or closing jobs are cancelled.
@@ -35,8 +37,8 @@
 }
 
 /// A roll from the old version to the new one in the order given, with pipelines once all are new.
-fn roll(seed: u64, order: [usize; NODES], faults: &[(u64, Fault)]) {
-    let mut world = World::of_version(seed, true);
+fn roll(seed: u64, order: [usize; CONTROLLERS], faults: &[(u64, Fault)]) {
+    let mut world = World::running_previous_version(seed, true);
     world.submit_at(3000, 0, true, None);
     for n in 1..12 {
         world.submit_at(n * 3000, n, false, (n % 4 == 0).then_some(n * 3000 + 6000));
@@ -46,19 +48,19 @@
     world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
     world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
     for (n, node) in order.into_iter().enumerate() {
-        world.at(20_000 + 10_000 * n as u64, Due::Fault(Fault::Upgrade(node)));
+        world.at(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
     }
     // Asked for early: the first is refused until all are new, and not once started too early.
     pipelines(&mut world, 30_000, 9);
-    world.at(52_000, Due::Fault(Fault::Limits));
+    world.at(52_000, SimEvent::Fault(Fault::TightenStoreLimits));
     for (t, fault) in faults {
-        world.at(*t, Due::Fault(*fault));
+        world.at(*t, SimEvent::Fault(*fault));
     }
     world.run(19_900);
     let before = world.too_large;
     world.run(240_000);
-    assert!(world.broken.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.broken);
-    assert!(world.old == [false; NODES] && before == 0);
+    assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
+    assert!(world.old == [false; CONTROLLERS] && before == 0);
     assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
     for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
         let over = job.told_done || job.told_cancelled.is_some();
@@ -85,24 +87,24 @@
 fn troubles_in_the_midst_of_a_roll() {
     for seed in 310..334 {
         let random = &mut StdRng::seed_from_u64(seed);
-        let node = random.random_range(0..NODES);
+        let node = random.random_range(0..CONTROLLERS);
         let at = random.random_range(18_000..45_000);
         let until = at + random.random_range(3000..20_000);
         let trouble: [fn(usize, bool) -> Fault; 6] = [
             |_, on| Fault::Outage(on),
             |_, on| Fault::CutZones(on),
             Fault::CutNode,
-            |_, on| Fault::Mesh(on),
-            Fault::Refused,
-            Fault::Stand,
+            |_, on| Fault::RefusePeerConnections(on),
+            Fault::StoreRefuses,
+            Fault::Stall,
         ];
         let trouble = trouble[seed as usize % 6];
         let mut faults = vec![(at, trouble(node, true)), (until, trouble(node, false))];
         if seed % 2 == 0 {
-            faults.extend((0..NODES).map(|node| (35_000, Fault::Crash(node))));
+            faults.extend((0..CONTROLLERS).map(|node| (35_000, Fault::Crash(node))));
         }
-        let first = random.random_range(0..NODES);
-        let order = [first, (first + 1) % NODES, (first + 2) % NODES];
+        let first = random.random_range(0..CONTROLLERS);
+        let order = [first, (first + 1) % CONTROLLERS, (first + 2) % CONTROLLERS];
         roll(seed, order, &faults);
     }
 }
@@ -114,22 +116,22 @@
         let random = &mut StdRng::seed_from_u64(seed);
         let mut world = World::new(seed);
         pipelines(&mut world, 5000, 9);
-        let node = random.random_range(0..NODES);
+        let node = random.random_range(0..CONTROLLERS);
         let at = random.random_range(8000..40_000);
         let until = at + random.random_range(5000..25_000);
         let faults: [[Fault; 2]; 6] = [
-            [Fault::Crash(node), Fault::TakeSpot],
+            [Fault::Crash(node), Fault::ReclaimSpotMachines],
             [Fault::Outage(true), Fault::Outage(false)],
             [Fault::CutZones(true), Fault::CutZones(false)],
             [Fault::CutNode(node, true), Fault::CutNode(node, false)],
-            [Fault::Polls(true), Fault::Crash(node)],
-            [Fault::Refused(node, true), Fault::Refused(node, false)],
+            [Fault::PollStorm(true), Fault::Crash(node)],
+            [Fault::StoreRefuses(node, true), Fault::StoreRefuses(node, false)],
         ];
         let [begins, ends] = faults[seed as usize % 6];
-        world.at(at, Due::Fault(begins));
-        world.at(until, Due::Fault(ends));
+        world.at(at, SimEvent::Fault(begins));
+        world.at(until, SimEvent::Fault(ends));
         world.run(170_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
         assert!(world.jobs.values().all(over), "seed {seed}");
         // Closing jobs of pipelines that nobody cancelled are done.
@@ -157,18 +159,18 @@
         world.jobs.get_mut(&4).unwrap().spec.zone = Some("a".into());
         world.run(30_000);
         inside += usize::from(world.leader() == 1);
-        world.fault(Fault::Island(true));
+        world.fault(Fault::IsolateZone(true));
         match seed % 4 {
             // The leader outside ends while the cut lasts; or the one inside does.
-            0 => world.at(40_000, Due::Fault(Fault::Crash(2 * (seed as usize / 4 % 2)))),
-            1 if seed % 8 == 1 => world.at(45_000, Due::Fault(Fault::Crash(1))),
+            0 => world.at(40_000, SimEvent::Fault(Fault::Crash(2 * (seed as usize / 4 % 2)))),
+            1 if seed % 8 == 1 => world.at(45_000, SimEvent::Fault(Fault::Crash(1))),
             2 => {
-                world.at(42_000, Due::Fault(Fault::Outage(true)));
-                world.at(50_000, Due::Fault(Fault::Outage(false)));
+                world.at(42_000, SimEvent::Fault(Fault::Outage(true)));
+                world.at(50_000, SimEvent::Fault(Fault::Outage(false)));
             }
             _ => {}
         }
-        world.at(78_000, Due::Fault(Fault::Island(false)));
+        world.at(78_000, SimEvent::Fault(Fault::IsolateZone(false)));
         world.run(78_000);
         // What has nothing there was cancelled at once, but for an outage or a new leader.
         let other = &world.jobs[&4];
@@ -178,7 +180,7 @@
         put_off += (0..3).map(|n| world.jobs[&n].put_off).sum::<u32>();
         told_in_the_cut += (0..3).filter(|n| world.jobs[n].told_cancelled.is_some()).count();
         world.run(140_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!((0..3).all(|n| world.jobs[&n].told_cancelled.is_some()), "seed {seed}");
         if seed % 8 != 1 {
             let lost = world.workers.values().filter(|w| w.zone == 1 && w.agent_epoch > 1).count();
@@ -199,7 +201,7 @@
     world.run(30_000);
     assert_eq!(world.running(0), 4);
     world.fault(begins);
-    world.at(55_000, Due::Fault(ends));
+    world.at(55_000, SimEvent::Fault(ends));
     world.run(80_000);
     // Replicas may be moved by command, but no machine has lost its lease or been given up.
     let lost =
@@ -219,7 +221,7 @@
 fn crashes_of_one_and_of_all() {
     for seed in 10..16 {
         let all = [Fault::Crash(0), Fault::Crash(1), Fault::Crash(2)];
-        let mut faults = vec![(20_000, all[seed as usize % 3]), (33_000, Fault::TakeMachine)];
+        let mut faults = vec![(20_000, all[seed as usize % 3]), (33_000, Fault::ReclaimMachine)];
         faults.extend(all.map(|fault| (50_000, fault)));
         World::day(seed, &faults);
     }
@@ -234,25 +236,27 @@
     while t < 100_000 {
         let back = random.random_range(50..900);
         let nodes: Vec<usize> = match random.random_range(0..4) {
-            0 => (0..NODES).collect(),
-            1 => vec![random.random_range(0..NODES)],
-            _ => (0..NODES).filter(|_| random.random_range(0..2) == 0).collect(),
+            0 => (0..CONTROLLERS).collect(),
+            1 => vec![random.random_range(0..CONTROLLERS)],
+            _ => (0..CONTROLLERS).filter(|_| random.random_range(0..2) == 0).collect(),
         };
-        faults.extend(nodes.iter().map(|node| (t, Fault::Blink(*node, back))));
+        faults.extend(nodes.iter().map(|node| (t, Fault::CrashAndRestart(*node, back))));
         // Again while they look for a leader, or while the next one takes over.
         if random.random_range(0..2) == 0 {
             let again = t + back + random.random_range(100..3500);
-            faults.extend(nodes.iter().map(|node| (again, Fault::Blink(*node, back / 2 + 50))));
+            faults.extend(
+                nodes.iter().map(|node| (again, Fault::CrashAndRestart(*node, back / 2 + 50))),
+            );
         }
         let (begins, ends) = match random.random_range(0..5) {
             0 => (Fault::Outage(true), Fault::Outage(false)),
             1 => (Fault::CutZones(true), Fault::CutZones(false)),
-            2 => (Fault::Mesh(true), Fault::Mesh(false)),
+            2 => (Fault::RefusePeerConnections(true), Fault::RefusePeerConnections(false)),
             3 => (
-                Fault::Refused(nodes.first().copied().unwrap_or(0), true),
-                Fault::Refused(0, false),
+                Fault::StoreRefuses(nodes.first().copied().unwrap_or(0), true),
+                Fault::StoreRefuses(0, false),
             ),
-            _ => (Fault::Polls(true), Fault::Polls(false)),
+            _ => (Fault::PollStorm(true), Fault::PollStorm(false)),
         };
         let begin = t.saturating_sub(random.random_range(0..3000));
         faults.extend([(begin, begins), (t + random.random_range(500..6000), ends)]);
@@ -334,14 +338,14 @@
         let busy = |w: &&Worker| !w.tasks.is_empty();
         let before = world.workers.values().filter(busy).count();
         world.fault(Fault::CutWorkers(true));
-        world.at(75_000, Due::Fault(Fault::CutWorkers(false)));
+        world.at(75_000, SimEvent::Fault(Fault::CutWorkers(false)));
         world.run(74_000);
         // They run on where they ran, in the session they had.
         let kept = world.workers.values().filter(busy).filter(|w| w.agent_epoch == 1);
         assert_eq!((world.running(0), kept.count()), (4, before), "seed {seed}");
         world.run(100_000);
         assert_eq!(world.running(0), 4, "seed {seed}");
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
 }
 
@@ -357,16 +361,16 @@
         for n in 1..16 {
             world.submit_at(24_000 + n * 450, n, n % 2 == 0, Some(30_500 + n * 100));
         }
-        world.at(30_000, Due::Fault(Fault::CutZones(true)));
-        world.at(90_000, Due::Fault(Fault::CutZones(false)));
+        world.at(30_000, SimEvent::Fault(Fault::CutZones(true)));
+        world.at(90_000, SimEvent::Fault(Fault::CutZones(false)));
         world.run(89_000);
-        let start = |due: &&Due| {
-            matches!(due, Due::DirectCall(_, _, _, DirectCall::Do(orders))
+        let start = |due: &&SimEvent| {
+            matches!(due, SimEvent::DirectCall(_, _, _, DirectCall::Do(orders))
             if orders.orders.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
         };
         held += world.held.iter().filter(start).count();
         world.run(110_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
     assert!(held > 0, "no start was held back");
 }
@@ -376,21 +380,21 @@
 #[test]
 fn troubles_of_cloud_machines_and_single_nodes() {
     let troubles: [fn(usize, bool) -> Fault; 7] = [
-        Fault::Refused,
+        Fault::StoreRefuses,
         |_, on| Fault::CloudOutage(on),
-        |_, on| Fault::Capacity(if on { [2, 2] } else { PLENTY }),
-        |_, on| Fault::BadBoots(on),
-        |_, on| Fault::Mesh(on),
+        |_, on| Fault::Capacity(if on { [2, 2] } else { DEFAULT_CAPACITY }),
+        |_, on| Fault::FailedBoots(on),
+        |_, on| Fault::RefusePeerConnections(on),
         Fault::SlowNode,
         |_, on| Fault::SlowMachines(on),
     ];
     for seed in 100..114 {
-        let node = seed as usize % NODES;
+        let node = seed as usize % CONTROLLERS;
         let (one, two) = (troubles[seed as usize % 7], troubles[(seed as usize + 1) % 7]);
         let mut faults = vec![(12_000, one(node, true)), (40_000, one(node, false))];
         if seed >= 107 {
             faults.extend([(20_000, two(node, true)), (45_000, two(node, false))]);
-            faults.push((25_000, Fault::TakeSpot));
+            faults.push((25_000, Fault::ReclaimSpotMachines));
         }
         World::day(seed, &faults);
     }
@@ -410,12 +414,12 @@
         let leader = world.leader();
         let from = world.starts;
         world.fault(Fault::CutZones(true));
-        world.fault([Fault::Crash, |n| Fault::Stand(n, true)][seed as usize % 2](leader));
-        world.at(41_000, Due::Fault(Fault::Stand(leader, false)));
-        world.at(60_000, Due::Fault(Fault::CutZones(false)));
+        world.fault([Fault::Crash, |n| Fault::Stall(n, true)][seed as usize % 2](leader));
+        world.at(41_000, SimEvent::Fault(Fault::Stall(leader, false)));
+        world.at(60_000, SimEvent::Fault(Fault::CutZones(false)));
         world.submit_at(35_000, 8, false, None);
         world.run(120_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!(world.starts > from && world.jobs[&8].told_done, "seed {seed}");
         assert!((0..8).step_by(2).all(|n| world.running(n) == 4), "seed {seed}");
     }
@@ -433,16 +437,16 @@
         world.run(30_000);
         let running = |world: &World| (0..4).map(|n| world.running(n)).sum::<usize>();
         assert_eq!(running(&world), 16);
-        let off: [fn(usize) -> Fault; 2] = [|node| Fault::Stand(node, true), Fault::Down];
+        let off: [fn(usize) -> Fault; 2] = [|node| Fault::Stall(node, true), Fault::Down];
         let leader = world.leader();
-        for node in [leader, (leader + 1) % NODES] {
+        for node in [leader, (leader + 1) % CONTROLLERS] {
             world.fault(off[seed as usize % 2](node));
-            world.at(52_000, Due::Fault(Fault::Stand(node, false)));
+            world.at(52_000, SimEvent::Fault(Fault::Stall(node, false)));
         }
         world.run(120_000);
         let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
         assert_eq!((running(&world), lost), (16, 0), "seed {seed}");
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
 }
 
@@ -459,20 +463,20 @@
         world.run(30_000);
         // Leases count from when the old leader ends, so it goes last whoever it is.
         let led = world.leader();
-        let deaf = (led + 1) % NODES;
-        world.fault(Fault::Deaf(deaf, true));
-        for n in 0..NODES {
-            let crash = Fault::Crash((deaf + n) % NODES);
-            world.at(30_100 + 1000 * n as u64, Due::Fault(crash));
+        let deaf = (led + 1) % CONTROLLERS;
+        world.fault(Fault::CutControllerFromWorkers(deaf, true));
+        for n in 0..CONTROLLERS {
+            let crash = Fault::Crash((deaf + n) % CONTROLLERS);
+            world.at(30_100 + 1000 * n as u64, SimEvent::Fault(crash));
         }
         world.run(38_000);
         deaf_led += u32::from(world.leader() == deaf);
-        world.at(60_000, Due::Fault(Fault::Deaf(deaf, false)));
+        world.at(60_000, SimEvent::Fault(Fault::CutControllerFromWorkers(deaf, false)));
         world.run(90_000);
         let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
         let running = (0..4).map(|n| world.running(n)).sum::<usize>();
         assert_eq!((running, lost), (16, 0), "seed {seed}");
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
     assert!(deaf_led > 3, "{deaf_led}");
 }
@@ -482,26 +486,26 @@
 #[test]
 fn controllers_stand_still_and_act_on_no_moment_that_has_passed() {
     let others: [fn(usize, bool) -> Fault; 5] = [
-        |_, on| Fault::Polls(on),
+        |_, on| Fault::PollStorm(on),
         |_, on| Fault::Outage(on),
         |_, on| Fault::CutZones(on),
         Fault::CutNode,
-        Fault::Refused,
+        Fault::StoreRefuses,
     ];
     for seed in 210..240 {
         let random = &mut StdRng::seed_from_u64(seed);
         let mut faults = Vec::new();
         let mut at = 12_000;
         while at < 90_000 {
-            let node = random.random_range(0..NODES);
+            let node = random.random_range(0..CONTROLLERS);
             let ms = [700, 1500, 2500, 4000, 9000, 16_000, 30_000][random.random_range(0..7)];
-            faults.push((at, Fault::Stand(node, true)));
-            faults.push((at + ms, Fault::Stand(node, false)));
+            faults.push((at, Fault::Stall(node, true)));
+            faults.push((at + ms, Fault::Stall(node, false)));
             at += ms + random.random_range(500..9000);
         }
         let other = others[seed as usize % 5];
         let at = random.random_range(15_000..70_000);
-        let node = random.random_range(0..NODES);
+        let node = random.random_range(0..CONTROLLERS);
         faults.push((at, other(node, true)));
         faults.push((at + random.random_range(5000..20_000), other(node, false)));
         if seed >= 225 {
@@ -521,11 +525,11 @@
         for n in 0..16 {
             let mistaken = n % 4 == 1;
             world.submit_at(3000 + n * 1500, n, n % 5 == 4, mistaken.then_some(70_000));
-            world.jobs.get_mut(&n).unwrap().broken = mistaken;
+            world.jobs.get_mut(&n).unwrap().always_fails = mistaken;
         }
-        world.at(30_000, Due::Fault(Fault::Crash(seed as usize % NODES)));
+        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
         world.run(150_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
         let array = |job: &&UserJob| job.spec.shape == JobKind::Array;
         assert!(world.jobs.values().filter(array).all(over), "seed {seed}");
@@ -544,9 +548,9 @@
         for n in 1..60 {
             world.submit_at(20_000 + n * 50, n, false, None);
         }
-        world.at(30_000, Due::Fault(Fault::Crash(seed as usize % NODES)));
+        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
         world.run(170_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!(world.jobs.values().skip(1).all(|job| job.told_done), "seed {seed}");
     }
 }
@@ -559,7 +563,7 @@
         for _ in 0..5 {
             let at = random.random_range(15_000..80_000);
             let until = at + random.random_range(3000..25_000);
-            let node = random.random_range(0..NODES);
+            let node = random.random_range(0..CONTROLLERS);
             match random.random_range(0..5) {
                 0 => faults.push((at, Fault::Crash(node))),
                 1 => faults.extend([
@@ -568,7 +572,7 @@
                 ]),
                 2 => faults.extend([(at, Fault::CutZones(true)), (until, Fault::CutZones(false))]),
                 3 => faults.extend([(at, Fault::Outage(true)), (until, Fault::Outage(false))]),
-                _ => faults.push((at, Fault::TakeMachine)),
+                _ => faults.push((at, Fault::ReclaimMachine)),
             }
         }
         World::day(seed, &faults);
@@ -618,7 +622,7 @@
         order(&mut world, DrainKind::Zone, "a", Some(40_000), true);
         if seed % 2 == 0 {
             let leader = world.leader();
-            world.at(53_000, Due::Fault(Fault::Crash(leader)));
+            world.at(53_000, SimEvent::Fault(Fault::Crash(leader)));
         }
         let mut until = 50_000;
         while tasks_in(&world, 0) > 0 {
@@ -636,7 +640,7 @@
         // With zone b to be left, all goes back to a.
         order(&mut world, DrainKind::Zone, "b", None, true);
         world.run(240_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert_eq!(tasks_in(&world, 1), 0, "seed {seed}");
         for (number, job) in &world.jobs {
             let service = job.spec.shape == JobKind::Service;
@@ -652,15 +656,15 @@
 /// remains is told. While the other zone is cut off nothing moves at all.
 #[test]
 fn a_drain_that_cannot_be_carried_out_stops_nothing_and_says_so() {
-    for (seed, cut) in [(710, false), (711, true)] {
+    for (seed, is_partitioned) in [(710, false), (711, true)] {
         let mut world = World::new(seed);
         world.submit_at(3000, 0, true, None);
         world.submit_at(3000, 1, true, None);
         world.jobs.get_mut(&1).unwrap().spec.spread = false;
         world.run(40_000);
         // The leader stays on the side of the zone that is to be left.
-        if cut {
-            world.fault(Fault::Island(true));
+        if is_partitioned {
+            world.fault(Fault::IsolateZone(true));
         }
         order(&mut world, DrainKind::Zone, "a", Some(20_000), true);
         world.run(52_000);
@@ -668,17 +672,17 @@
         let here = world.workers.values().filter(|w| w.zone == 0 && !w.gone);
         let stayed = here.flat_map(|w| w.tasks.keys()).filter(|task| task.job == spread).count();
         assert_eq!((stayed, world.running(0)), (2, 4), "seed {seed}");
-        if !cut {
+        if !is_partitioned {
             let node = world.nodes[world.leader()].as_ref().unwrap();
             let told = node.scheduler.as_ref().unwrap().drains(&node.state.cache, world.now());
             assert_eq!((told.drains[0].left, told.drains[0].stuck), (Some(2), Some(2)));
             assert_eq!(world.running(1), 4);
         }
-        if cut {
-            world.fault(Fault::Island(false));
+        if is_partitioned {
+            world.fault(Fault::IsolateZone(false));
         }
         world.run(110_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert_eq!((world.running(0), world.running(1)), (4, 4), "seed {seed}");
     }
 }
@@ -698,7 +702,7 @@
         let mut until = 30_000;
         world.run(until);
         let mut led = Vec::new();
-        for _ in 0..NODES {
+        for _ in 0..CONTROLLERS {
             let leader = world.leader();
             led.push(leader);
             order(&mut world, DrainKind::Controller, &format!("n-{leader}"), None, true);
@@ -708,15 +712,15 @@
                 assert_eq!((world.running(0), world.running(1)), (4, 4), "seed {seed}, {until}");
             }
             let next = world.leader();
-            assert_eq!(next == leader, led.len() == NODES, "seed {seed}: {led:?}, {next}");
+            assert_eq!(next == leader, led.len() == CONTROLLERS, "seed {seed}: {led:?}, {next}");
         }
         // In the end a drained one that crashes is no loss, and undrained ones lead again.
-        for node in 0..NODES {
+        for node in 0..CONTROLLERS {
             order(&mut world, DrainKind::Controller, &format!("n-{node}"), None, false);
         }
-        world.at(until + 1000, Due::Fault(Fault::Crash(led[NODES - 1])));
+        world.at(until + 1000, SimEvent::Fault(Fault::Crash(led[CONTROLLERS - 1])));
         world.run(150_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!(world.jobs.values().skip(2).all(|job| job.told_done), "seed {seed}");
     }
 }
@@ -727,9 +731,9 @@
 fn scarce_day(seed: u64, floor: f64, faults: &[(u64, Fault)]) -> (f64, f64) {
     let mut world = World::new(seed);
     world.floor = floor;
-    for node in 0..NODES {
+    for node in 0..CONTROLLERS {
         world.nodes[node] =
-            Controller::new(settings(NODES, node, false, floor), seed * 10, world.wall());
+            Controller::new(settings(CONTROLLERS, node, false, floor), seed * 10, world.wall());
     }
     world.capacity = [2, 0];
     let services: Vec<u64> = (100..125).collect();
@@ -741,7 +745,7 @@
         world.submit_at(n * 4000, n, false, None);
     }
     for (t, fault) in faults {
-        world.at(*t, Due::Fault(*fault));
+        world.at(*t, SimEvent::Fault(*fault));
     }
     let (mut up, mut wanted) = (0, 0);
     for s in 0..200 {
@@ -754,7 +758,7 @@
             }
         }
     }
-    assert!(world.broken.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.broken);
+    assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
     // Those of the last 40 s may still run.
     let done = (5..40).filter(|n| world.jobs[n].told_done).count();
     (done as f64 / 35.0, up as f64 / wanted as f64)
@@ -765,7 +769,7 @@
 fn no_class_starves_where_room_is_scarce() {
     let (done, _) = scarce_day(1, 0.0, &[]);
     assert!(done < 0.35, "by priority alone services leave nothing: {done}");
-    let crash_all: Vec<_> = (0..NODES).map(|n| (70_000, Fault::Crash(n))).collect();
+    let crash_all: Vec<_> = (0..CONTROLLERS).map(|n| (70_000, Fault::Crash(n))).collect();
     let all = [
         vec![],
         vec![(50_000, Fault::Crash(0)), (80_000, Fault::Crash(1)), (110_000, Fault::Crash(2))],
@@ -792,12 +796,12 @@
             world.submit_at(n * 3000, n, false, None);
         }
         for (t, fault) in [
-            (30_000, Fault::Busy(cost)),
-            (30_000, Fault::Polls(true)),
-            (70_000, Fault::Busy(0)),
-            (70_000, Fault::Polls(false)),
+            (30_000, Fault::EventCost(cost)),
+            (30_000, Fault::PollStorm(true)),
+            (70_000, Fault::EventCost(0)),
+            (70_000, Fault::PollStorm(false)),
         ] {
-            world.at(t, Due::Fault(fault));
+            world.at(t, SimEvent::Fault(fault));
         }
         world.run(69_000);
         let longest = world.lines.iter().map(VecDeque::len).max().unwrap();
@@ -808,7 +812,7 @@
         let up: Vec<usize> = (0..4).map(|n| world.running(n)).collect();
         assert_eq!(up, [4; 4], "cost {cost}: 20 s after it");
         world.run(160_000);
-        assert!(world.broken.is_empty(), "cost {cost}: {:#?}", world.broken);
+        assert!(world.violations.is_empty(), "cost {cost}: {:#?}", world.violations);
         assert!((4..24).all(|n| world.jobs[&n].told_done), "cost {cost}");
     }
 }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use troutspindle::ids::JobId;
 use troutspindle::wire::JobKind;
-use troutspindle_simulation::{Due, Fault, World, seeds_asked};
+use troutspindle_simulation::{Fault, SimEvent, World, seeds_requested};
 
 const BEGIN: u64 = 30_000;
 /// All troubles are over by then.
@@ -18,25 +18,44 @@
 
 /// A trouble by its number, about this node, for so long.
 fn trouble(kind: usize, node: usize, zone: usize) -> (&'static str, Fault, Option<Fault>) {
-    use Fault::*;
     match kind {
-        0 => ("late writes", LateWrites(true), Some(LateWrites(false))),
-        1 => ("late reports", LateReports(true), Some(LateReports(false))),
-        2 => ("deaf workers", DeafWorkers(zone, true), Some(DeafWorkers(zone, false))),
-        3 => ("hung workers", Hang(zone, true), Some(Hang(zone, false))),
-        4 => ("alone", Alone(node, true), Some(Alone(node, false))),
-        5 => ("refused", Refused(node, true), Some(Refused(node, false))),
-        6 => ("outage", Outage(true), Some(Outage(false))),
-        7 => ("back at once", Blink(node, 60), None),
-        8 => ("crash", Blink(node, 4000), None),
-        9 => ("cut node", CutNode(node, true), Some(CutNode(node, false))),
-        10 => ("cut zones", CutZones(true), Some(CutZones(false))),
-        11 => ("island", Island(true), Some(Island(false))),
-        12 => ("cut workers", CutWorkers(true), Some(CutWorkers(false))),
-        13 => ("stands still", Stand(node, true), Some(Stand(node, false))),
-        14 => ("no mesh", Mesh(true), Some(Mesh(false))),
-        15 => ("deaf node", Deaf(node, true), Some(Deaf(node, false))),
-        _ => ("all end", Blink(0, 300), None),
+        0 => ("late writes", Fault::DelayedCommits(true), Some(Fault::DelayedCommits(false))),
+        1 => {
+            ("late reports", Fault::DelayedHeartbeats(true), Some(Fault::DelayedHeartbeats(false)))
+        }
+        2 => (
+            "deaf workers",
+            Fault::DropResponsesToWorkers(zone, true),
+            Some(Fault::DropResponsesToWorkers(zone, false)),
+        ),
+        3 => {
+            ("hung workers", Fault::HangWorkers(zone, true), Some(Fault::HangWorkers(zone, false)))
+        }
+        4 => (
+            "alone",
+            Fault::IsolateController(node, true),
+            Some(Fault::IsolateController(node, false)),
+        ),
+        5 => ("refused", Fault::StoreRefuses(node, true), Some(Fault::StoreRefuses(node, false))),
+        6 => ("outage", Fault::Outage(true), Some(Fault::Outage(false))),
+        7 => ("back at once", Fault::CrashAndRestart(node, 60), None),
+        8 => ("crash", Fault::CrashAndRestart(node, 4000), None),
+        9 => ("cut node", Fault::CutNode(node, true), Some(Fault::CutNode(node, false))),
+        10 => ("cut zones", Fault::CutZones(true), Some(Fault::CutZones(false))),
+        11 => ("island", Fault::IsolateZone(true), Some(Fault::IsolateZone(false))),
+        12 => ("cut workers", Fault::CutWorkers(true), Some(Fault::CutWorkers(false))),
+        13 => ("stands still", Fault::Stall(node, true), Some(Fault::Stall(node, false))),
+        14 => (
+            "no mesh",
+            Fault::RefusePeerConnections(true),
+            Some(Fault::RefusePeerConnections(false)),
+        ),
+        15 => (
+            "deaf node",
+            Fault::CutControllerFromWorkers(node, true),
+            Some(Fault::CutControllerFromWorkers(node, false)),
+        ),
+        _ => ("all end", Fault::CrashAndRestart(0, 300), None),
     }
 }
 const KINDS: usize = 17;
@@ -89,36 +108,39 @@
                 continue;
             }
             let abort = at + random.random_range(0..1200) - 1000;
-            let job_at = &mut world.jobs.get_mut(&job).unwrap().abort_at;
+            let job_at = &mut world.jobs.get_mut(&job).unwrap().cancel_at;
             if job_at.is_none() {
                 *job_at = Some(abort);
-                world.at(abort, Due::User(job));
+                world.at(abort, SimEvent::User(job));
             }
         }
         what += &format!(", {name} ({node}) at {at} for {lasts}");
-        world.at(at, Due::Fault(begins));
+        world.at(at, SimEvent::Fault(begins));
         if kind == 16 {
             for other in 1..3 {
-                world.at(at + 150 * other as u64, Due::Fault(Fault::Blink(other, 300)));
+                world.at(
+                    at + 150 * other as u64,
+                    SimEvent::Fault(Fault::CrashAndRestart(other, 300)),
+                );
             }
         }
         if let Some(ends) = ends {
-            world.at((at + lasts).min(OVER), Due::Fault(ends));
+            world.at((at + lasts).min(OVER), SimEvent::Fault(ends));
         }
     }
     for job in 21..25 {
-        world.jobs.get_mut(&job).unwrap().abort_at.get_or_insert(OVER);
+        world.jobs.get_mut(&job).unwrap().cancel_at.get_or_insert(OVER);
     }
     world.run(OVER + 85_000);
     for (n, job) in &world.jobs {
         let cancelled = job.told_cancelled.is_some();
-        if job.last_good + 75_000 < world.t {
-            world.broken.push(format!("forgotten: nobody is told of {n}"));
+        if job.last_good + 75_000 < world.now_ms {
+            world.violations.push(format!("forgotten: nobody is told of {n}"));
         }
         if job.spec.shape == JobKind::Service && !cancelled && world.running(*n) != 4 {
-            world.broken.push(format!("service {n} does not run"));
+            world.violations.push(format!("service {n} does not run"));
         } else if job.spec.shape != JobKind::Service && !job.told_done && !cancelled {
-            world.broken.push(format!("{n} is not over"));
+            world.violations.push(format!("{n} is not over"));
         }
     }
     Day { world, what }
@@ -136,16 +158,16 @@
 }
 
 fn meetings(seeds: impl Iterator<Item = u64>) -> usize {
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in seeds {
         let Day { world, what } = meeting(seed);
-        if !world.broken.is_empty() {
-            broken += 1;
-            let some = &world.broken[..world.broken.len().min(3)];
+        if !world.violations.is_empty() {
+            violations += 1;
+            let some = &world.violations[..world.violations.len().min(3)];
             println!("seed {seed}, {what}: {some:#?}");
         }
     }
-    broken
+    violations
 }
 
 #[test]
@@ -156,9 +178,9 @@
 #[test]
 #[ignore = "minutes; SEEDS: from which to which"]
 fn thousands_of_meetings() {
-    let seeds = seeds_asked("1000..2000");
+    let seeds = seeds_requested("1000..2000");
     let days = seeds.end - seeds.start;
-    let broken = meetings(seeds);
-    println!("{days} days, {broken} broken");
-    assert_eq!(broken, 0);
+    let violations = meetings(seeds);
+    println!("{days} days, {violations} broken");
+    assert_eq!(violations, 0);
 }
--- a/tests/refused_leader.rs
+++ b/tests/refused_leader.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use troutspindle::ids::JobId;
-use troutspindle_simulation::{Due, Fault, UserJob, World, ZONES};
+use troutspindle_simulation::{Fault, SimEvent, UserJob, World, ZONES};
 
 const REFUSED_AT: u64 = 30_000;
 /// Longer than a cancelled job has, and than any bound of the controllers.
@@ -79,14 +79,14 @@
     put_off: u32,
     /// Machines that lost their lease.
     lost: usize,
-    broken: usize,
+    violations: usize,
 }
 
 fn play(row: Row, seed: u64) -> (Seen, Vec<String>) {
-    let mut world = World::of_size(seed, row.nodes, row.extra == Extra::Production);
+    let mut world = World::with_controllers(seed, row.nodes, row.extra == Extra::Production);
     world.long_tasks = true;
     if row.extra == Extra::Production {
-        world.at(8000, Due::Fault(Fault::Upgrade(seed as usize % row.nodes)));
+        world.at(8000, SimEvent::Fault(Fault::Upgrade(seed as usize % row.nodes)));
     }
     for n in 0..6 {
         let service = n % 2 == 0;
@@ -110,40 +110,46 @@
         let old = world.leader();
         let others: Vec<usize> = (0..row.nodes).filter(|n| *n != old).collect();
         let some = others.get(seed as usize % others.len().max(1)).copied();
-        world.abort_at = match row.confirmer {
+        world.cancel_at = match row.confirmer {
             Confirmer::Follower | Confirmer::Restarted => some,
             _ => None,
         };
         if row.confirmer == Confirmer::Restarted {
-            world.fault(Fault::Blink(some.unwrap_or(0), 200));
+            world.fault(Fault::CrashAndRestart(some.unwrap_or(0), 200));
         }
-        world.forgets = (row.confirmer == Confirmer::Forgets).then_some(300);
+        world.restarts_after_cancellation = (row.confirmer == Confirmer::Forgets).then_some(300);
         world.run(at);
-        world.fault(Fault::Refused(old, true));
+        world.fault(Fault::StoreRefuses(old, true));
         match row.links {
             Links::All => {}
-            Links::Cut | Links::Back => world.fault(Fault::Alone(old, true)),
-            Links::Mute => world.fault(Fault::Mute(old, true)),
-            Links::Unhearing => world.fault(Fault::Unhearing(old, true)),
+            Links::Cut | Links::Back => world.fault(Fault::IsolateController(old, true)),
+            Links::Mute => world.fault(Fault::DropOutgoingPeerMessages(old, true)),
+            Links::Unhearing => world.fault(Fault::DropIncomingPeerMessages(old, true)),
         }
         match row.extra {
             Extra::Deaf => {
-                world.fault(Fault::DeafWorkers(1, true));
-                world.at(at + row.gap + 8000, Due::Fault(Fault::DeafWorkers(1, false)));
+                world.fault(Fault::DropResponsesToWorkers(1, true));
+                world.at(
+                    at + row.gap + 8000,
+                    SimEvent::Fault(Fault::DropResponsesToWorkers(1, false)),
+                );
             }
             Extra::CutWorkers => {
                 world.fault(Fault::CutWorkers(true));
-                world.at(at + row.gap + 8000, Due::Fault(Fault::CutWorkers(false)));
+                world.at(at + row.gap + 8000, SimEvent::Fault(Fault::CutWorkers(false)));
             }
             _ => {}
         }
         match row.old {
             Old::Stands => {}
             Old::Sleeps => {
-                world.at(at + row.gap.saturating_sub(500), Due::Fault(Fault::Stand(old, true)));
-                world.at(at + row.gap + 9000, Due::Fault(Fault::Stand(old, false)));
+                world
+                    .at(at + row.gap.saturating_sub(500), SimEvent::Fault(Fault::Stall(old, true)));
+                world.at(at + row.gap + 9000, SimEvent::Fault(Fault::Stall(old, false)));
+            }
+            Old::Blinks(after) => {
+                world.at(at + after, SimEvent::Fault(Fault::CrashAndRestart(old, 300)))
             }
-            Old::Blinks(after) => world.at(at + after, Due::Fault(Fault::Blink(old, 300))),
         }
         // Users cancel all the while, the last of them just before the outage.
         let first = round * 2;
@@ -153,21 +159,21 @@
             }
             let before = [30, 60, 150, 400, 900, row.gap / 2][k % 6];
             let abort = (at + row.gap).saturating_sub(before).max(at - 20);
-            world.jobs.get_mut(&n).unwrap().abort_at = Some(abort);
-            world.at(abort, Due::User(n));
+            world.jobs.get_mut(&n).unwrap().cancel_at = Some(abort);
+            world.at(abort, SimEvent::User(n));
         }
         let out = at + row.gap;
         world.run(out);
         if row.confirmer == Confirmer::Leader {
-            world.abort_at = others.iter().copied().find(|node| world.leads(*node)).or(some);
+            world.cancel_at = others.iter().copied().find(|node| world.leads(*node)).or(some);
         }
         world.fault(Fault::Outage(true));
         if row.links == Links::Back {
-            world.fault(Fault::Alone(old, false));
+            world.fault(Fault::IsolateController(old, false));
         }
         if row.confirmer == Confirmer::AllForget {
             for node in &others {
-                world.fault(Fault::Blink(*node, 200));
+                world.fault(Fault::CrashAndRestart(*node, 200));
             }
         }
         let end = out + OUTAGE_MS;
@@ -179,33 +185,33 @@
         let since = told.iter().filter_map(|job| job.told_cancelled).min();
         seen.answered |= since.is_some_and(|since| world.answered[old] > since);
         world.fault(Fault::Outage(false));
-        world.fault(Fault::Refused(old, false));
-        world.fault(Fault::Alone(old, false));
-        world.fault(Fault::Mute(old, false));
-        world.fault(Fault::Unhearing(old, false));
-        world.forgets = None;
-        world.abort_at = None;
+        world.fault(Fault::StoreRefuses(old, false));
+        world.fault(Fault::IsolateController(old, false));
+        world.fault(Fault::DropOutgoingPeerMessages(old, false));
+        world.fault(Fault::DropIncomingPeerMessages(old, false));
+        world.restarts_after_cancellation = None;
+        world.cancel_at = None;
         at = end + 40_000;
     }
     world.run(at + 40_000);
     for (n, job) in &world.jobs {
-        if job.abort_at.is_some() && job.told_cancelled.is_none() {
-            world.broken.push(format!("{n} was never cancelled"));
+        if job.cancel_at.is_some() && job.told_cancelled.is_none() {
+            world.violations.push(format!("{n} was never cancelled"));
         }
-        if world.t > job.last_good + 75_000 {
-            world.broken.push(format!("forgotten: nobody is told of {n}"));
+        if world.now_ms > job.last_good + 75_000 {
+            world.violations.push(format!("forgotten: nobody is told of {n}"));
         }
         if job.told_cancelled.is_none()
             && job.spec.depends_on.is_none()
             && world.on_machines(*n) != 4
         {
-            world.broken.push(format!("{n} does not run"));
+            world.violations.push(format!("{n} does not run"));
         }
     }
     seen.put_off = world.jobs.values().map(|job| job.put_off).sum();
     seen.lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
-    seen.broken = world.broken.len();
-    (seen, world.broken)
+    seen.violations = world.violations.len();
+    (seen, world.violations)
 }
 
 fn rows() -> Vec<Row> {
@@ -256,8 +262,8 @@
     let mut kinds: BTreeMap<String, (usize, bool)> = BTreeMap::new();
     for row in rows().into_iter().filter(|row| gaps.contains(&row.gap)) {
         for seed in seeds.clone() {
-            let (seen, broken) = play(row, seed);
-            assert!(broken.is_empty(), "{row:?}, seed {seed}: {broken:#?}");
+            let (seen, violations) = play(row, seed);
+            assert!(violations.is_empty(), "{row:?}, seed {seed}: {violations:#?}");
             if row.links == Links::All && row.old == Old::Stands && row.nodes > 1 {
                 let kind = format!("{:?} {:?}", row.confirmer, row.extra);
                 let (confirmed, answered) = kinds.entry(kind).or_default();
@@ -308,7 +314,7 @@
 #[ignore = "a table for a person, minutes; SEEDS: how many of each row"]
 fn table() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(4);
-    let (mut broken, mut days) = (0, 0);
+    let (mut violations, mut days) = (0, 0);
     for row in rows() {
         let mut all = Seen::default();
         let mut first = None;
@@ -318,12 +324,12 @@
             all.answered |= seen.answered;
             all.put_off += seen.put_off;
             all.lost += seen.lost;
-            all.broken += usize::from(seen.broken > 0);
+            all.violations += usize::from(seen.violations > 0);
             first = first.or(what.first().cloned());
         }
         days += seeds;
-        broken += all.broken;
+        violations += all.violations;
         println!("{row:?}\n    {all:?} {}", first.unwrap_or_default());
     }
-    println!("{days} days, {broken} broken");
+    println!("{days} days, {violations} broken");
 }
