--- /dev/null
+++ b/tests/cluster/machines_and_jobs.rs
@@ -0,0 +1,95 @@
+//! Faults of machines, of the cloud and of jobs.
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use troutspindle::wire::JobKind;
+use troutspindle_simulation::{CONTROLLERS, DEFAULT_CAPACITY, Fault, SimEvent, UserJob, World};
+
+/// The troubles that the operators of the grown deployments list beyond the others here, alone
+/// and each together with the next.
+#[test]
+fn faults_of_the_cloud_of_machines_and_of_single_controllers() {
+    let troubles: [fn(usize, bool) -> Fault; 7] = [
+        Fault::StoreRefuses,
+        |_, on| Fault::CloudOutage(on),
+        |_, on| Fault::Capacity(if on { [2, 2] } else { DEFAULT_CAPACITY }),
+        |_, on| Fault::FailedBoots(on),
+        |_, on| Fault::RefusePeerConnections(on),
+        Fault::SlowNode,
+        |_, on| Fault::SlowMachines(on),
+    ];
+    for seed in 100..114 {
+        let node = seed as usize % CONTROLLERS;
+        let (one, two) = (troubles[seed as usize % 7], troubles[(seed as usize + 1) % 7]);
+        let mut faults = vec![(12_000, one(node, true)), (40_000, one(node, false))];
+        if seed >= 107 {
+            faults.extend([(20_000, two(node, true)), (45_000, two(node, false))]);
+            faults.push((25_000, Fault::ReclaimSpotMachines));
+        }
+        World::day(seed, &faults);
+    }
+}
+
+/// Jobs with a mistake among the others: nobody else notices, and they are never over before
+/// their user cancels them.
+#[test]
+fn jobs_that_always_fail_among_others() {
+    let mut starts = 0;
+    for seed in 240..246 {
+        let mut world = World::new(seed);
+        for n in 0..16 {
+            let mistaken = n % 4 == 1;
+            world.submit_at(3000 + n * 1500, n, n % 5 == 4, mistaken.then_some(70_000));
+            world.jobs.get_mut(&n).unwrap().always_fails = mistaken;
+        }
+        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
+        world.run(150_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
+        let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
+        let array = |job: &&UserJob| job.spec.shape == JobKind::Array;
+        assert!(world.jobs.values().filter(array).all(over), "seed {seed}");
+        starts += world.starts;
+    }
+    // One day takes from 90 to 157, by luck (seen in 100 seeds of this version and the one before,
+    // with the same mean of 112), so what is bounded is the sum.
+    assert!(starts < 6 * 130, "{starts}");
+}
+
+#[test]
+fn a_burst_of_jobs_is_served_within_its_team_s_quota() {
+    for seed in 120..124 {
+        let mut world = World::new(seed);
+        world.submit_at(3000, 0, true, None);
+        for n in 1..60 {
+            world.submit_at(20_000 + n * 50, n, false, None);
+        }
+        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
+        world.run(170_000);
+        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
+        assert!(world.jobs.values().skip(1).all(|job| job.told_done), "seed {seed}");
+    }
+}
+
+#[test]
+fn several_faults_at_once() {
+    for seed in 60..72 {
+        let random = &mut StdRng::seed_from_u64(seed);
+        let mut faults = Vec::new();
+        for _ in 0..5 {
+            let at = random.random_range(15_000..80_000);
+            let until = at + random.random_range(3000..25_000);
+            let node = random.random_range(0..CONTROLLERS);
+            match random.random_range(0..5) {
+                0 => faults.push((at, Fault::Crash(node))),
+                1 => faults.extend([
+                    (at, Fault::CutNode(node, true)),
+                    (until, Fault::CutNode(node, false)),
+                ]),
+                2 => faults.extend([(at, Fault::CutZones(true)), (until, Fault::CutZones(false))]),
+                3 => faults.extend([(at, Fault::Outage(true)), (until, Fault::Outage(false))]),
+                _ => faults.push((at, Fault::ReclaimMachine)),
+            }
+        }
+        World::day(seed, &faults);
+    }
+}
--- /dev/null
+++ b/tests/cluster/rolling_upgrade.rs
@@ -0,0 +1,80 @@
+//! Controllers are upgraded from the previous version while jobs run.
+
+use crate::dag::submit_dags;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use troutspindle::wire::{JobKind, Priority};
+use troutspindle_simulation::{CONTROLLERS, Fault, SimEvent, World};
+
+/// A roll from the old version to the new one in the order given, with pipelines once all are new.
+fn play_rolling_upgrade(seed: u64, order: [usize; CONTROLLERS], faults: &[(u64, Fault)]) {
+    let mut world = World::running_previous_version(seed, true);
+    world.submit_at(3000, 0, true, None);
+    for n in 1..12 {
+        world.submit_at(n * 3000, n, false, (n % 4 == 0).then_some(n * 3000 + 6000));
+    }
+    // So large that its marks don't fit one value, accepted by the old version.
+    world.submit_at(2500, 20, false, Some(112_000));
+    world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
+    world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
+    for (n, node) in order.into_iter().enumerate() {
+        world.at(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
+    }
+    // Asked for early: the first is refused until all are new, and not once started too early.
+    submit_dags(&mut world, 30_000, 9);
+    world.at(52_000, SimEvent::Fault(Fault::TightenStoreLimits));
+    for (t, fault) in faults {
+        world.at(*t, SimEvent::Fault(*fault));
+    }
+    world.run(19_900);
+    let before = world.too_large;
+    world.run(240_000);
+    assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
+    assert!(world.old == [false; CONTROLLERS] && before == 0);
+    assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
+    for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
+        let over = job.told_done || job.told_cancelled.is_some();
+        assert!(over, "seed {seed}, {faults:?}: {number} is not over");
+    }
+    assert_eq!(world.running(0), 4, "seed {seed}, {faults:?}");
+    // Nothing is left beside the records, whichever way a job ended.
+    let left: Vec<&String> =
+        world.store.keys.keys().filter(|key| key[..4] != *"t/j/" && key[..4] != *"t/a/").collect();
+    let stays = |key: &&String| ["t/m/", "t/x/", "t/e/"].contains(&&key[..4]);
+    assert!(left.iter().all(stays), "{left:?}");
+    world.check_learned();
+}
+
+#[test]
+fn controllers_are_upgraded_in_any_order() {
+    let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
+    for (n, order) in orders.into_iter().enumerate() {
+        play_rolling_upgrade(300 + n as u64, order, &[]);
+    }
+}
+
+#[test]
+fn faults_during_a_rolling_upgrade() {
+    for seed in 310..334 {
+        let random = &mut StdRng::seed_from_u64(seed);
+        let node = random.random_range(0..CONTROLLERS);
+        let at = random.random_range(18_000..45_000);
+        let until = at + random.random_range(3000..20_000);
+        let trouble: [fn(usize, bool) -> Fault; 6] = [
+            |_, on| Fault::Outage(on),
+            |_, on| Fault::CutZones(on),
+            Fault::CutNode,
+            |_, on| Fault::RefusePeerConnections(on),
+            Fault::StoreRefuses,
+            Fault::Stall,
+        ];
+        let trouble = trouble[seed as usize % 6];
+        let mut faults = vec![(at, trouble(node, true)), (until, trouble(node, false))];
+        if seed % 2 == 0 {
+            faults.extend((0..CONTROLLERS).map(|node| (35_000, Fault::Crash(node))));
+        }
+        let first = random.random_range(0..CONTROLLERS);
+        let order = [first, (first + 1) % CONTROLLERS, (first + 2) % CONTROLLERS];
+        play_rolling_upgrade(seed, order, &faults);
+    }
+}
