--- a/src/controller.rs
+++ b/src/controller.rs
@@ -186,7 +186,7 @@
     pub fn set_wall(&mut self, wall: WallClock) {
         self.api.wall = wall;
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.wall = wall;
+            scheduler.set_wall_clock(wall);
         }
     }
 
@@ -194,7 +194,7 @@
     pub fn took(&mut self, took: Duration, now: Instant) {
         self.pace.handled(took);
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.took(took, now);
+            scheduler.record_event_duration(took, now);
         }
     }
 
@@ -245,7 +245,7 @@
         now: Instant,
     ) {
         if let Some(scheduler) = &mut self.scheduler
-            && sent.is_none_or(|orders| orders.token == scheduler.token)
+            && sent.is_none_or(|orders| orders.token == scheduler.token())
             && !scheduler.on_direct(machine, sent, result, &self.state.cache, now)
         {
             tracing::info!(%machine, "a worker has seen a higher token");
@@ -409,7 +409,7 @@
             self.running_at = now + MESH_EVERY * 2;
             let running = scheduler.running();
             let counts = running.iter().map(|(id, n)| (id.clone(), *n)).take(1500).collect();
-            let token = scheduler.token;
+            let token = scheduler.token();
             self.api.running = running;
             self.broadcast(&PeerMessage::Running { token, counts });
         }
@@ -433,15 +433,15 @@
         let most_machines = self.ceiling.most();
         let machines = match &mut self.scheduler {
             Some(scheduler) => {
-                scheduler.pace(late, now);
-                scheduler.most_machines = most_machines;
-                let machines = scheduler.machines.len();
+                scheduler.adjust_pace(late, now);
+                scheduler.set_max_machines(most_machines);
+                let machines = scheduler.machine_count();
                 let shared = self.sharing.is_shared();
                 let free =
                     self.sockets.ours(self.open).1 + if shared { DELIVERIES_MORE } else { 0 };
                 // Orders that wait go with the answers to reports, which cost a fraction of a call.
                 let behind = !shared && scheduler.is_behind(now) && self.ceiling.is_large(machines);
-                scheduler.most_direct = if behind { free.min(DIRECT_BEHIND) } else { free };
+                scheduler.set_max_direct_calls(if behind { free.min(DIRECT_BEHIND) } else { free });
                 machines
             }
             None => 0,
@@ -456,19 +456,20 @@
     /// and once nobody led for so long that every lease ran out.
     fn resign_if_cut_off(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
-        let silence = now.saturating_duration_since(scheduler.last_report.max(self.woke));
-        let patience = if scheduler.reports > 0 {
+        let silence = now.saturating_duration_since(scheduler.last_heartbeat().max(self.woke));
+        let patience = if scheduler.heartbeats() > 0 {
             RESIGN_AFTER.max(self.settings.report_every() / 2) + self.sharing.patience(now)
         } else {
             RESIGN_AFTER + WORKER_GIVES_UP
         };
         let elsewhere = self.worker_elsewhere;
         // Whom another controller hears it sends here at once.
-        let missing = elsewhere.is_some_and(|at| at > scheduler.last_report + REDIRECT_MOST);
+        let missing = elsewhere.is_some_and(|at| at > scheduler.last_heartbeat() + REDIRECT_MOST);
         if !missing || silence <= patience || self.state.lost(now) {
             return;
         }
-        let known = scheduler.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
+        let known =
+            scheduler.fleet.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
         let known = known.count() as u32;
         if known >= 3 {
             tracing::info!(known, "workers report elsewhere and not here, giving up leadership");
@@ -663,7 +664,7 @@
         let (settings, wall) = (self.settings.clone(), self.api.wall);
         let mut scheduler = Scheduler::new(token, *rev, settings, cache, wall, now);
         scheduler.on_told_cancelled(&self.api.given.all(), cache);
-        tracing::info!(%token, machines = scheduler.machines.len(), "leading");
+        tracing::info!(%token, machines = scheduler.machine_count(), "leading");
         self.cloud.lead(token, now);
         self.scheduler = Some(scheduler);
         self.sharing.lead();
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -24,7 +24,7 @@
         let acts = self.may_act(now);
         let placed = self.scheduler.as_ref().filter(|_| acts).map(|scheduler| {
             let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.state.cache)).collect();
-            (scheduler.leader_rev(), zones)
+            (scheduler.leader_revision(), zones)
         });
         let me = self.settings.platform.host_name.clone();
         let under = self.heartbeat.revision();
@@ -55,7 +55,7 @@
             self.api.promises.ask(self.mesh_seq, now);
             for id in &jobs {
                 let zones = scheduler.zones_of(id, &self.state.cache);
-                self.api.promises.placed(scheduler.leader_rev(), self.mesh_seq, id, zones);
+                self.api.promises.placed(scheduler.leader_revision(), self.mesh_seq, id, zones);
             }
             self.look_at_promises(now);
         }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -9,6 +9,7 @@
 use crate::peers::heartbeat_relay::{HeartbeatRelay, RelayedHeartbeat, Verdict};
 use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
 use crate::peers::mesh::PeerExtra;
+use crate::scheduler::direct_calls::OutgoingCall;
 use crate::settings::ShardHeartbeats;
 use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
 
@@ -110,7 +111,7 @@
     pub(super) fn tell_sharing(&mut self, now: Instant) {
         self.sharing.redirects.tidy(now);
         let Some(scheduler) = self.scheduler.as_ref().filter(|_| self.may_act(now)) else { return };
-        let (token, machines) = (scheduler.token, scheduler.machines.len());
+        let (token, machines) = (scheduler.token(), scheduler.machine_count());
         let was = self.sharing.is_shared();
         let wanted = self.sharing.load.look(machines) && self.may_share();
         self.sharing.members =
@@ -253,7 +254,7 @@
         if !self.may_act(now) {
             return;
         }
-        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token == token) else {
+        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
             return;
         };
         match scheduler.on_relayed(from, reports, &self.state.cache, now) {
@@ -306,7 +307,7 @@
         results: Vec<(u64, DeliveryResult)>,
         now: Instant,
     ) {
-        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token != token) {
+        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token() != token) {
             return;
         }
         for (number, result) in results {
@@ -320,16 +321,18 @@
     /// The leader's calls: by the controller that takes the worker's reports, or straight to the worker.
     pub(super) fn send_calls(&mut self, now: Instant) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        let calls: Vec<_> = scheduler.direct.drain(..).collect();
-        for (machine, address, direct) in calls {
+        let calls = scheduler.take_direct_calls();
+        for OutgoingCall { machine, address, call } in calls {
             let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
             let relay = relay.filter(|_| self.sharing.deliveries.under_way() < DELIVERIES_MOST);
             match relay.filter(|name| self.shares(name, now)).cloned() {
-                Some(by) => self.sharing.deliveries.push(&by, (machine, address), direct, now),
-                None => self.out.push(Effect::DirectCall(machine, address, direct)),
+                Some(by) => self.sharing.deliveries.push(&by, (machine, address), call, now),
+                None => self.out.push(Effect::DirectCall(machine, address, call)),
             }
         }
-        let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
+        let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token()) else {
+            return;
+        };
         let me = self.settings.platform.host_name.clone();
         for (to, commands) in self.sharing.deliveries.take_frames() {
             let message = PeerMessage::Deliver { from: me.clone(), token, commands };
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -103,7 +103,7 @@
     let reports = vec![RelayedHeartbeat::Full(report.into())];
     node.on_reports(&name(0), (FencingToken(1), 7), reports, now);
     assert!(node.out.is_empty(), "{:?}", node.out);
-    assert!(node.scheduler.as_ref().is_some_and(|scheduler| scheduler.reports == 0));
+    assert!(node.scheduler.as_ref().is_some_and(|scheduler| scheduler.heartbeats() == 0));
     node.tell_sharing(now);
     assert!(node.out.is_empty(), "{:?}", node.out);
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -92,10 +92,10 @@
             };
             scheduler.on_report(&report, cache, now);
         }
-        scheduler.pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
+        scheduler.adjust_pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
         node.scheduler = Some(scheduler);
         node.look_at_limits(now);
-        node.scheduler.as_ref().map_or(0, |scheduler| scheduler.most_direct)
+        node.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
     };
     let many = node.ceiling.most() * 3 / 4;
     assert_eq!(most_direct(&mut node, many, true), DIRECT_BEHIND);
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -76,7 +76,7 @@
         let token = match &mut self.scheduler {
             // A leader that lost its right answers as those do to whom it gave theirs, but only where it
             // is alone or out of the store's reach: else it would hold workers that others can serve.
-            Some(scheduler) if scheduler.token >= latest => {
+            Some(scheduler) if scheduler.token() >= latest => {
                 if !alone {
                     return None;
                 }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,7 +1,32 @@
 //! Moving work together, so that machines become empty and go back: the paper's consolidation.
 
-use super::*;
-use crate::wire::JobSpec;
+use crate::constants::{EMPTIED_LOOKS, EMPTY_BELOW, MOVE_AFTER, MOVE_SHARE, SAVED_MOVE_SHARE};
+use crate::ids::{Amount, JobId, MachineId};
+use crate::jobs::{Job, LiveJob};
+use crate::placement::Bin;
+use crate::scheduler::Scheduler;
+use crate::scheduler::preemption::MOVED;
+use crate::scheduler::task_attempt::TaskAttempt;
+use crate::store::Cache;
+use crate::wire::{JobKind, JobSpec, TaskState};
+use crate::workers::machine::{Machine, PlacedAttempt, Stop};
+use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use tokio::time::Instant;
+/// When work is moved together.
+#[derive(Debug)]
+pub(super) struct Consolidation {
+    /// When the next round may begin.
+    pub(super) next_round: Instant,
+}
+
+impl Consolidation {
+    /// Nothing is moved until the first tasks have run for a while.
+    pub(super) fn new(now: Instant) -> Consolidation {
+        Consolidation { next_round: now + MOVE_AFTER }
+    }
+}
 
 /// What a round may still move.
 struct Budget {
@@ -38,10 +63,10 @@
     ) {
         let mut order: Vec<usize> =
             (0..bins.len()).filter(|&i| bins[i].ready && bins[i].basket.is_some()).collect();
-        let used = |i: usize| self.size(bins[i].flavor).cpu - bins[i].free.cpu;
+        let used = |i: usize| self.fleet.capacity(bins[i].flavor).cpu - bins[i].free.cpu;
         order.sort_by_key(|&i| (used(i), bins[i].spot, Reverse(bins[i].index)));
         let mut budget = Budget { replicas: 0.0, savers: 0.0 };
-        for (id, work) in &self.work {
+        for (id, work) in &self.jobs.progress {
             let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
             let placed = work.placed.len() as f64;
             match job.spec.shape {
@@ -57,7 +82,7 @@
             if receiving.contains(&source) {
                 continue;
             }
-            let size = self.size(bins[source].flavor);
+            let size = self.fleet.capacity(bins[source].flavor);
             let used = size.cpu - bins[source].free.cpu;
             if used as f64 > size.cpu as f64 * EMPTY_BELOW {
                 return;
@@ -90,11 +115,14 @@
         let zone = &self.settings.platform.params.zones[bin.zone];
         (spec.spot || !bin.spot)
             && spec.zone.as_ref().is_none_or(|name| name == zone)
-            && spec.flavors.as_ref().is_none_or(|f| f.contains(&self.flavors[bin.flavor].name))
+            && spec
+                .flavors
+                .as_ref()
+                .is_none_or(|f| f.contains(&self.fleet.machine_types[bin.flavor].name))
     }
 
     fn empty(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         machine.emptied_at = Some(now);
         let running =
             |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
@@ -103,7 +131,7 @@
             let job = cache.jobs.get(&key.0.job).and_then(Job::live);
             let grace_s = job.map_or(0.0, |job| job.spec.save_s);
             machine.stop(&key, Stop { grace_s, reason: MOVED });
-            self.stops += 1;
+            self.statistics.stops += 1;
         }
     }
 
@@ -117,7 +145,7 @@
         cache: &Cache,
         now: Instant,
     ) -> Option<Emptied> {
-        let machine = self.machines.get(id)?;
+        let machine = self.fleet.machines.get(id)?;
         let tasks = || machine.entries.iter().filter(|(_, e)| e.state != TaskState::Exited);
         for ((task, _), entry) in tasks() {
             let job = cache.jobs.get(&task.job).and_then(Job::live)?;
@@ -139,7 +167,7 @@
                 .filter(|&i| i != source && bins[i].ready && !bins[i].spot && bins[i].zone == zone)
                 .map(|i| bins[i].free.cpu)
                 .sum();
-            let size = self.size(machine.flavor).cpu;
+            let size = self.fleet.capacity(machine.flavor).cpu;
             let warm = size as f64 * self.settings.operator.warm_per_zone;
             if (spare.saturating_sub(machine.used().cpu) as f64) < warm {
                 return None;
@@ -149,7 +177,7 @@
         let mut moved: HashMap<(JobId, usize), u32> = HashMap::new();
         for ((task, _), entry) in tasks() {
             let spec = &cache.jobs.get(&task.job).and_then(Job::live)?.spec;
-            let work = self.work.get(&task.job)?;
+            let work = self.jobs.progress.get(&task.job)?;
             let half = (spec.tasks as u32).div_ceil(2);
             let target = free.values_mut().find(|(i, room)| {
                 let bin = &bins[*i];
@@ -158,14 +186,16 @@
                     return false;
                 }
                 let image = |m: &Machine| m.images.contains(&entry.image);
-                let warm = names[*i].as_ref().and_then(|m| self.machines.get(m)).is_some_and(image);
+                let warm =
+                    names[*i].as_ref().and_then(|m| self.fleet.machines.get(m)).is_some_and(image);
                 let same = !spec.one_zone || zone == machine.zone;
                 if !(warm && same) {
                     return false;
                 }
                 let there = || {
-                    let others = work.placed.values().filter(|(m, _)| {
-                        m != id && self.machines.get(m).is_some_and(|m| m.zone == zone)
+                    let others = work.placed.values().filter(|placed| {
+                        let there = self.fleet.machines.get(&placed.machine);
+                        placed.machine != *id && there.is_some_and(|m| m.zone == zone)
                     });
                     let moved = moved.get(&(task.job.clone(), zone)).copied().unwrap_or(0);
                     others.count() as u32 + moved
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -1,25 +1,49 @@
 //! Jobs that others wait for: what they inherit, and how much time is left for them.
 
-use super::*;
-use crate::jobs::dag;
+use crate::constants::STAGE_MORE;
+use crate::ids::{Amount, JobId, TaskId};
+use crate::jobs::dag::InheritedPriority;
+use crate::jobs::{Job, LiveJob, dag};
+use crate::placement::PlacementRequest;
+use crate::scheduler::Scheduler;
+use crate::store::Cache;
+use crate::wire::Priority;
+use foldhash::{HashMap, HashMapExt};
+use std::time::Duration;
+use tokio::time::Instant;
+/// What live jobs inherit from those that depend on them.
+#[derive(Debug)]
+pub(super) struct InheritedPriorities {
+    /// By job; what a job has of its own is counted in.
+    pub(super) inherited: HashMap<JobId, InheritedPriority>,
+    /// Whether jobs changed since this was worked out.
+    pub(super) stale: bool,
+}
+
+impl Default for InheritedPriorities {
+    fn default() -> InheritedPriorities {
+        InheritedPriorities { inherited: HashMap::new(), stale: true }
+    }
+}
 
 impl Scheduler {
     /// The urgency by which a job is ordered, stops others and is spared: the highest of its own and
     /// of all that need it.
     pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Priority {
-        self.carried.get(id).map_or(job.spec.urgency, |carried| carried.urgency)
+        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |carried| carried.urgency)
     }
 
     /// Whether anybody looks at when it starts or ends.
     pub(super) fn has_aim(&self, id: &JobId, job: &LiveJob) -> bool {
         self.settings.has_aim(&job.spec.class)
-            || self.carried.get(id).is_some_and(|carried| carried.due_ms.is_some())
+            || self.dependencies.inherited.get(id).is_some_and(|carried| carried.due_ms.is_some())
     }
 
     /// What a job takes once it may run: its run time as its owner estimates it or, where that is known and
     /// switched on, as it was learned; the fetch of its image and the time between reports and plans.
     fn length(&self, id: &JobId, job: &LiveJob, learned: bool) -> Duration {
-        let rates = self.flavors.iter().map(|f| f.fetch_gb_per_s).filter(|rate| *rate > 0.0);
+        let rates =
+            self.fleet.machine_types.iter().map(|f| f.fetch_gb_per_s).filter(|rate| *rate > 0.0);
         let fetch_s = rates.reduce(f64::min).map_or(0.0, |rate| job.spec.image_gb / rate);
         let run_s = self.run_s(id, job, learned);
         Duration::from_secs_f64((run_s + fetch_s).clamp(0.0, 1e7)) + STAGE_MORE
@@ -27,7 +51,7 @@
 
     /// Finds out what jobs inherit, if any that counts has changed.
     pub(super) fn carry_back(&mut self, live: &[(&JobId, &LiveJob)]) {
-        if !std::mem::take(&mut self.carried_old) {
+        if !std::mem::take(&mut self.dependencies.stale) {
             return;
         }
         let alone = |job: &LiveJob| {
@@ -43,15 +67,16 @@
         let length_ms =
             |id: &JobId, job: &LiveJob| self.length(id, job, learned).as_millis() as u64;
         let carried = dag::carry_back(&jobs, alone, length_ms);
-        let before = std::mem::replace(&mut self.carried, carried);
+        let before = std::mem::replace(&mut self.dependencies.inherited, carried);
         for (id, job) in live {
             let old = before.get(*id).map_or(job.spec.urgency, |carried| carried.urgency);
             let urgency = self.urgency(id, job);
-            let Some(work) = self.work.get(*id).filter(|_| urgency != old) else { continue };
-            for (index, (machine, attempt)) in &work.placed {
-                let key = (TaskId { job: (*id).clone(), index: *index }, *attempt);
-                let machine = self.machines.get_mut(machine);
-                let Some(machine) = machine else { continue };
+            let Some(work) = self.jobs.progress.get(*id).filter(|_| urgency != old) else {
+                continue;
+            };
+            for (index, placed) in &work.placed {
+                let key = (TaskId { job: (*id).clone(), index: *index }, placed.attempt);
+                let Some(machine) = self.fleet.machines.get_mut(&placed.machine) else { continue };
                 if let Some(entry) = machine.entries.get_mut(&key) {
                     entry.urgency = urgency;
                     machine.entries_changed();
@@ -63,8 +88,8 @@
     /// Seconds until a job has to start so that whatever needs it is done in time; less than
     /// nothing if it is too late.
     pub(super) fn due_left(&self, id: &JobId, job: &LiveJob, now: Instant) -> Option<f64> {
-        let due_ms = self.carried.get(id)?.due_ms?;
-        let left = due_ms as f64 - self.wall.ms(now) as f64;
+        let due_ms = self.dependencies.inherited.get(id)?.due_ms?;
+        let left = due_ms as f64 - self.wall_clock.ms(now) as f64;
         let learned = self.settings.operator.estimates.due;
         Some(left / 1000.0 - self.length(id, job, learned).as_secs_f64())
     }
@@ -116,12 +141,13 @@
     /// began, or all of it while any waits.
     fn rest_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> f64 {
         let length = self.length(id, job, self.settings.operator.estimates.ahead);
-        let Some(work) = self.work.get(id).filter(|work| work.waiting(job) == 0) else {
+        let Some(work) = self.jobs.progress.get(id).filter(|work| work.waiting(job) == 0) else {
             return length.as_secs_f64();
         };
-        let began = work.placed.iter().filter_map(|(index, (machine, attempt))| {
+        let began = work.placed.iter().filter_map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
-            Some(self.machines.get(machine)?.entries.get(&(task, *attempt))?.placed)
+            let machine = self.fleet.machines.get(&placed.machine)?;
+            Some(machine.entries.get(&(task, placed.attempt))?.placed)
         });
         let ran = began.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         length.saturating_sub(ran).as_secs_f64()
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -3,12 +3,24 @@
 //!
 //! Nothing of this is kept but the order itself: a new leader goes on from what it finds running.
 
-use super::*;
+use crate::clock::WallClock;
+use crate::constants::{DRAIN_EVERY, DRAIN_MARGIN_S, MOVE_SHARE};
 use crate::drains::{DrainRecord, Drained};
+use crate::ids::{Amount, MachineId, TaskId};
+use crate::jobs::{Job, LiveJob};
+use crate::placement::Bin;
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::{JobProgress, Placement};
+use crate::scheduler::preemption::MOVED;
+use crate::scheduler::task_attempt::TaskAttempt;
+use crate::store::Cache;
+use crate::wire::{JobKind, TaskState};
+use crate::workers::machine::{Machine, MachineState, PlacedAttempt, Stop};
+use tokio::time::Instant;
 use troutspindle_protocol::ops::{Drain, DrainKind, Drains};
 
 #[derive(Debug, Default)]
-pub(super) struct Draining {
+pub(super) struct DrainState {
     pub drained: Drained,
     at: Option<Instant>,
 }
@@ -17,8 +29,8 @@
     /// Whether anything is still to leave: no other moves are made meanwhile, that might take a second
     /// replica of a service.
     pub(super) fn is_draining(&self) -> bool {
-        !self.draining.drained.is_empty()
-            && self.machines.values().any(|m| !m.is_empty() && self.is_drained(m))
+        !self.drains.drained.is_empty()
+            && self.fleet.machines.values().any(|m| !m.is_empty() && self.is_drained(m))
     }
 }
 
@@ -32,18 +44,14 @@
 impl Scheduler {
     pub(super) fn read_drains(&mut self, cache: &Cache) {
         let drained = Drained::of_records(cache.drained());
-        if drained != self.draining.drained {
-            self.draining.drained = drained;
-            self.plan_wanted = true;
+        if drained != self.drains.drained {
+            self.drains.drained = drained;
+            self.planning_clock.pass_requested = true;
         }
     }
 
-    fn zone_name(&self, zone: usize) -> &str {
-        &self.settings.platform.params.zones[zone]
-    }
-
     fn drain_of(&self, machine: &Machine) -> Option<&DrainRecord> {
-        self.draining.drained.of(machine.id.as_str(), self.zone_name(machine.zone))
+        self.drains.drained.of(machine.id.as_str(), self.fleet.zone_name(machine.zone))
     }
 
     pub(super) fn is_drained(&self, machine: &Machine) -> bool {
@@ -52,12 +60,12 @@
 
     pub(super) fn drained_zones(&self) -> Vec<bool> {
         let zones = &self.settings.platform.params.zones;
-        zones.iter().map(|zone| self.draining.drained.zone(zone)).collect()
+        zones.iter().map(|zone| self.drains.drained.zone(zone)).collect()
     }
 
     /// Seconds until a machine has to be empty; none if it is not drained, or by no time.
     fn drain_left_s(&self, machine: &Machine, now: Instant) -> Option<f64> {
-        Some((self.drain_of(machine)?.by_ms? as f64 - self.wall.ms(now) as f64) / 1000.0)
+        Some((self.drain_of(machine)?.by_ms? as f64 - self.wall_clock.ms(now) as f64) / 1000.0)
     }
 
     /// One round of moves and stops. `bins` are the machines that may take tasks: none that is drained.
@@ -68,17 +76,17 @@
         cache: &Cache,
         now: Instant,
     ) {
-        if self.draining.drained.is_empty() || self.draining.at.is_some_and(|at| now < at) {
+        if self.drains.drained.is_empty() || self.drains.at.is_some_and(|at| now < at) {
             return;
         }
-        self.draining.at = Some(now + DRAIN_EVERY);
+        self.drains.at = Some(now + DRAIN_EVERY);
         let mut leavers = self.replicas_that_leave(bins, names, cache, now);
         leavers.extend(self.out_of_time(cache, now));
         for Leaver { key, machine, grace_s } in leavers {
-            let Some(machine) = self.machines.get_mut(&machine) else { continue };
+            let Some(machine) = self.fleet.machines.get_mut(&machine) else { continue };
             tracing::info!(machine = %machine.id, task = %key.0, grace_s, "leaves what is drained");
             machine.stop(&key, Stop { grace_s, reason: MOVED });
-            self.stops += 1;
+            self.statistics.stops += 1;
         }
     }
 
@@ -94,7 +102,7 @@
         let mut free: Vec<Amount> = bins.iter().map(|bin| bin.free).collect();
         let mut leavers = Vec::new();
         let (mut here, mut all, mut hurry_s) = (0u64, 0u64, f64::INFINITY);
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
+        for machine in self.fleet.machines.values().filter(|m| m.life == MachineState::Up) {
             let tasks = machine.entries.values().filter(|e| e.state == TaskState::Running);
             let tasks = tasks.count() as u64;
             all += tasks;
@@ -107,16 +115,16 @@
         let gentle = all as f64 * MOVE_SHARE;
         let hurried = here as f64 * DRAIN_EVERY.as_secs_f64() / (hurry_s / 2.0).max(1.0);
         let most = gentle.max(hurried).ceil() as usize;
-        for (id, work) in &self.work {
+        for (id, work) in &self.jobs.progress {
             if leavers.len() >= most {
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
             let service = live.spec.shape == JobKind::Service;
             let saves = live.spec.shape == JobKind::Array && live.spec.checkpoint_s > 0.0;
-            let entry = |index: u32, (machine, attempt): &(MachineId, Attempt)| {
-                let machine = self.machines.get(machine)?;
-                let key = (TaskId { job: id.clone(), index }, *attempt);
+            let entry = |index: u32, placed: &Placement| {
+                let machine = self.fleet.machines.get(&placed.machine)?;
+                let key = (TaskId { job: id.clone(), index }, placed.attempt);
                 let entry = machine.entries.get(&key)?;
                 let runs = entry.state == TaskState::Running && entry.stop.is_none();
                 runs.then_some((key, machine))
@@ -160,8 +168,8 @@
         let spec = &live.spec;
         let half = (spec.tasks as u32).div_ceil(2);
         let mut there = vec![0u32; self.settings.platform.params.zones.len()];
-        for (_, (machine, _)) in work.placed.iter().filter(|(n, _)| **n != index) {
-            if let Some(machine) = self.machines.get(machine) {
+        for (_, placed) in work.placed.iter().filter(|(n, _)| **n != index) {
+            if let Some(machine) = self.fleet.machines.get(&placed.machine) {
                 there[machine.zone] += 1;
             }
         }
@@ -175,7 +183,7 @@
         };
         let fits = |at: &usize| may(&bins[*at]) && live.need.fits(&free[*at]);
         let warm = |at: usize| {
-            let machine = names[at].as_ref().and_then(|id| self.machines.get(id));
+            let machine = names[at].as_ref().and_then(|id| self.fleet.machines.get(id));
             machine.is_some_and(|m| m.images.iter().any(|image| **image == *spec.image))
         };
         (0..bins.len()).filter(fits).min_by_key(|at| (!warm(*at), bins[*at].index))
@@ -185,7 +193,7 @@
     /// Replicas that have no other place run on: nobody gains by stopping them.
     fn out_of_time(&self, cache: &Cache, now: Instant) -> Vec<Leaver> {
         let mut leavers = Vec::new();
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
+        for machine in self.fleet.machines.values().filter(|m| m.life == MachineState::Up) {
             let Some(left_s) = self.drain_left_s(machine, now) else { continue };
             for (key, entry) in &machine.entries {
                 if entry.stop.is_some() || entry.state == TaskState::Exited {
@@ -206,12 +214,12 @@
 
     /// What is drained, and what is left there.
     pub fn drains(&self, cache: &Cache, now: Instant) -> Drains {
-        let mut drains = list(cache, self.wall, now);
+        let mut drains = list(cache, self.wall_clock, now);
         for drain in &mut drains.drains {
             let (mut left, mut stuck) = (0, 0);
-            for machine in self.machines.values() {
+            for machine in self.fleet.machines.values() {
                 let here = match drain.kind {
-                    DrainKind::Zone => self.zone_name(machine.zone) == drain.name,
+                    DrainKind::Zone => self.fleet.zone_name(machine.zone) == drain.name,
                     DrainKind::Machine => machine.id.as_str() == drain.name,
                     DrainKind::Controller => false,
                 };
@@ -237,14 +245,15 @@
     ) -> bool {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
-        let pinned = spec.zone.as_ref().is_some_and(|zone| self.draining.drained.zone(zone));
+        let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.zone(zone));
         if spec.shape == JobKind::Service {
             let open = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open == 0 || (spec.spread && open == 1);
         }
         let ran_s =
             entry.running_since.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        let rest_s = self.learning.rest_s(&task.job, ran_s).unwrap_or(spec.expect_s - ran_s);
+        let rest_s =
+            self.runtime_predictor.rest_s(&task.job, ran_s).unwrap_or(spec.expect_s - ran_s);
         spec.checkpoint_s <= 0.0 && by_in_s.is_some_and(|left_s| rest_s > left_s)
     }
 }
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -4,7 +4,19 @@
 //! the order of asks and what may be stopped; it starts, stops and rents nothing itself, and while nothing is
 //! scarce it changes nothing. Nothing is stored: a new leader works it out from records and reports.
 
-use super::*;
+use crate::cloud::{CloudClient, MachinePool};
+use crate::constants::{ARRAYS_NOW, DONE_WITHIN_S, LATE_WITHIN, PRESUMED_FOR, STAGE_MORE};
+use crate::ids::{Amount, JobId};
+use crate::jobs::LiveJob;
+use crate::placement;
+use crate::placement::{Bin, PlacementRequest};
+use crate::scheduler::Scheduler;
+use crate::scheduler::interner::Interner;
+use crate::scheduler::planning::PendingDemand;
+use crate::wire::{JobKind, TaskState};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tokio::time::Instant;
 use troutspindle_fair_share::constants::MACHINE;
 use troutspindle_fair_share::{Demand, Room, Scarcity, Standing, Supply, Turn};
 use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
@@ -15,9 +27,9 @@
 /// Tasks of a group that wait, by cause.
 type Causes = BTreeMap<(Group, &'static str), u64>;
 
-pub(super) struct Shortage {
+pub(super) struct FairShare {
     scarcity: Scarcity<Group>,
-    classes: HashMap<Arc<str>, u32>,
+    classes: Interner,
     /// What is asked for, and of it what is needed at once, as it was last looked at.
     demands: BTreeMap<Group, Demand>,
     supply: Supply,
@@ -29,14 +41,14 @@
     services: BTreeSet<Group>,
 }
 
-impl Shortage {
-    pub(super) fn new(floor: f64) -> Shortage {
-        Shortage {
+impl FairShare {
+    pub(super) fn new(floor: f64) -> FairShare {
+        FairShare {
             told: false,
             came: BTreeMap::new(),
             services: BTreeSet::new(),
             scarcity: Scarcity::new(floor),
-            classes: HashMap::new(),
+            classes: Interner::default(),
             demands: BTreeMap::new(),
             supply: Supply::default(),
             waits: Causes::new(),
@@ -84,13 +96,13 @@
 
 impl Scheduler {
     pub(super) fn group(&mut self, job: &LiveJob) -> Group {
-        let class = Self::image_id(&mut self.shortage.classes, &job.spec.class);
+        let class = self.fair_share.classes.intern(&job.spec.class);
         (class, self.team_of(&job.spec.team))
     }
 
     fn known_group(&self, job: &LiveJob) -> Option<Group> {
-        let class = self.shortage.classes.get(job.spec.class.as_str())?;
-        Some((*class, self.team_of(&job.spec.team)))
+        let class = self.fair_share.classes.get(&job.spec.class)?;
+        Some((class, self.team_of(&job.spec.team)))
     }
 
     /// Seconds that a task of the job keeps its room, with what lies between two tasks.
@@ -100,11 +112,14 @@
 
     /// Whether nothing more can be rented now, as far as refusals tell.
     fn is_exhausted(&self, silent: &[bool], cloud: &CloudClient) -> bool {
-        let mut kinds = self.flavors.iter().enumerate().flat_map(|(flavor, info)| {
-            let zones = info.zones.iter().filter_map(|name| self.zone(name));
+        let mut kinds = self.fleet.machine_types.iter().enumerate().flat_map(|(flavor, info)| {
+            let zones = info.zones.iter().filter_map(|name| self.fleet.zone(name));
             zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
         });
-        cloud.is_out() || kinds.all(|kind| silent[kind.zone] || self.scarce.contains_key(&kind))
+        cloud.is_out()
+            || kinds.all(|kind| {
+                silent[kind.zone] || self.autoscaler.capacity_backoff.contains_key(&kind)
+            })
     }
 
     /// Looks at what all jobs that may run ask for, and at what there is. `room_left` is what each team may
@@ -128,23 +143,23 @@
             return;
         }
         let largest = largest(sizes);
-        let since = self.since_began(now);
-        let now_ms = self.wall.ms(now);
+        let since = self.term.elapsed(now);
+        let now_ms = self.wall_clock.ms(now);
         let mut demands: BTreeMap<Group, Demand> = BTreeMap::new();
         // Machine-seconds that are left of each group's arrays, over the time that they may take.
         let mut late: BTreeMap<Group, f64> = BTreeMap::new();
         // Of what waits, that which a predecessor may have started.
         let mut hidden: BTreeMap<Group, Room> = BTreeMap::new();
         for (id, job) in live {
-            let known = self.work.get(*id).and_then(|work| work.group);
+            let known = self.jobs.progress.get(*id).and_then(|work| work.demand_group);
             let group = known.unwrap_or_else(|| self.group(job));
             let Some(team) = self.settings.platform.params.teams.get(group.1) else { continue };
             let guest = team.guarantee().is_zero();
             let each = room(&job.need, &largest);
             let run_s = self.task_s(id, job);
-            let Some(work) = self.work.get_mut(*id) else { continue };
-            work.group = Some(group);
-            if work.evidence.mistaken() {
+            let Some(work) = self.jobs.progress.get_mut(*id) else { continue };
+            work.demand_group = Some(group);
+            if work.failures.mistaken() {
                 continue;
             }
             let (held, waiting) = (work.placed.len() as u64, work.waiting(job));
@@ -153,25 +168,25 @@
             demand.ordinary &= !job.spec.spot;
             demand.held += each * held;
             demand.waiting += each * waiting;
-            if work.old && !unsure.is_zero() {
+            if work.predates_leadership && !unsure.is_zero() {
                 *hidden.entry(group).or_default() += each * waiting;
             }
             if job.spec.shape == JobKind::Service {
                 demand.offered += each * (held + waiting);
-                self.shortage.services.insert(group);
+                self.fair_share.services.insert(group);
                 continue;
             }
             let within_s = self.settings.finish_within(&job.spec.class).unwrap_or(DONE_WITHIN_S);
             *late.entry(group).or_default() +=
                 (each * (held + waiting)) as f64 * run_s / (within_s * LATE_WITHIN);
-            if !std::mem::replace(&mut work.counted, true) {
+            if !std::mem::replace(&mut work.counted_as_demand, true) {
                 let age = Duration::from_millis(now_ms.saturating_sub(job.since_ms()));
                 let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
                 let work = (each * tasks) as f64 * run_s / MACHINE as f64;
-                self.shortage.scarcity.came(&group, work, age, since);
+                self.fair_share.scarcity.came(&group, work, age, since);
                 // What came under a predecessor it has told of.
-                if age <= since || self.token.0 <= 1 {
-                    *self.shortage.came.entry(group).or_default() += work;
+                if age <= since || self.term.token.0 <= 1 {
+                    *self.fair_share.came.entry(group).or_default() += work;
                 }
             }
         }
@@ -181,37 +196,37 @@
             let seen_soon = hidden.get(group).map_or(0, |room| (*room as f64 * part) as Room);
             demand.held += seen_soon;
             demand.waiting -= seen_soon;
-            let arriving = self.shortage.scarcity.arriving(group, since);
+            let arriving = self.fair_share.scarcity.arriving(group, since);
             // What has waited long is still owed when nothing more comes.
             let late = late.get(group).map_or(0, |late| *late as Room);
             demand.offered += (arriving.max(late) as f64 * ARRAYS_NOW) as Room;
             let limit = room_left.get(group.1).map_or(0, |left| room(left, &largest));
             demand.waiting = demand.waiting.min(limit);
         }
-        if self.shortage.is_scarce() {
+        if self.fair_share.is_scarce() {
             self.leave_out_stopping(&mut demands, &largest);
         }
         let mut supply = Supply {
             exhausted: may_rent && (most == 0 || self.is_exhausted(silent, cloud)),
-            presumed: !self.shortage.told && self.token.0 > 1 && since < PRESUMED_FOR,
+            presumed: !self.fair_share.told && self.term.token.0 > 1 && since < PRESUMED_FOR,
             ..Supply::default()
         };
         for bin in bins {
             let size = room(&sizes[bin.flavor], &largest);
             *(if bin.spot { &mut supply.spot } else { &mut supply.ordinary }) += size;
         }
-        let turn = self.shortage.scarcity.look(&demands, &supply, since);
-        (self.shortage.demands, self.shortage.supply) = (demands, supply);
+        let turn = self.fair_share.scarcity.look(&demands, &supply, since);
+        (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
         match turn {
             Some(Turn::Began) => tracing::info!(
                 machines = supply.all() as f64 / MACHINE as f64,
                 held_floor_needed = ?self.shares(),
-                waits_for = ?self.waits,
+                waits_for = ?self.statistics.waiting_by_cause,
                 "room is scarce"
             ),
             Some(Turn::Ended) => {
                 tracing::info!(exhausted = supply.exhausted, "room is scarce no longer");
-                self.shortage.waits.clear();
+                self.fair_share.waits.clear();
             }
             None => {}
         }
@@ -219,13 +234,14 @@
 
     /// What was told to stop makes way already and is held no longer.
     fn leave_out_stopping(&self, demands: &mut BTreeMap<Group, Demand>, largest: &Amount) {
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             for ((task, attempt), entry) in &machine.entries {
                 if entry.stop.is_none() || entry.state == TaskState::Exited {
                     continue;
                 }
-                let placed = self.work.get(&task.job).and_then(|work| work.placed.get(&task.index));
-                if placed.is_none_or(|(_, placed)| placed != attempt) {
+                let placed =
+                    self.jobs.progress.get(&task.job).and_then(|work| work.placed.get(&task.index));
+                if placed.is_none_or(|placed| placed.attempt != *attempt) {
                     continue;
                 }
                 let Some((class, team)) = self.shortage_group_of(&task.job) else { continue };
@@ -239,23 +255,22 @@
     }
 
     fn shortage_group_of(&self, id: &JobId) -> Option<Group> {
-        self.work.get(id)?.group
+        self.jobs.progress.get(id)?.demand_group
     }
 
     /// Machines' worth that each group holds, its floor, and what it needs.
     fn shares(&self) -> BTreeMap<String, [f64; 3]> {
         let machines = |room: Room| (room as f64 / MACHINE as f64 * 10.0).round() / 10.0;
         let row = |(group, standing): (&Group, &Standing)| {
-            let needed = self.shortage.demands.get(group).map_or(0, Demand::needed);
+            let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
             let row = [standing.held, standing.floor, needed].map(machines);
             (self.group_name(group).join(" of "), row)
         };
-        self.shortage.scarcity.standings().map(row).collect()
+        self.fair_share.scarcity.standings().map(row).collect()
     }
 
     fn group_name(&self, (class, team): &Group) -> [String; 2] {
-        let class = self.shortage.classes.iter().find(|(_, n)| *n == class);
-        let class = class.map_or(String::new(), |(name, _)| name.to_string());
+        let class = self.fair_share.classes.name(*class).unwrap_or_default().to_owned();
         let team = self.settings.platform.params.teams.get(*team);
         [class, team.map_or(String::new(), |team| team.name.clone())]
     }
@@ -267,7 +282,7 @@
         job: &LiveJob,
         ask: &PlacementRequest,
     ) -> Option<Weight> {
-        if !self.shortage.is_scarce() {
+        if !self.fair_share.is_scarce() {
             return None;
         }
         let group = self.group(job);
@@ -289,13 +304,13 @@
         weights: &mut Vec<Option<Weight>>,
         sizes: &[Amount],
     ) {
-        if !self.shortage.is_scarce() {
+        if !self.fair_share.is_scarce() {
             return;
         }
         let largest = largest(sizes);
         let mut owed: BTreeMap<Group, Room> = BTreeMap::new();
         let mut reached = BTreeMap::new();
-        for (group, standing) in self.shortage.scarcity.standings() {
+        for (group, standing) in self.fair_share.scarcity.standings() {
             owed.insert(*group, standing.owed);
             reached.insert(*group, standing.reached());
         }
@@ -336,19 +351,19 @@
 
     /// Notes why tasks wait, for whoever asks.
     pub(super) fn note_causes(&mut self, weights: &[Option<Weight>], plan: &placement::Plan) {
-        self.shortage.waits.clear();
+        self.fair_share.waits.clear();
         for (why, left) in [("machine to come", &plan.booked), ("no room", &plan.short)] {
             for (ask, count) in left {
                 let Some(Some(weight)) = weights.get(*ask) else { continue };
-                *self.shortage.waits.entry((weight.group, why)).or_default() += u64::from(*count);
+                *self.fair_share.waits.entry((weight.group, why)).or_default() += u64::from(*count);
             }
         }
     }
 
     /// What may make way of each group: what it holds above its floor.
     pub(super) fn spare(&self) -> Spare {
-        let standings = self.shortage.scarcity.standings();
-        self.shortage
+        let standings = self.fair_share.scarcity.standings();
+        self.fair_share
             .is_scarce()
             .then(|| standings.map(|(group, standing)| (*group, standing.spare)).collect())
     }
@@ -369,8 +384,8 @@
             return None;
         }
         let machines = |room: Room| (room as f64 / MACHINE as f64 * 100.0).round() / 100.0;
-        let since = self.since_began(now);
-        let shortage = &self.shortage;
+        let since = self.term.elapsed(now);
+        let shortage = &self.fair_share;
         let group = |(group, demand): (&Group, &Demand)| {
             let [class, team] = self.group_name(group);
             GroupDemand {
@@ -385,7 +400,7 @@
             }
         };
         let line = DemandLine {
-            token: self.token.0,
+            token: self.term.token.0,
             at_s: since.as_secs_f64(),
             ordinary: machines(shortage.supply.ordinary),
             spot: machines(shortage.supply.spot),
@@ -399,11 +414,11 @@
     /// What operators are told of groups below their floors.
     pub fn starving(&self, now: Instant) -> Starving {
         let machines = |room: Room| room as f64 / MACHINE as f64;
-        let below = self.shortage.scarcity.standings().filter(|(_, s)| s.owed > 0);
+        let below = self.fair_share.scarcity.standings().filter(|(_, s)| s.owed > 0);
         let groups = below.map(|(group, standing)| {
             let [class, team] = self.group_name(group);
-            let needed = self.shortage.demands.get(group).map_or(0, Demand::needed);
-            let causes = self.shortage.waits.iter().filter(|((of, _), _)| of == group);
+            let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
+            let causes = self.fair_share.waits.iter().filter(|((of, _), _)| of == group);
             StarvingGroup {
                 class,
                 team,
@@ -413,12 +428,12 @@
                 waits_for: causes.map(|((_, why), n)| ((*why).to_owned(), *n)).collect(),
             }
         });
-        let since = self.shortage.scarcity.since();
+        let since = self.fair_share.scarcity.since();
         Starving {
             leader: self.settings.platform.host_name.to_string(),
-            scarce_for_s: since.map(|at| self.since_began(now).saturating_sub(at).as_secs_f64()),
-            machines: machines(self.shortage.supply.all()),
-            nothing_to_rent: self.shortage.supply.exhausted,
+            scarce_for_s: since.map(|at| self.term.elapsed(now).saturating_sub(at).as_secs_f64()),
+            machines: machines(self.fair_share.supply.all()),
+            nothing_to_rent: self.fair_share.supply.exhausted,
             groups: groups.collect(),
         }
     }
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -3,9 +3,16 @@
 //! of descriptions whose submission was never finished. A take-over loses nothing: what is left is
 //! found again in the store.
 
-use super::*;
+use crate::constants::{ORPHAN_AFTER, TIDY_EVERY, TIDY_WRITES};
+use crate::ids::{JobId, Revision};
+use crate::jobs;
+use crate::scheduler::Scheduler;
+use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
+use crate::wire::{Precondition, Write};
+use foldhash::{HashMap, HashMapExt};
+use tokio::time::Instant;
 
-pub(super) struct Tidy {
+pub(super) struct GarbageCollector {
     at: Instant,
     /// Keys of the transaction under way.
     keys: Vec<String>,
@@ -13,36 +20,38 @@
     orphans: HashMap<JobId, Instant>,
 }
 
-impl Tidy {
-    pub fn new(now: Instant) -> Tidy {
-        Tidy { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
+impl GarbageCollector {
+    pub fn new(now: Instant) -> GarbageCollector {
+        GarbageCollector { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
     }
 }
 
 impl Scheduler {
     pub(super) fn tidy_up(&mut self, state: &mut StoreClient, now: Instant) {
-        if now < self.tidy.at || state.has_item(&Origin::Tidy) {
+        if now < self.garbage_collector.at || state.has_item(&Origin::Tidy) {
             return;
         }
-        self.tidy.at = now + TIDY_EVERY;
+        self.garbage_collector.at = now + TIDY_EVERY;
         let most = TIDY_WRITES.min(state.layout().txn_ops);
         let mut writes = state.cache.jobs.tidy(most);
         let mut waiting = HashMap::new();
         for (id, key, rev) in state.cache.jobs.orphans() {
-            let since = self.tidy.orphans.get(id).copied().unwrap_or(now);
+            let since = self.garbage_collector.orphans.get(id).copied().unwrap_or(now);
             waiting.insert(id.clone(), since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
                 writes.push((Write::Delete { key }, rev));
             }
         }
-        self.tidy.orphans = waiting;
+        self.garbage_collector.orphans = waiting;
         if writes.is_empty() {
             return;
         }
         let guard =
             |(write, rev): &(Write, Revision)| Precondition { key: write.key().into(), rev: *rev };
-        let guards = std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
-        self.tidy.keys = writes.iter().map(|(write, _)| write.key().to_owned()).collect();
+        let guards =
+            std::iter::once(self.term.precondition()).chain(writes.iter().map(guard)).collect();
+        self.garbage_collector.keys =
+            writes.iter().map(|(write, _)| write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|(write, _)| write).collect();
         let change = jobs::Change { guards, writes };
         state.push(Item { rank: Rank::Rest, origin: Origin::Tidy, change });
@@ -51,7 +60,7 @@
     pub(super) fn tidied(&mut self, outcome: Outcome, state: &mut StoreClient) {
         if outcome == Outcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
-            self.tidy.keys.iter().for_each(|key| state.cache.jobs.forget_litter(key));
+            self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_litter(key));
         }
     }
 }
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -11,14 +11,14 @@
 
 /// Machines by job.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct JobMachines {
     machines: HashMap<JobId, BTreeSet<MachineId>>,
 }
 
 /// Count. Machines noted for a job up to which nothing is tidied.
 const FEW: usize = 64;
 
-impl Holders {
+impl JobMachines {
     /// A machine has a task of the job, or may have one from now on.
     pub(super) fn note(
         &mut self,
@@ -46,5 +46,5 @@
 }
 
 fn holds(machine: &Machine, job: &JobId) -> bool {
-    machine.entries.range(super::attempts_of(job)).next().is_some()
+    machine.entries.range(super::task_attempt::attempts_of(job)).next().is_some()
 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -4,16 +4,25 @@
 //! ends. No live job asks for them any more, so whoever leads next would let their team use the room once more. What
 //! they may take up counts against their team as long as any machine has not confirmed what runs on it.
 
-use super::*;
+use crate::constants::{DELEGATION_TERM, REST_SLACK};
+use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::Rest;
+use crate::jobs::{Job, JobBody, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::{JobProgress, Placement};
+use crate::store::Cache;
+use crate::wire::TaskState;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::Instant;
 
 /// By team.
 #[derive(Debug, Default)]
-pub(super) struct Leftover {
+pub(super) struct OrphanedTasks {
     teams: BTreeMap<usize, Amount>,
 }
 
-impl Leftover {
+impl OrphanedTasks {
     fn add(&mut self, team: usize, amount: Amount) {
         let sum = self.teams.entry(team).or_default();
         *sum = sum.plus(&amount);
@@ -42,7 +51,7 @@
         let within = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
             + DELEGATION_TERM
             + REST_SLACK;
-        let now_ms = self.wall.ms(now);
+        let now_ms = self.wall_clock.ms(now);
         let lately = |ended_ms: u64| now_ms < ended_ms.saturating_add(within.as_millis() as u64);
         let jobs = cache.jobs.all.values();
         let long_over = jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !lately(ms)));
@@ -51,7 +60,7 @@
             let JobBody::Over { rest: Some(rest), .. } = &job.body else { continue };
             if rest.ended_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
-                self.leftover.add(team, room(rest, 0));
+                self.jobs.orphaned_tasks.add(team, room(rest, 0));
             }
         }
     }
@@ -60,25 +69,27 @@
     pub(super) fn leave_over(&mut self, work: &JobProgress, job: &Job) {
         let placed = work.placed.len() as u64;
         let (team, amount) = match &job.body {
-            _ if !work.old => return,
+            _ if !work.predates_leadership => return,
             JobBody::Live(live) => (&live.spec.team, live.need.times(work.waiting(live))),
             JobBody::Over { rest: Some(rest), .. } => (&rest.team, room(rest, placed)),
             JobBody::Over { .. } => return,
         };
         let team = self.team_of(team);
-        self.leftover.add(team, amount);
+        self.jobs.orphaned_tasks.add(team, amount);
     }
 
     /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
     /// report may run a second time.
     pub(super) fn second_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
-        let runs = |(index, (machine, attempt)): (&u32, &(MachineId, Attempt))| {
+        let runs = |(index, placed): (&u32, &Placement)| {
             let task = TaskId { job: id.clone(), index: *index };
-            let entry = self.machines.get(machine)?.entries.get(&(task, *attempt))?;
+            let machine = self.fleet.machines.get(&placed.machine)?;
+            let entry = machine.entries.get(&(task, placed.attempt))?;
             (entry.state != TaskState::Exited).then_some(())
         };
-        let known = work.placed.iter().filter_map(runs).count() + work.twice.len();
-        let unsure = work.old && self.machines.values().any(|machine| !machine.confirmed);
+        let known = work.placed.iter().filter_map(runs).count() + work.duplicate_attempts.len();
+        let unsure = work.predates_leadership
+            && self.fleet.machines.values().any(|machine| !machine.confirmed);
         known as u64 + if unsure { live.spec.tasks } else { 0 }
     }
 }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -3,53 +3,80 @@
 //! Owns what follows from a job's record (it is over, a task is done) and every write of the leader but those of
 //! learning and tidying. It places nothing and talks to no worker.
 
-use super::*;
+use crate::constants::MARKS_EVERY;
+use crate::ids::{JobId, MachineId, Revision, TaskId};
+use crate::jobs;
+use crate::jobs::{JobBody, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::JobProgress;
+use crate::scheduler::task_attempt::attempts_of;
+use crate::store::{
+    Cache, Item, MACHINE_PREFIX, MachineRecord, Origin, Outcome, Rank, StoreClient,
+};
+use crate::wire::{Data, Precondition, TaskState, Write};
+use crate::workers::machine::{MachineState, OVER, Stop};
+use std::cmp::Reverse;
+use tokio::time::Instant;
+/// When progress of jobs that go on is written.
+#[derive(Debug)]
+pub(super) struct PersistenceSchedule {
+    /// The earliest time of the next write that ends no job.
+    pub(super) next_progress_write: Instant,
+}
+
+impl PersistenceSchedule {
+    /// A write is due now.
+    pub(super) fn new(now: Instant) -> PersistenceSchedule {
+        PersistenceSchedule { next_progress_write: now }
+    }
+}
 
 impl Scheduler {
     /// Records of these jobs may have changed.
     pub fn on_jobs(&mut self, ids: &[JobId], cache: &Cache, now: Instant) {
-        self.carried_old |= !self.carried.is_empty();
+        self.dependencies.stale |= !self.dependencies.inherited.is_empty();
         for id in ids {
             let Some(job) = cache.jobs.get(id) else { continue };
             match &job.body {
-                JobBody::Live(_) if self.told_cancelled.contains(id) => {}
+                JobBody::Live(_) if self.jobs.cancelling.contains(id) => {}
                 JobBody::Live(live) => {
-                    self.carried_old |= !live.depends_on().is_empty();
-                    let work = self.work.entry(id.clone()).or_default();
+                    self.dependencies.stale |= !live.depends_on().is_empty();
+                    let work = self.jobs.progress.entry(id.clone()).or_default();
                     if live.ready() {
-                        work.known.get_or_insert(now);
+                        work.first_seen.get_or_insert(now);
                     }
                     let done: Vec<u32> =
                         work.placed.keys().filter(|task| live.is_done(**task)).copied().collect();
                     for task in done {
                         work.completing.remove(&task);
-                        work.retry.remove(&task);
-                        let Some((machine, attempt)) = work.placed.remove(&task) else { continue };
-                        let Some(machine) = self.machines.get_mut(&machine) else { continue };
-                        let key = (TaskId { job: id.clone(), index: task }, attempt);
+                        work.retries.remove(&task);
+                        let Some(placed) = work.placed.remove(&task) else { continue };
+                        let machine = self.fleet.machines.get_mut(&placed.machine);
+                        let Some(machine) = machine else { continue };
+                        let key = (TaskId { job: id.clone(), index: task }, placed.attempt);
                         match machine.entries.get_mut(&key) {
                             Some(entry) if entry.state == TaskState::Exited => entry.settled = true,
                             // A second run of a task that is done by now.
                             _ => {
                                 machine.stop(&key, Stop { grace_s: 0.0, reason: "done elsewhere" });
-                                self.look_at.insert(machine.id.clone());
+                                self.direct_calls.dirty_machines.insert(machine.id.clone());
                             }
                         }
                     }
                 }
                 JobBody::Over { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
-                    self.told_cancelled.remove(id);
-                    if let Some(work) = self.work.remove(id) {
+                    self.jobs.cancelling.remove(id);
+                    if let Some(work) = self.jobs.progress.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
                         self.leave_over(&work, job);
                     }
                     self.stop_all(id);
-                    self.holders.forget(id);
+                    self.jobs.machines.forget(id);
                 }
             }
         }
-        self.plan_wanted = true;
+        self.planning_clock.pass_requested = true;
     }
 
     /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
@@ -57,12 +84,12 @@
     pub fn on_told_cancelled(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
-            if open && !self.told_cancelled.contains(id) {
+            if open && !self.jobs.cancelling.contains(id) {
                 tracing::debug!(job = %id, "about to be cancelled, stopped");
                 // Remembered, not only forgotten as work: the end of one of its tasks would
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
-                self.told_cancelled.insert(id.clone());
-                if let Some((work, job)) = self.work.remove(id).zip(cache.jobs.get(id)) {
+                self.jobs.cancelling.insert(id.clone());
+                if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
                     self.leave_over(&work, job);
                 }
                 self.stop_all(id);
@@ -73,9 +100,9 @@
     /// Stops whatever a job that is over has anywhere.
     pub(super) fn stop_all(&mut self, id: &JobId) {
         let attempts = attempts_of(id);
-        self.look_all = true;
-        for holder in self.holders.of(id) {
-            let Some(machine) = self.machines.get_mut(&holder) else { continue };
+        self.direct_calls.all_dirty = true;
+        for holder in self.jobs.machines.of(id) {
+            let Some(machine) = self.fleet.machines.get_mut(&holder) else { continue };
             let mut keys = Vec::new();
             for (key, entry) in machine.entries.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
@@ -86,7 +113,7 @@
             }
             for key in keys {
                 machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
-                self.stops += 1;
+                self.statistics.stops += 1;
             }
         }
     }
@@ -99,23 +126,23 @@
             return self.estimates_told(*bucket, outcome);
         }
         if let (Origin::MachineKnown(id), Outcome::Committed) = (origin, outcome)
-            && let Some(machine) = self.machines.get_mut(id)
+            && let Some(machine) = self.fleet.machines.get_mut(id)
         {
             machine.recorded = true;
             machine.owed = true;
-            self.look_at.insert(id.clone());
-            self.plan_wanted = true;
+            self.direct_calls.dirty_machines.insert(id.clone());
+            self.planning_clock.pass_requested = true;
         }
     }
 
     /// Hands the store what is due: records of machines and completions.
     pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
-        let machines = &self.machines;
+        let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
             machines.get(id).filter(|machine| machine.life == MachineState::Up && !machine.recorded)
         };
-        self.unrecorded.retain(|id| due(id).is_some());
-        for machine in self.unrecorded.iter().filter_map(due) {
+        self.fleet.unrecorded.retain(|id| due(id).is_some());
+        for machine in self.fleet.unrecorded.iter().filter_map(due) {
             let origin = Origin::MachineKnown(machine.id.clone());
             if state.has_item(&origin) {
                 continue;
@@ -125,13 +152,13 @@
             let rev = state.cache.machines.get(&machine.id).map_or(Revision(0), |(_, rev)| *rev);
             let record = MachineRecord {
                 address: address.to_string(),
-                flavor: self.flavors[machine.flavor].name.clone(),
+                flavor: self.fleet.machine_types[machine.flavor].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
             let data = Data::serialized(&record).unwrap_or(Data::Null);
             let change = jobs::Change {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                guards: vec![Precondition { key: key.clone(), rev }, self.term.precondition()],
                 writes: vec![Write::Put { key, data, hold: None }],
             };
             state.push(Item { rank: Rank::Awaited, origin, change });
@@ -142,7 +169,7 @@
     /// Removes the records of machines that are surely gone.
     pub(super) fn store_gone(&self, state: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
-        let mut ours = self.machines.keys().peekable();
+        let mut ours = self.fleet.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
             while ours.next_if(|our| *our < id).is_some() {}
             ours.peek().is_some_and(|our| *our == id)
@@ -153,7 +180,7 @@
             .iter()
             .filter(|(id, _)| !is_ours(id))
             // One of a kind that is not known is not known to be gone.
-            .filter(|(_, (m, _))| self.kind(&m.flavor, &m.zone, m.spot).is_some())
+            .filter(|(_, (m, _))| self.fleet.pool(&m.flavor, &m.zone, m.spot).is_some())
             .map(|(id, (_, rev))| (id.clone(), *rev))
             .collect();
         for (id, rev) in gone {
@@ -163,7 +190,7 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let change = jobs::Change {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                guards: vec![Precondition { key: key.clone(), rev }, self.term.precondition()],
                 writes: vec![Write::Delete { key }],
             };
             state.push(Item { rank: Rank::Rest, origin, change });
@@ -171,17 +198,17 @@
     }
 
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.marks_at && !state.is_behind();
+        let marks = now >= self.persistence.next_progress_write && !state.is_behind();
         if marks {
-            self.marks_at = now + MARKS_EVERY;
+            self.persistence.next_progress_write = now + MARKS_EVERY;
         }
         let layout = state.layout();
-        let now_ms = self.wall.ms(now);
-        let guard = self.leader_guard();
-        let work = &self.work;
+        let now_ms = self.wall_clock.ms(now);
+        let guard = self.term.precondition();
+        let work = &self.jobs.progress;
         let due = |id: &JobId| work.get(id).is_some_and(|work| !work.completing.is_empty());
-        self.completing.retain(due);
-        let reported = self.completing.iter().filter_map(|id| work.get_key_value(id));
+        self.jobs.completing.retain(due);
+        let reported = self.jobs.completing.iter().filter_map(|id| work.get_key_value(id));
         let mut reported: Vec<(&JobId, &JobProgress)> = reported.collect();
         // A write carries whatever marks of a job have come, so the longer marks wait the fewer writes
         // they take. Where the budget is short, only what ends a job goes at once.
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,6 +1,17 @@
 //! What jobs ask of placement, and what could be rented for them.
 
-use super::*;
+use crate::cloud::MachinePool;
+use crate::constants::{BOOT_USUAL, HIRE_MAX};
+use crate::ids::{Amount, JobId};
+use crate::jobs::LiveJob;
+use crate::placement;
+use crate::placement::{Basket, MachineTypeOffer, PlacementRequest, ScaleOutPolicy};
+use crate::scheduler::Scheduler;
+use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::job_progress::BackoffExpiry;
+use crate::wire::{JobKind, Priority};
+use crate::workers::machine::{Machine, MachineState};
+use tokio::time::Instant;
 
 impl Scheduler {
     /// What a job asks for by its description alone, for no task yet; none if it names a zone that
@@ -13,11 +24,11 @@
     ) -> Option<PlacementRequest> {
         let spec = &job.spec;
         let flavors = spec.flavors.as_ref().map(|names| {
-            let at = |name: &String| self.flavors.iter().position(|f| f.name == *name);
+            let at = |name: &String| self.fleet.machine_types.iter().position(|f| f.name == *name);
             names.iter().filter_map(at).collect()
         });
         let zone = match &spec.zone {
-            Some(name) => Some(self.zone(name)?),
+            Some(name) => Some(self.fleet.zone(name)?),
             None => None,
         };
         let half = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
@@ -34,7 +45,7 @@
             spot: spec.spot,
             zone_room: vec![half; self.settings.platform.params.zones.len()],
             one_zone: spec.one_zone,
-            image: Self::image_id(&mut self.images, &spec.image),
+            image: self.fleet.image_ids.intern(&spec.image),
             avoid: Vec::new(),
             gang: spec.shape == JobKind::Gang,
             within_s: self.settings.tightest_wait(&spec.class),
@@ -53,20 +64,19 @@
         id: &JobId,
         job: &LiveJob,
         most: u64,
-        unsure: &[(usize, usize, bool)],
+        unsure: &[MachinePool],
         sizes: &[Amount],
         wake: &mut Option<Instant>,
         now: Instant,
     ) -> Option<PlacementRequest> {
         let spec = &job.spec;
         let mut ask = self.bare_ask(id, job, sizes)?;
-        let work = self.work.get(id)?;
-        if work.old
-            && unsure
-                .iter()
-                .any(|&(flavor, zone, spot)| placement::allowed(&ask, zone, flavor, spot))
+        let work = self.jobs.progress.get(id)?;
+        if work.predates_leadership
+            && unsure.iter().any(|pool| placement::allowed(&ask, pool.zone, pool.flavor, pool.spot))
         {
-            *self.waits.entry("unconfirmed machine").or_default() += work.waiting(job);
+            *self.statistics.waiting_by_cause.entry("unconfirmed machine").or_default() +=
+                work.waiting(job);
             return None;
         }
         if spec.shape == JobKind::Gang && !work.placed.is_empty() {
@@ -74,31 +84,32 @@
             // others end by themselves and all start again under a new attempt.
             return None;
         }
-        let most = match work.evidence.allows(work.placed.len(), now) {
+        let most = match work.failures.allows(work.placed.len(), now) {
             // A gang starts as a whole, on trial too.
             Ok(allowed) if spec.shape != JobKind::Gang => most.min(allowed as u64),
             Ok(_) => most,
             Err(at) => {
-                *self.waits.entry("fails everywhere").or_default() += work.waiting(job);
+                *self.statistics.waiting_by_cause.entry("fails everywhere").or_default() +=
+                    work.waiting(job);
                 *wake = wake.iter().chain(&at).min().copied();
                 return None;
             }
         };
-        let trial = work.evidence.mistaken();
-        let work = self.work.get_mut(id)?;
-        work.wake(now);
+        let trial = work.failures.mistaken();
+        let work = self.jobs.progress.get_mut(id)?;
+        work.expire_backoffs(now);
         let waiting = work.waiting(job);
         if trial
             && spec.shape != JobKind::Gang
             && waiting > 0
-            && waiting <= work.paused.len() as u64
+            && waiting <= work.backing_off.len() as u64
         {
             // The job's own pause is over; that of its next task does not matter.
-            work.again.extend(work.paused.pop_first().map(|(_, task)| task));
+            work.requeued.extend(work.backing_off.pop_first().map(|expiry| expiry.task));
         }
-        let paused = work.paused.len() as u64;
-        if let Some((at, _)) = work.paused.first() {
-            *self.waits.entry("pause after a failure").or_default() += paused;
+        let paused = work.backing_off.len() as u64;
+        if let Some(BackoffExpiry { at, .. }) = work.backing_off.first() {
+            *self.statistics.waiting_by_cause.entry("pause after a failure").or_default() += paused;
             *wake = wake.iter().chain([at]).min().copied();
         }
         let count = most.min(waiting.saturating_sub(paused));
@@ -107,11 +118,11 @@
             return None;
         }
         ask.count = u32::try_from(count).unwrap_or(u32::MAX);
-        let work = self.work.get(id)?;
+        let work = self.jobs.progress.get(id)?;
         // Tens of thousands may be placed: they are counted only where their zones matter.
         let counted = spec.spread || spec.one_zone;
-        for (machine, _) in work.placed.values().filter(|_| counted) {
-            let Some(machine) = self.machines.get(machine) else { continue };
+        for placed in work.placed.values().filter(|_| counted) {
+            let Some(machine) = self.fleet.machines.get(&placed.machine) else { continue };
             let zone = machine.zone;
             if spec.spread {
                 ask.zone_room[zone] = ask.zone_room[zone].saturating_sub(1);
@@ -120,8 +131,8 @@
                 ask.zone = Some(zone);
             }
         }
-        let index = |id| self.machines.get(id).map(|m: &Machine| m.index);
-        ask.avoid = work.evidence.avoided().iter().filter_map(index).collect();
+        let index = |id| self.fleet.machines.get(id).map(|m: &Machine| m.index);
+        ask.avoid = work.failures.avoided().iter().filter_map(index).collect();
         if trial {
             // A trial of a job that fails everywhere takes what room there is.
             ask.rents = ScaleOutPolicy::Nothing;
@@ -137,7 +148,7 @@
         beyond: bool,
         now: Instant,
     ) -> Option<f64> {
-        let known = self.work.get(id)?.known?;
+        let known = self.jobs.progress.get(id)?.first_seen?;
         let waited = now.saturating_duration_since(known).as_secs_f64();
         let guarantee = self.settings.guarantee_wait().filter(|_| !beyond);
         let aims = self.settings.waits(&job.spec.class).chain(guarantee);
@@ -154,7 +165,7 @@
 
     /// Seconds within which most machines rented now are up, with an image.
     pub(super) fn usual_boot_s(&self) -> f64 {
-        self.flavors.iter().map(|flavor| flavor.boot_s * BOOT_USUAL).fold(0.0, f64::max)
+        self.fleet.machine_types.iter().map(|flavor| flavor.boot_s * BOOT_USUAL).fold(0.0, f64::max)
     }
 
     /// Room kept free for critical work, as asks that come last and are never started.
@@ -171,7 +182,9 @@
         let need = Amount { cpu: size.cpu / 4, gpu: 0, ram: size.ram / 4 };
         let zones = silent.len();
         let mut lent = vec![0u64; zones];
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up && !m.spot) {
+        for machine in
+            self.fleet.machines.values().filter(|m| m.life == MachineState::Up && !m.spot)
+        {
             lent[machine.zone] += machine.low_cpu();
         }
         let wanted = |zone: usize| {
@@ -213,16 +226,16 @@
     ) -> Vec<(MachinePool, MachineTypeOffer)> {
         let mut offers = Vec::new();
         let mut held = vec![[0u32; 2]; self.settings.platform.params.zones.len()];
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             held[machine.zone][usize::from(machine.spot)] += 1;
         }
-        for (flavor, info) in self.flavors.iter().enumerate() {
-            for zone in info.zones.iter().filter_map(|name| self.zone(name)) {
+        for (flavor, info) in self.fleet.machine_types.iter().enumerate() {
+            for zone in info.zones.iter().filter_map(|name| self.fleet.zone(name)) {
                 for spot in [true, false] {
                     let kind = MachinePool { flavor, zone, spot };
-                    let scarce = self.scarce.get(&kind);
+                    let scarce = self.autoscaler.capacity_backoff.get(&kind);
                     let asked = pending.iter().any(|(other, _)| *other == kind);
-                    if scarce.is_some_and(|(until, _)| *until > now || asked) {
+                    if scarce.is_some_and(|backoff| backoff.not_before > now || asked) {
                         continue;
                     }
                     let offer = MachineTypeOffer {
@@ -231,7 +244,7 @@
                         spot,
                         price: if spot { info.spot_price } else { info.price },
                         size: sizes[flavor],
-                        most: scarce.map_or(HIRE_MAX, |(_, most)| *most),
+                        most: scarce.map_or(HIRE_MAX, |backoff| backoff.max_request),
                         held: held[zone][usize::from(spot)],
                     };
                     offers.push((kind, offer));
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -3,18 +3,31 @@
 //! Owns the order of service and what a team may still use. It is the only place that starts a task. Where an ask goes
 //! `placement` decides; it changes no machine's life and writes nothing.
 
-use super::*;
+use crate::cloud::{CloudClient, MachinePool};
+use crate::constants::{CONSOLIDATE_EVERY, HIRE_SETTLE, PLAN_EVERY, VACATED};
+use crate::ids::{Amount, JobId, MachineId, TaskId};
+use crate::jobs::{Job, LiveJob};
+use crate::placement;
+use crate::placement::{Bin, Input, PlacementRequest, QueuedJob, ScaleOutPolicy};
+use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::job_progress::{JobProgress, Placement};
+use crate::scheduler::preemption::Stoppable;
+use crate::scheduler::{Scheduler, fair_share};
+use crate::store::Cache;
+use crate::wire::{JobKind, Priority};
+use crate::workers::machine::{Machine, MachineState, PlacedAttempt};
+use foldhash::HashMap;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+/// A job that asks for machines in a planning pass, and how many of its tasks are still to be placed.
+pub(super) struct PendingDemand {
+    pub(super) job: JobId,
+    pub(super) left: u32,
+}
 
 impl Scheduler {
-    pub(super) fn image_id(images: &mut HashMap<Arc<str>, u32>, name: &str) -> u32 {
-        if let Some(id) = images.get(name) {
-            return *id;
-        }
-        let id = images.len() as u32;
-        images.insert(Arc::from(name), id);
-        id
-    }
-
     /// Whether work may be placed on a machine now, and will stay there.
     pub(super) fn takes_work(&self, machine: &Machine, now: Instant) -> bool {
         machine.life == MachineState::Up
@@ -30,7 +43,7 @@
     pub(super) fn team_use(&mut self, sizes: &[Amount]) -> Vec<Amount> {
         let threshold = self.settings.operator.heavy_threshold;
         let mut used = vec![Amount::default(); self.teams.len()];
-        for machine in self.machines.values_mut() {
+        for machine in self.fleet.machines.values_mut() {
             let usage = machine.usage(|need| placement::basket_of(need, sizes, threshold));
             for (team, amount) in &usage.teams {
                 if let Some(sum) = used.get_mut(*team) {
@@ -58,16 +71,17 @@
             let Some(&team) = self.teams.get(&job.spec.team) else { continue };
             claimed[team] = claimed[team].plus(&job.need.times(job.spec.tasks));
             let beyond = !claimed[team].fits(&params.teams[team].guarantee());
-            let work = &self.work[*id];
+            let work = &self.jobs.progress[*id];
             let started = job.done_count() + work.placed.len() as u64;
             let turn = placement::copies(&params.teams[team].most(), &job.need);
-            let waited = work.known.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+            let waited =
+                work.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
             let (due, overdue) = self.due_aims(id, job, now);
             let aims = settings.waits(&job.spec.class).count() + due;
             let missed = settings.missed_waits(&job.spec.class, waited) + overdue;
             order.push(QueuedJob {
                 urgency: self.urgency(id, job),
-                fresh: job.spec.shape != JobKind::Service || work.retry.is_empty(),
+                fresh: job.spec.shape != JobKind::Service || work.retries.is_empty(),
                 beyond,
                 aimless: !self.has_aim(id, job),
                 had_turn: started >= turn,
@@ -76,7 +90,7 @@
                 age: at,
                 team,
             });
-            if work.old && unsure {
+            if work.predates_leadership && unsure {
                 hidden[team] = hidden[team].plus(&job.need.times(work.waiting(job)));
             }
         }
@@ -94,13 +108,13 @@
         let settings = self.settings.clone();
         let threshold = settings.operator.heavy_threshold;
         let quiet = settings.report_every() * 2 + Duration::from_secs(1);
-        let mut bins = Vec::with_capacity(self.machines.len());
-        let mut names = Vec::with_capacity(self.machines.len());
+        let mut bins = Vec::with_capacity(self.fleet.machines.len());
+        let mut names = Vec::with_capacity(self.fleet.machines.len());
         let hold = Duration::from_secs_f64(settings.operator.hold_s);
         let overdue = self.overdue(survey, now);
-        let drained = self.draining.drained.clone();
-        for machine in self.machines.values_mut() {
-            let flavor = &self.flavors[machine.flavor];
+        let drained = self.drains.drained.clone();
+        for machine in self.fleet.machines.values_mut() {
+            let flavor = &self.fleet.machine_types[machine.flavor];
             let booting = machine.life == MachineState::Booting && !overdue(machine, flavor);
             // What is being emptied takes nothing until it is empty.
             let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
@@ -123,7 +137,7 @@
             if machine.images.len() > machine.image_ids.len() {
                 let images = machine.images.iter();
                 machine.image_ids =
-                    images.map(|image| Self::image_id(&mut self.images, image)).collect();
+                    images.map(|image| self.fleet.image_ids.intern(image)).collect();
             }
             let held = machine.idle_since.is_some_and(|at| now < at + hold);
             if basket.is_some() || !held {
@@ -159,16 +173,16 @@
         cache: &Cache,
         now: Instant,
     ) {
-        self.reserved.clear();
+        self.autoscaler.reserved_machines.clear();
         for (ask, bin) in places {
             let Some(Some(id)) = names.get(*bin) else { continue };
             let Some(source) = sources.get_mut(*ask) else {
-                self.reserved.insert(id.clone());
+                self.autoscaler.reserved_machines.insert(id.clone());
                 continue;
             };
             let job = &source.job;
             let id = id.clone();
-            let Some(machine) = self.machines.get(&id) else { continue };
+            let Some(machine) = self.fleet.machines.get(&id) else { continue };
             let zone = machine.zone;
             if let Some(ask) = urgent.get_mut(ask) {
                 let cold = !machine.image_ids.contains(&ask.image);
@@ -185,13 +199,15 @@
             }
             let live = cache.jobs.get(job).and_then(Job::live);
             let urgency = live.map(|live| self.urgency(job, live));
-            if urgency == Some(Priority::Low) && !self.low_starts.has(1.0, now) {
+            if urgency == Some(Priority::Low) && !self.start_pacer.low_priority_starts.has(1.0, now)
+            {
                 // Hundreds of jobs may ask for one start each.
-                self.plan_wanted = true;
+                self.planning_clock.pass_requested = true;
                 continue;
             }
-            let work = self.work.get_mut(job);
-            let Some(index) = live.zip(work).and_then(|(live, work)| work.next(live, now)) else {
+            let work = self.jobs.progress.get_mut(job);
+            let Some(index) = live.zip(work).and_then(|(live, work)| work.next_task(live, now))
+            else {
                 continue;
             };
             source.left = source.left.saturating_sub(1);
@@ -207,28 +223,35 @@
             let live = cache.jobs.get(id).and_then(Job::live);
             live.is_some_and(|live| work.waiting(live) > 0)
         };
-        let waiting = self.work.iter().any(waits);
-        waiting || self.carried_old || !self.draining.drained.is_empty()
+        let waiting = self.jobs.progress.iter().any(waits);
+        waiting || self.dependencies.stale || !self.drains.drained.is_empty()
     }
 
     pub(super) fn plan(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
         let settings = self.settings.clone();
         let params = &settings.platform.params;
-        let sizes: Vec<Amount> = (0..self.flavors.len()).map(|f| self.size(f)).collect();
+        let sizes: Vec<Amount> =
+            (0..self.fleet.machine_types.len()).map(|f| self.fleet.capacity(f)).collect();
 
         // Machines on which tasks may run that no report has shown yet.
-        let mut unsure: Vec<(usize, usize, bool)> = Vec::new();
+        let mut unsure: Vec<MachinePool> = Vec::new();
         let mut unsure_room = Amount::default();
-        for machine in self.machines.values().filter(|m| !m.confirmed) {
-            unsure.push((machine.flavor, machine.zone, machine.spot));
-            unsure_room = unsure_room.plus(&self.size(machine.flavor).minus(&machine.used()));
+        for machine in self.fleet.machines.values().filter(|m| !m.confirmed) {
+            unsure.push(MachinePool {
+                flavor: machine.flavor,
+                zone: machine.zone,
+                spot: machine.spot,
+            });
+            unsure_room =
+                unsure_room.plus(&self.fleet.capacity(machine.flavor).minus(&machine.used()));
         }
 
         let known = |id| {
             let (id, job) = cache.jobs.all.get_key_value(id)?;
             Some((id, job.live()?))
         };
-        let mut live: Vec<(&JobId, &LiveJob)> = self.work.keys().filter_map(known).collect();
+        let mut live: Vec<(&JobId, &LiveJob)> =
+            self.jobs.progress.keys().filter_map(known).collect();
         self.estimate_all(&live, now);
         self.carry_back(&live);
         let coming = self.coming(&live, now);
@@ -237,10 +260,10 @@
         live.sort_by(|a, b| (a.1.since_ms(), a.0).cmp(&(b.1.since_ms(), b.0)));
         let (order, mut hidden) = self.claims(&live, !unsure.is_empty(), now);
         if unsure.is_empty() {
-            self.leftover.clear();
+            self.jobs.orphaned_tasks.clear();
         }
         for (team, hidden) in hidden.iter_mut().enumerate() {
-            *hidden = hidden.plus(&self.leftover.of(team));
+            *hidden = hidden.plus(&self.jobs.orphaned_tasks.of(team));
         }
 
         let used = self.team_use(&sizes);
@@ -253,17 +276,18 @@
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
         team_room.push(unlimited);
 
-        let survey = self.survey(now);
-        let mut silent = self.silent_zones(&survey, now);
+        let survey = self.fleet_summary(now);
+        let mut silent = self.unreachable_zones(&survey, now);
         // No room is kept, and nothing rented, where all is to leave.
         silent.iter_mut().zip(self.drained_zones()).for_each(|(shut, drained)| *shut |= drained);
         let (mut bins, mut names) = self.bins(&sizes, &survey, now);
         let pending = cloud.pending();
-        let may_rent = now >= self.since + HIRE_SETTLE
-            && (self.listed_once || now >= self.since + HIRE_SETTLE * 4);
+        let may_rent = now >= self.term.started_at + HIRE_SETTLE
+            && (self.fleet.listed_once || now >= self.term.started_at + HIRE_SETTLE * 4);
         let coming_up: u32 = pending.iter().map(|(_, count)| count).sum();
-        let held = u32::try_from(self.machines.len()).unwrap_or(u32::MAX);
-        let rents_left = self.most_machines.saturating_sub(held.saturating_add(coming_up));
+        let held = u32::try_from(self.fleet.machines.len()).unwrap_or(u32::MAX);
+        let rents_left =
+            self.autoscaler.max_machines.saturating_sub(held.saturating_add(coming_up));
         self.look_for_shortage(
             &live,
             &bins,
@@ -284,22 +308,24 @@
         let growth = self.growth(&live, now);
         // Elastic jobs beyond their least width come after all that is served as usual.
         let mut wider: Vec<(PendingDemand, PlacementRequest)> = Vec::new();
-        self.waits.clear();
+        self.statistics.waiting_by_cause.clear();
         for QueuedJob { age: at, beyond, .. } in order {
             let (id, job) = live[at];
             let team = self.teams[&job.spec.team];
             let within = placement::copies(&team_room[team], &job.need);
-            let waiting = self.work[id].waiting(job);
+            let waiting = self.jobs.progress[id].waiting(job);
             if within < waiting {
-                *self.waits.entry("team limit").or_default() += waiting - within;
+                *self.statistics.waiting_by_cause.entry("team limit").or_default() +=
+                    waiting - within;
             }
             let mut most = within;
             if self.urgency(id, job) == Priority::Low && job.spec.shape == JobKind::Array {
-                let paced = self.low_starts.room(now) as u64;
+                let paced = self.start_pacer.low_priority_starts.room(now) as u64;
                 if paced < most.min(waiting) {
-                    *self.waits.entry("pace of starts").or_default() += most.min(waiting) - paced;
+                    *self.statistics.waiting_by_cause.entry("pace of starts").or_default() +=
+                        most.min(waiting) - paced;
                     most = paced;
-                    self.plan_wanted = true;
+                    self.planning_clock.pass_requested = true;
                 }
             }
             let grows = self.limit_width(id, job, &growth, &mut most);
@@ -343,8 +369,9 @@
         // Least urgent work that waits is no reason to leave others scattered: what is emptied it
         // can use, and room that it needs itself is not free.
         let quiet = asks[..real_asks].iter().all(|ask| ask.urgency == Priority::Low);
-        if quiet && unsure.is_empty() && now >= self.consolidate_at && !self.is_draining() {
-            self.consolidate_at = now + CONSOLIDATE_EVERY;
+        if quiet && unsure.is_empty() && now >= self.consolidation.next_round && !self.is_draining()
+        {
+            self.consolidation.next_round = now + CONSOLIDATE_EVERY;
             self.consolidate(&bins, &names, cache, now);
         }
         if unsure.is_empty() {
@@ -364,7 +391,7 @@
             .map(|(n, ask)| (n, ask.clone()))
             .collect();
         let plan = placement::plan(Input { bins, asks, team_room, offers, heavy_cap, rents_left });
-        if self.shortage.is_scarce() {
+        if self.fair_share.is_scarce() {
             self.note_causes(&weights, &plan);
         }
         let no_room = if rents_left == 0 { "controllers hold no more machines" } else { "no room" };
@@ -372,7 +399,7 @@
             let real = left.iter().filter(|(ask, _)| *ask < real_asks);
             let count: u32 = real.map(|(_, count)| count).sum();
             if count > 0 {
-                self.waits.insert(why, u64::from(count));
+                self.statistics.waiting_by_cause.insert(why, u64::from(count));
             }
         }
 
@@ -390,15 +417,15 @@
         for (n, count) in plan.hires.iter().enumerate() {
             if *count > 0 {
                 let (kind, _) = &kinds[n];
-                let flavor = self.flavors[kind.flavor].name.clone();
+                let flavor = self.fleet.machine_types[kind.flavor].name.clone();
                 cloud.hire(*kind, &flavor, &params.zones[kind.zone], *count, now);
             }
         }
         if wake.is_some() || !plan.short.is_empty() || !plan.booked.is_empty() {
             // Time alone may change the outcome: pauses end, refusals are forgotten.
-            self.plan_wanted = true;
+            self.planning_clock.pass_requested = true;
             let pause = if wake.is_some_and(|at| at < now + PLAN_EVERY * 4) { 2 } else { 4 };
-            self.plan_at = now + PLAN_EVERY * pause;
+            self.planning_clock.next_pass = now + PLAN_EVERY * pause;
         }
     }
 
@@ -411,27 +438,25 @@
         }
         let team = self.team_of(&live.spec.team);
         let urgency = self.urgency(&task.job, live);
-        self.holders.note(&task.job, id, &self.machines);
-        let (Some(machine), Some(work)) = (self.machines.get_mut(id), self.work.get_mut(&task.job))
+        self.jobs.machines.note(&task.job, id, &self.fleet.machines);
+        let (Some(machine), Some(work)) =
+            (self.fleet.machines.get_mut(id), self.jobs.progress.get_mut(&task.job))
         else {
             return;
         };
         // The tasks of a gang find each other by a common attempt: each generation has one.
         let gang = live.spec.shape == JobKind::Gang;
-        let shared = || work.placed.values().map(|(_, attempt)| *attempt).max();
+        let shared = || work.placed.values().map(|placed| placed.attempt).max();
         let attempt = match gang.then(shared).flatten() {
             Some(shared) => shared,
-            _ => {
-                self.counter += 1;
-                Attempt::new(self.token, self.counter)
-            }
+            _ => self.term.create_attempt(),
         };
         tracing::debug!(machine = %id, %task, %attempt, "start");
-        self.starts += 1;
+        self.statistics.starts += 1;
         if urgency == Priority::Low {
-            self.low_starts.take(1.0, now);
+            self.start_pacer.low_priority_starts.take(1.0, now);
         }
-        work.placed.insert(task.index, (id.clone(), attempt));
+        work.placed.insert(task.index, Placement { machine: id.clone(), attempt });
         let image = Arc::from(live.spec.image.as_str());
         let entry = PlacedAttempt::new(live.need, team, urgency, image, now);
         machine.entries.insert((task, attempt), entry);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,7 +1,23 @@
 //! Stopping less urgent work for urgent work that finds no room.
 
-use super::*;
+use crate::constants::{ENDS_SOON_S, FETCH_SHARE, IMAGE_WORTH_S, SAVE_SHARE};
+use crate::ids::{Amount, JobId, MachineId};
+use crate::jobs::Job;
+use crate::placement;
+use crate::placement::PlacementRequest;
+use crate::scheduler::task_attempt::TaskAttempt;
+use crate::scheduler::{Scheduler, fair_share};
+use crate::store::Cache;
+use crate::wire::{JobKind, Priority, TaskState};
+use crate::workers::machine::Stop;
 use ordered_float::OrderedFloat;
+use std::collections::BTreeMap;
+use tokio::time::Instant;
+
+/// The reason of a stop that makes room for more urgent work.
+pub(super) const PREEMPTED: &str = "preempted";
+/// The reason of a stop that moves a task elsewhere.
+pub(super) const MOVED: &str = "moved";
 
 /// A task that could make way.
 struct Victim {
@@ -88,6 +104,7 @@
         // Room that earlier stops are about to free. Its size counts: sixteen small tasks may
         // make room for one.
         let mut coming = self
+            .fleet
             .machines
             .values()
             .flat_map(|machine| machine.entries.values())
@@ -110,8 +127,8 @@
     /// Whether a start on a machine without the image misses its class's tightest aim.
     pub(super) fn fetch_is_late(&self, job: &JobId, machine: &MachineId, cache: &Cache) -> bool {
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
-        let Some(machine) = self.machines.get(machine) else { return false };
-        let rate = self.flavors[machine.flavor].fetch_gb_per_s;
+        let Some(machine) = self.fleet.machines.get(machine) else { return false };
+        let rate = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
         let Some(within_s) = self.settings.tightest_wait(&live.spec.class) else { return false };
         live.spec.urgency == Priority::Production
             && rate > 0.0
@@ -124,11 +141,12 @@
         cache: &Cache,
         now: Instant,
     ) -> Vec<PendingDemand> {
-        let sizes: Vec<Amount> = (0..self.flavors.len()).map(|f| self.size(f)).collect();
+        let sizes: Vec<Amount> =
+            (0..self.fleet.machine_types.len()).map(|f| self.fleet.capacity(f)).collect();
         let largest = fair_share::largest(&sizes);
         let knows = self.settings.operator.estimates.make_way;
         let mut sources = Vec::new();
-        for machine in self.machines.values().filter(|m| self.takes_work(m, now)) {
+        for machine in self.fleet.machines.values().filter(|m| self.takes_work(m, now)) {
             let mut victims: Vec<Victim> = machine
                 .entries
                 .iter()
@@ -147,7 +165,7 @@
                         .running_since
                         .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
                     // What ends by itself in a moment gives its room up anyway, and loses all if stopped.
-                    let known = self.learning.rest_s(&key.0.job, ran).filter(|_| knows);
+                    let known = self.runtime_predictor.rest_s(&key.0.job, ran).filter(|_| knows);
                     if known.is_some_and(|rest_s| rest_s < ENDS_SOON_S) {
                         return None;
                     }
@@ -160,7 +178,8 @@
                     let saves = spec.checkpoint_s > 0.0;
                     // What made way before has lost enough: else the same small jobs are stopped
                     // again and again until they end late.
-                    let before = self.work.get(&key.0.job).map_or(0, |work| work.made_way);
+                    let before =
+                        self.jobs.progress.get(&key.0.job).map_or(0, |work| work.preemptions);
                     let weight = 1.0 + f64::from(before) / spec.tasks as f64;
                     let least = self.least_width_s(&key.0.job, live);
                     Some(Victim {
@@ -185,7 +204,7 @@
                 zone: machine.zone,
                 flavor: machine.flavor,
                 spot: machine.spot,
-                free: self.size(machine.flavor).minus(&machine.used()),
+                free: self.fleet.capacity(machine.flavor).minus(&machine.used()),
                 images: machine.image_ids.clone(),
                 victims,
             });
@@ -275,10 +294,10 @@
             .collect();
         self.made_way(&jobs, now);
         for (id, stopped) in chosen {
-            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             for (key, grace_s) in stopped {
                 machine.stop(&key, Stop { grace_s, reason: PREEMPTED });
-                self.stops += 1;
+                self.statistics.stops += 1;
             }
         }
         made
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,7 +3,20 @@
 //! Owns the way from a report's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
-use super::*;
+use crate::constants::{FAULTY_JOBS, PROVEN_AFTER, RETRY_FIRST, RETRY_MOST};
+use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
+use crate::jobs::{Job, JobBody, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::job_progress::{DuplicateAttempt, Placement, RetryBackoff};
+use crate::scheduler::preemption::{MOVED, PREEMPTED};
+use crate::scheduler::task_attempt::TaskAttempt;
+use crate::store::Cache;
+use crate::wire::{CommandBatch, Heartbeat, JobKind, Priority, TaskState, WorkerCommand};
+use crate::workers::machine::{HeartbeatEffect, Machine, OVER, PlacedAttempt, Stop, TaskEvent};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
 
 impl Scheduler {
     /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
@@ -13,21 +26,21 @@
         cache: &Cache,
         now: Instant,
     ) -> Option<CommandBatch> {
-        self.last_report = now;
-        self.reports += 1;
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
+        self.statistics.last_heartbeat = now;
+        self.statistics.heartbeats += 1;
+        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
             machine.relayed_by = None;
         }
-        if self.buried.contains(&report.machine) {
+        if self.fleet.terminated.contains(&report.machine) {
             // Held back by the network since before the machine was deleted.
             return Some(self.answer(Vec::new()));
         }
-        if !self.machines.contains_key(&report.machine) {
-            let Some(kind) = self.kind(&report.flavor, &report.zone, report.spot) else {
+        if !self.fleet.machines.contains_key(&report.machine) {
+            let Some(kind) = self.fleet.pool(&report.flavor, &report.zone, report.spot) else {
                 return Some(self.answer(Vec::new()));
             };
             tracing::info!(machine = %report.machine, "a machine reports that was not known");
-            self.add_machine(&report.machine, kind, now);
+            self.fleet.add_machine(&report.machine, kind, now);
         }
         if !self.take_report(report, cache, now) {
             return None;
@@ -36,31 +49,62 @@
         Some(self.answer(orders))
     }
 
+    /// The end of a direct call: the worker's report, or whether it may still be executed.
+    pub fn on_direct(
+        &mut self,
+        id: &MachineId,
+        sent: Option<&CommandBatch>,
+        report: Result<Heartbeat, crate::http::CallError>,
+        cache: &Cache,
+        now: Instant,
+    ) -> bool {
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return true };
+        self.direct_calls.in_flight -= usize::from(std::mem::take(&mut machine.direct_in_flight));
+        self.direct_calls.dirty_machines.insert(id.clone());
+        let answered = !matches!(report, Err(crate::http::CallError::Unknown));
+        if let (Some(orders), true) = (sent, answered) {
+            machine.note_flying(&orders.orders, -1);
+        }
+        match report {
+            Ok(report) if report.machine == *id => {
+                machine.direct_after = now + Duration::from_millis(20);
+                self.take_report(&report, cache, now)
+            }
+            _ => {
+                if machine.asked_openly {
+                    machine.asked_in_vain = Some(machine.direct_sent);
+                }
+                machine.direct_after = now + RETRY_FIRST * 2;
+                true
+            }
+        }
+    }
+
     /// The orders of an answer that is about to be sent, which renews the worker's lease.
     pub(super) fn orders_in_answer(
         &mut self,
         id: &MachineId,
         now: Instant,
     ) -> Option<Vec<WorkerCommand>> {
-        let machine = self.machines.get_mut(id)?;
+        let machine = self.fleet.machines.get_mut(id)?;
         // The answer is about to be sent, so its lease may now last until a lease from here.
         machine.answered = now;
         let orders = machine.orders();
         // Most reports leave nothing owed.
         machine.owed = orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
         if machine.owed || !machine.confirmed {
-            self.look_at.insert(id.clone());
+            self.direct_calls.dirty_machines.insert(id.clone());
         }
         Some(orders)
     }
 
     pub(super) fn answer(&self, orders: Vec<WorkerCommand>) -> CommandBatch {
-        CommandBatch { token: self.token, agent_epoch: None, orders }
+        CommandBatch { token: self.term.token, agent_epoch: None, orders }
     }
 
     /// False: the worker has seen a higher token than ours.
     pub(super) fn take_report(&mut self, report: &Heartbeat, cache: &Cache, now: Instant) -> bool {
-        let Some(machine) = self.machines.get_mut(&report.machine) else { return true };
+        let Some(machine) = self.fleet.machines.get_mut(&report.machine) else { return true };
         if let Ok(address) = report.address.parse() {
             machine.address = Some(address);
         }
@@ -72,7 +116,7 @@
         let usable = |m: &Machine| (m.life, m.confirmed, m.agent_epoch, m.silent_for(now) > quiet);
         let before = usable(machine);
         let had_notice = machine.recall_at.is_some();
-        let facts = match machine.hear(report, self.token, now) {
+        let facts = match machine.hear(report, self.term.token, now) {
             HeartbeatEffect::Superseded => return false,
             HeartbeatEffect::Stale => return true,
             HeartbeatEffect::News(facts) => facts,
@@ -81,9 +125,9 @@
             tracing::info!(machine = %machine.id, notice_s = report.notice_s, "spot notice");
         }
         // Most reports say what is known already and change no plan.
-        self.zone_heard[machine.zone] = Some(now);
+        self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         if !machine.recorded {
-            self.unrecorded.insert(machine.id.clone());
+            self.fleet.unrecorded.insert(machine.id.clone());
         }
         let news = !facts.is_empty()
             || usable(machine) != before
@@ -93,7 +137,7 @@
             self.on_fact(&id, fact, cache, now);
         }
         self.drain_if_recalled(&id, cache, now);
-        self.plan_wanted |= news;
+        self.planning_clock.pass_requested |= news;
         true
     }
 
@@ -130,10 +174,11 @@
         now: Instant,
     ) {
         let since = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
-        let Some(machine) = self.machines.get(id) else { return };
+        let Some(machine) = self.fleet.machines.get(id) else { return };
         let Some(entry) = machine.entries.get(&(task.clone(), attempt)) else { return };
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
-        let known_ms = self.work.get(&task.job).and_then(|work| work.known).map(since);
+        let known_ms =
+            self.jobs.progress.get(&task.job).and_then(|work| work.first_seen).map(since);
         let class = &live.spec.class;
         let fetch_ms = since(entry.placed);
         tracing::debug!(machine = %id, %task, class, known_ms, fetch_ms, image = %entry.image, "running");
@@ -142,7 +187,7 @@
     /// The job, if its tasks may still be started.
     pub(super) fn live<'a>(&self, cache: &'a Cache, id: &JobId) -> Option<&'a LiveJob> {
         let live = cache.jobs.get(id).and_then(Job::live)?;
-        (!self.told_cancelled.contains(id)).then_some(live)
+        (!self.jobs.cancelling.contains(id)).then_some(live)
     }
 
     /// A task that a predecessor started.
@@ -165,10 +210,10 @@
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
-        self.holders.note(&task.job, machine, &self.machines);
+        self.jobs.machines.note(&task.job, machine, &self.fleet.machines);
         let live = self.live(cache, &task.job).is_some();
-        let work = live.then(|| self.work.entry(task.job.clone()).or_default());
-        let Some(machine) = self.machines.get_mut(machine) else { return };
+        let work = live.then(|| self.jobs.progress.entry(task.job.clone()).or_default());
+        let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.owed = true;
         let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) else { return };
         (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, urgency);
@@ -178,8 +223,9 @@
         let Some(work) = work else {
             return machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
         };
-        let Some((other, theirs)) = work.placed.get(&task.index).cloned() else {
-            work.placed.insert(task.index, (machine.id.clone(), attempt));
+        let found = Placement { machine: machine.id.clone(), attempt };
+        let Some(placed) = work.placed.get(&task.index).cloned() else {
+            work.placed.insert(task.index, found);
             return;
         };
         if exited {
@@ -187,35 +233,41 @@
         }
         // No attempt is started before all earlier ones are surely gone, so the report that shows the earlier
         // one is an old one. The later one goes on; the task is free only when neither is shown any more.
-        tracing::info!(%task, %attempt, other = %other, %theirs, "an old report shows a task twice");
-        let late = if attempt > theirs {
-            work.placed.insert(task.index, (machine.id.clone(), attempt));
-            (other, theirs)
+        tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "an old report shows a task twice");
+        let duplicate = if attempt > placed.attempt {
+            work.placed.insert(task.index, found);
+            placed
         } else {
-            (machine.id.clone(), attempt)
+            found
         };
-        work.twice.push((task.index, late.0.clone(), late.1));
-        if let Some(machine) = self.machines.get_mut(&late.0) {
-            machine.stop(&(task, late.1), Stop { grace_s: 0.0, reason: "found twice" });
+        let (id, attempt) = (duplicate.machine.clone(), duplicate.attempt);
+        let duplicate = DuplicateAttempt { task: task.index, placement: duplicate };
+        work.duplicate_attempts.push(duplicate);
+        if let Some(machine) = self.fleet.machines.get_mut(&id) {
+            machine.stop(&(task, attempt), Stop { grace_s: 0.0, reason: "found twice" });
         }
     }
 
     pub(super) fn release(&mut self, task: &TaskId, attempt: Attempt, now: Instant) {
-        if let Some(work) = self.work.get_mut(&task.job) {
-            work.twice.retain(|(index, _, other)| (*index, *other) != (task.index, attempt));
-            let placed = work.placed.get(&task.index).is_some_and(|(_, placed)| *placed == attempt);
+        if let Some(work) = self.jobs.progress.get_mut(&task.job) {
+            work.duplicate_attempts.retain(|duplicate| {
+                (duplicate.task, duplicate.placement.attempt) != (task.index, attempt)
+            });
+            let placed = work.placed.get(&task.index);
+            let placed = placed.is_some_and(|placed| placed.attempt == attempt);
             if placed && !work.completing.contains(&task.index) {
                 work.placed.remove(&task.index);
-                match work.twice.iter().position(|(index, ..)| *index == task.index) {
+                let mut duplicates = work.duplicate_attempts.iter();
+                match duplicates.position(|duplicate| duplicate.task == task.index) {
                     Some(at) => {
-                        let (index, machine, attempt) = work.twice.swap_remove(at);
-                        work.placed.insert(index, (machine, attempt));
+                        let duplicate = work.duplicate_attempts.swap_remove(at);
+                        work.placed.insert(duplicate.task, duplicate.placement);
                     }
-                    None => work.again(task.index, now),
+                    None => work.requeue(task.index, now),
                 }
             }
         }
-        self.plan_wanted = true;
+        self.planning_clock.pass_requested = true;
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -229,7 +281,7 @@
         cache: &Cache,
         now: Instant,
     ) {
-        if let Some(machine) = self.machines.get_mut(id)
+        if let Some(machine) = self.fleet.machines.get_mut(id)
             && let Some(entry) = machine.entries.get(&(task.clone(), attempt))
             && entry.urgency < Priority::Low
         {
@@ -237,7 +289,8 @@
         }
         let live = self.live(cache, &task.job);
         let done = why == "done" && live.is_some_and(|l| l.spec.shape != JobKind::Service);
-        let entry = self.machines.get(id).and_then(|m| m.entries.get(&(task.clone(), attempt)));
+        let entry =
+            self.fleet.machines.get(id).and_then(|m| m.entries.get(&(task.clone(), attempt)));
         let began = entry.and_then(|entry| entry.began);
         let ran = began.map(|at| now.saturating_duration_since(at));
         if (done && live.is_some_and(|live| !self.is_completing(&task, live))) || why == "halted" {
@@ -246,9 +299,9 @@
         if let (true, Some(live)) = (done, live) {
             // The machine keeps the exit until the completion is committed.
             if !live.is_done(task.index) {
-                let work = self.work.entry(task.job.clone()).or_default();
+                let work = self.jobs.progress.entry(task.job.clone()).or_default();
                 work.completing.insert(task.index);
-                self.completing.insert(task.job.clone());
+                self.jobs.completing.insert(task.job.clone());
                 self.did_well(&task.job, now);
                 return;
             }
@@ -258,7 +311,7 @@
         } else {
             tracing::debug!(machine = %id, %task, %attempt, why, saved, "task ended");
         }
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let index = task.index;
         let mut made_way = false;
         if let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) {
@@ -266,13 +319,13 @@
             made_way = entry.stopped_for(PREEMPTED);
             if entry.stopped_for(MOVED) || entry.stopped_for(PREEMPTED) {
                 // Somebody waits: a service for its replica, or urgent work for this room.
-                self.plan_at = now;
+                self.planning_clock.next_pass = now;
             }
         }
         if live.is_some() && !done {
-            let work = self.work.entry(task.job.clone()).or_default();
-            work.made_way += u32::from(made_way);
-            let failures = work.retry.get(&index).map_or(0, |(_, n)| *n);
+            let work = self.jobs.progress.entry(task.job.clone()).or_default();
+            work.preemptions += u32::from(made_way);
+            let failures = work.retries.get(&index).map_or(0, |retry| retry.failures);
             let pause = match why {
                 "halted" => Duration::ZERO,
                 "no_room" | "in_use" => RETRY_FIRST,
@@ -280,47 +333,46 @@
             };
             if why == "error" {
                 machine.failed_jobs.insert(task.job.clone());
-                let before = work.evidence.mistaken();
-                work.evidence.failed(id, now);
-                if work.evidence.mistaken() && !before {
-                    let machines = work.evidence.failed_on.len();
+                let before = work.failures.mistaken();
+                work.failures.failed(id, now);
+                if work.failures.mistaken() && !before {
+                    let machines = work.failures.failed_on.len();
                     tracing::info!(job = %task.job, machines, "fails everywhere, tried now and then");
                 }
             }
-            let count = if why == "halted" { failures } else { failures + 1 };
-            work.retry.insert(index, (now + pause, count));
+            let failures = if why == "halted" { failures } else { failures + 1 };
+            work.retries.insert(index, RetryBackoff { not_before: now + pause, failures });
         }
         self.release(&task, attempt, now);
     }
 
     /// Its completion was reported before.
     pub(super) fn is_completing(&self, task: &TaskId, live: &LiveJob) -> bool {
-        let work = self.work.get(&task.job);
+        let work = self.jobs.progress.get(&task.job);
         live.is_done(task.index) || work.is_some_and(|work| work.completing.contains(&task.index))
     }
 
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
     pub(super) fn did_well(&mut self, id: &JobId, now: Instant) {
-        let Some(work) = self.work.get_mut(id) else { return };
-        if work.evidence.did_well() {
+        let Some(work) = self.jobs.progress.get_mut(id) else { return };
+        if work.failures.did_well() {
             tracing::info!(job = %id, "does well after all");
-            work.retry.values_mut().for_each(|(at, _)| *at = (*at).min(now));
-            let paused = std::mem::take(&mut work.paused);
-            work.again.extend(paused.into_iter().map(|(_, task)| task));
-            self.plan_wanted = true;
+            work.reset_backoffs(now);
+            self.planning_clock.pass_requested = true;
         }
     }
 
     /// Looks whether jobs that failed have tasks by now that ran for a while, and which machines
     /// failed jobs that do well elsewhere. A job that is done did, one cancelled tells nothing.
     pub(super) fn weigh_failures(&mut self, survey: &FleetSummary, cache: &Cache, now: Instant) {
-        let ran = |(machine, attempt): &(MachineId, Attempt), job: &JobId, index: u32| {
-            let entry = self.machines.get(machine)?;
-            let entry = entry.entries.get(&(TaskId { job: job.clone(), index }, *attempt))?;
+        let ran = |placed: &Placement, job: &JobId, index: u32| {
+            let machine = self.fleet.machines.get(&placed.machine)?;
+            let key = (TaskId { job: job.clone(), index }, placed.attempt);
+            let entry = machine.entries.get(&key)?;
             (entry.state == TaskState::Running && now >= entry.running_since? + PROVEN_AFTER)
                 .then_some(())
         };
-        let open = self.work.iter().filter(|(_, work)| work.evidence.open());
+        let open = self.jobs.progress.iter().filter(|(_, work)| work.failures.open());
         let proven: Vec<JobId> = open
             .filter(|(id, work)| work.placed.iter().any(|(n, at)| ran(at, id, *n).is_some()))
             .map(|(id, _)| id.clone())
@@ -331,10 +383,12 @@
         if !survey.failing {
             return;
         }
-        for machine in self.machines.values_mut().filter(|m| m.failed_jobs.len() >= FAULTY_JOBS) {
+        for machine in
+            self.fleet.machines.values_mut().filter(|m| m.failed_jobs.len() >= FAULTY_JOBS)
+        {
             let sound = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
                 Some(JobBody::Over { cancelled, .. }) => !cancelled,
-                _ => self.work.get(*id).is_some_and(|work| work.evidence.sound()),
+                _ => self.jobs.progress.get(*id).is_some_and(|work| work.failures.sound()),
             };
             machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= FAULTY_JOBS;
         }
@@ -343,7 +397,7 @@
     /// A spot machine that will be taken: what can save does, what cannot finish moves.
     pub(super) fn drain_if_recalled(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let known_rest = self.settings.operator.estimates.drain;
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let Some(at) = machine.recall_at else { return };
         let left = at.saturating_duration_since(now).as_secs_f64();
         let drained = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
@@ -352,8 +406,9 @@
             }
             let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
             let ran = entry.running_since.map(|t| now.saturating_duration_since(t).as_secs_f64());
-            let known =
-                ran.filter(|_| known_rest).and_then(|ran| self.learning.rest_s(&task.job, ran));
+            let known = ran
+                .filter(|_| known_rest)
+                .and_then(|ran| self.runtime_predictor.rest_s(&task.job, ran));
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
             live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
@@ -361,7 +416,7 @@
         for key in keys {
             let stop = Stop { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
             machine.stop(&key, stop);
-            self.stops += 1;
+            self.statistics.stops += 1;
         }
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -1,9 +1,25 @@
 //! Run times: learned from tasks that end, told of jobs that will be late. Every use of them elsewhere
 //! has a switch of its own in the operators' settings.
 
-use super::*;
+use crate::constants::{
+    AT_RISK_FROM, ESTIMATE_FRESH, ESTIMATES_A_PASS, RESULT_AGAIN_S, WARN_FROM, WARN_LOOKS,
+    WARN_TASKS,
+};
+use crate::ids::{Amount, JobId, MachineId, Revision, TaskId};
+use crate::jobs::{Job, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::Placement;
 use crate::store::ESTIMATES_PREFIX;
+use crate::store::{Cache, Item, Origin, Outcome, Rank, StoreClient};
 use crate::wire::JobSpec;
+use crate::wire::{Data, JobKind, Precondition, TaskState, Write};
+use crate::workers::machine::Machine;
+use crate::{jobs, placement};
+use foldhash::{HashMap, HashMapExt};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
 use troutspindle_protocol::ops::{AtRisk, RiskyJob};
 use troutspindle_runtime_estimates::{
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
@@ -27,7 +43,7 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Learning {
+pub(super) struct RuntimePredictor {
     learner: Learner,
     /// Ordered, so that equal events have equal effects.
     seen: BTreeMap<JobId, Seen>,
@@ -52,9 +68,9 @@
     }
 }
 
-impl Learning {
-    pub(super) fn new(cache: &Cache) -> Learning {
-        let mut learning = Learning::default();
+impl RuntimePredictor {
+    pub(super) fn new(cache: &Cache) -> RuntimePredictor {
+        let mut learning = RuntimePredictor::default();
         learning.read(cache);
         learning
     }
@@ -111,13 +127,13 @@
         let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
         // A faulty machine shows nothing about its tasks.
         let faulty = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
-        if !self.learns() || self.machines.get(machine).is_some_and(faulty) {
+        if !self.learns() || self.fleet.machines.get(machine).is_some_and(faulty) {
             return;
         }
         let Some(run_s) = ran.map(|ran| ran.as_secs_f64()) else { return };
-        let work = self.work.get(&task.job);
-        let first = work.is_none_or(|work| !work.retry.contains_key(&task.index));
-        let seen = self.learning.seen(&task.job, live);
+        let work = self.jobs.progress.get(&task.job);
+        let first = work.is_none_or(|work| !work.retries.contains_key(&task.index));
+        let seen = self.runtime_predictor.seen(&task.job, live);
         let before_s = seen.saved_s.get(&task.index).copied();
         match (done, before_s) {
             // It had run to its end before, and the machine only gave the result again.
@@ -140,12 +156,16 @@
 
     /// A job is over, done or cancelled: its run counts, and so does whether it was warned of.
     pub(super) fn learn_over(&mut self, id: &JobId, cancelled: bool, now: Instant) {
-        let Some(seen) = self.learning.seen.remove(id) else { return };
+        let Some(seen) = self.runtime_predictor.seen.remove(id) else { return };
         let hour = self.hour(now);
-        self.learning.learner.learn(&profile(id, &seen.spec, &seen.need), &seen.shown, hour);
+        self.runtime_predictor.learner.learn(
+            &profile(id, &seen.spec, &seen.need),
+            &seen.shown,
+            hour,
+        );
         if !cancelled && let Some(due_ms) = self.due_ms(&seen.spec, seen.accepted_ms) {
-            let late = self.wall.ms(now) > due_ms;
-            let counts = &mut self.learning;
+            let late = self.wall_clock.ms(now) > due_ms;
+            let counts = &mut self.runtime_predictor;
             match (seen.warned, late) {
                 (true, true) => counts.warned_late += 1,
                 (true, false) => counts.warned_in_time += 1,
@@ -157,11 +177,11 @@
 
     #[cfg(test)]
     pub(super) fn estimate_of(&self, profile: &Profile) -> Option<Estimate> {
-        self.learning.learner.estimate(profile, &Current::default(), 0)
+        self.runtime_predictor.learner.estimate(profile, &Current::default(), 0)
     }
 
     fn hour(&self, now: Instant) -> u32 {
-        hour_of(self.wall.ms(now) / 1000)
+        hour_of(self.wall_clock.ms(now) / 1000)
     }
 
     /// By when a job should be done, by its own due time or the aim of its class, in milliseconds.
@@ -176,7 +196,7 @@
         if live.spec.shape == JobKind::Service || !self.learns() {
             return None;
         }
-        let known = self.learning.seen.get(id).and_then(|seen| seen.known);
+        let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
         if let Some((estimate, at)) = known
             && now < at + ESTIMATE_FRESH
         {
@@ -184,11 +204,11 @@
         }
         let hour = self.hour(now);
         let running = self.running_s(id, now);
-        let seen = self.learning.seen(id, live);
+        let seen = self.runtime_predictor.seen(id, live);
         let shown = seen.shown.with_running(&running);
         let profile = profile(id, &live.spec, &live.need);
-        let estimate = self.learning.learner.estimate(&profile, &shown, hour)?;
-        self.learning.seen(id, live).known = Some((estimate, now));
+        let estimate = self.runtime_predictor.learner.estimate(&profile, &shown, hour)?;
+        self.runtime_predictor.seen(id, live).known = Some((estimate, now));
         Some(estimate)
     }
 
@@ -199,15 +219,15 @@
         if !(switches.due || switches.ahead || switches.make_way || switches.drain) {
             return;
         }
-        let from = self.learning.pass_from % live.len().max(1);
+        let from = self.runtime_predictor.pass_from % live.len().max(1);
         let stale = |id: &JobId| {
-            let known = self.learning.seen.get(id).and_then(|seen| seen.known);
+            let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
             known.is_none_or(|(_, at)| now >= at + ESTIMATE_FRESH)
         };
         let turn = live[from..].iter().chain(&live[..from]).enumerate();
         let arrays = turn.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
         let due: Vec<_> = arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_A_PASS).collect();
-        self.learning.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
+        self.runtime_predictor.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
         for (_, (id, job)) in due {
             self.estimate(id, job, now);
         }
@@ -215,7 +235,7 @@
 
     /// Seconds that a task of the job takes, where that is known better than its owner says.
     pub(super) fn run_s(&self, id: &JobId, job: &LiveJob, used: bool) -> f64 {
-        let known = self.learning.seen.get(id).and_then(|seen| seen.known);
+        let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
         match known.filter(|(estimate, _)| used && estimate.grade > Grade::Unknown) {
             Some((estimate, _)) => estimate.p50_s,
             None => job.spec.expect_s,
@@ -224,10 +244,10 @@
 
     /// For how long each task of the job has been running, in seconds.
     fn running_s(&self, id: &JobId, now: Instant) -> Vec<f64> {
-        let Some(work) = self.work.get(id) else { return Vec::new() };
-        let began = |(index, (machine, attempt)): (&u32, &(MachineId, Attempt))| {
-            let key = (TaskId { job: id.clone(), index: *index }, *attempt);
-            let entry = self.machines.get(machine)?.entries.get(&key)?;
+        let Some(work) = self.jobs.progress.get(id) else { return Vec::new() };
+        let began = |(index, placed): (&u32, &Placement)| {
+            let key = (TaskId { job: id.clone(), index: *index }, placed.attempt);
+            let entry = self.fleet.machines.get(&placed.machine)?.entries.get(&key)?;
             (entry.state == TaskState::Running).then_some(entry.running_since).flatten()
         };
         let began = work.placed.iter().filter_map(began);
@@ -239,17 +259,22 @@
         if !self.settings.operator.estimates.warn {
             return;
         }
-        let after = self.learning.next.take();
+        let after = self.runtime_predictor.next.take();
         let ids: Vec<JobId> = match &after {
-            Some(id) => {
-                self.work.range(id.clone()..).take(WARN_LOOKS).map(|(id, _)| id.clone()).collect()
-            }
-            None => self.work.keys().take(WARN_LOOKS).cloned().collect(),
+            Some(id) => self
+                .jobs
+                .progress
+                .range(id.clone()..)
+                .take(WARN_LOOKS)
+                .map(|(id, _)| id.clone())
+                .collect(),
+            None => self.jobs.progress.keys().take(WARN_LOOKS).cloned().collect(),
         };
         if ids.len() == WARN_LOOKS
             && let Some(last) = ids.last()
         {
-            self.learning.next = self.work.range(last.clone()..).nth(1).map(|(id, _)| id.clone());
+            self.runtime_predictor.next =
+                self.jobs.progress.range(last.clone()..).nth(1).map(|(id, _)| id.clone());
         }
         for id in ids {
             self.look_whether_late(&id, cache, now);
@@ -260,9 +285,9 @@
         let Some(live) = self.live(cache, id).filter(|live| live.ready()) else { return };
         let Some(due_ms) = self.due_ms(&live.spec, live.accepted_ms) else { return };
         let Some(estimate) = self.estimate(id, live, now) else { return };
-        let left_s = (due_ms as f64 - self.wall.ms(now) as f64) / 1000.0;
+        let left_s = (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0;
         let running = self.running_s(id, now);
-        let Some(work) = self.work.get(id) else { return };
+        let Some(work) = self.jobs.progress.get(id) else { return };
         let waiting =
             work.waiting(live) + (work.placed.len() - running.len().min(work.placed.len())) as u64;
         // What waits is taken to find room as its team's limit allows.
@@ -273,13 +298,13 @@
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
         let ended = live.done_count();
-        let seen = self.learning.seen(id, live);
+        let seen = self.runtime_predictor.seen(id, live);
         seen.late = late;
         seen.done_in_s = done_in_s;
         let known = estimate.grade > Grade::Unknown || seen.shown.count() >= WARN_TASKS;
         if known && left_s > 0.0 && late >= WARN_FROM && !seen.warned {
             seen.warned = true;
-            self.learning.warned += 1;
+            self.runtime_predictor.warned += 1;
             let grade = estimate.grade;
             tracing::info!(job = %id, class = live.spec.class, late, left_s, done_in_s, ended, ?grade, "will probably be late");
         }
@@ -290,19 +315,23 @@
         if !self.learns() {
             return;
         }
-        self.learning.read(&state.cache);
+        self.runtime_predictor.read(&state.cache);
         if state.is_behind() {
             return;
         }
         // The quotes of a text are part of its value.
         let most = state.layout().value_max.saturating_sub(2);
-        let now_ms = now.saturating_duration_since(self.since).as_millis() as u64;
-        let Some(write) = self.learning.learner.keeper.poll(self.token.0, most, now_ms) else {
+        let now_ms = now.saturating_duration_since(self.term.started_at).as_millis() as u64;
+        let Some(write) =
+            self.runtime_predictor.learner.keeper.poll(self.term.token.0, most, now_ms)
+        else {
             return;
         };
         let key = key(write.bucket);
-        let guards =
-            vec![Precondition { key: key.clone(), rev: Revision(write.rev) }, self.leader_guard()];
+        let guards = vec![
+            Precondition { key: key.clone(), rev: Revision(write.rev) },
+            self.term.precondition(),
+        ];
         let writes = vec![Write::Put { key, data: Data::from(write.value), hold: None }];
         let change = jobs::Change { guards, writes };
         state.push(Item { rank: Rank::Rest, origin: Origin::Estimates(write.bucket), change });
@@ -314,7 +343,7 @@
             Outcome::Refused | Outcome::Unknown => Told::Unsure,
             Outcome::Invalid => Told::Invalid,
         };
-        self.learning.learner.keeper.on_told(bucket, told);
+        self.runtime_predictor.learner.keeper.on_told(bucket, told);
     }
 
     /// What operators are told.
@@ -328,16 +357,17 @@
                 class: seen.spec.class.clone(),
                 team: seen.spec.team.clone(),
                 late: seen.late,
-                due_in_s: (due_ms as f64 - self.wall.ms(now) as f64) / 1000.0,
+                due_in_s: (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0,
                 done_in_s: seen.done_in_s,
                 done_tasks: live.done_count(),
                 tasks: seen.spec.tasks,
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
         };
-        let mut jobs: Vec<RiskyJob> = self.learning.seen.iter().filter_map(risky).collect();
+        let mut jobs: Vec<RiskyJob> =
+            self.runtime_predictor.seen.iter().filter_map(risky).collect();
         jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
-        let counts = &self.learning;
+        let counts = &self.runtime_predictor;
         AtRisk {
             leader: self.settings.platform.host_name.to_string(),
             jobs,
@@ -350,7 +380,7 @@
 
     /// Warnings so far, and how they turned out: late, in time, and late ones not warned of.
     pub(super) fn warnings(&self) -> [u64; 4] {
-        let counts = &self.learning;
+        let counts = &self.runtime_predictor;
         [counts.warned, counts.warned_late, counts.warned_in_time, counts.late_unwarned]
     }
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,7 +1,29 @@
-use super::*;
+use crate::clock::WallClock;
+use crate::cloud::{CloudClient, CloudEvent, MachinePool};
+use crate::constants::{
+    BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_PROBE, HIRE_SETTLE, IMAGE_WORTH_S, LATE,
+    MACHINE_BYTES, PACE_EVERY, PLAN_EVERY, PROVEN_AFTER, TICK_MOST,
+};
+use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
+use crate::jobs;
+use crate::jobs::{Job, JobBody};
+use crate::scheduler::Scheduler;
+use crate::scheduler::autoscaling::CapacityBackoff;
+use crate::scheduler::direct_calls::OutgoingCall;
+use crate::scheduler::fair_share::FairShare;
+use crate::settings::Settings;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
+use crate::store::{MachineRecord, Origin, Outcome, Rank, StoreClient};
+use crate::wire::{Data, Heartbeat, JobKind, Priority, TaskState, WorkerCommand, Write};
 use crate::wire::{JobSpec, TaskStatus};
+use crate::workers::command_delivery::DirectCall;
+use crate::workers::machine::{Machine, MachineState, OVER, Stop};
+use foldhash::{HashMap, HashMapExt};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
 use troutspindle_protocol::ops::Starving;
 
 /// A leader without peers, and the cores that it works with.
@@ -65,7 +87,7 @@
             tasks,
         };
         let orders = self.scheduler.on_report(&report, &self.state.cache, self.now).unwrap();
-        for machine in self.scheduler.machines.values_mut() {
+        for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
         orders.orders
@@ -104,14 +126,14 @@
         let shown = shown(&orders, TaskState::Running);
         assert_eq!(shown.len(), 4);
         bench.report(machine, shown.clone());
-        let known = bench.scheduler.machines.get_mut(&MachineId::new(machine)).unwrap();
+        let known = bench.scheduler.fleet.machines.get_mut(&MachineId::new(machine)).unwrap();
         known.images = vec![Arc::from(image)];
         known.image_ids = Default::default();
         shown
     };
     let first = fill(&mut bench, "i-1", "wk-1", "i");
     let long = Duration::from_secs_f64(IMAGE_WORTH_S * 2.0);
-    for entry in bench.scheduler.machines.values_mut().flat_map(|m| m.entries.values_mut()) {
+    for entry in bench.scheduler.fleet.machines.values_mut().flat_map(|m| m.entries.values_mut()) {
         entry.running_since = bench.now.checked_sub(long);
     }
     fill(&mut bench, "i-2", "wk-2", "other");
@@ -122,7 +144,7 @@
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     bench.pass(PLAN_EVERY * 5);
     let stopped = |machine: &Machine| machine.entries.values().any(|e| e.stop.is_some());
-    let stopped: Vec<_> = bench.scheduler.machines.values().map(stopped).collect();
+    let stopped: Vec<_> = bench.scheduler.fleet.machines.values().map(stopped).collect();
     assert_eq!(stopped, [false, true]);
 }
 
@@ -143,7 +165,7 @@
     for _ in 0..20 {
         bench.pass(PLAN_EVERY);
     }
-    assert_eq!(bench.scheduler.starts, 4);
+    assert_eq!(bench.scheduler.statistics.starts, 4);
 }
 
 /// What the worker shows of tasks that it was told to start and that all failed.
@@ -170,10 +192,14 @@
             bench.report(machine, failed(&orders));
         }
     }
-    assert!(bench.scheduler.machines.values().all(|m| !m.faulty));
-    assert!((48..80).contains(&bench.scheduler.starts), "{}", bench.scheduler.starts);
+    assert!(bench.scheduler.fleet.machines.values().all(|m| !m.faulty));
+    assert!(
+        (48..80).contains(&bench.scheduler.statistics.starts),
+        "{}",
+        bench.scheduler.statistics.starts
+    );
     // One that does well after all goes on with all its tasks at once.
-    let before = bench.scheduler.starts;
+    let before = bench.scheduler.statistics.starts;
     let mut running = Vec::new();
     while running.is_empty() {
         bench.pass(PLAN_EVERY);
@@ -186,7 +212,11 @@
         machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
         bench.pass(PLAN_EVERY);
     }
-    assert!(bench.scheduler.starts >= before + 15, "{} {before}", bench.scheduler.starts);
+    assert!(
+        bench.scheduler.statistics.starts >= before + 15,
+        "{} {before}",
+        bench.scheduler.statistics.starts
+    );
 }
 
 /// While mistaken jobs are about, a faulty machine is still found: by what does well elsewhere.
@@ -211,10 +241,10 @@
             held.insert(machine, tasks);
         }
         if step == 50 {
-            assert!(bench.scheduler.machines.values().all(|m| !m.faulty));
+            assert!(bench.scheduler.fleet.machines.values().all(|m| !m.faulty));
         }
     }
-    let faulty: Vec<bool> = bench.scheduler.machines.values().map(|m| m.faulty).collect();
+    let faulty: Vec<bool> = bench.scheduler.fleet.machines.values().map(|m| m.faulty).collect();
     assert_eq!(faulty, [true, false, false, false]);
 }
 
@@ -232,16 +262,17 @@
     let hired = CloudEvent::Hired(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
     let booting = |bench: &Bench| {
-        bench.scheduler.machines.values().filter(|m| m.life == MachineState::Booting).count()
+        bench.scheduler.fleet.machines.values().filter(|m| m.life == MachineState::Booting).count()
     };
     let patience = Duration::from_secs_f64(flavor().boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
     bench.pass(patience / 2);
     let flavor = flavor();
     let overdue = |bench: &Bench| {
-        let survey = bench.scheduler.survey(bench.now);
+        let survey = bench.scheduler.fleet_summary(bench.now);
         let overdue = bench.scheduler.overdue(&survey, bench.now);
         bench
             .scheduler
+            .fleet
             .machines
             .values()
             .filter(|m| m.up_since.is_none() && overdue(m, &flavor))
@@ -270,10 +301,10 @@
         let JobBody::Live(live) = &mut job.body else { panic!() };
         Arc::make_mut(&mut live.spec).urgency = Priority::Low;
         for _ in 0..20 {
-            bench.scheduler.pace(late, bench.now);
+            bench.scheduler.adjust_pace(late, bench.now);
             bench.pass(PACE_EVERY);
         }
-        bench.scheduler.starts
+        bench.scheduler.statistics.starts
     };
     assert_eq!(started(Duration::ZERO), 400);
     let slow = started(LATE * 2);
@@ -305,7 +336,9 @@
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
             bench.pass(TICK_MOST);
-            for (id, _, direct) in std::mem::take(&mut bench.scheduler.direct) {
+            for OutgoingCall { machine: id, call: direct, .. } in
+                bench.scheduler.take_direct_calls()
+            {
                 let sent = match direct {
                     DirectCall::Do(orders) => Some(orders),
                     DirectCall::Status => None,
@@ -315,7 +348,7 @@
                 bench.scheduler.on_direct(&id, sent.as_ref(), gave_up, cache, now);
             }
         }
-        let life = bench.scheduler.machines[&MachineId::new("i-1")].life;
+        let life = bench.scheduler.fleet.machines[&MachineId::new("i-1")].life;
         assert_eq!(life == MachineState::Returning, open);
     }
 }
@@ -331,10 +364,14 @@
             let orders = bench.report(machine, vec![]);
             bench.report(machine, failed(&orders));
         }
-        assert_eq!(bench.scheduler.starts % 6, 0, "step {step}");
+        assert_eq!(bench.scheduler.statistics.starts % 6, 0, "step {step}");
     }
-    let evidence = &bench.scheduler.work[&JobId::new("wk-1")].evidence;
-    assert!(evidence.mistaken() && bench.scheduler.starts >= 18, "{}", bench.scheduler.starts);
+    let evidence = &bench.scheduler.jobs.progress[&JobId::new("wk-1")].failures;
+    assert!(
+        evidence.mistaken() && bench.scheduler.statistics.starts >= 18,
+        "{}",
+        bench.scheduler.statistics.starts
+    );
 }
 
 /// A leader that learns run times.
@@ -458,22 +495,23 @@
 #[test]
 fn what_a_class_holds_up_to_its_floor_stays_and_what_is_freed_goes_to_who_is_below() {
     let running = |bench: &Bench, id: &JobId| {
-        let machines = bench.scheduler.machines.values();
+        let machines = bench.scheduler.fleet.machines.values();
         let entries = machines.flat_map(|m| m.entries.iter());
         entries.filter(|((task, _), e)| task.job == *id && e.stop.is_none()).count()
     };
     let play = |floor: f64| {
         let mut bench = Bench::new();
         Arc::make_mut(&mut bench.scheduler.settings).operator.floor = floor;
-        bench.scheduler.shortage = Shortage::new(floor);
+        bench.scheduler.fair_share = FairShare::new(floor);
         let names = ["i-1", "i-2", "i-3", "i-4"];
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
-        bench.scheduler.listed_once = true;
+        bench.scheduler.fleet.listed_once = true;
         bench.now += HIRE_SETTLE * 2;
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
             let kind = MachinePool { flavor: 0, zone, spot };
-            bench.scheduler.scarce.insert(kind, (bench.now, CAPACITY_PROBE));
+            let backoff = CapacityBackoff { not_before: bench.now, max_request: CAPACITY_PROBE };
+            bench.scheduler.autoscaler.capacity_backoff.insert(kind, backoff);
         }
         let array = bench.job("wk-1", JobKind::Array, 400);
         let second = |bench: &mut Bench| {
@@ -517,27 +555,29 @@
 fn no_more_is_rented_or_called_than_a_controller_can_hold() {
     let mut bench = Bench::new();
     (0..9).for_each(|n| drop(bench.report(&format!("i-{n}"), vec![])));
-    bench.scheduler.listed_once = true;
-    bench.scheduler.most_machines = 12;
+    bench.scheduler.fleet.listed_once = true;
+    bench.scheduler.autoscaler.max_machines = 12;
     bench.job("wk-1", JobKind::Array, 400);
     for _ in 0..20 {
         bench.pass(PLAN_EVERY * 5);
     }
     let asked: u32 = bench.cloud.pending().iter().map(|(_, count)| count).sum();
     assert_eq!(asked, 3);
-    assert!(bench.scheduler.waits["controllers hold no more machines"] > 300);
-    bench.scheduler.most_direct = 2;
+    assert!(bench.scheduler.statistics.waiting_by_cause["controllers hold no more machines"] > 300);
+    bench.scheduler.direct_calls.max_in_flight = 2;
     let mut called: Vec<MachineId> = Vec::new();
     for _ in 0..5 {
-        for machine in bench.scheduler.machines.values_mut() {
+        for machine in bench.scheduler.fleet.machines.values_mut() {
             (machine.direct_in_flight, machine.owed) = (false, true);
             machine.direct_after = bench.now;
         }
-        (bench.scheduler.under_way, bench.scheduler.look_all) = (0, true);
-        bench.scheduler.direct.clear();
-        bench.scheduler.send_direct(bench.now);
-        assert!(bench.scheduler.direct.len() <= 2);
-        called.extend(bench.scheduler.direct.iter().map(|(id, ..)| id.clone()));
+        (bench.scheduler.direct_calls.in_flight, bench.scheduler.direct_calls.all_dirty) =
+            (0, true);
+        bench.scheduler.take_direct_calls();
+        bench.scheduler.send_direct_calls(bench.now);
+        let calls = bench.scheduler.take_direct_calls();
+        assert!(calls.len() <= 2);
+        called.extend(calls.into_iter().map(|call| call.machine));
     }
     let different: BTreeSet<&MachineId> = called.iter().collect();
     assert_eq!(different.len(), 9, "{called:?}");
@@ -583,7 +623,7 @@
             bench.report(name, here.clone());
         }
     };
-    let width = |bench: &Bench, id: &JobId| bench.scheduler.work[id].placed.len();
+    let width = |bench: &Bench, id: &JobId| bench.scheduler.jobs.progress[id].placed.len();
     second(&mut bench);
     let wide = bench.job("wk-1", JobKind::Array, 40);
     for _ in 0..3 {
@@ -608,7 +648,7 @@
     assert_eq!((width(&bench, &urgent), width(&bench, &wide)), (14, 2));
     // The urgent one is gone, and the elastic one rests before it grows again.
     bench.state.cache.jobs.all.remove(&urgent);
-    bench.scheduler.work.remove(&urgent);
+    bench.scheduler.jobs.progress.remove(&urgent);
     bench.scheduler.stop_all(&urgent);
     for _ in 0..8 {
         second(&mut bench);
@@ -631,11 +671,11 @@
     }
     let job = bench.job("wk-1", JobKind::Service, 60);
     (0..3).for_each(|_| bench.pass(PLAN_EVERY * 5));
-    assert_eq!(bench.scheduler.work[&job].placed.len(), 60);
+    assert_eq!(bench.scheduler.jobs.progress[&job].placed.len(), 60);
     let mut running = HashMap::new();
     for state in [TaskState::Fetching, TaskState::Running] {
         for name in &names {
-            let starts: Vec<WorkerCommand> = bench.scheduler.machines[&MachineId::new(name)]
+            let starts: Vec<WorkerCommand> = bench.scheduler.fleet.machines[&MachineId::new(name)]
                 .entries
                 .keys()
                 .map(|(task, attempt)| WorkerCommand::Start {
@@ -648,18 +688,21 @@
         }
     }
     bench.pass(PLAN_EVERY * 5);
-    assert!(!bench.scheduler.look_all && bench.scheduler.look_at.is_empty());
+    assert!(
+        !bench.scheduler.direct_calls.all_dirty
+            && bench.scheduler.direct_calls.dirty_machines.is_empty()
+    );
     // As they come all day.
     for name in &names {
         assert_eq!(bench.report(name, running[name].clone()), []);
     }
-    assert!(!bench.scheduler.look_all);
-    assert_eq!(bench.scheduler.look_at, BTreeSet::new());
+    assert!(!bench.scheduler.direct_calls.all_dirty);
+    assert_eq!(bench.scheduler.direct_calls.dirty_machines, BTreeSet::new());
     // A job that is over has its tasks stopped, and each machine is looked at until it is told.
     bench.scheduler.on_told_cancelled(std::slice::from_ref(&job), &bench.state.cache);
     let one = &names[0];
     bench.report(one, running[one].clone());
-    assert_eq!(bench.scheduler.look_at.len(), 1);
+    assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
     assert!(!bench.scheduler.waits_for_a_pass(&bench.state.cache));
 }
 
@@ -692,7 +735,7 @@
     });
     let bench = held.unwrap();
     assert_eq!(
-        bench.scheduler.machines.values().map(|m| m.entries.len()).sum::<usize>(),
+        bench.scheduler.fleet.machines.values().map(|m| m.entries.len()).sum::<usize>(),
         MACHINES * 8
     );
     let each = info.bytes_current as f64 / MACHINES as f64;
@@ -760,8 +803,8 @@
         // Free only once it is shown nowhere.
         bench.report("i-2", vec![]);
         bench.pass(PLAN_EVERY * 5);
-        let placed = &bench.scheduler.work[&job].placed;
-        assert!(placed.len() == 1 && placed[&0].1 > Attempt(9), "{placed:?}");
+        let placed = &bench.scheduler.jobs.progress[&job].placed;
+        assert!(placed.len() == 1 && placed[&0].attempt > Attempt(9), "{placed:?}");
     }
 }
 
@@ -788,13 +831,21 @@
         bench.state.cache.jobs.put_job(id.clone(), &data, Revision(9));
         bench.lead_anew();
         let need = Amount::need(4.0, 0.0, 4.0);
-        assert_eq!(bench.scheduler.leftover.of(0), need.times(tasks), "{what}");
+        assert_eq!(bench.scheduler.jobs.orphaned_tasks.of(0), need.times(tasks), "{what}");
         bench.report("i-1", vec![]);
         bench.pass(PLAN_EVERY * 5);
-        assert_eq!(bench.scheduler.leftover.of(0), need.times(tasks), "{what}: one has not told");
+        assert_eq!(
+            bench.scheduler.jobs.orphaned_tasks.of(0),
+            need.times(tasks),
+            "{what}: one has not told"
+        );
         bench.report("i-2", vec![]);
         bench.pass(PLAN_EVERY * 5);
-        assert_eq!(bench.scheduler.leftover.of(0), Amount::default(), "{what}: all have");
+        assert_eq!(
+            bench.scheduler.jobs.orphaned_tasks.of(0),
+            Amount::default(),
+            "{what}: all have"
+        );
     }
 }
 
@@ -808,7 +859,7 @@
     bench.pass(PLAN_EVERY * 5);
     let machine = MachineId::new("i-1");
     let flies = |bench: &mut Bench, over: bool| {
-        let known = bench.scheduler.machines.get_mut(&machine).unwrap();
+        let known = bench.scheduler.fleet.machines.get_mut(&machine).unwrap();
         for entry in known.entries.values_mut() {
             let reason = if over { OVER } else { "moved" };
             (entry.flying, entry.seen) = (1, false);
@@ -819,9 +870,9 @@
     flies(&mut bench, false);
     bench.now += bench.scheduler.settings.worker_lease();
     bench.scheduler.grant(&ControllerId::new("n-1"), 1, bench.now);
-    assert!(bench.scheduler.machines[&machine].barred_since.is_some());
+    assert!(bench.scheduler.fleet.machines[&machine].barred_since.is_some());
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), Some(FencingToken(1)));
-    assert_eq!(bench.scheduler.machines[&machine].answered, bench.now);
+    assert_eq!(bench.scheduler.fleet.machines[&machine].answered, bench.now);
     flies(&mut bench, true);
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), None, "{id}");
 }
@@ -847,17 +898,17 @@
         bench.pass(Duration::from_secs(1));
     }
     let holding = |bench: &Bench| {
-        let machines = bench.scheduler.machines.values();
+        let machines = bench.scheduler.fleet.machines.values();
         let with = machines.filter(|m| m.entries.keys().any(|(task, _)| task.job == job));
         with.map(|machine| machine.id.clone()).collect::<Vec<MachineId>>()
     };
     let with = holding(&bench);
     assert!(with.len() > 1 && with.contains(&MachineId::new("i-1")), "{with:?}");
-    let noted = bench.scheduler.holders.of(&job);
+    let noted = bench.scheduler.jobs.machines.of(&job);
     assert!(with.iter().all(|id| noted.contains(id)), "{with:?} {noted:?}");
     bench.scheduler.stop_all(&job);
     for id in with {
-        let entries = &bench.scheduler.machines[&id].entries;
+        let entries = &bench.scheduler.fleet.machines[&id].entries;
         assert!(entries.values().all(|e| e.stop.is_some() || e.state == TaskState::Exited));
     }
 }
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -1,7 +1,17 @@
 //! Machines that answer nobody: their deletion is the proof that nothing runs on them any more, and it
 //! comes long before their lease is surely over.
 
-use super::*;
+use crate::constants::{
+    LOST_REPLICAS_WORTH, LOST_WORTH, REPORT_LATE, REPORT_LATE_MORE, WORKER_MARGIN,
+};
+use crate::jobs::Job;
+use crate::scheduler::Scheduler;
+use crate::scheduler::fleet::FleetSummary;
+use crate::store::Cache;
+use crate::wire::{JobKind, TaskState};
+use crate::workers::machine::{Machine, MachineState};
+use std::time::Duration;
+use tokio::time::Instant;
 
 impl Scheduler {
     /// A worker whose report is later than its interval allows is asked whether it lives.
@@ -9,31 +19,37 @@
         self.settings.report_every().mul_f64(REPORT_LATE) + REPORT_LATE_MORE
     }
 
+    /// What all machines together show now.
+    pub(super) fn fleet_summary(&self, now: Instant) -> FleetSummary {
+        let quiet = self.settings.report_every() * 2 + Duration::from_secs(1);
+        self.fleet.summary(quiet, now)
+    }
+
     /// Gives back machines that hang, are dead or cut off alone, where waiting for the end of their
     /// lease would cost more: replicas that are down until then, and after a take-over every older
     /// job, of which something may run there. What is cut off with its zone is waited for, and
     /// nobody is given up by a process that falls behind itself.
     pub(super) fn give_up_lost(&mut self, cut_off: &[bool], cache: &Cache, now: Instant) {
-        if self.is_behind(now) {
+        if self.start_pacer.is_behind(now) {
             return;
         }
         let late = self.late_after();
         let zones = cut_off.len();
         // How many machines of each zone are late.
         let (mut up, mut silent) = (vec![0usize; zones], vec![0usize; zones]);
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
+        for machine in self.fleet.machines.values().filter(|m| m.life == MachineState::Up) {
             up[machine.zone] += 1;
             silent[machine.zone] += usize::from(machine.silent_for(now) > late);
         }
         let lease = self.settings.worker_lease() + WORKER_MARGIN;
         let mut lost = Vec::new();
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             let Some(asked) = machine.asked_in_vain else { continue };
             let zone = machine.zone;
             let silence = machine.silent_for(now);
             // Others of its zone were heard after it had been asked in vain, so that it is not the way
             // there that is cut; and nobody tells that it answers elsewhere.
-            let alone = self.zone_heard[zone].is_some_and(|at| at > asked)
+            let alone = self.fleet.zone_last_heartbeat[zone].is_some_and(|at| at > asked)
                 && silent[zone] * 2 <= up[zone]
                 && !cut_off[zone];
             let told = self.delegations.told(&machine.id);
@@ -51,7 +67,7 @@
             }
         }
         for id in lost {
-            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             tracing::info!(machine = %id, confirmed = machine.confirmed, "answers nobody, given back");
             machine.life = MachineState::Returning;
         }
@@ -64,4 +80,40 @@
                 && job.is_some_and(|job| job.spec.shape == JobKind::Service)
         })
     }
+
+    /// Zones none of whose machines is heard: cut off from here rather than dead.
+    pub(super) fn unreachable_zones(&self, survey: &FleetSummary, now: Instant) -> Vec<bool> {
+        let (up, heard) = (&survey.up, &survey.reachable);
+        // One silent machine alone may well be dead, unless its zone's controllers are silent too.
+        let names = &self.settings.platform.params.zones;
+        let deaf = |zone: usize| {
+            let others = &self.settings.platform.others;
+            let mut there = others.iter().filter(|peer| peer.location == names[zone]).peekable();
+            there.peek().is_some()
+                && there.all(|peer| self.delegations.unheard(&peer.host_name, now))
+        };
+        (0..up.len())
+            .map(|zone| up[zone] > 0 && heard[zone] * 4 < up[zone] && (up[zone] >= 2 || deaf(zone)))
+            .collect()
+    }
+
+    /// Zones that are silent or were so a moment ago: when a cut ends, the machines behind it
+    /// come back one by one, and the last to report is not dead because the first has reported.
+    pub(super) fn recently_unreachable_zones(
+        &mut self,
+        survey: &FleetSummary,
+        now: Instant,
+    ) -> Vec<bool> {
+        for (zone, silent) in self.unreachable_zones(survey, now).into_iter().enumerate() {
+            if silent {
+                self.fleet.zone_unreachable_at[zone] = Some(now);
+            }
+        }
+        let back = self.settings.report_every() * 4;
+        self.fleet
+            .zone_unreachable_at
+            .iter()
+            .map(|at| at.is_some_and(|at| now < at + back))
+            .collect()
+    }
 }
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -205,7 +205,7 @@
         let leader = world.leader();
         let heard = |world: &World| {
             let node = world.nodes[leader].as_ref();
-            node.and_then(|node| node.scheduler.as_ref()).map_or(0, |found| found.reports)
+            node.and_then(|node| node.scheduler.as_ref()).map_or(0, |found| found.heartbeats())
         };
         let begun = heard(&world);
         world.run(BEGIN + 10_000);
