--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -2,7 +2,7 @@
 
 use super::fair_share::Group;
 use super::job_machines::JobMachines;
-use super::orphaned_tasks::OrphanedTasks;
+use super::orphaned_tasks::OrphanedCapacity;
 use crate::ids::{Attempt, JobId, MachineId};
 use crate::jobs::LiveJob;
 use crate::workers::failure_attribution::FailureAttribution;
@@ -24,7 +24,7 @@
     /// cancelled, while the cache still has them as live: none of their tasks is started any more.
     pub(super) cancelling: HashSet<JobId>,
     /// Capacity that tasks of finished jobs may still use.
-    pub(super) orphaned_tasks: OrphanedTasks,
+    pub(super) orphaned_capacity: OrphanedCapacity,
 }
 
 /// Where a task runs or is to run.
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -18,11 +18,11 @@
 
 /// By team.
 #[derive(Debug, Default)]
-pub(super) struct OrphanedTasks {
+pub(super) struct OrphanedCapacity {
     teams: BTreeMap<usize, Amount>,
 }
 
-impl OrphanedTasks {
+impl OrphanedCapacity {
     fn add(&mut self, team: usize, amount: Amount) {
         let sum = self.teams.entry(team).or_default();
         *sum = sum.plus(&amount);
@@ -60,7 +60,7 @@
             let JobBody::Over { rest: Some(rest), .. } = &job.body else { continue };
             if rest.ended_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
-                self.jobs.orphaned_tasks.add(team, room(rest, 0));
+                self.jobs.orphaned_capacity.add(team, room(rest, 0));
             }
         }
     }
@@ -75,7 +75,7 @@
             JobBody::Over { .. } => return,
         };
         let team = self.team_of(team);
-        self.jobs.orphaned_tasks.add(team, amount);
+        self.jobs.orphaned_capacity.add(team, amount);
     }
 
     /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -260,10 +260,10 @@
         live.sort_by(|a, b| (a.1.since_ms(), a.0).cmp(&(b.1.since_ms(), b.0)));
         let (order, mut hidden) = self.claims(&live, !unsure.is_empty(), now);
         if unsure.is_empty() {
-            self.jobs.orphaned_tasks.clear();
+            self.jobs.orphaned_capacity.clear();
         }
         for (team, hidden) in hidden.iter_mut().enumerate() {
-            *hidden = hidden.plus(&self.jobs.orphaned_tasks.of(team));
+            *hidden = hidden.plus(&self.jobs.orphaned_capacity.of(team));
         }
 
         let used = self.team_use(&sizes);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -831,18 +831,18 @@
         bench.state.cache.jobs.put_job(id.clone(), &data, Revision(9));
         bench.lead_anew();
         let need = Amount::need(4.0, 0.0, 4.0);
-        assert_eq!(bench.scheduler.jobs.orphaned_tasks.of(0), need.times(tasks), "{what}");
+        assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
         bench.report("i-1", vec![]);
         bench.pass(PLAN_EVERY * 5);
         assert_eq!(
-            bench.scheduler.jobs.orphaned_tasks.of(0),
+            bench.scheduler.jobs.orphaned_capacity.of(0),
             need.times(tasks),
             "{what}: one has not told"
         );
         bench.report("i-2", vec![]);
         bench.pass(PLAN_EVERY * 5);
         assert_eq!(
-            bench.scheduler.jobs.orphaned_tasks.of(0),
+            bench.scheduler.jobs.orphaned_capacity.of(0),
             Amount::default(),
             "{what}: all have"
         );
