--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,9 +1,11 @@
+use crate::admission::MACHINE_BYTES;
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, MachinePool};
 use crate::constants::{
     BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_PROBE, HIRE_SETTLE, IMAGE_WORTH_S, LATE,
-    MACHINE_BYTES, PACE_EVERY, PLAN_EVERY, PROVEN_AFTER, TICK_MOST,
+    PACE_EVERY, PLAN_EVERY, PROVEN_AFTER,
 };
+use crate::controller::TICK_MOST;
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::jobs::{Job, JobBody};
