--- a/src/controller.rs
+++ b/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::api::{Api, Route, need, route};
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
-use crate::constants::{FORMAT_HEARTBEAT, LATE};
+use crate::constants::FORMAT_HEARTBEAT;
 use crate::drains::{self, DrainRecord};
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
@@ -16,6 +16,7 @@
 use crate::leadership::election::{Election, ElectionEvent};
 use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
+use crate::scheduler::planning_clock::LATE;
 use crate::settings::Settings;
 use crate::store::STATE_LOST;
 use crate::store::records;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -20,7 +20,7 @@
 mod persistence;
 mod placement_requests;
 mod planning;
-mod planning_clock;
+pub(crate) mod planning_clock;
 mod preemption;
 mod reconciliation;
 mod relayed_heartbeats;
@@ -33,7 +33,6 @@
 
 use crate::clock::WallClock;
 use crate::cloud::CloudClient;
-use crate::constants::{PLAN_WHOLE, WATCH_EVERY};
 use crate::ids::{FencingToken, JobId, Revision};
 use crate::leadership::delegation::Delegations;
 use crate::settings::Settings;
@@ -58,6 +57,12 @@
 use term::LeaderTerm;
 use tokio::time::Instant;
 use troutspindle_elastic_width::Widths;
+
+/// Pause between two looks at what silence and age do to machines.
+const WATCH_EVERY: Duration = Duration::from_millis(200);
+/// Longest pause between two passes that are asked for while no task waits: they keep room warm, book what is drained
+/// and look whether room is scarce.
+const PLAN_WHOLE: Duration = Duration::from_millis(480);
 /// The leader's view of machines and tasks, and everything that it decides from it.
 pub struct Scheduler {
     /// This leadership: its fencing token and what is numbered within it.
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -4,10 +4,7 @@
 //! told on as facts. It rents nothing by itself: the planner says how many.
 
 use crate::cloud::{CloudClient, CloudEvent, MachinePool};
-use crate::constants::{
-    BOOT_OVERDUE, BOOT_OVERDUE_MORE, BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_GROWTH,
-    CAPACITY_PROBE, CAPACITY_REST, HIRE_MAX, HIRE_SETTLE, LATE_TOGETHER,
-};
+use crate::constants::HIRE_MAX;
 use crate::ids::MachineId;
 use crate::scheduler::Scheduler;
 use crate::scheduler::fleet::FleetSummary;
@@ -17,6 +14,27 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::time::Duration;
 use tokio::time::Instant;
+
+/// How long a type, zone and kind that refused a rental is left alone.
+const CAPACITY_REST: Duration = Duration::from_secs(6);
+/// Count. Machines asked for, at first, of a kind that refused: what is booked on machines that
+/// there are not waits for nothing, while other kinds have some.
+pub(super) const CAPACITY_PROBE: u32 = 2;
+/// How much more is asked for with each request of such a kind that is filled.
+const CAPACITY_GROWTH: u32 = 4;
+/// A machine that is not up after this many times its nominal boot time is given back.
+pub(super) const BOOT_PATIENCE: f64 = 3.0;
+/// Added to the above.
+pub(super) const BOOT_PATIENCE_MORE: Duration = Duration::from_secs(20);
+/// A machine that is not up after this many times its nominal boot time is overdue.
+const BOOT_OVERDUE: f64 = 1.8;
+/// Added to the above.
+const BOOT_OVERDUE_MORE: Duration = Duration::from_secs(2);
+/// Count. Overdue machines from which on all are taken to come late.
+const LATE_TOGETHER: usize = 3;
+/// A new leader waits this long before it rents, so that its first listing can tell what its
+/// predecessor rented.
+pub(super) const HIRE_SETTLE: Duration = Duration::from_millis(1500);
 /// What bounds how many machines are rented.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,6 +1,5 @@
 //! Moving work together, so that machines become empty and go back: the paper's consolidation.
 
-use crate::constants::{EMPTIED_LOOKS, EMPTY_BELOW, MOVE_AFTER, MOVE_SHARE, SAVED_MOVE_SHARE};
 use crate::ids::{Amount, JobId, MachineId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
@@ -13,7 +12,23 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
+use std::time::Duration;
 use tokio::time::Instant;
+
+/// Pause between two rounds of moves that empty machines, so that each shows its effect.
+pub(super) const CONSOLIDATE_EVERY: Duration = Duration::from_secs(10);
+/// Share of all running replicas that one round may move; a round that moves less empties one
+/// machine all the same. A move takes a replica a fraction of a second.
+pub(super) const MOVE_SHARE: f64 = 0.02;
+/// The same for tasks that save their progress when they are stopped: they lose a few seconds.
+const SAVED_MOVE_SHARE: f64 = 0.1;
+/// Count. Machines that one round of moves looks at, the least used ones, to bound its time.
+const EMPTIED_LOOKS: usize = 60;
+/// A task is moved only after it ran this long: users count a start that is undone within
+/// half a minute as none.
+const MOVE_AFTER: Duration = Duration::from_secs(45);
+/// A machine is emptied only if at most this share of it is used.
+const EMPTY_BELOW: f64 = 0.55;
 /// When work is moved together.
 #[derive(Debug)]
 pub(super) struct Consolidation {
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -1,6 +1,5 @@
 //! Jobs that others wait for: what they inherit, and how much time is left for them.
 
-use crate::constants::STAGE_MORE;
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::dag::InheritedPriority;
 use crate::jobs::{Job, LiveJob, dag};
@@ -11,6 +10,10 @@
 use foldhash::{HashMap, HashMapExt};
 use std::time::Duration;
 use tokio::time::Instant;
+
+/// What each stage of a pipeline takes besides its run time and its image: a report, a commit, a
+/// plan and a start, with room for a lost packet.
+pub(super) const STAGE_MORE: Duration = Duration::from_secs(3);
 /// What live jobs inherit from those that depend on them.
 #[derive(Debug)]
 pub(super) struct InheritedPriorities {
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -4,7 +4,6 @@
 //! since the last round, or all of them where more changed.
 
 use super::fleet::Fleet;
-use crate::constants::{CALL_COST, CONFIRM_BURST_S, CONFIRM_SHARE, FIRST_AGENT_EPOCH};
 use crate::ids::{FencingToken, MachineId};
 use crate::settings::Settings;
 use crate::store::Bucket;
@@ -16,6 +15,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// What a call to a worker takes of a whole core, with the connection that it may need.
+const CALL_COST: Duration = Duration::from_micros(200);
+/// Share of its allowance with which a new leader asks machines whether they have seen its token: most report by
+/// themselves meanwhile, and each that does need not be asked.
+const CONFIRM_SHARE: f64 = 0.4;
+/// Seconds. Such calls that may go at once.
+const CONFIRM_BURST_S: f64 = 0.2;
+/// Count. PROTOCOL starts a worker's sessions at this.
+const FIRST_AGENT_EPOCH: u64 = 1;
+
 /// A call to a worker that is to be sent.
 #[derive(Debug)]
 pub struct OutgoingCall {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -4,21 +4,27 @@
 //! Nothing of this is kept but the order itself: a new leader goes on from what it finds running.
 
 use crate::clock::WallClock;
-use crate::constants::{DRAIN_EVERY, DRAIN_MARGIN_S, MOVE_SHARE};
 use crate::drains::{DrainRecord, Drained};
 use crate::ids::{Amount, MachineId, TaskId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
 use crate::scheduler::Scheduler;
+use crate::scheduler::consolidation::MOVE_SHARE;
 use crate::scheduler::job_progress::{JobProgress, Placement};
 use crate::scheduler::preemption::MOVED;
 use crate::scheduler::task_attempt::TaskAttempt;
 use crate::store::Cache;
 use crate::wire::{JobKind, TaskState};
 use crate::workers::machine::{Machine, MachineState, PlacedAttempt, Stop};
+use std::time::Duration;
 use tokio::time::Instant;
 use troutspindle_protocol::ops::{Drain, DrainKind, Drains};
 
+/// Pause between two rounds of moves off what is drained.
+const DRAIN_EVERY: Duration = Duration::from_secs(1);
+/// Seconds. A task that saves is told so much earlier than its time is up: for the command and its report.
+const DRAIN_MARGIN_S: f64 = 5.0;
+
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
     pub drained: Drained,
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -1,6 +1,5 @@
 //! Elastic jobs: how many more tasks of them run than they are served anyway.
 
-use crate::constants::LEAST_WIDTH_S;
 use crate::ids::JobId;
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
@@ -10,6 +9,9 @@
 use tokio::time::Instant;
 use troutspindle_elastic_width::Grower;
 
+/// Seconds of repeated work by which a task of an elastic job is spared that is no wider than its least.
+const LEAST_WIDTH_S: f64 = 600.0;
+
 impl Scheduler {
     /// By how many tasks each elastic job may grow in this pass.
     pub(super) fn growth(
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -5,12 +5,12 @@
 //! scarce it changes nothing. Nothing is stored: a new leader works it out from records and reports.
 
 use crate::cloud::{CloudClient, MachinePool};
-use crate::constants::{ARRAYS_NOW, DONE_WITHIN_S, LATE_WITHIN, PRESUMED_FOR, STAGE_MORE};
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
 use crate::placement;
 use crate::placement::{Bin, PlacementRequest};
 use crate::scheduler::Scheduler;
+use crate::scheduler::dependencies::STAGE_MORE;
 use crate::scheduler::interner::Interner;
 use crate::scheduler::planning::PendingDemand;
 use crate::wire::{JobKind, TaskState};
@@ -21,6 +21,18 @@
 use troutspindle_fair_share::{Demand, Room, Scarcity, Standing, Supply, Turn};
 use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
 
+/// Seconds. Within which arrays are to be done that have no aim at their end, where work is reckoned up.
+const DONE_WITHIN_S: f64 = 300.0;
+/// Times such an aim within which a backlog is to be worked off while room is scarce: within the aim itself it would
+/// take all room from services for what is late already.
+const LATE_WITHIN: f64 = 3.0;
+/// Share of what arrays need that is reckoned while room is scarce: what they miss now they can have later, what a
+/// service misses is lost.
+const ARRAYS_NOW: f64 = 0.7;
+/// For how long at the most a new leader takes room to be scarce, where more is asked for than there is and the
+/// cloud has told it nothing yet: its first list and its first rentals take so long.
+const PRESUMED_FOR: Duration = Duration::from_secs(15);
+
 /// A class, numbered, and a team.
 pub(super) type Group = (u32, usize);
 
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -3,15 +3,23 @@
 //! of descriptions whose submission was never finished. A take-over loses nothing: what is left is
 //! found again in the store.
 
-use crate::constants::{ORPHAN_AFTER, TIDY_EVERY, TIDY_WRITES};
 use crate::ids::{JobId, Revision};
 use crate::jobs;
 use crate::scheduler::Scheduler;
 use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
 use crate::wire::{Precondition, Write};
 use foldhash::{HashMap, HashMapExt};
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// Count. Writes of tidying up in one transaction: few, so that they hold up nothing.
+const TIDY_WRITES: usize = 4;
+/// Pause between two such transactions.
+const TIDY_EVERY: Duration = Duration::from_millis(1000);
+/// A submission of many parts that was not finished within this time is given up, and its parts are
+/// removed: users repeat a submission for a minute.
+const ORPHAN_AFTER: Duration = Duration::from_secs(180);
+
 pub(super) struct GarbageCollector {
     at: Instant,
     /// Keys of the transaction under way.
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -4,7 +4,7 @@
 //! ends. No live job asks for them any more, so whoever leads next would let their team use the room once more. What
 //! they may take up counts against their team as long as any machine has not confirmed what runs on it.
 
-use crate::constants::{DELEGATION_TERM, REST_SLACK};
+use crate::constants::DELEGATION_TERM;
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::Rest;
 use crate::jobs::{Job, JobBody, LiveJob};
@@ -16,6 +16,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// How much longer than it may a task of a job that is over counts against its team under a new leader: two
+/// controllers' times of day differ by less, and a transaction waits less for its turn.
+const REST_SLACK: Duration = Duration::from_secs(10);
+
 /// By team.
 #[derive(Debug, Default)]
 pub(super) struct OrphanedCapacity {
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -3,7 +3,6 @@
 //! Owns what follows from a job's record (it is over, a task is done) and every write of the leader but those of
 //! learning and tidying. It places nothing and talks to no worker.
 
-use crate::constants::MARKS_EVERY;
 use crate::ids::{JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::jobs::{JobBody, LiveJob};
@@ -16,7 +15,12 @@
 use crate::wire::{Data, Precondition, TaskState, Write};
 use crate::workers::machine::{MachineState, OVER, Stop};
 use std::cmp::Reverse;
+use std::time::Duration;
 use tokio::time::Instant;
+
+/// How long marks of tasks of jobs that go on wait for others: one write carries all of a job's that
+/// have come, and each write is read by every controller.
+const MARKS_EVERY: Duration = Duration::from_millis(1000);
 /// When progress of jobs that go on is written.
 #[derive(Debug)]
 pub(super) struct PersistenceSchedule {
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,7 +1,7 @@
 //! What jobs ask of placement, and what could be rented for them.
 
 use crate::cloud::MachinePool;
-use crate::constants::{BOOT_USUAL, HIRE_MAX};
+use crate::constants::HIRE_MAX;
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
 use crate::placement;
@@ -13,6 +13,9 @@
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
+/// Most machines are up, with an image, within this many times their nominal boot time.
+const BOOT_USUAL: f64 = 1.5;
+
 impl Scheduler {
     /// What a job asks for by its description alone, for no task yet; none if it names a zone that
     /// there is not.
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -4,13 +4,15 @@
 //! `placement` decides; it changes no machine's life and writes nothing.
 
 use crate::cloud::{CloudClient, MachinePool};
-use crate::constants::{CONSOLIDATE_EVERY, HIRE_SETTLE, PLAN_EVERY, VACATED};
 use crate::ids::{Amount, JobId, MachineId, TaskId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement;
 use crate::placement::{Bin, Input, PlacementRequest, QueuedJob, ScaleOutPolicy};
+use crate::scheduler::autoscaling::HIRE_SETTLE;
+use crate::scheduler::consolidation::CONSOLIDATE_EVERY;
 use crate::scheduler::fleet::FleetSummary;
 use crate::scheduler::job_progress::{JobProgress, Placement};
+use crate::scheduler::planning_clock::PLAN_EVERY;
 use crate::scheduler::preemption::Stoppable;
 use crate::scheduler::{Scheduler, fair_share};
 use crate::store::Cache;
@@ -21,6 +23,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
+
+/// How long idle-time work keeps off a machine that more urgent work left: a task that takes the
+/// room at once is stopped again by the next urgent one, and loses half a checkpoint's time.
+const VACATED: Duration = Duration::from_secs(5);
 /// A job that asks for machines in a planning pass, and how many of its tasks are still to be placed.
 pub(super) struct PendingDemand {
     pub(super) job: JobId,
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -1,13 +1,30 @@
 //! When the leader plans, and how it slows down where its process falls behind.
 
-use crate::constants::{
-    BEHIND_FOR, LATE, LOW_RATE_FIRST, LOW_RATE_LEAST, LOW_RATE_MOST, LOW_RATE_STEP, PACE_EVERY,
-    PLAN_EVERY, PLAN_IDLE, PLAN_PAUSE,
-};
 use crate::store::Bucket;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// For so long after a late tick a process takes no silence for anybody's death.
+const BEHIND_FOR: Duration = Duration::from_secs(3);
+/// Longest pause between two planning rounds when nothing asks for one.
+const PLAN_IDLE: Duration = Duration::from_millis(1000);
+/// Shortest pause between two planning rounds.
+pub(super) const PLAN_EVERY: Duration = Duration::from_millis(120);
+/// Count. A pass is followed by a pause so many times as long as it took, if that is more.
+const PLAN_PAUSE: u32 = 4;
+/// Starts a second of least urgent tasks: at first, and at the least and most. Ten keep an array
+/// going; thousands of tasks of a few seconds only fill reports, which a new leader has to read
+/// all at once.
+const LOW_RATE_FIRST: f64 = 100.0;
+const LOW_RATE_LEAST: f64 = 10.0;
+const LOW_RATE_MOST: f64 = 250.0;
+/// By how many a second that rate grows with each look at which the process was not late.
+const LOW_RATE_STEP: f64 = 5.0;
+/// Pause between two such looks.
+pub(super) const PACE_EVERY: Duration = Duration::from_millis(250);
+/// A tick this late shows that the process falls behind.
+pub(crate) const LATE: Duration = Duration::from_millis(150);
+
 /// When planning passes and the periodic watch over machines are due.
 #[derive(Debug)]
 pub(super) struct PlanningClock {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,6 +1,5 @@
 //! Stopping less urgent work for urgent work that finds no room.
 
-use crate::constants::{ENDS_SOON_S, FETCH_SHARE, IMAGE_WORTH_S, SAVE_SHARE};
 use crate::ids::{Amount, JobId, MachineId};
 use crate::jobs::Job;
 use crate::placement;
@@ -14,6 +13,19 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
+/// Seconds. What will end by itself this soon is not stopped for its room: stopping and reporting takes as
+/// long.
+const ENDS_SOON_S: f64 = 3.0;
+/// Seconds. Work that less urgent tasks may have to repeat so that an urgent one starts where its
+/// image is: a fetch takes a few seconds, and an array that repeats minutes of work ends late.
+pub(super) const IMAGE_WORTH_S: f64 = 30.0;
+/// Share of the tightest aim at start that may go by while a task that makes way saves; beyond it
+/// the task ends at once and goes back to its last checkpoint.
+const SAVE_SHARE: f64 = 0.25;
+/// A fetch that takes more than this share of the tightest aim at start is worth stopping less
+/// urgent work for, where a machine has the image.
+const FETCH_SHARE: f64 = 0.8;
+
 /// The reason of a stop that makes room for more urgent work.
 pub(super) const PREEMPTED: &str = "preempted";
 /// The reason of a stop that moves a task elsewhere.
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,7 +3,7 @@
 //! Owns the way from a report's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
-use crate::constants::{FAULTY_JOBS, PROVEN_AFTER, RETRY_FIRST, RETRY_MOST};
+use crate::constants::{FAULTY_JOBS, RETRY_FIRST, RETRY_MOST};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
@@ -18,6 +18,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A task that ran this long shows that its job does well: mistakes show at once.
+pub(super) const PROVEN_AFTER: Duration = Duration::from_secs(10);
+
 impl Scheduler {
     /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
     pub fn on_report(
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -1,10 +1,6 @@
 //! Run times: learned from tasks that end, told of jobs that will be late. Every use of them elsewhere
 //! has a switch of its own in the operators' settings.
 
-use crate::constants::{
-    AT_RISK_FROM, ESTIMATE_FRESH, ESTIMATES_A_PASS, RESULT_AGAIN_S, WARN_FROM, WARN_LOOKS,
-    WARN_TASKS,
-};
 use crate::ids::{Amount, JobId, MachineId, Revision, TaskId};
 use crate::jobs::{Job, LiveJob};
 use crate::scheduler::Scheduler;
@@ -25,6 +21,24 @@
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
 };
 
+/// Count. Estimates found anew before a planning pass, some ten microseconds each: eight passes a second take
+/// a fortieth of a small controller's allowance.
+const ESTIMATES_A_PASS: usize = 30;
+/// How old an estimate may be that decisions use.
+const ESTIMATE_FRESH: Duration = Duration::from_secs(5);
+/// Seconds. A task that ran before and is done within this time only gave its result again.
+const RESULT_AGAIN_S: f64 = 1.0;
+/// Count. Jobs looked at in one round, five a second, for whether they will be late: each takes up to a
+/// quarter of a millisecond.
+const WARN_LOOKS: usize = 3;
+/// Probability of being late from which on a job is warned of: more than one in ten warnings would be
+/// wrong below it, in replayed histories.
+pub(crate) const WARN_FROM: f64 = 0.9;
+/// Probability from which on it stands in the list that operators ask for.
+const AT_RISK_FROM: f64 = 0.5;
+/// Count. Tasks that must have ended before a job of which nothing else is known is warned of.
+const WARN_TASKS: u32 = 3;
+
 /// What was seen of a job's run under this leader.
 #[derive(Debug)]
 struct Seen {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,18 +1,20 @@
 use crate::admission::MACHINE_BYTES;
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, MachinePool};
-use crate::constants::{
-    BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_PROBE, HIRE_SETTLE, IMAGE_WORTH_S, LATE,
-    PACE_EVERY, PLAN_EVERY, PROVEN_AFTER,
-};
 use crate::controller::TICK_MOST;
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::jobs::{Job, JobBody};
 use crate::scheduler::Scheduler;
 use crate::scheduler::autoscaling::CapacityBackoff;
+use crate::scheduler::autoscaling::{
+    BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_PROBE, HIRE_SETTLE,
+};
 use crate::scheduler::direct_calls::OutgoingCall;
 use crate::scheduler::fair_share::FairShare;
+use crate::scheduler::planning_clock::{LATE, PACE_EVERY, PLAN_EVERY};
+use crate::scheduler::preemption::IMAGE_WORTH_S;
+use crate::scheduler::reconciliation::PROVEN_AFTER;
 use crate::settings::Settings;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -1,9 +1,7 @@
 //! Machines that answer nobody: their deletion is the proof that nothing runs on them any more, and it
 //! comes long before their lease is surely over.
 
-use crate::constants::{
-    LOST_REPLICAS_WORTH, LOST_WORTH, REPORT_LATE, REPORT_LATE_MORE, WORKER_MARGIN,
-};
+use crate::constants::WORKER_MARGIN;
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
 use crate::scheduler::fleet::FleetSummary;
@@ -13,6 +11,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A report is late after so many of its intervals: PROTOCOL varies each by a quarter.
+const REPORT_LATE: f64 = 1.25;
+/// Added to the above: a lost packet and its resend.
+const REPORT_LATE_MORE: Duration = Duration::from_millis(1000);
+/// A machine that answers nobody is given back at once if waiting for the end of its lease would take
+/// longer than this: about twice what its tasks take to start elsewhere, with an image.
+const LOST_WORTH: Duration = Duration::from_secs(8);
+/// The same for replicas on a machine that may be cut off alone: they run on until its lease ends, and
+/// being given back costs them a start. Where leases are short, waiting is the smaller loss.
+const LOST_REPLICAS_WORTH: Duration = Duration::from_secs(15);
+
 impl Scheduler {
     /// A worker whose report is later than its interval allows is asked whether it lives.
     pub(super) fn late_after(&self) -> Duration {
