--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -123,7 +123,7 @@
             term: LeaderTerm::new(token, leader_revision, now),
             wall_clock,
             teams: team_names.enumerate().map(|(index, name)| (name, index)).collect(),
-            fleet: Fleet::new(zone_names, cache.flavors.0.clone()),
+            fleet: Fleet::new(zone_names, cache.machine_types.0.clone()),
             jobs: JobTable::default(),
             planning_clock: PlanningClock::new(now),
             start_pacer: StartPacer::new(now),
@@ -155,7 +155,7 @@
             if let Some(live) = job.live() {
                 // A predecessor started nothing that still waits for other jobs: the cache holds
                 // all that it committed.
-                let progress = JobProgress::of_predecessor(live.ready());
+                let progress = JobProgress::of_predecessor(live.is_ready());
                 scheduler.jobs.progress.insert(id.clone(), progress);
             }
         }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -108,7 +108,7 @@
     /// Jobs that wait for others and will be ready by the time that a machine rented now is up, the
     /// soonest first.
     pub(super) fn coming(&self, live: &[(&JobId, &LiveJob)], now: Instant) -> Vec<JobId> {
-        let mut waiting: Vec<_> = live.iter().filter(|(_, job)| !job.ready()).collect();
+        let mut waiting: Vec<_> = live.iter().filter(|(_, job)| !job.is_ready()).collect();
         if waiting.is_empty() {
             return Vec::new();
         }
@@ -126,7 +126,7 @@
                 // What is not known to be ready yet may be of the same millisecond.
                 ready_s = ready_s.max(match ends.get(*need) {
                     Some(end) => *end,
-                    None if needed.ready() => rest(),
+                    None if needed.is_ready() => rest(),
                     None => horizon + 1.0,
                 });
             }
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -6,7 +6,7 @@
 use super::fleet::Fleet;
 use crate::ids::{FencingToken, MachineId};
 use crate::settings::Settings;
-use crate::store::Bucket;
+use crate::store::TokenBucket;
 use crate::wire::{CommandBatch, WorkerCommand};
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::machine::{Machine, MachineState};
@@ -56,7 +56,7 @@
     /// How many are.
     pub(super) in_flight: usize,
     /// Calls to machines that have not confirmed what runs there to this leader yet.
-    confirmation_budget: Bucket,
+    confirmation_budget: TokenBucket,
     /// Machines for which something may be pending.
     pub(super) dirty_machines: BTreeSet<MachineId>,
     /// Whether something may be pending for any machine.
@@ -74,7 +74,7 @@
             outgoing: Vec::new(),
             max_in_flight: usize::MAX,
             in_flight: 0,
-            confirmation_budget: Bucket::new(confirmations, CONFIRM_BURST_S, now),
+            confirmation_budget: TokenBucket::new(confirmations, CONFIRM_BURST_S, now),
             dirty_machines: BTreeSet::new(),
             all_dirty: true,
             resume_from: None,
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -192,7 +192,7 @@
             *late.entry(group).or_default() +=
                 (each * (held + waiting)) as f64 * run_s / (within_s * LATE_WITHIN);
             if !std::mem::replace(&mut work.counted_as_demand, true) {
-                let age = Duration::from_millis(now_ms.saturating_sub(job.since_ms()));
+                let age = Duration::from_millis(now_ms.saturating_sub(job.eligible_ms()));
                 let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
                 let work = (each * tasks) as f64 * run_s / MACHINE as f64;
                 self.fair_share.scarcity.came(&group, work, age, since);
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, Revision};
 use crate::jobs;
 use crate::scheduler::Scheduler;
-use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
+use crate::store::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
 use crate::wire::{Precondition, Write};
 use foldhash::{HashMap, HashMapExt};
 use std::time::Duration;
@@ -36,14 +36,14 @@
 
 impl Scheduler {
     pub(super) fn tidy_up(&mut self, state: &mut StoreClient, now: Instant) {
-        if now < self.garbage_collector.at || state.has_item(&Origin::Tidy) {
+        if now < self.garbage_collector.at || state.is_pending(&WriteOrigin::GarbageCollection) {
             return;
         }
         self.garbage_collector.at = now + TIDY_EVERY;
         let most = TIDY_WRITES.min(state.layout().txn_ops);
-        let mut writes = state.cache.jobs.tidy(most);
+        let mut writes = state.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
-        for (id, key, rev) in state.cache.jobs.orphans() {
+        for (id, key, rev) in state.cache.jobs.orphaned_spec_chunks() {
             let since = self.garbage_collector.orphans.get(id).copied().unwrap_or(now);
             waiting.insert(id.clone(), since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
@@ -61,14 +61,14 @@
         self.garbage_collector.keys =
             writes.iter().map(|(write, _)| write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|(write, _)| write).collect();
-        let change = jobs::Change { guards, writes };
-        state.push(Item { rank: Rank::Rest, origin: Origin::Tidy, change });
+        let transaction = Transaction { guards, writes };
+        state.enqueue(PendingWrite { priority: WritePriority::Background, origin: WriteOrigin::GarbageCollection, transaction });
     }
 
-    pub(super) fn tidied(&mut self, outcome: Outcome, state: &mut StoreClient) {
-        if outcome == Outcome::Conflict {
+    pub(super) fn tidied(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
+        if outcome == WriteOutcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
-            self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_litter(key));
+            self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_garbage(key));
         }
     }
 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -6,7 +6,7 @@
 
 use crate::constants::DELEGATION_TERM;
 use crate::ids::{Amount, JobId, TaskId};
-use crate::jobs::Rest;
+use crate::jobs::OrphanedTasks;
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
 use crate::scheduler::job_progress::{JobProgress, Placement};
@@ -43,7 +43,7 @@
 }
 
 /// What so many tasks take up; all there is if their number was not told.
-fn room(rest: &Rest, placed: u64) -> Amount {
+fn room(rest: &OrphanedTasks, placed: u64) -> Amount {
     rest.need.times(rest.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
 }
 
@@ -61,7 +61,7 @@
         let long_over = jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !lately(ms)));
         let long_over = long_over.map(|job| job.rev).max().unwrap_or_default();
         for job in jobs {
-            let JobBody::Over { rest: Some(rest), .. } = &job.body else { continue };
+            let JobBody::Finished { rest: Some(rest), .. } = &job.body else { continue };
             if rest.ended_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
                 self.jobs.orphaned_capacity.add(team, room(rest, 0));
@@ -75,8 +75,8 @@
         let (team, amount) = match &job.body {
             _ if !work.predates_leadership => return,
             JobBody::Live(live) => (&live.spec.team, live.need.times(work.waiting(live))),
-            JobBody::Over { rest: Some(rest), .. } => (&rest.team, room(rest, placed)),
-            JobBody::Over { .. } => return,
+            JobBody::Finished { rest: Some(rest), .. } => (&rest.team, room(rest, placed)),
+            JobBody::Finished { .. } => return,
         };
         let team = self.team_of(team);
         self.jobs.orphaned_capacity.add(team, amount);
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -10,9 +10,9 @@
 use crate::scheduler::job_progress::JobProgress;
 use crate::scheduler::task_attempt::attempts_of;
 use crate::store::{
-    Cache, Item, MACHINE_PREFIX, MachineRecord, Origin, Outcome, Rank, StoreClient,
+    Cache, PendingWrite, MACHINE_PREFIX, MachineRecord, WriteOrigin, WriteOutcome, WritePriority, StoreClient,
 };
-use crate::wire::{Data, Precondition, TaskState, Write};
+use crate::wire::{StoreValue, Precondition, TaskState, Write};
 use crate::workers::machine::{MachineState, OVER, Stop};
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -46,7 +46,7 @@
                 JobBody::Live(live) => {
                     self.dependencies.stale |= !live.depends_on().is_empty();
                     let work = self.jobs.progress.entry(id.clone()).or_default();
-                    if live.ready() {
+                    if live.is_ready() {
                         work.first_seen.get_or_insert(now);
                     }
                     let done: Vec<u32> =
@@ -68,7 +68,7 @@
                         }
                     }
                 }
-                JobBody::Over { cancelled, .. } => {
+                JobBody::Finished { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
                     self.jobs.cancelling.remove(id);
                     if let Some(work) = self.jobs.progress.remove(id) {
@@ -122,14 +122,14 @@
         }
     }
 
-    pub fn on_outcome(&mut self, origin: &Origin, outcome: Outcome, state: &mut StoreClient) {
-        if *origin == Origin::Tidy {
+    pub fn on_outcome(&mut self, origin: &WriteOrigin, outcome: WriteOutcome, state: &mut StoreClient) {
+        if *origin == WriteOrigin::GarbageCollection {
             return self.tidied(outcome, state);
         }
-        if let Origin::Estimates(bucket) = origin {
+        if let WriteOrigin::RuntimeEstimates(bucket) = origin {
             return self.estimates_told(*bucket, outcome);
         }
-        if let (Origin::MachineKnown(id), Outcome::Committed) = (origin, outcome)
+        if let (WriteOrigin::MachineAdded(id), WriteOutcome::Committed) = (origin, outcome)
             && let Some(machine) = self.fleet.machines.get_mut(id)
         {
             machine.recorded = true;
@@ -147,8 +147,8 @@
         };
         self.fleet.unrecorded.retain(|id| due(id).is_some());
         for machine in self.fleet.unrecorded.iter().filter_map(due) {
-            let origin = Origin::MachineKnown(machine.id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::MachineAdded(machine.id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let Some(address) = machine.address else { continue };
@@ -160,12 +160,12 @@
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
-            let data = Data::serialized(&record).unwrap_or(Data::Null);
-            let change = jobs::Change {
+            let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
+            let transaction = Transaction {
                 guards: vec![Precondition { key: key.clone(), rev }, self.term.precondition()],
                 writes: vec![Write::Put { key, data, hold: None }],
             };
-            state.push(Item { rank: Rank::Awaited, origin, change });
+            state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
         self.store_completions(state, now);
     }
@@ -188,21 +188,21 @@
             .map(|(id, (_, rev))| (id.clone(), *rev))
             .collect();
         for (id, rev) in gone {
-            let origin = Origin::MachineGone(id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::MachineRemoved(id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let key = format!("{MACHINE_PREFIX}{id}");
-            let change = jobs::Change {
+            let transaction = Transaction {
                 guards: vec![Precondition { key: key.clone(), rev }, self.term.precondition()],
                 writes: vec![Write::Delete { key }],
             };
-            state.push(Item { rank: Rank::Rest, origin, change });
+            state.enqueue(PendingWrite { priority: WritePriority::Background, origin, transaction });
         }
     }
 
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.persistence.next_progress_write && !state.is_behind();
+        let marks = now >= self.persistence.next_progress_write && !state.is_backlogged();
         if marks {
             self.persistence.next_progress_write = now + MARKS_EVERY;
         }
@@ -218,15 +218,15 @@
         // they take. Where the budget is short, only what ends a job goes at once.
         reported.sort_by_key(|(_, work)| Reverse(work.completing.len()));
         for (id, work) in reported {
-            let origin = Origin::Completion(id.clone());
-            if state.has_item(&origin) {
+            let origin = WriteOrigin::Completion(id.clone());
+            if state.is_pending(&origin) {
                 continue;
             }
             let Some(job) = state.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
                 live.done_count() + (work.completing.len() as u64) < live.spec.tasks
             };
-            if (!marks || state.is_behind()) && job.live().is_none_or(goes_on) {
+            if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
             }
             let tasks: Vec<u32> = work.completing.iter().copied().collect();
@@ -235,13 +235,13 @@
             let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
                 continue;
             };
-            if !done.ends && (!marks || state.is_behind()) {
+            if !done.ends && (!marks || state.is_backlogged()) {
                 continue;
             }
-            let mut change = done.change;
-            change.guards.push(guard.clone());
-            let rank = if done.ends { Rank::Awaited } else { Rank::Completion };
-            state.push(Item { rank, origin, change });
+            let mut transaction = done.transaction;
+            transaction.guards.push(guard.clone());
+            let priority = if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
+            state.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
 }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -262,8 +262,8 @@
         self.carry_back(&live);
         let coming = self.coming(&live, now);
         // What waits for other jobs starts nothing and holds no part of a limit or guarantee.
-        live.retain(|(_, job)| job.ready());
-        live.sort_by(|a, b| (a.1.since_ms(), a.0).cmp(&(b.1.since_ms(), b.0)));
+        live.retain(|(_, job)| job.is_ready());
+        live.sort_by(|a, b| (a.1.eligible_ms(), a.0).cmp(&(b.1.eligible_ms(), b.0)));
         let (order, mut hidden) = self.claims(&live, !unsure.is_empty(), now);
         if unsure.is_empty() {
             self.jobs.orphaned_capacity.clear();
@@ -437,7 +437,7 @@
 
     pub(super) fn start(&mut self, id: &MachineId, task: TaskId, cache: &Cache, now: Instant) {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
-        if !live.ready() {
+        if !live.is_ready() {
             // Nothing asks for it; this is the last place that could start it too early.
             tracing::error!(%task, "waits for other jobs and was to be started");
             return;
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -1,6 +1,6 @@
 //! When the leader plans, and how it slows down where its process falls behind.
 
-use crate::store::Bucket;
+use crate::store::TokenBucket;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub(super) struct StartPacer {
     /// Starts of low-priority tasks that are allowed now.
-    pub(super) low_priority_starts: Bucket,
+    pub(super) low_priority_starts: TokenBucket,
     /// Low-priority starts a second.
     rate: f64,
     /// When the rate is adjusted next.
@@ -96,7 +96,7 @@
     /// A pacer at its first rate.
     pub(super) fn new(now: Instant) -> StartPacer {
         StartPacer {
-            low_priority_starts: Bucket::new(LOW_RATE_FIRST, 1.0, now),
+            low_priority_starts: TokenBucket::new(LOW_RATE_FIRST, 1.0, now),
             rate: LOW_RATE_FIRST,
             next_adjustment: now,
             last_behind: None,
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -208,7 +208,7 @@
                 let urgency = self.urgency(&task.job, live);
                 (self.team_of(&live.spec.team), live.need, image, urgency)
             }
-            Some(JobBody::Over { rest: Some(rest), .. }) => {
+            Some(JobBody::Finished { rest: Some(rest), .. }) => {
                 (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
@@ -390,7 +390,7 @@
             self.fleet.machines.values_mut().filter(|m| m.failed_jobs.len() >= FAULTY_JOBS)
         {
             let sound = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
-                Some(JobBody::Over { cancelled, .. }) => !cancelled,
+                Some(JobBody::Finished { cancelled, .. }) => !cancelled,
                 _ => self.jobs.progress.get(*id).is_some_and(|work| work.failures.sound()),
             };
             machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= FAULTY_JOBS;
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -6,9 +6,9 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::job_progress::Placement;
 use crate::store::ESTIMATES_PREFIX;
-use crate::store::{Cache, Item, Origin, Outcome, Rank, StoreClient};
+use crate::store::{Cache, PendingWrite, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
 use crate::wire::JobSpec;
-use crate::wire::{Data, JobKind, Precondition, TaskState, Write};
+use crate::wire::{StoreValue, JobKind, Precondition, TaskState, Write};
 use crate::workers::machine::Machine;
 use crate::{jobs, placement};
 use foldhash::{HashMap, HashMapExt};
@@ -296,7 +296,7 @@
     }
 
     fn look_whether_late(&mut self, id: &JobId, cache: &Cache, now: Instant) {
-        let Some(live) = self.live(cache, id).filter(|live| live.ready()) else { return };
+        let Some(live) = self.live(cache, id).filter(|live| live.is_ready()) else { return };
         let Some(due_ms) = self.due_ms(&live.spec, live.accepted_ms) else { return };
         let Some(estimate) = self.estimate(id, live, now) else { return };
         let left_s = (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0;
@@ -330,7 +330,7 @@
             return;
         }
         self.runtime_predictor.read(&state.cache);
-        if state.is_behind() {
+        if state.is_backlogged() {
             return;
         }
         // The quotes of a text are part of its value.
@@ -346,16 +346,16 @@
             Precondition { key: key.clone(), rev: Revision(write.rev) },
             self.term.precondition(),
         ];
-        let writes = vec![Write::Put { key, data: Data::from(write.value), hold: None }];
-        let change = jobs::Change { guards, writes };
-        state.push(Item { rank: Rank::Rest, origin: Origin::Estimates(write.bucket), change });
+        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), hold: None }];
+        let transaction = Transaction { guards, writes };
+        state.enqueue(PendingWrite { priority: WritePriority::Background, origin: WriteOrigin::RuntimeEstimates(write.bucket), transaction });
     }
 
-    pub(super) fn estimates_told(&mut self, bucket: u8, outcome: Outcome) {
+    pub(super) fn estimates_told(&mut self, bucket: u8, outcome: WriteOutcome) {
         let told = match outcome {
-            Outcome::Committed | Outcome::Conflict => Told::Settled,
-            Outcome::Refused | Outcome::Unknown => Told::Unsure,
-            Outcome::Invalid => Told::Invalid,
+            WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Told::Unsure,
+            WriteOutcome::Invalid => Told::Invalid,
         };
         self.runtime_predictor.learner.keeper.on_told(bucket, told);
     }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -18,8 +18,8 @@
 use crate::settings::Settings;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
-use crate::store::{MachineRecord, Origin, Outcome, Rank, StoreClient};
-use crate::wire::{Data, Heartbeat, JobKind, Priority, TaskState, WorkerCommand, Write};
+use crate::store::{MachineRecord, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
+use crate::wire::{StoreValue, Heartbeat, JobKind, Priority, TaskState, WorkerCommand, Write};
 use crate::wire::{JobSpec, TaskStatus};
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::machine::{Machine, MachineState, OVER, Stop};
@@ -46,7 +46,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.flavors = (vec![flavor()], Revision(1));
+        state.cache.machine_types = (vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
@@ -61,16 +61,16 @@
             cpus: 4.0,
             ram_gb: 4.0,
             spot: shape == JobKind::Array,
-            ..jobs::plain_spec(id, tasks)
+            ..jobs::fixtures::job_spec(id, tasks)
         };
         let layout = self.state.layout();
-        let jobs::Accept::Record(change) =
+        let jobs::Acceptance::JobRecord(transaction) =
             jobs::accept(&Arc::new(spec), 1, &layout, &self.state.cache.jobs)
         else {
             panic!()
         };
-        let [Write::Put { data, .. }] = &change.writes[..] else { panic!() };
-        self.state.cache.jobs.put_job(JobId::new(id), data, Revision(5));
+        let [Write::Put { data, .. }] = &transaction.writes[..] else { panic!() };
+        self.state.cache.jobs.apply_record(JobId::new(id), data, Revision(5));
         self.scheduler.on_jobs(&[JobId::new(id)], &self.state.cache, self.now);
         JobId::new(id)
     }
@@ -403,9 +403,9 @@
 }
 
 fn over(bench: &mut Bench, id: &str) {
-    let done = records::Record { p: records::Phase::Done, n: 4, ..records::Record::live(1, None) };
+    let done = records::JobRecord { p: records::Phase::Done, n: 4, ..records::JobRecord::live(1, None) };
     let rev = Revision(bench.state.cache.rev.0.max(10) + 1);
-    bench.state.cache.jobs.put_job(JobId::new(id), &records::data(&done), rev);
+    bench.state.cache.jobs.apply_record(JobId::new(id), &records::to_value(&done), rev);
     bench.scheduler.on_jobs(&[JobId::new(id)], &bench.state.cache, bench.now);
 }
 
@@ -416,15 +416,15 @@
         bench.now += Duration::from_millis(300);
         bench.scheduler.store_estimates(&mut bench.state, bench.now);
         for item in bench.state.take_items() {
-            let (Origin::Estimates(bucket), [Write::Put { data, .. }]) =
-                (&item.origin, &item.change.writes[..])
+            let (WriteOrigin::RuntimeEstimates(bucket), [Write::Put { data, .. }]) =
+                (&item.origin, &item.transaction.writes[..])
             else {
                 continue;
             };
-            assert_eq!(item.rank, Rank::Rest);
+            assert_eq!(item.priority, WritePriority::Background);
             let text = data.as_text().map(str::to_owned);
             bench.state.cache.estimates.insert(*bucket, (text, Revision(100 + n)));
-            bench.scheduler.on_outcome(&item.origin, Outcome::Committed, &mut bench.state);
+            bench.scheduler.on_outcome(&item.origin, WriteOutcome::Committed, &mut bench.state);
             written += 1;
         }
     }
@@ -593,7 +593,7 @@
 fn an_elastic_job_grows_into_what_stays_free_and_makes_way_to_its_least() {
     let mut bench = Bench::new();
     let settings = Arc::make_mut(&mut bench.scheduler.settings);
-    let class = jobs::plain_spec("wk-1", 1).class;
+    let class = jobs::fixtures::job_spec("wk-1", 1).class;
     settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
@@ -826,13 +826,13 @@
         let (mut bench, id) = taken_over(2);
         let job = bench.state.cache.jobs.get(&id).unwrap();
         let layout = records::Layout { format: records::FORMAT, ..bench.state.layout() };
-        let change = jobs::cancel(&id, job, at_ms.unwrap_or_default(), &layout).unwrap();
-        let [Write::Put { data, .. }] = &change.writes[..] else { panic!() };
+        let transaction = jobs::cancel(&id, job, at_ms.unwrap_or_default(), &layout).unwrap();
+        let [Write::Put { data, .. }] = &transaction.writes[..] else { panic!() };
         let mut data = data.clone();
-        if let (None, Data::Map(fields)) = (at_ms, &mut data) {
+        if let (None, StoreValue::Map(fields)) = (at_ms, &mut data) {
             fields.retain(|(key, _)| !["e", "t"].contains(&key.as_text().unwrap()));
         }
-        bench.state.cache.jobs.put_job(id.clone(), &data, Revision(9));
+        bench.state.cache.jobs.apply_record(id.clone(), &data, Revision(9));
         bench.lead_anew();
         let need = Amount::need(4.0, 0.0, 4.0);
         assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
