--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -4,10 +4,9 @@
 //! found again in the store.
 
 use crate::ids::{JobId, Revision};
-use crate::jobs;
 use crate::scheduler::Scheduler;
-use crate::store::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
-use crate::wire::{Precondition, Write};
+use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
+use crate::wire::{Precondition, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -62,7 +61,11 @@
             writes.iter().map(|(write, _)| write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|(write, _)| write).collect();
         let transaction = Transaction { guards, writes };
-        state.enqueue(PendingWrite { priority: WritePriority::Background, origin: WriteOrigin::GarbageCollection, transaction });
+        state.enqueue(PendingWrite {
+            priority: WritePriority::Background,
+            origin: WriteOrigin::GarbageCollection,
+            transaction,
+        });
     }
 
     pub(super) fn tidied(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -10,9 +10,10 @@
 use crate::scheduler::job_progress::JobProgress;
 use crate::scheduler::task_attempt::attempts_of;
 use crate::store::{
-    Cache, PendingWrite, MACHINE_PREFIX, MachineRecord, WriteOrigin, WriteOutcome, WritePriority, StoreClient,
+    Cache, MACHINE_PREFIX, MachineRecord, PendingWrite, StoreClient, WriteOrigin, WriteOutcome,
+    WritePriority,
 };
-use crate::wire::{StoreValue, Precondition, TaskState, Write};
+use crate::wire::{Precondition, StoreValue, TaskState, Transaction, Write};
 use crate::workers::machine::{MachineState, OVER, Stop};
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -122,7 +123,12 @@
         }
     }
 
-    pub fn on_outcome(&mut self, origin: &WriteOrigin, outcome: WriteOutcome, state: &mut StoreClient) {
+    pub fn on_outcome(
+        &mut self,
+        origin: &WriteOrigin,
+        outcome: WriteOutcome,
+        state: &mut StoreClient,
+    ) {
         if *origin == WriteOrigin::GarbageCollection {
             return self.tidied(outcome, state);
         }
@@ -197,7 +203,11 @@
                 guards: vec![Precondition { key: key.clone(), rev }, self.term.precondition()],
                 writes: vec![Write::Delete { key }],
             };
-            state.enqueue(PendingWrite { priority: WritePriority::Background, origin, transaction });
+            state.enqueue(PendingWrite {
+                priority: WritePriority::Background,
+                origin,
+                transaction,
+            });
         }
     }
 
@@ -240,7 +250,8 @@
             }
             let mut transaction = done.transaction;
             transaction.guards.push(guard.clone());
-            let priority = if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
+            let priority =
+                if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
             state.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -3,14 +3,14 @@
 
 use crate::ids::{Amount, JobId, MachineId, Revision, TaskId};
 use crate::jobs::{Job, LiveJob};
+use crate::placement;
 use crate::scheduler::Scheduler;
 use crate::scheduler::job_progress::Placement;
 use crate::store::ESTIMATES_PREFIX;
-use crate::store::{Cache, PendingWrite, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
+use crate::store::{Cache, PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::JobSpec;
-use crate::wire::{StoreValue, JobKind, Precondition, TaskState, Write};
+use crate::wire::{JobKind, Precondition, StoreValue, TaskState, Transaction, Write};
 use crate::workers::machine::Machine;
-use crate::{jobs, placement};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -348,7 +348,11 @@
         ];
         let writes = vec![Write::Put { key, data: StoreValue::from(write.value), hold: None }];
         let transaction = Transaction { guards, writes };
-        state.enqueue(PendingWrite { priority: WritePriority::Background, origin: WriteOrigin::RuntimeEstimates(write.bucket), transaction });
+        state.enqueue(PendingWrite {
+            priority: WritePriority::Background,
+            origin: WriteOrigin::RuntimeEstimates(write.bucket),
+            transaction,
+        });
     }
 
     pub(super) fn estimates_told(&mut self, bucket: u8, outcome: WriteOutcome) {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -18,8 +18,8 @@
 use crate::settings::Settings;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
-use crate::store::{MachineRecord, WriteOrigin, WriteOutcome, WritePriority, StoreClient};
-use crate::wire::{StoreValue, Heartbeat, JobKind, Priority, TaskState, WorkerCommand, Write};
+use crate::store::{MachineRecord, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
+use crate::wire::{Heartbeat, JobKind, Priority, StoreValue, TaskState, WorkerCommand, Write};
 use crate::wire::{JobSpec, TaskStatus};
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::machine::{Machine, MachineState, OVER, Stop};
@@ -403,7 +403,8 @@
 }
 
 fn over(bench: &mut Bench, id: &str) {
-    let done = records::JobRecord { p: records::Phase::Done, n: 4, ..records::JobRecord::live(1, None) };
+    let done =
+        records::JobRecord { p: records::Phase::Done, n: 4, ..records::JobRecord::live(1, None) };
     let rev = Revision(bench.state.cache.rev.0.max(10) + 1);
     bench.state.cache.jobs.apply_record(JobId::new(id), &records::to_value(&done), rev);
     bench.scheduler.on_jobs(&[JobId::new(id)], &bench.state.cache, bench.now);
