--- a/crates/protocol/src/wire/tests.rs
+++ b/crates/protocol/src/wire/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{Heartbeat, LeaseTtl, MachineType, StoreValue, decode, encode};
 
 #[test]
 fn lying_lengths_and_nesting_are_refused_cheaply() {
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -197,7 +197,7 @@
         machine.owed = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
             command(machine.agent_epoch, orders)
-        } else if machine.lent || machine.silent_for(now) > rules.late_after {
+        } else if machine.delegated || machine.silent_for(now) > rules.late_after {
             // Its answer shows that it is within our reach again, or that it lives.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -18,7 +18,7 @@
 use crate::workers::machine::{Machine, MachineState, PlacedAttempt, Stop};
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ops::{Drain, DrainKind, Drains};
+use troutspindle_protocol::operator_api::{Drain, DrainKind, Drains};
 
 /// Pause between two rounds of moves off what is drained.
 const DRAIN_EVERY: Duration = Duration::from_secs(1);
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -19,7 +19,9 @@
 use tokio::time::Instant;
 use troutspindle_fair_share::constants::MACHINE;
 use troutspindle_fair_share::{Demand, Room, Scarcity, Standing, Supply, Turn};
-use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
+use troutspindle_protocol::operator_api::{
+    DemandLog, FairShareReport, GroupBelowFloor, GroupDemand,
+};
 
 /// Seconds. Within which arrays are to be done that have no aim at their end, where work is reckoned up.
 const DONE_WITHIN_S: f64 = 300.0;
@@ -411,7 +413,7 @@
                 floor: machines(shortage.scarcity.standing(group).map_or(0, |s| s.floor)),
             }
         };
-        let line = DemandLine {
+        let line = DemandLog {
             token: self.term.token.0,
             at_s: since.as_secs_f64(),
             ordinary: machines(shortage.supply.ordinary),
@@ -424,14 +426,14 @@
     }
 
     /// What operators are told of groups below their floors.
-    pub fn starving(&self, now: Instant) -> Starving {
+    pub fn starving(&self, now: Instant) -> FairShareReport {
         let machines = |room: Room| room as f64 / MACHINE as f64;
         let below = self.fair_share.scarcity.standings().filter(|(_, s)| s.owed > 0);
         let groups = below.map(|(group, standing)| {
             let [class, team] = self.group_name(group);
             let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
             let causes = self.fair_share.waits.iter().filter(|((of, _), _)| of == group);
-            StarvingGroup {
+            GroupBelowFloor {
                 class,
                 team,
                 held: machines(standing.held),
@@ -441,7 +443,7 @@
             }
         });
         let since = self.fair_share.scarcity.since();
-        Starving {
+        FairShareReport {
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|at| self.term.elapsed(now).saturating_sub(at).as_secs_f64()),
             machines: machines(self.fair_share.supply.all()),
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -11,7 +11,7 @@
     pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
         let every = self.settings.report_every();
         let machine = self.fleet.machines.get_mut(id)?;
-        // What is barred since it was silent is none the less answered here: we reckon with our own answers.
+        // What is revoked since it was silent is none the less answered here: we reckon with our own answers.
         if machine.silent_for(now) > every && machine.is_doomed() {
             return None;
         }
@@ -28,7 +28,7 @@
         let quiet = self.settings.worker_lease() * 3 / 4;
         let survey = self.fleet_summary(now);
         let cut_off = self.recently_unreachable_zones(&survey, now);
-        let (mut barred, mut lent) = (Vec::new(), Vec::new());
+        let (mut revoked, mut delegated) = (Vec::new(), Vec::new());
         let every = self.settings.report_every();
         for machine in self.fleet.machines.values_mut() {
             let told = self.delegations.told(&machine.id);
@@ -37,19 +37,19 @@
             let dead =
                 machine.silent_for(now) > quiet && !cut_off[machine.zone] && !answered_for_leader;
             if dead || (machine.silent_for(now) > every && machine.is_doomed()) {
-                machine.barred_since.get_or_insert(self.delegations.number);
-                barred.push(machine.id.clone());
+                machine.revoked_since.get_or_insert(self.delegations.number);
+                revoked.push(machine.id.clone());
                 continue;
             }
-            machine.barred_since = None;
+            machine.revoked_since = None;
             // Perhaps out of our reach alone: whoever hears it answers it, though we are near.
-            machine.lent =
+            machine.delegated =
                 machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
-            if machine.lent {
+            if machine.delegated {
                 self.direct_calls.dirty_machines.insert(machine.id.clone());
-                lent.push(machine.id.clone());
+                delegated.push(machine.id.clone());
             }
         }
-        self.delegations.give(to, seq, (barred, lent), now)
+        self.delegations.give(to, seq, (revoked, delegated), now)
     }
 }
