--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -82,8 +82,13 @@
         leader.pass();
         for n in 0..full {
             let id = MachineId::new(&format!("i-{n:06}"));
-            let running =
-                leader.scheduler.machines.get_mut(&id).map(|m| m.orders()).into_iter().flatten();
+            let running = leader
+                .scheduler
+                .machines
+                .get_mut(&id)
+                .map(|m| m.commands_for_answer())
+                .into_iter()
+                .flatten();
             let show = |order: WorkerCommand| match order {
                 WorkerCommand::Start { task, attempt } => Some(TaskStatus {
                     task,
@@ -152,7 +157,7 @@
         self.scheduler.on_report(&report, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.machines.get_mut(&report.machine) {
             machine.recorded = true;
-            assert_eq!(machine.life, MachineState::Up);
+            assert_eq!(machine.state, MachineState::Up);
         }
     }
 
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -142,9 +142,9 @@
 pub const RETRY_MOST: Duration = Duration::from_secs(30);
 /// Count. Different jobs that do well elsewhere and must fail on one machine before it is given
 /// back; a job also avoids so many machines on which it failed.
-pub const FAULTY_JOBS: usize = 2;
+pub const MACHINE_FAULT_JOBS: usize = 2;
 /// A task that ran this long shows that its job does well: mistakes show at once.
-pub const PROVEN_AFTER: Duration = Duration::from_secs(10);
+pub const SUCCESS_AFTER_RUNNING: Duration = Duration::from_secs(10);
 /// Count. PROTOCOL's cap on the tasks of a job.
 pub const LEGS_MAX: u64 = 100_000;
 /// How long another controller may answer reports on a leader's behalf after it last heard from
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -15,7 +15,9 @@
 };
 use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities};
 use crate::settings::ShardHeartbeats;
-use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
+use crate::workers::command_delivery::{
+    Delivery, DeliveryResult, ForwardedCalls, PendingDeliveries,
+};
 
 /// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the key
 /// outlives its leader by less ([`LEADER_LEASE`], and its end is told within a follow).
@@ -35,8 +37,8 @@
 /// All that this controller knows of shared reports, in whatever role.
 pub(super) struct Sharing {
     pub(super) relay: HeartbeatRelay,
-    pub(super) deliveries: Deliveries,
-    pub(super) forwarded: ForwardedCommands,
+    pub(super) deliveries: PendingDeliveries,
+    pub(super) forwarded: ForwardedCalls,
     /// As the leader: whether reports are shared, and by whom.
     load: Load,
     members: Membership,
@@ -53,8 +55,8 @@
     pub(super) fn new(first: u64, settings: &Settings) -> Sharing {
         Sharing {
             relay: HeartbeatRelay::new(first),
-            deliveries: Deliveries::new(first),
-            forwarded: ForwardedCommands::new(),
+            deliveries: PendingDeliveries::new(first),
+            forwarded: ForwardedCalls::new(),
             load: Load::new(settings),
             members: Membership::default(),
             leader_helps: false,
@@ -318,7 +320,7 @@
                 continue;
             }
             let (machine, address) = (delivery.machine.clone(), delivery.address);
-            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct(token)));
+            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct_call(token)));
         }
     }
 
@@ -332,9 +334,8 @@
             return;
         }
         for (number, result) in results {
-            if let Some((machine, sent, result)) = self.sharing.deliveries.on_result(number, result)
-            {
-                self.on_direct(&machine, sent.as_ref(), result, now);
+            if let Some(call) = self.sharing.deliveries.on_result(number, result) {
+                self.on_direct(&call.machine, call.commands.as_ref(), call.result, now);
             }
         }
     }
@@ -345,17 +346,18 @@
         let calls: Vec<_> = scheduler.direct.drain(..).collect();
         for (machine, address, direct) in calls {
             let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
-            let relay = relay.filter(|_| self.sharing.deliveries.under_way() < DELIVERIES_MOST);
+            let relay = relay.filter(|_| self.sharing.deliveries.in_flight() < DELIVERIES_MOST);
             match relay.filter(|name| self.shares(name, now)).cloned() {
-                Some(by) => self.sharing.deliveries.push(&by, (machine, address), direct, now),
+                Some(by) => self.sharing.deliveries.push(&by, machine, address, direct, now),
                 None => self.out.push(Effect::DirectCall(machine, address, direct)),
             }
         }
         let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
         let me = self.settings.platform.host_name.clone();
-        for (to, commands) in self.sharing.deliveries.take_frames() {
-            let message = PeerMessage::RelayedCommands { from: me.clone(), token, commands };
-            self.out.push(Effect::Mesh(to, message));
+        for frame in self.sharing.deliveries.take_frames() {
+            let (from, commands) = (me.clone(), frame.deliveries);
+            let message = PeerMessage::RelayedCommands { from, token, commands };
+            self.out.push(Effect::Mesh(frame.to, message));
         }
     }
 
@@ -380,11 +382,13 @@
             self.reply(overdue.ticket, response);
         }
         self.sharing.relay.evict_beyond(self.sockets.public * 2);
-        for (to, token, results) in self.sharing.forwarded.take_results(now) {
-            self.out.push(Effect::Mesh(to, PeerMessage::CommandResults { token, results }));
+        for frame in self.sharing.forwarded.take_results(now) {
+            let message =
+                PeerMessage::CommandResults { token: frame.token, results: frame.results };
+            self.out.push(Effect::Mesh(frame.to, message));
         }
-        for (machine, sent, result) in self.sharing.deliveries.take_overdue(now) {
-            self.on_direct(&machine, sent.as_ref(), result, now);
+        for call in self.sharing.deliveries.take_overdue(now) {
+            self.on_direct(&call.machine, call.commands.as_ref(), call.result, now);
         }
     }
 }
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -121,7 +121,7 @@
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".parse().unwrap(),
         agent_epoch: Some(1),
-        orders: Vec::new(),
+        commands: Vec::new(),
     };
     node.on_deliver(&name(0), FencingToken(4), vec![command(1)], now);
     assert!(node.out.is_empty());
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::leadership::controller_lease::DELEGATION_MARGIN;
 use crate::leadership::delegation::DELEGATION_AFTER;
-use crate::workers::machine::ORDERS_MAX;
+use crate::workers::machine::MAX_COMMANDS_PER_ANSWER;
 
 impl Controller {
     /// A worker's report; None: its answer comes later.
@@ -102,7 +102,7 @@
         };
         let running = |task: &&wire::TaskStatus| task.state != wire::TaskState::Exited;
         let tasks = report.tasks.iter().filter(running).filter(|task| over(&task.task.job));
-        let orders = tasks.take(ORDERS_MAX).map(stop).collect();
+        let orders = tasks.take(MAX_COMMANDS_PER_ANSWER).map(stop).collect();
         tracing::debug!(machine = %report.machine, %token, "answered for the leader");
         Some(CommandBatch { token, agent_epoch: None, orders })
     }
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -2,6 +2,7 @@
     HeartbeatBatch, HeartbeatRelay, HeartbeatResult, RELAY_PAUSE, RELAY_RESUMES_WITHIN, RELAY_TERM,
     RELAY_TIMEOUT, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
+use crate::cloud::MachinePool;
 use crate::constants::BODY_MAX;
 use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
 use crate::peers::membership::{Member, Membership};
@@ -183,7 +184,8 @@
         let random = &mut StdRng::seed_from_u64(seed);
         let start = Instant::now();
         let mut relay = relay(start);
-        let new = || Machine::new(MachineId::new("i-1"), 0, 0, false, 0, start);
+        let pool = MachinePool { flavor: 0, zone: 0, spot: false };
+        let new = || Machine::new(MachineId::new("i-1"), pool, 0, start);
         let (mut plain, mut differs) = (new(), new());
         let mut tasks: Vec<(String, TaskState)> = Vec::new();
         for seq in 1..60u64 {
@@ -205,12 +207,12 @@
                 // Heard by both, straight from the worker.
                 0 => {
                     assert!(matches!(
-                        plain.hear(&report, FencingToken(3), now),
-                        HeartbeatEffect::News(_)
+                        plain.record_heartbeat(&report, FencingToken(3), now),
+                        HeartbeatEffect::Recorded(_)
                     ));
                     assert!(matches!(
-                        differs.hear(&report, FencingToken(3), now),
-                        HeartbeatEffect::News(_)
+                        differs.record_heartbeat(&report, FencingToken(3), now),
+                        HeartbeatEffect::Recorded(_)
                     ));
                     continue;
                 }
@@ -223,19 +225,19 @@
                 }
                 _ => {}
             }
-            plain.hear(&report, FencingToken(3), now);
+            plain.record_heartbeat(&report, FencingToken(3), now);
             relay.accept(seq, report, now).unwrap();
             loop {
                 let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
                 passed += 1;
                 let result = match batch.heartbeats.into_iter().next().unwrap() {
                     RelayedHeartbeat::Full(full) => {
-                        differs.hear(&full.into(), FencingToken(3), now);
+                        differs.record_heartbeat(&full.into(), FencingToken(3), now);
                         HeartbeatResult::Accepted(Vec::new())
                     }
                     RelayedHeartbeat::Unchanged(unchanged) => {
                         short += 1;
-                        match differs.hear_same(&unchanged, FencingToken(3), now) {
+                        match differs.record_unchanged_heartbeat(&unchanged, FencingToken(3), now) {
                             true => HeartbeatResult::Accepted(Vec::new()),
                             false => HeartbeatResult::ResendInFull,
                         }
@@ -246,7 +248,8 @@
                     break;
                 }
             }
-            let seen = |machine: &Machine| format!("{:?} {:?}", machine.entries, machine.heard);
+            let seen =
+                |machine: &Machine| format!("{:?} {:?}", machine.attempts, machine.last_heartbeat);
             assert_eq!(seen(&plain), seen(&differs), "seed {seed} sequence {seq}");
         }
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -26,7 +26,7 @@
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::failure_attribution::FailureAttribution;
 use crate::workers::machine::{
-    HeartbeatEffect, Machine, MachineState, OVER, PlacedAttempt, Stop, TaskEvent,
+    HeartbeatEffect, JOB_FINISHED, Machine, MachineState, PlacedAttempt, StopRequest, TaskEvent,
 };
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
@@ -92,11 +92,15 @@
         now: Instant,
     ) -> NextDirectCall {
         let Some(address) = machine.address else { return NextDirectCall::Nothing };
-        if machine.direct_in_flight || machine.life == MachineState::Booting {
+        if machine.direct_in_flight || machine.state == MachineState::Booting {
             return NextDirectCall::Nothing;
         }
-        if now < machine.direct_after {
-            return if machine.owed { NextDirectCall::Later } else { NextDirectCall::Nothing };
+        if now < machine.next_direct_at {
+            return if machine.commands_due {
+                NextDirectCall::Later
+            } else {
+                NextDirectCall::Nothing
+            };
         }
         let call = |agent_epoch: u64, orders: Vec<WorkerCommand>| {
             NextDirectCall::Call(
@@ -114,11 +118,11 @@
                 call(FIRST_AGENT_EPOCH, Vec::new())
             };
         }
-        let orders = if machine.owed { machine.starts_and_stops() } else { Vec::new() };
-        machine.owed = !orders.is_empty();
+        let orders = if machine.commands_due { machine.direct_commands() } else { Vec::new() };
+        machine.commands_due = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
             call(machine.agent_epoch, orders)
-        } else if machine.delegated || machine.silent_for(now) > late {
+        } else if machine.delegated || machine.time_since_heartbeat(now) > late {
             // Its answer will show that it is in our reach again, or that it lives.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
@@ -227,7 +231,7 @@
     heard: Vec<usize>,
     booting: bool,
     /// Some worker did not answer a question; some machine failed several jobs.
-    asked_in_vain: bool,
+    unanswered_probe: bool,
     failing: bool,
     /// When the newest of those that are up was rented.
     newest: Option<Instant>,
@@ -410,7 +414,7 @@
             let machine = scheduler.add_machine(id, kind, now);
             machine.recorded = true;
             machine.confirmed = false;
-            machine.life = MachineState::Up;
+            machine.state = MachineState::Up;
             machine.address = record.address.parse().ok();
         }
         for (id, job) in &cache.jobs.all {
@@ -451,9 +455,9 @@
             });
             rank * zones + kind.zone as u64
         });
-        self.machines.entry(id.clone()).or_insert_with(|| {
-            Machine::new(id.clone(), kind.flavor, kind.zone, kind.spot, index, now)
-        })
+        self.machines
+            .entry(id.clone())
+            .or_insert_with(|| Machine::new(id.clone(), kind, index, now))
     }
 
     fn team_of(&self, name: &str) -> usize {
@@ -474,11 +478,11 @@
         let every = self.settings.report_every();
         let machine = self.machines.get_mut(id)?;
         // What is barred since it was silent is none the less answered here: we reckon with our own answers.
-        if machine.silent_for(now) > every && machine.is_doomed() {
+        if machine.time_since_heartbeat(now) > every && machine.must_lose_lease() {
             return None;
         }
         // Should we lead on, its lease counts from here.
-        machine.answered = now;
+        machine.last_answered = now;
         Some(self.token)
     }
 
@@ -497,7 +501,7 @@
         };
         let mut zones: BTreeSet<usize> = BTreeSet::new();
         for machine in self.machines.values() {
-            let mut entries = machine.entries.range(attempts.clone());
+            let mut entries = machine.attempts.range(attempts.clone());
             // What a predecessor started there no report may have shown yet.
             let unsure = old && !machine.confirmed && may(machine);
             if unsure || entries.any(|(_, e)| e.state != TaskState::Exited) {
@@ -521,17 +525,18 @@
             let told = self.delegations.told(&machine.id);
             let answered_for_leader =
                 told.is_some_and(|at| now.saturating_duration_since(at) < quiet);
-            let dead =
-                machine.silent_for(now) > quiet && !cut_off[machine.zone] && !answered_for_leader;
-            if dead || (machine.silent_for(now) > every && machine.is_doomed()) {
+            let dead = machine.time_since_heartbeat(now) > quiet
+                && !cut_off[machine.zone]
+                && !answered_for_leader;
+            if dead || (machine.time_since_heartbeat(now) > every && machine.must_lose_lease()) {
                 machine.revoked_since.get_or_insert(self.delegations.number);
                 revoked.push(machine.id.clone());
                 continue;
             }
             machine.revoked_since = None;
             // Perhaps out of our reach alone: whoever hears it answers it, though we are near.
-            machine.delegated =
-                machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
+            machine.delegated = machine.state == MachineState::Up
+                && machine.time_since_heartbeat(now) >= every * 3 / 2;
             if machine.delegated {
                 self.look_at.insert(machine.id.clone());
                 delegated.push(machine.id.clone());
@@ -608,13 +613,14 @@
         let (up, heard) = (vec![0; zones], vec![0; zones]);
         let mut survey = FleetSummary { up, heard, ..FleetSummary::default() };
         for machine in self.machines.values() {
-            if machine.life == MachineState::Up {
+            if machine.state == MachineState::Up {
                 survey.up[machine.zone] += 1;
-                survey.heard[machine.zone] += usize::from(machine.silent_for(now) < quiet);
+                survey.heard[machine.zone] +=
+                    usize::from(machine.time_since_heartbeat(now) < quiet);
             }
-            survey.booting |= machine.life == MachineState::Booting;
-            survey.asked_in_vain |= machine.asked_in_vain.is_some();
-            survey.failing |= machine.failed_jobs.len() >= FAULTY_JOBS;
+            survey.booting |= machine.state == MachineState::Booting;
+            survey.unanswered_probe |= machine.unanswered_probe.is_some();
+            survey.failing |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
             if machine.up_since.is_some() {
                 survey.newest = survey.newest.max(Some(machine.rented));
             }
@@ -679,12 +685,12 @@
                     left -= 1;
                     self.under_way += 1;
                     if let DirectCall::Do(orders) = &direct {
-                        machine.note_flying(&orders.orders, 1);
+                        machine.track_starts_in_flight(&orders.orders, 1);
                     }
                     let heard = self.zone_heard[machine.zone];
                     let every = self.settings.report_every();
-                    machine.asked_openly = heard.is_some_and(|at| now < at + every);
-                    (machine.direct_in_flight, machine.direct_sent) = (true, now);
+                    machine.probe_zone_reachable = heard.is_some_and(|at| now < at + every);
+                    (machine.direct_in_flight, machine.direct_sent_at) = (true, now);
                     self.direct.push((machine.id.clone(), address, direct));
                 }
             }
@@ -723,18 +729,18 @@
         self.look_at.insert(id.clone());
         let answered = !matches!(report, Err(crate::http::CallError::Unknown));
         if let (Some(orders), true) = (sent, answered) {
-            machine.note_flying(&orders.orders, -1);
+            machine.track_starts_in_flight(&orders.orders, -1);
         }
         match report {
             Ok(report) if report.machine == *id => {
-                machine.direct_after = now + Duration::from_millis(20);
+                machine.next_direct_at = now + Duration::from_millis(20);
                 self.take_report(&report, cache, now)
             }
             _ => {
-                if machine.asked_openly {
-                    machine.asked_in_vain = Some(machine.direct_sent);
+                if machine.probe_zone_reachable {
+                    machine.unanswered_probe = Some(machine.direct_sent_at);
                 }
-                machine.direct_after = now + RETRY_FIRST * 2;
+                machine.next_direct_at = now + RETRY_FIRST * 2;
                 true
             }
         }
@@ -749,7 +755,7 @@
             let runs = |entry: &PlacedAttempt| {
                 matches!(entry.state, TaskState::Running | TaskState::Saving)
             };
-            let running = machine.entries.iter().filter(|(_, entry)| runs(entry));
+            let running = machine.attempts.iter().filter(|(_, entry)| runs(entry));
             // Tasks of a job stand side by side: one look at the counts serves them all.
             let mut last: Option<(&JobId, u32)> = None;
             for job in running.map(|((task, _), _)| &task.job) {
@@ -781,12 +787,12 @@
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
         let mut free = Amount::default();
         for machine in self.machines.values() {
-            let silent = machine.silent_for(now) > self.settings.report_every() * 3;
+            let silent = machine.time_since_heartbeat(now) > self.settings.report_every() * 3;
             let name = format!(
                 "{}-{}-{}",
                 zones[machine.zone],
                 if machine.spot { "spot" } else { "ordinary" },
-                match machine.life {
+                match machine.state {
                     MachineState::Booting => "booting",
                     MachineState::Up if silent => "silent",
                     MachineState::Up if machine.is_empty() => "idle",
@@ -795,7 +801,7 @@
                 }
             );
             *by_kind.entry(name).or_default() += 1;
-            if machine.life == MachineState::Up {
+            if machine.state == MachineState::Up {
                 free = free.plus(&self.size(machine.flavor).minus(&machine.used()));
             }
         }
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -13,7 +13,7 @@
             CloudEvent::MachineTypes(found) => {
                 crate::wire::merge(&mut self.flavors, found);
                 // What counts as heavy follows from the largest type.
-                self.machines.values_mut().for_each(Machine::entries_changed);
+                self.machines.values_mut().for_each(Machine::invalidate_usage);
             }
             CloudEvent::Hired(kind, machines) => {
                 self.shortage.cloud_told();
@@ -65,7 +65,7 @@
                 self.reserved.remove(&row.machine);
                 if let Some(kind) = self.kind(&row.flavor, &row.zone, row.spot) {
                     let machine = self.add_machine(&row.machine, kind, now);
-                    machine.life = MachineState::Returning;
+                    machine.state = MachineState::Returning;
                 }
                 continue;
             }
@@ -90,12 +90,12 @@
         let quiet = self.settings.report_every() * 2;
         for machine in self.machines.values_mut() {
             if !present.contains(&machine.id)
-                && machine.life != MachineState::Returning
-                && machine.silent_for(asked) > quiet
+                && machine.state != MachineState::Returning
+                && machine.time_since_heartbeat(asked) > quiet
                 && asked.saturating_duration_since(machine.rented) > lag
             {
                 tracing::info!(machine = %machine.id, "silent and not listed");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
         }
     }
@@ -105,8 +105,8 @@
         self.under_way -= usize::from(machine.direct_in_flight);
         let zones = self.settings.platform.params.zones.len() as u64;
         self.ranks[machine.zone].free.insert(machine.index / zones);
-        tracing::info!(machine = %id, how, tasks = machine.entries.len(), "machine is gone");
-        for fact in machine.lose_all() {
+        tracing::info!(machine = %id, how, tasks = machine.attempts.len(), "machine is gone");
+        for fact in machine.terminate_attempts() {
             self.on_fact(id, fact, cache, now);
         }
     }
@@ -127,7 +127,7 @@
             now.saturating_duration_since(machine.rented) >= usual(flavor)
         };
         let late = self.machines.values().filter(|machine| {
-            machine.life == MachineState::Booting
+            machine.state == MachineState::Booting
                 && aged(machine, &self.flavors[machine.flavor])
                 && !overtaken(machine)
         });
@@ -140,7 +140,7 @@
         let survey = self.survey(now);
         let cut_off = self.cut_off_zones(&survey, now);
         self.weigh_failures(&survey, cache, now);
-        if survey.asked_in_vain {
+        if survey.unanswered_probe {
             self.give_up_lost(&cut_off, cache, now);
         }
         let overtaken = survey.overtaken();
@@ -151,21 +151,23 @@
             // our behalf is bounded: once the lease has surely run out, the worker has killed
             // what it had.
             let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
-            let beyond = machine.life == MachineState::Up
-                && machine.lease_over(self.delegations.told(&machine.id), lease, now)
+            let beyond = machine.state == MachineState::Up
+                && machine.is_lease_expired(self.delegations.told(&machine.id), lease, now)
                 && !cut_off[machine.zone];
-            if machine.confirmed && machine.entries.is_empty() {
+            if machine.confirmed && machine.attempts.is_empty() {
                 // Nothing can be running there.
-            } else if machine.lease_over(others, lease, now) {
+            } else if machine.is_lease_expired(others, lease, now) {
                 tracing::info!(machine = %machine.id, "silent machine's lease is over");
                 machine.confirmed = true;
-                machine.dead_below = Attempt::new(self.token, self.counter);
-                facts.extend(machine.lose_all().into_iter().map(|fact| (machine.id.clone(), fact)));
+                machine.terminated_up_to = Attempt::new(self.token, self.counter);
+                facts.extend(
+                    machine.terminate_attempts().into_iter().map(|fact| (machine.id.clone(), fact)),
+                );
             } else if beyond {
                 // Another controller might still answer it. Its deletion proves that nothing
                 // runs there, unless a whole zone is cut off: that one is waited for.
                 tracing::info!(machine = %machine.id, "silent beyond its lease, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
             let flavor = &self.flavors[machine.flavor];
             let age = now.saturating_duration_since(machine.rented);
@@ -176,29 +178,29 @@
                 // that would replace it come no sooner.
                 patience *= 2;
             }
-            if machine.life == MachineState::Booting && age > patience {
+            if machine.state == MachineState::Booting && age > patience {
                 tracing::info!(machine = %machine.id, "never came up");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
-            if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
+            if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
                 tracing::info!(machine = %machine.id, "faulty, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
-            let quiet = machine.silent_for(now) > self.settings.report_every() * 2;
-            if machine.life == MachineState::Up
+            let quiet = machine.time_since_heartbeat(now) > self.settings.report_every() * 2;
+            if machine.state == MachineState::Up
                 && beyond
                 && quiet
-                && machine.silent_for(now) > lease * 2
+                && machine.time_since_heartbeat(now) > lease * 2
             {
                 tracing::info!(machine = %machine.id, "silent for long, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
             // A silent machine is not idle: after a take-over that finds a zone cut off, its
             // machines would all be given back.
-            if machine.life == MachineState::Up
+            if machine.state == MachineState::Up
                 && !quiet
                 && machine.is_empty()
-                && machine.recall_at.is_none()
+                && machine.reclaim_at.is_none()
             {
                 let since = *machine.idle_since.get_or_insert(now);
                 let idle = now.saturating_duration_since(since);
@@ -217,12 +219,12 @@
                     && now > self.since + HIRE_SETTLE * 4
                 {
                     tracing::info!(machine = %machine.id, "idle, given back");
-                    machine.life = MachineState::Returning;
+                    machine.state = MachineState::Returning;
                 }
             } else {
                 machine.idle_since = None;
             }
-            if machine.life == MachineState::Returning {
+            if machine.state == MachineState::Returning {
                 cloud.delete(&machine.id, now);
             }
         }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -95,14 +95,15 @@
 
     fn empty(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        machine.emptied_at = Some(now);
+        machine.last_consolidated = Some(now);
         let running =
             |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
-        let keys: Vec<_> = machine.entries.iter().filter(running).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<_> =
+            machine.attempts.iter().filter(running).map(|(k, _)| k.clone()).collect();
         for key in keys {
             let job = cache.jobs.get(&key.0.job).and_then(Job::live);
             let grace_s = job.map_or(0.0, |job| job.spec.save_s);
-            machine.stop(&key, Stop { grace_s, reason: MOVED });
+            machine.request_stop(&key, StopRequest { grace_s, reason: MOVED });
             self.stops += 1;
         }
     }
@@ -118,7 +119,7 @@
         now: Instant,
     ) -> Option<Emptied> {
         let machine = self.machines.get(id)?;
-        let tasks = || machine.entries.iter().filter(|(_, e)| e.state != TaskState::Exited);
+        let tasks = || machine.attempts.iter().filter(|(_, e)| e.state != TaskState::Exited);
         for ((task, _), entry) in tasks() {
             let job = cache.jobs.get(&task.job).and_then(Job::live)?;
             let ran = entry.running_since.is_some_and(|at| now >= at + MOVE_AFTER);
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -52,9 +52,9 @@
                 let key = (TaskId { job: (*id).clone(), index: *index }, *attempt);
                 let machine = self.machines.get_mut(machine);
                 let Some(machine) = machine else { continue };
-                if let Some(entry) = machine.entries.get_mut(&key) {
+                if let Some(entry) = machine.attempts.get_mut(&key) {
                     entry.urgency = urgency;
-                    machine.entries_changed();
+                    machine.invalidate_usage();
                 }
             }
         }
@@ -121,7 +121,7 @@
         };
         let began = work.placed.iter().filter_map(|(index, (machine, attempt))| {
             let task = TaskId { job: id.clone(), index: *index };
-            Some(self.machines.get(machine)?.entries.get(&(task, *attempt))?.placed)
+            Some(self.machines.get(machine)?.attempts.get(&(task, *attempt))?.placed)
         });
         let ran = began.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         length.saturating_sub(ran).as_secs_f64()
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -77,7 +77,7 @@
         for Leaver { key, machine, grace_s } in leavers {
             let Some(machine) = self.machines.get_mut(&machine) else { continue };
             tracing::info!(machine = %machine.id, task = %key.0, grace_s, "leaves what is drained");
-            machine.stop(&key, Stop { grace_s, reason: MOVED });
+            machine.request_stop(&key, StopRequest { grace_s, reason: MOVED });
             self.stops += 1;
         }
     }
@@ -94,8 +94,8 @@
         let mut free: Vec<Amount> = bins.iter().map(|bin| bin.free).collect();
         let mut leavers = Vec::new();
         let (mut here, mut all, mut hurry_s) = (0u64, 0u64, f64::INFINITY);
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
-            let tasks = machine.entries.values().filter(|e| e.state == TaskState::Running);
+        for machine in self.machines.values().filter(|m| m.state == MachineState::Up) {
+            let tasks = machine.attempts.values().filter(|e| e.state == TaskState::Running);
             let tasks = tasks.count() as u64;
             all += tasks;
             if self.is_drained(machine) {
@@ -117,7 +117,7 @@
             let entry = |index: u32, (machine, attempt): &(MachineId, Attempt)| {
                 let machine = self.machines.get(machine)?;
                 let key = (TaskId { job: id.clone(), index }, *attempt);
-                let entry = machine.entries.get(&key)?;
+                let entry = machine.attempts.get(&key)?;
                 let runs = entry.state == TaskState::Running && entry.stop.is_none();
                 runs.then_some((key, machine))
             };
@@ -185,9 +185,9 @@
     /// Replicas that have no other place run on: nobody gains by stopping them.
     fn out_of_time(&self, cache: &Cache, now: Instant) -> Vec<Leaver> {
         let mut leavers = Vec::new();
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
+        for machine in self.machines.values().filter(|m| m.state == MachineState::Up) {
             let Some(left_s) = self.drain_left_s(machine, now) else { continue };
-            for (key, entry) in &machine.entries {
+            for (key, entry) in &machine.attempts {
                 if entry.stop.is_some() || entry.state == TaskState::Exited {
                     continue;
                 }
@@ -215,7 +215,7 @@
                     DrainKind::Machine => machine.id.as_str() == drain.name,
                     DrainKind::Controller => false,
                 };
-                let tasks = machine.entries.iter().filter(|(_, e)| e.state != TaskState::Exited);
+                let tasks = machine.attempts.iter().filter(|(_, e)| e.state != TaskState::Exited);
                 for ((task, _), entry) in tasks.filter(|_| here) {
                     left += 1;
                     stuck += u64::from(self.is_stuck(task, entry, drain.by_in_s, cache, now));
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -144,7 +144,7 @@
             let run_s = self.task_s(id, job);
             let Some(work) = self.work.get_mut(*id) else { continue };
             work.group = Some(group);
-            if work.evidence.mistaken() {
+            if work.evidence.is_job_faulty() {
                 continue;
             }
             let (held, waiting) = (work.placed.len() as u64, work.waiting(job));
@@ -220,7 +220,7 @@
     /// What was told to stop makes way already and is held no longer.
     fn leave_out_stopping(&self, demands: &mut BTreeMap<Group, Demand>, largest: &Amount) {
         for machine in self.machines.values() {
-            for ((task, attempt), entry) in &machine.entries {
+            for ((task, attempt), entry) in &machine.attempts {
                 if entry.stop.is_none() || entry.state == TaskState::Exited {
                     continue;
                 }
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -46,5 +46,5 @@
 }
 
 fn holds(machine: &Machine, job: &JobId) -> bool {
-    machine.entries.range(super::attempts_of(job)).next().is_some()
+    machine.attempts.range(super::attempts_of(job)).next().is_some()
 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -74,7 +74,7 @@
     pub(super) fn second_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
         let runs = |(index, (machine, attempt)): (&u32, &(MachineId, Attempt))| {
             let task = TaskId { job: id.clone(), index: *index };
-            let entry = self.machines.get(machine)?.entries.get(&(task, *attempt))?;
+            let entry = self.machines.get(machine)?.attempts.get(&(task, *attempt))?;
             (entry.state != TaskState::Exited).then_some(())
         };
         let known = work.placed.iter().filter_map(runs).count() + work.twice.len();
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -27,11 +27,16 @@
                         let Some((machine, attempt)) = work.placed.remove(&task) else { continue };
                         let Some(machine) = self.machines.get_mut(&machine) else { continue };
                         let key = (TaskId { job: id.clone(), index: task }, attempt);
-                        match machine.entries.get_mut(&key) {
-                            Some(entry) if entry.state == TaskState::Exited => entry.settled = true,
+                        match machine.attempts.get_mut(&key) {
+                            Some(entry) if entry.state == TaskState::Exited => {
+                                entry.exit_handled = true
+                            }
                             // A second run of a task that is done by now.
                             _ => {
-                                machine.stop(&key, Stop { grace_s: 0.0, reason: "done elsewhere" });
+                                machine.request_stop(
+                                    &key,
+                                    StopRequest { grace_s: 0.0, reason: "done elsewhere" },
+                                );
                                 self.look_at.insert(machine.id.clone());
                             }
                         }
@@ -77,15 +82,15 @@
         for holder in self.holders.of(id) {
             let Some(machine) = self.machines.get_mut(&holder) else { continue };
             let mut keys = Vec::new();
-            for (key, entry) in machine.entries.range_mut(attempts.clone()) {
+            for (key, entry) in machine.attempts.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
-                    entry.settled = true;
+                    entry.exit_handled = true;
                 } else if entry.stop.as_ref().is_none_or(|stop| stop.grace_s > 0.0) {
                     keys.push(key.clone());
                 }
             }
             for key in keys {
-                machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
+                machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
                 self.stops += 1;
             }
         }
@@ -107,7 +112,7 @@
             && let Some(machine) = self.machines.get_mut(id)
         {
             machine.recorded = true;
-            machine.owed = true;
+            machine.commands_due = true;
             self.look_at.insert(id.clone());
             self.plan_wanted = true;
         }
@@ -117,7 +122,9 @@
     pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
         let machines = &self.machines;
         let due = |id: &MachineId| {
-            machines.get(id).filter(|machine| machine.life == MachineState::Up && !machine.recorded)
+            machines
+                .get(id)
+                .filter(|machine| machine.state == MachineState::Up && !machine.recorded)
         };
         self.unrecorded.retain(|id| due(id).is_some());
         for machine in self.unrecorded.iter().filter_map(due) {
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -74,7 +74,7 @@
             // others end by themselves and all start again under a new attempt.
             return None;
         }
-        let most = match work.evidence.allows(work.placed.len(), now) {
+        let most = match work.evidence.allowed_starts(work.placed.len(), now) {
             // A gang starts as a whole, on trial too.
             Ok(allowed) if spec.shape != JobKind::Gang => most.min(allowed as u64),
             Ok(_) => most,
@@ -84,7 +84,7 @@
                 return None;
             }
         };
-        let trial = work.evidence.mistaken();
+        let trial = work.evidence.is_job_faulty();
         let work = self.work.get_mut(id)?;
         work.wake(now);
         let waiting = work.waiting(job);
@@ -121,7 +121,7 @@
             }
         }
         let index = |id| self.machines.get(id).map(|m: &Machine| m.index);
-        ask.avoid = work.evidence.avoided().iter().filter_map(index).collect();
+        ask.avoid = work.evidence.avoided_machines().iter().filter_map(index).collect();
         if trial {
             // A trial of a job that fails everywhere takes what room there is.
             ask.rents = ScaleOutPolicy::Nothing;
@@ -171,8 +171,8 @@
         let need = Amount { cpu: size.cpu / 4, gpu: 0, ram: size.ram / 4 };
         let zones = silent.len();
         let mut lent = vec![0u64; zones];
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up && !m.spot) {
-            lent[machine.zone] += machine.low_cpu();
+        for machine in self.machines.values().filter(|m| m.state == MachineState::Up && !m.spot) {
+            lent[machine.zone] += machine.low_priority_cpu();
         }
         let wanted = |zone: usize| {
             // What comes at once grows with the fleet, and so does the room that it finds.
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -4,6 +4,7 @@
 //! `placement` decides; it changes no machine's life and writes nothing.
 
 use super::*;
+use crate::workers::machine::AttemptSpec;
 
 impl Scheduler {
     pub(super) fn image_id(images: &mut HashMap<Arc<str>, u32>, name: &str) -> u32 {
@@ -17,12 +18,12 @@
 
     /// Whether work may be placed on a machine now, and will stay there.
     pub(super) fn takes_work(&self, machine: &Machine, now: Instant) -> bool {
-        machine.life == MachineState::Up
+        machine.state == MachineState::Up
             && machine.confirmed
             && machine.recorded
-            && machine.recall_at.is_none()
+            && machine.reclaim_at.is_none()
             && !machine.faulty
-            && machine.silent_for(now) < self.settings.report_every() * 2
+            && machine.time_since_heartbeat(now) < self.settings.report_every() * 2
             && !self.is_drained(machine)
     }
 
@@ -32,9 +33,9 @@
         let mut used = vec![Amount::default(); self.teams.len()];
         for machine in self.machines.values_mut() {
             let usage = machine.usage(|need| placement::basket_of(need, sizes, threshold));
-            for (team, amount) in &usage.teams {
-                if let Some(sum) = used.get_mut(*team) {
-                    *sum = sum.plus(amount);
+            for team_usage in &usage.teams {
+                if let Some(sum) = used.get_mut(team_usage.team) {
+                    *sum = sum.plus(&team_usage.used);
                 }
             }
         }
@@ -101,20 +102,20 @@
         let drained = self.draining.drained.clone();
         for machine in self.machines.values_mut() {
             let flavor = &self.flavors[machine.flavor];
-            let booting = machine.life == MachineState::Booting && !overdue(machine, flavor);
+            let booting = machine.state == MachineState::Booting && !overdue(machine, flavor);
             // What is being emptied takes nothing until it is empty.
-            let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
+            let emptying = machine.last_consolidated.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
             let name = &settings.platform.params.zones[machine.zone];
             if drained.of(machine.id.as_str(), name).is_some() {
                 continue;
             }
-            let up = machine.life == MachineState::Up
+            let up = machine.state == MachineState::Up
                 && (!emptying || machine.is_empty())
-                && machine.recall_at.is_none()
+                && machine.reclaim_at.is_none()
                 && !machine.faulty
-                && machine.heard.is_some()
-                && machine.silent_for(now) < quiet;
-            let coming = machine.life == MachineState::Up && !machine.confirmed;
+                && machine.last_heartbeat.is_some()
+                && machine.time_since_heartbeat(now) < quiet;
+            let coming = machine.state == MachineState::Up && !machine.confirmed;
             if !(booting || up || coming) {
                 continue;
             }
@@ -433,9 +434,9 @@
         }
         work.placed.insert(task.index, (id.clone(), attempt));
         let image = Arc::from(live.spec.image.as_str());
-        let entry = PlacedAttempt::new(live.need, team, urgency, image, now);
-        machine.entries.insert((task, attempt), entry);
-        machine.entries_changed();
-        machine.owed = true;
+        let entry = PlacedAttempt::new(AttemptSpec { need: live.need, team, urgency, image }, now);
+        machine.attempts.insert((task, attempt), entry);
+        machine.invalidate_usage();
+        machine.commands_due = true;
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -90,7 +90,7 @@
         let mut coming = self
             .machines
             .values()
-            .flat_map(|machine| machine.entries.values())
+            .flat_map(|machine| machine.attempts.values())
             .filter(|entry| entry.state != TaskState::Exited)
             .filter(|entry| entry.stopped_for(PREEMPTED))
             .fold(Amount::default(), |sum, entry| sum.plus(&entry.need));
@@ -130,7 +130,7 @@
         let mut sources = Vec::new();
         for machine in self.machines.values().filter(|m| self.takes_work(m, now)) {
             let mut victims: Vec<Victim> = machine
-                .entries
+                .attempts
                 .iter()
                 .filter(|(_, entry)| {
                     entry.urgency > Priority::Production
@@ -277,7 +277,7 @@
         for (id, stopped) in chosen {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
             for (key, grace_s) in stopped {
-                machine.stop(&key, Stop { grace_s, reason: PREEMPTED });
+                machine.request_stop(&key, StopRequest { grace_s, reason: PREEMPTED });
                 self.stops += 1;
             }
         }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -44,11 +44,12 @@
     ) -> Option<Vec<WorkerCommand>> {
         let machine = self.machines.get_mut(id)?;
         // The answer is about to be sent, so its lease may now last until a lease from here.
-        machine.answered = now;
-        let orders = machine.orders();
+        machine.last_answered = now;
+        let orders = machine.commands_for_answer();
         // Most reports leave nothing owed.
-        machine.owed = orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
-        if machine.owed || !machine.confirmed {
+        machine.commands_due =
+            orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
+        if machine.commands_due || !machine.confirmed {
             self.look_at.insert(id.clone());
         }
         Some(orders)
@@ -69,15 +70,17 @@
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
         let quiet = self.settings.report_every() * 2;
-        let usable = |m: &Machine| (m.life, m.confirmed, m.agent_epoch, m.silent_for(now) > quiet);
+        let usable = |m: &Machine| {
+            (m.state, m.confirmed, m.agent_epoch, m.time_since_heartbeat(now) > quiet)
+        };
         let before = usable(machine);
-        let had_notice = machine.recall_at.is_some();
-        let facts = match machine.hear(report, self.token, now) {
+        let had_notice = machine.reclaim_at.is_some();
+        let facts = match machine.record_heartbeat(report, self.token, now) {
             HeartbeatEffect::Superseded => return false,
             HeartbeatEffect::Stale => return true,
-            HeartbeatEffect::News(facts) => facts,
+            HeartbeatEffect::Recorded(facts) => facts,
         };
-        if !had_notice && machine.recall_at.is_some() {
+        if !had_notice && machine.reclaim_at.is_some() {
             tracing::info!(machine = %machine.id, notice_s = report.notice_s, "spot notice");
         }
         // Most reports say what is known already and change no plan.
@@ -87,7 +90,7 @@
         }
         let news = !facts.is_empty()
             || usable(machine) != before
-            || had_notice != machine.recall_at.is_some();
+            || had_notice != machine.reclaim_at.is_some();
         let id = report.machine.clone();
         for fact in facts {
             self.on_fact(&id, fact, cache, now);
@@ -131,7 +134,7 @@
     ) {
         let since = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let Some(machine) = self.machines.get(id) else { return };
-        let Some(entry) = machine.entries.get(&(task.clone(), attempt)) else { return };
+        let Some(entry) = machine.attempts.get(&(task.clone(), attempt)) else { return };
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         let known_ms = self.work.get(&task.job).and_then(|work| work.known).map(since);
         let class = &live.spec.class;
@@ -169,14 +172,14 @@
         let live = self.live(cache, &task.job).is_some();
         let work = live.then(|| self.work.entry(task.job.clone()).or_default());
         let Some(machine) = self.machines.get_mut(machine) else { return };
-        machine.owed = true;
-        let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) else { return };
+        machine.commands_due = true;
+        let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
         (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, urgency);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
-        machine.adopted(&key);
+        machine.adopt_attempt(&key);
         let Some(work) = work else {
-            return machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
+            return machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
         };
         let Some((other, theirs)) = work.placed.get(&task.index).cloned() else {
             work.placed.insert(task.index, (machine.id.clone(), attempt));
@@ -196,7 +199,8 @@
         };
         work.twice.push((task.index, late.0.clone(), late.1));
         if let Some(machine) = self.machines.get_mut(&late.0) {
-            machine.stop(&(task, late.1), Stop { grace_s: 0.0, reason: "found twice" });
+            machine
+                .request_stop(&(task, late.1), StopRequest { grace_s: 0.0, reason: "found twice" });
         }
     }
 
@@ -230,15 +234,15 @@
         now: Instant,
     ) {
         if let Some(machine) = self.machines.get_mut(id)
-            && let Some(entry) = machine.entries.get(&(task.clone(), attempt))
+            && let Some(entry) = machine.attempts.get(&(task.clone(), attempt))
             && entry.urgency < Priority::Low
         {
             machine.vacated_at = Some(now);
         }
         let live = self.live(cache, &task.job);
         let done = why == "done" && live.is_some_and(|l| l.spec.shape != JobKind::Service);
-        let entry = self.machines.get(id).and_then(|m| m.entries.get(&(task.clone(), attempt)));
-        let began = entry.and_then(|entry| entry.began);
+        let entry = self.machines.get(id).and_then(|m| m.attempts.get(&(task.clone(), attempt)));
+        let began = entry.and_then(|entry| entry.observed_start);
         let ran = began.map(|at| now.saturating_duration_since(at));
         if (done && live.is_some_and(|live| !self.is_completing(&task, live))) || why == "halted" {
             self.learn_end(&task, id, live, (ran, done, saved));
@@ -249,7 +253,7 @@
                 let work = self.work.entry(task.job.clone()).or_default();
                 work.completing.insert(task.index);
                 self.completing.insert(task.job.clone());
-                self.did_well(&task.job, now);
+                self.record_success(&task.job, now);
                 return;
             }
         }
@@ -261,8 +265,8 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         let index = task.index;
         let mut made_way = false;
-        if let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) {
-            entry.settled = true;
+        if let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) {
+            entry.exit_handled = true;
             made_way = entry.stopped_for(PREEMPTED);
             if entry.stopped_for(MOVED) || entry.stopped_for(PREEMPTED) {
                 // Somebody waits: a service for its replica, or urgent work for this room.
@@ -280,10 +284,10 @@
             };
             if why == "error" {
                 machine.failed_jobs.insert(task.job.clone());
-                let before = work.evidence.mistaken();
-                work.evidence.failed(id, now);
-                if work.evidence.mistaken() && !before {
-                    let machines = work.evidence.failed_on.len();
+                let before = work.evidence.is_job_faulty();
+                work.evidence.record_failure(id, now);
+                if work.evidence.is_job_faulty() && !before {
+                    let machines = work.evidence.failed_machines().len();
                     tracing::info!(job = %task.job, machines, "fails everywhere, tried now and then");
                 }
             }
@@ -300,9 +304,9 @@
     }
 
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
-    pub(super) fn did_well(&mut self, id: &JobId, now: Instant) {
+    pub(super) fn record_success(&mut self, id: &JobId, now: Instant) {
         let Some(work) = self.work.get_mut(id) else { return };
-        if work.evidence.did_well() {
+        if work.evidence.record_success() {
             tracing::info!(job = %id, "does well after all");
             work.retry.values_mut().for_each(|(at, _)| *at = (*at).min(now));
             let paused = std::mem::take(&mut work.paused);
@@ -316,27 +320,30 @@
     pub(super) fn weigh_failures(&mut self, survey: &FleetSummary, cache: &Cache, now: Instant) {
         let ran = |(machine, attempt): &(MachineId, Attempt), job: &JobId, index: u32| {
             let entry = self.machines.get(machine)?;
-            let entry = entry.entries.get(&(TaskId { job: job.clone(), index }, *attempt))?;
-            (entry.state == TaskState::Running && now >= entry.running_since? + PROVEN_AFTER)
+            let entry = entry.attempts.get(&(TaskId { job: job.clone(), index }, *attempt))?;
+            (entry.state == TaskState::Running
+                && now >= entry.running_since? + SUCCESS_AFTER_RUNNING)
                 .then_some(())
         };
-        let open = self.work.iter().filter(|(_, work)| work.evidence.open());
+        let open = self.work.iter().filter(|(_, work)| work.evidence.is_undecided());
         let proven: Vec<JobId> = open
             .filter(|(id, work)| work.placed.iter().any(|(n, at)| ran(at, id, *n).is_some()))
             .map(|(id, _)| id.clone())
             .collect();
         for id in proven {
-            self.did_well(&id, now);
+            self.record_success(&id, now);
         }
         if !survey.failing {
             return;
         }
-        for machine in self.machines.values_mut().filter(|m| m.failed_jobs.len() >= FAULTY_JOBS) {
+        for machine in
+            self.machines.values_mut().filter(|m| m.failed_jobs.len() >= MACHINE_FAULT_JOBS)
+        {
             let sound = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
                 Some(JobBody::Finished { cancelled, .. }) => !cancelled,
-                _ => self.work.get(*id).is_some_and(|work| work.evidence.sound()),
+                _ => self.work.get(*id).is_some_and(|work| work.evidence.has_succeeded()),
             };
-            machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= FAULTY_JOBS;
+            machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= MACHINE_FAULT_JOBS;
         }
     }
 
@@ -344,7 +351,7 @@
     pub(super) fn drain_if_recalled(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let known_rest = self.settings.operator.estimates.drain;
         let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(at) = machine.recall_at else { return };
+        let Some(at) = machine.reclaim_at else { return };
         let left = at.saturating_duration_since(now).as_secs_f64();
         let drained = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
             if entry.stop.is_some() || entry.state == TaskState::Exited {
@@ -357,10 +364,11 @@
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
             live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
-        let keys: Vec<_> = machine.entries.iter().filter(drained).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<_> =
+            machine.attempts.iter().filter(drained).map(|(k, _)| k.clone()).collect();
         for key in keys {
-            let stop = Stop { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
-            machine.stop(&key, stop);
+            let stop = StopRequest { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
+            machine.request_stop(&key, stop);
             self.stops += 1;
         }
     }
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -7,6 +7,7 @@
 use crate::peers::heartbeat_relay::{
     HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
+use crate::workers::machine::Relayer;
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
@@ -24,7 +25,7 @@
                     let report = Heartbeat::from(report);
                     let orders = self.on_report(&report, cache, now)?.orders;
                     if let Some(machine) = self.machines.get_mut(&report.machine) {
-                        machine.relayed_by = Some((from.clone(), now));
+                        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
                     HeartbeatResult::Accepted(
                         orders.into_iter().map(RelayedCommand::from).collect(),
@@ -48,15 +49,16 @@
     ) -> HeartbeatResult {
         let id = &unchanged.machine;
         let (token, quiet) = (self.token, self.settings.report_every() * 2);
-        let known = |machine: &mut Machine| machine.hear_same(unchanged, token, now);
+        let known =
+            |machine: &mut Machine| machine.record_unchanged_heartbeat(unchanged, token, now);
         let Some(machine) = self.machines.get_mut(id) else { return HeartbeatResult::ResendInFull };
-        let was_silent = machine.silent_for(now) > quiet;
+        let was_silent = machine.time_since_heartbeat(now) > quiet;
         if !known(machine) {
             return HeartbeatResult::ResendInFull;
         }
         // Nothing was placed on it meanwhile.
         self.plan_wanted |= was_silent;
-        machine.relayed_by = Some((from.clone(), now));
+        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
         self.zone_heard[machine.zone] = Some(now);
         self.last_report = now;
         self.reports += 1;
@@ -66,7 +68,8 @@
 
     /// The controller that takes a worker's reports, if it passed one on lately.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
-        let (name, at) = self.machines.get(id)?.relayed_by.as_ref()?;
-        (now.saturating_duration_since(*at) < self.late_after()).then_some(name)
+        let relayer = self.machines.get(id)?.relayed_by.as_ref()?;
+        let is_recent = now.saturating_duration_since(relayer.at) < self.late_after();
+        is_recent.then_some(&relayer.controller)
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -227,7 +227,7 @@
         let Some(work) = self.work.get(id) else { return Vec::new() };
         let began = |(index, (machine, attempt)): (&u32, &(MachineId, Attempt))| {
             let key = (TaskId { job: id.clone(), index: *index }, *attempt);
-            let entry = self.machines.get(machine)?.entries.get(&key)?;
+            let entry = self.machines.get(machine)?.attempts.get(&key)?;
             (entry.state == TaskState::Running).then_some(entry.running_since).flatten()
         };
         let began = work.placed.iter().filter_map(began);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -113,7 +113,7 @@
     };
     let first = fill(&mut bench, "i-1", "wk-1", "i");
     let long = Duration::from_secs_f64(IMAGE_WORTH_S * 2.0);
-    for entry in bench.scheduler.machines.values_mut().flat_map(|m| m.entries.values_mut()) {
+    for entry in bench.scheduler.machines.values_mut().flat_map(|m| m.attempts.values_mut()) {
         entry.running_since = bench.now.checked_sub(long);
     }
     fill(&mut bench, "i-2", "wk-2", "other");
@@ -123,7 +123,7 @@
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     bench.pass(PLAN_EVERY * 5);
-    let stopped = |machine: &Machine| machine.entries.values().any(|e| e.stop.is_some());
+    let stopped = |machine: &Machine| machine.attempts.values().any(|e| e.stop.is_some());
     let stopped: Vec<_> = bench.scheduler.machines.values().map(stopped).collect();
     assert_eq!(stopped, [false, true]);
 }
@@ -182,7 +182,7 @@
         running = shown(&bench.report("i-1", vec![]), TaskState::Running);
     }
     bench.report("i-1", running.clone());
-    bench.pass(PROVEN_AFTER + PLAN_EVERY);
+    bench.pass(SUCCESS_AFTER_RUNNING + PLAN_EVERY);
     bench.report("i-1", running);
     for _ in 0..10 {
         machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
@@ -198,7 +198,7 @@
     for (id, tasks) in [("wk-1", 8), ("wk-2", 24), ("wk-3", 8)] {
         bench.job(id, JobKind::Array, tasks);
     }
-    let mistaken = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
+    let is_job_faulty = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
     let mut held: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
         bench.pass(PLAN_EVERY);
@@ -207,7 +207,7 @@
             let orders = bench.report(machine, tasks.clone());
             let mut tasks = [tasks, shown(&orders, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
-            for task in tasks.iter_mut().filter(|task| machine == "i-1" || mistaken(task)) {
+            for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_job_faulty(task)) {
                 (task.state, task.why) = (TaskState::Exited, Some("error".into()));
             }
             held.insert(machine, tasks);
@@ -234,7 +234,7 @@
     let hired = CloudEvent::Hired(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
     let booting = |bench: &Bench| {
-        bench.scheduler.machines.values().filter(|m| m.life == MachineState::Booting).count()
+        bench.scheduler.machines.values().filter(|m| m.state == MachineState::Booting).count()
     };
     let patience = Duration::from_secs_f64(flavor().boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
     bench.pass(patience / 2);
@@ -317,7 +317,7 @@
                 bench.scheduler.on_direct(&id, sent.as_ref(), gave_up, cache, now);
             }
         }
-        let life = bench.scheduler.machines[&MachineId::new("i-1")].life;
+        let life = bench.scheduler.machines[&MachineId::new("i-1")].state;
         assert_eq!(life == MachineState::Returning, open);
     }
 }
@@ -336,7 +336,7 @@
         assert_eq!(bench.scheduler.starts % 6, 0, "step {step}");
     }
     let evidence = &bench.scheduler.work[&JobId::new("wk-1")].evidence;
-    assert!(evidence.mistaken() && bench.scheduler.starts >= 18, "{}", bench.scheduler.starts);
+    assert!(evidence.is_job_faulty() && bench.scheduler.starts >= 18, "{}", bench.scheduler.starts);
 }
 
 /// A leader that learns run times.
@@ -462,7 +462,7 @@
 fn what_a_class_holds_up_to_its_floor_stays_and_what_is_freed_goes_to_who_is_below() {
     let running = |bench: &Bench, id: &JobId| {
         let machines = bench.scheduler.machines.values();
-        let entries = machines.flat_map(|m| m.entries.iter());
+        let entries = machines.flat_map(|m| m.attempts.iter());
         entries.filter(|((task, _), e)| task.job == *id && e.stop.is_none()).count()
     };
     let play = |floor: f64| {
@@ -533,8 +533,8 @@
     let mut called: Vec<MachineId> = Vec::new();
     for _ in 0..5 {
         for machine in bench.scheduler.machines.values_mut() {
-            (machine.direct_in_flight, machine.owed) = (false, true);
-            machine.direct_after = bench.now;
+            (machine.direct_in_flight, machine.commands_due) = (false, true);
+            machine.next_direct_at = bench.now;
         }
         (bench.scheduler.under_way, bench.scheduler.look_all) = (0, true);
         bench.scheduler.direct.clear();
@@ -639,7 +639,7 @@
     for state in [TaskState::Fetching, TaskState::Running] {
         for name in &names {
             let starts: Vec<WorkerCommand> = bench.scheduler.machines[&MachineId::new(name)]
-                .entries
+                .attempts
                 .keys()
                 .map(|(task, attempt)| WorkerCommand::Start {
                     task: task.clone(),
@@ -695,7 +695,7 @@
     });
     let bench = held.unwrap();
     assert_eq!(
-        bench.scheduler.machines.values().map(|m| m.entries.len()).sum::<usize>(),
+        bench.scheduler.machines.values().map(|m| m.attempts.len()).sum::<usize>(),
         MACHINES * 8
     );
     let each = info.bytes_current as f64 / MACHINES as f64;
@@ -812,19 +812,19 @@
     let machine = MachineId::new("i-1");
     let flies = |bench: &mut Bench, over: bool| {
         let known = bench.scheduler.machines.get_mut(&machine).unwrap();
-        for entry in known.entries.values_mut() {
-            let reason = if over { OVER } else { "moved" };
-            (entry.flying, entry.seen) = (1, false);
-            entry.stop = Some(Stop { grace_s: 0.0, reason });
+        for entry in known.attempts.values_mut() {
+            let reason = if over { JOB_FINISHED } else { "moved" };
+            (entry.starts_in_flight, entry.is_reported) = (1, false);
+            entry.stop = Some(StopRequest { grace_s: 0.0, reason });
         }
-        assert_eq!(known.entries.len(), 1);
+        assert_eq!(known.attempts.len(), 1);
     };
     flies(&mut bench, false);
     bench.now += bench.scheduler.settings.worker_lease();
     bench.scheduler.grant(&ControllerId::new("n-1"), 1, bench.now);
     assert!(bench.scheduler.machines[&machine].revoked_since.is_some());
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), Some(FencingToken(1)));
-    assert_eq!(bench.scheduler.machines[&machine].answered, bench.now);
+    assert_eq!(bench.scheduler.machines[&machine].last_answered, bench.now);
     flies(&mut bench, true);
     assert_eq!(bench.scheduler.answer_for_leader(&machine, bench.now), None, "{id}");
 }
@@ -851,7 +851,7 @@
     }
     let holding = |bench: &Bench| {
         let machines = bench.scheduler.machines.values();
-        let with = machines.filter(|m| m.entries.keys().any(|(task, _)| task.job == job));
+        let with = machines.filter(|m| m.attempts.keys().any(|(task, _)| task.job == job));
         with.map(|machine| machine.id.clone()).collect::<Vec<MachineId>>()
     };
     let with = holding(&bench);
@@ -860,7 +860,7 @@
     assert!(with.iter().all(|id| noted.contains(id)), "{with:?} {noted:?}");
     bench.scheduler.stop_all(&job);
     for id in with {
-        let entries = &bench.scheduler.machines[&id].entries;
+        let entries = &bench.scheduler.machines[&id].attempts;
         assert!(entries.values().all(|e| e.stop.is_some() || e.state == TaskState::Exited));
     }
 }
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -21,26 +21,27 @@
         let zones = cut_off.len();
         // How many machines of each zone are late.
         let (mut up, mut silent) = (vec![0usize; zones], vec![0usize; zones]);
-        for machine in self.machines.values().filter(|m| m.life == MachineState::Up) {
+        for machine in self.machines.values().filter(|m| m.state == MachineState::Up) {
             up[machine.zone] += 1;
-            silent[machine.zone] += usize::from(machine.silent_for(now) > late);
+            silent[machine.zone] += usize::from(machine.time_since_heartbeat(now) > late);
         }
         let lease = self.settings.worker_lease() + WORKER_MARGIN;
         let mut lost = Vec::new();
         for machine in self.machines.values() {
-            let Some(asked) = machine.asked_in_vain else { continue };
+            let Some(asked) = machine.unanswered_probe else { continue };
             let zone = machine.zone;
-            let silence = machine.silent_for(now);
+            let silence = machine.time_since_heartbeat(now);
             // Others of its zone were heard after it had been asked in vain, so that it is not the way
             // there that is cut; and nobody tells that it answers elsewhere.
             let alone = self.zone_heard[zone].is_some_and(|at| at > asked)
                 && silent[zone] * 2 <= up[zone]
                 && !cut_off[zone];
             let told = self.delegations.told(&machine.id);
-            let elsewhere = told.is_some_and(|at| machine.heard.is_none_or(|heard| at > heard));
+            let elsewhere =
+                told.is_some_and(|at| machine.last_heartbeat.is_none_or(|heard| at > heard));
             let worth = if machine.confirmed { LOST_REPLICAS_WORTH } else { LOST_WORTH };
             let waits = lease.saturating_sub(silence) > worth;
-            if machine.life == MachineState::Up
+            if machine.state == MachineState::Up
                 && silence > late
                 && alone
                 && !elsewhere
@@ -53,12 +54,12 @@
         for id in lost {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
             tracing::info!(machine = %id, confirmed = machine.confirmed, "answers nobody, given back");
-            machine.life = MachineState::Returning;
+            machine.state = MachineState::Returning;
         }
     }
 
     fn holds_replicas(&self, machine: &Machine, cache: &Cache) -> bool {
-        machine.entries.iter().any(|((task, _), entry)| {
+        machine.attempts.iter().any(|((task, _), entry)| {
             let job = cache.jobs.get(&task.job).and_then(Job::live);
             entry.state != TaskState::Exited
                 && job.is_some_and(|job| job.spec.shape == JobKind::Service)
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -1,6 +1,13 @@
-use super::*;
+use super::{
+    CompletedCall, DELIVERY_PAUSE, Delivery, DeliveryResult, DirectCall, ForwardedCalls,
+    PendingDeliveries, WORKER_TIMEOUT,
+};
 use crate::constants::BODY_MAX;
-use crate::ids::{Attempt, TaskId};
+use crate::http::CallError;
+use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, TaskId};
+use crate::wire::{CommandBatch, Heartbeat, WorkerCommand};
+use std::net::SocketAddr;
+use tokio::time::Instant;
 
 fn machine() -> MachineId {
     MachineId::new("i-1")
@@ -12,7 +19,7 @@
     CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![order] }
 }
 
-fn report() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     Heartbeat {
         machine: machine(),
         address: String::new(),
@@ -29,16 +36,17 @@
 
 /// One command there and back: what its receiver is asked to send, and what the leader hears.
 #[test]
-fn a_command_goes_to_its_worker_and_its_result_back() {
+fn a_call_is_made_once_and_its_result_returned() {
     let now = Instant::now();
     let (leader, other) = (ControllerId::new("a"), ControllerId::new("b"));
-    let mut deliveries = Deliveries::new(50);
+    let mut deliveries = PendingDeliveries::new(50);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&other, (machine(), address), DirectCall::Do(start(3)), now);
+    deliveries.push(&other, machine(), address, DirectCall::Do(start(3)), now);
     let mut frames = deliveries.take_frames();
-    let (to, commands) = frames.pop().unwrap();
+    let frame = frames.pop().unwrap();
+    let (to, commands) = (frame.to, frame.deliveries);
     assert!(to == other && commands.len() == 1 && frames.is_empty());
-    let mut forwarded = ForwardedCommands::new();
+    let mut forwarded = ForwardedCalls::new();
     assert!(forwarded.begin(&leader, FencingToken(3), &commands[0]));
     // A copy of it, or what an earlier leader asks, is not carried out.
     assert!(!forwarded.begin(&leader, FencingToken(3), &commands[0]));
@@ -47,51 +55,56 @@
         FencingToken(2),
         &Delivery { number: 99, ..commands[0].clone() }
     ));
-    let DirectCall::Do(orders) = commands[0].clone().into_direct(FencingToken(3)) else { panic!() };
+    let DirectCall::Do(orders) = commands[0].clone().into_direct_call(FencingToken(3)) else {
+        panic!()
+    };
     assert_eq!((orders.token, orders.agent_epoch), (FencingToken(3), Some(2)));
     assert_eq!(orders.orders, start(3).orders);
     // A call of its own, or for another leader, is none of its business.
-    assert!(!forwarded.end(&machine(), Some(&start(4)), &Ok(report()), now));
-    assert!(!forwarded.end(&machine(), None, &Ok(report()), now));
-    assert!(forwarded.end(&machine(), Some(&orders), &Ok(report()), now));
+    assert!(!forwarded.end(&machine(), Some(&start(4)), &Ok(heartbeat()), now));
+    assert!(!forwarded.end(&machine(), None, &Ok(heartbeat()), now));
+    assert!(forwarded.end(&machine(), Some(&orders), &Ok(heartbeat()), now));
     assert!(forwarded.take_results(now).is_empty());
-    let (to, token, mut results) = forwarded.take_results(now + DELIVERY_PAUSE).pop().unwrap();
-    assert_eq!((to, token), (leader, FencingToken(3)));
-    let (number, result) = results.pop().unwrap();
-    let (id, sent, result) = deliveries.on_result(number, result).unwrap();
-    assert!(id == machine() && sent.is_some() && result.is_ok());
+    let mut frame = forwarded.take_results(now + DELIVERY_PAUSE).pop().unwrap();
+    assert_eq!((frame.to, frame.token), (leader, FencingToken(3)));
+    let (number, result) = frame.results.pop().unwrap();
+    let call = deliveries.on_result(number, result).unwrap();
+    assert!(call.machine == machine() && call.commands.is_some() && call.result.is_ok());
     assert!(deliveries.on_result(number, DeliveryResult::NotSent).is_none());
 }
 
 /// A command without a result may have been carried out: it is never taken for one that surely was not.
 #[test]
-fn a_command_without_a_result_counts_as_unknown_and_a_late_result_is_passed_over() {
+fn an_overdue_call_counts_as_unknown_and_its_late_result_is_ignored() {
     let now = Instant::now();
-    let mut deliveries = Deliveries::new(0);
+    let mut deliveries = PendingDeliveries::new(0);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&ControllerId::new("b"), (machine(), address), DirectCall::Do(start(3)), now);
-    let number = deliveries.take_frames()[0].1[0].number;
+    deliveries.push(&ControllerId::new("b"), machine(), address, DirectCall::Do(start(3)), now);
+    let number = deliveries.take_frames()[0].deliveries[0].number;
     let until = deliveries.next_due().unwrap();
     assert!(until > now + WORKER_TIMEOUT);
     assert!(deliveries.take_overdue(now + WORKER_TIMEOUT).is_empty());
-    let ends = deliveries.take_overdue(until);
-    assert!(matches!(ends[..], [(_, Some(_), Err(CallError::Unknown))]));
+    let ended = deliveries.take_overdue(until);
+    assert!(matches!(
+        ended[..],
+        [CompletedCall { commands: Some(_), result: Err(CallError::Unknown), .. }]
+    ));
     assert!(deliveries.on_result(number, DeliveryResult::NotSent).is_none());
-    assert_eq!(deliveries.under_way(), 0);
+    assert_eq!(deliveries.in_flight(), 0);
 }
 
 #[test]
 fn frames_are_bounded() {
     let now = Instant::now();
-    let mut deliveries = Deliveries::new(0);
+    let mut deliveries = PendingDeliveries::new(0);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
     for n in 0..3000 {
         let id = MachineId::new(&format!("i-{n:06}"));
-        deliveries.push(&ControllerId::new("b"), (id, address), DirectCall::Do(start(3)), now);
+        deliveries.push(&ControllerId::new("b"), id, address, DirectCall::Do(start(3)), now);
     }
     let frames = deliveries.take_frames();
-    assert_eq!(frames.iter().map(|(_, part)| part.len()).sum::<usize>(), 3000);
-    for (_, part) in frames {
-        assert!(postcard::to_stdvec(&part).unwrap().len() < BODY_MAX);
+    assert_eq!(frames.iter().map(|frame| frame.deliveries.len()).sum::<usize>(), 3000);
+    for frame in frames {
+        assert!(postcard::to_stdvec(&frame.deliveries).unwrap().len() < BODY_MAX);
     }
 }
--- a/src/workers/failure_attribution/tests.rs
+++ b/src/workers/failure_attribution/tests.rs
@@ -1,42 +1,45 @@
-use super::*;
+use super::{FailureAttribution, JOB_FAULT_MACHINES};
+use crate::constants::RETRY_MOST;
+use crate::ids::MachineId;
+use tokio::time::Instant;
 
 fn machine(n: usize) -> MachineId {
     MachineId::new(&format!("i-{n}"))
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_tried_ever_more_seldom_and_resumes_at_once() {
-    let mut evidence = FailureAttribution::default();
+fn a_job_that_fails_everywhere_is_retried_with_backoff_until_it_succeeds() {
+    let mut attribution = FailureAttribution::default();
     let mut now = Instant::now();
-    for n in 0..MISTAKEN_MACHINES - 1 {
-        evidence.failed(&machine(n), now);
-        evidence.failed(&machine(n), now);
-        assert_eq!(evidence.allows(5, now), Ok(usize::MAX));
+    for n in 0..JOB_FAULT_MACHINES - 1 {
+        attribution.record_failure(&machine(n), now);
+        attribution.record_failure(&machine(n), now);
+        assert_eq!(attribution.allowed_starts(5, now), Ok(usize::MAX));
     }
     // What was under way when the verdict came changes no pause.
     for n in 0..9 {
-        evidence.failed(&machine(n), now);
+        attribution.record_failure(&machine(n), now);
     }
-    assert!(evidence.mistaken());
+    assert!(attribution.is_job_faulty());
     let mut trials = 0;
     let end = now + RETRY_MOST * 10;
     while now < end {
-        match evidence.allows(0, now) {
+        match attribution.allowed_starts(0, now) {
             Ok(most) => {
                 assert_eq!(most, 1);
-                assert_eq!(evidence.allows(1, now), Err(None));
+                assert_eq!(attribution.allowed_starts(1, now), Err(None));
                 trials += 1;
-                evidence.failed(&machine(trials % 3), now);
+                attribution.record_failure(&machine(trials % 3), now);
             }
             Err(at) => now = at.unwrap(),
         }
     }
     assert!((10..=16).contains(&trials), "{trials}");
-    assert!(evidence.did_well());
-    assert_eq!(evidence.allows(1, now), Ok(usize::MAX));
+    assert!(attribution.record_success());
+    assert_eq!(attribution.allowed_starts(1, now), Ok(usize::MAX));
     // Whatever fails from now on is its machine's fault.
     for n in 0..9 {
-        evidence.failed(&machine(n), now);
+        attribution.record_failure(&machine(n), now);
     }
-    assert!(evidence.sound() && !evidence.mistaken());
+    assert!(attribution.has_succeeded() && !attribution.is_job_faulty());
 }
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -160,7 +160,7 @@
         machine: machine(1),
         address: "10.1.0.232:9000".parse().unwrap(),
         agent_epoch: Some(300),
-        orders: vec![
+        commands: vec![
             RelayedCommand::Start(task(), attempt()),
             RelayedCommand::Stop(task(), attempt(), 7.5),
             RelayedCommand::Forget(task(), attempt()),
@@ -170,7 +170,7 @@
         number: 303,
         address: "[::1]:9000".parse().unwrap(),
         agent_epoch: None,
-        orders: Vec::new(),
+        commands: Vec::new(),
         ..command.clone()
     };
     PeerMessage::RelayedCommands { from: sender(), token: TOKEN, commands: vec![command, question] }
