--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -87,7 +87,7 @@
                 .fleet
                 .machines
                 .get_mut(&id)
-                .map(|m| m.orders())
+                .map(|m| m.commands_for_answer())
                 .into_iter()
                 .flatten();
             let show = |order: WorkerCommand| match order {
@@ -158,7 +158,7 @@
         self.scheduler.on_report(&report, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.fleet.machines.get_mut(&report.machine) {
             machine.recorded = true;
-            assert_eq!(machine.life, MachineState::Up);
+            assert_eq!(machine.state, MachineState::Up);
         }
     }
 
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -73,7 +73,7 @@
             CloudEvent::MachineTypes(found) => {
                 crate::wire::merge(&mut self.fleet.machine_types, found);
                 // What counts as heavy follows from the largest type.
-                self.fleet.machines.values_mut().for_each(Machine::entries_changed);
+                self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
             CloudEvent::Hired(kind, machines) => {
                 self.fair_share.cloud_told();
@@ -129,7 +129,7 @@
                 self.autoscaler.reserved_machines.remove(&row.machine);
                 if let Some(kind) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
                     let machine = self.fleet.add_machine(&row.machine, kind, now);
-                    machine.life = MachineState::Returning;
+                    machine.state = MachineState::Returning;
                 }
                 continue;
             }
@@ -156,12 +156,12 @@
         let quiet = self.settings.report_every() * 2;
         for machine in self.fleet.machines.values_mut() {
             if !present.contains(&machine.id)
-                && machine.life != MachineState::Returning
-                && machine.silent_for(asked) > quiet
+                && machine.state != MachineState::Returning
+                && machine.time_since_heartbeat(asked) > quiet
                 && asked.saturating_duration_since(machine.rented) > lag
             {
                 tracing::info!(machine = %machine.id, "silent and not listed");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
         }
     }
@@ -169,8 +169,8 @@
     pub(super) fn gone(&mut self, id: &MachineId, how: &'static str, cache: &Cache, now: Instant) {
         let Some(mut machine) = self.fleet.remove_machine(id) else { return };
         self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
-        tracing::info!(machine = %id, how, tasks = machine.entries.len(), "machine is gone");
-        for fact in machine.lose_all() {
+        tracing::info!(machine = %id, how, tasks = machine.attempts.len(), "machine is gone");
+        for fact in machine.terminate_attempts() {
             self.on_fact(id, fact, cache, now);
         }
     }
@@ -191,7 +191,7 @@
             now.saturating_duration_since(machine.rented) >= usual(flavor)
         };
         let late = self.fleet.machines.values().filter(|machine| {
-            machine.life == MachineState::Booting
+            machine.state == MachineState::Booting
                 && aged(machine, &self.fleet.machine_types[machine.flavor])
                 && !overtaken(machine)
         });
@@ -215,21 +215,23 @@
             // our behalf is bounded: once the lease has surely run out, the worker has killed
             // what it had.
             let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
-            let beyond = machine.life == MachineState::Up
-                && machine.lease_over(self.delegations.told(&machine.id), lease, now)
+            let beyond = machine.state == MachineState::Up
+                && machine.is_lease_expired(self.delegations.told(&machine.id), lease, now)
                 && !cut_off[machine.zone];
-            if machine.confirmed && machine.entries.is_empty() {
+            if machine.confirmed && machine.attempts.is_empty() {
                 // Nothing can be running there.
-            } else if machine.lease_over(others, lease, now) {
+            } else if machine.is_lease_expired(others, lease, now) {
                 tracing::info!(machine = %machine.id, "silent machine's lease is over");
                 machine.confirmed = true;
-                machine.dead_below = self.term.latest_attempt();
-                facts.extend(machine.lose_all().into_iter().map(|fact| (machine.id.clone(), fact)));
+                machine.terminated_up_to = self.term.latest_attempt();
+                facts.extend(
+                    machine.terminate_attempts().into_iter().map(|fact| (machine.id.clone(), fact)),
+                );
             } else if beyond {
                 // Another controller might still answer it. Its deletion proves that nothing
                 // runs there, unless a whole zone is cut off: that one is waited for.
                 tracing::info!(machine = %machine.id, "silent beyond its lease, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
             let flavor = &self.fleet.machine_types[machine.flavor];
             let age = now.saturating_duration_since(machine.rented);
@@ -240,29 +242,29 @@
                 // that would replace it come no sooner.
                 patience *= 2;
             }
-            if machine.life == MachineState::Booting && age > patience {
+            if machine.state == MachineState::Booting && age > patience {
                 tracing::info!(machine = %machine.id, "never came up");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
-            if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
+            if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
                 tracing::info!(machine = %machine.id, "faulty, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
-            let quiet = machine.silent_for(now) > self.settings.report_every() * 2;
-            if machine.life == MachineState::Up
+            let quiet = machine.time_since_heartbeat(now) > self.settings.report_every() * 2;
+            if machine.state == MachineState::Up
                 && beyond
                 && quiet
-                && machine.silent_for(now) > lease * 2
+                && machine.time_since_heartbeat(now) > lease * 2
             {
                 tracing::info!(machine = %machine.id, "silent for long, given back");
-                machine.life = MachineState::Returning;
+                machine.state = MachineState::Returning;
             }
             // A silent machine is not idle: after a take-over that finds a zone cut off, its
             // machines would all be given back.
-            if machine.life == MachineState::Up
+            if machine.state == MachineState::Up
                 && !quiet
                 && machine.is_empty()
-                && machine.recall_at.is_none()
+                && machine.reclaim_at.is_none()
             {
                 let since = *machine.idle_since.get_or_insert(now);
                 let idle = now.saturating_duration_since(since);
@@ -281,12 +283,12 @@
                     && now > self.term.started_at + HIRE_SETTLE * 4
                 {
                     tracing::info!(machine = %machine.id, "idle, given back");
-                    machine.life = MachineState::Returning;
+                    machine.state = MachineState::Returning;
                 }
             } else {
                 machine.idle_since = None;
             }
-            if machine.life == MachineState::Returning {
+            if machine.state == MachineState::Returning {
                 cloud.delete(&machine.id, now);
             }
         }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -80,9 +80,9 @@
             for (index, placed) in &work.placed {
                 let key = (TaskId { job: (*id).clone(), index: *index }, placed.attempt);
                 let Some(machine) = self.fleet.machines.get_mut(&placed.machine) else { continue };
-                if let Some(entry) = machine.entries.get_mut(&key) {
+                if let Some(entry) = machine.attempts.get_mut(&key) {
                     entry.urgency = urgency;
-                    machine.entries_changed();
+                    machine.invalidate_usage();
                 }
             }
         }
@@ -150,7 +150,7 @@
         let began = work.placed.iter().filter_map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
-            Some(machine.entries.get(&(task, placed.attempt))?.placed)
+            Some(machine.attempts.get(&(task, placed.attempt))?.placed)
         });
         let ran = began.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         length.saturating_sub(ran).as_secs_f64()
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -149,10 +149,11 @@
             self.confirmation_budget.take(1.0, now);
         }
         if let DirectCall::Do(batch) = &call {
-            machine.note_flying(&batch.orders, 1);
+            machine.track_starts_in_flight(&batch.orders, 1);
         }
-        machine.asked_openly = zone_heartbeat.is_some_and(|at| now < at + rules.heartbeat_interval);
-        (machine.direct_in_flight, machine.direct_sent) = (true, now);
+        machine.probe_zone_reachable =
+            zone_heartbeat.is_some_and(|at| now < at + rules.heartbeat_interval);
+        (machine.direct_in_flight, machine.direct_sent_at) = (true, now);
         self.in_flight += 1;
         self.outgoing.push(OutgoingCall { machine: machine.id.clone(), address, call });
         true
@@ -172,11 +173,15 @@
 impl NextDirectCall {
     fn to(machine: &mut Machine, rules: &CallRules, now: Instant) -> NextDirectCall {
         let Some(address) = machine.address else { return NextDirectCall::Nothing };
-        if machine.direct_in_flight || machine.life == MachineState::Booting {
+        if machine.direct_in_flight || machine.state == MachineState::Booting {
             return NextDirectCall::Nothing;
         }
-        if now < machine.direct_after {
-            return if machine.owed { NextDirectCall::Later } else { NextDirectCall::Nothing };
+        if now < machine.next_direct_at {
+            return if machine.commands_due {
+                NextDirectCall::Later
+            } else {
+                NextDirectCall::Nothing
+            };
         }
         let command = |agent_epoch: u64, orders: Vec<WorkerCommand>| {
             let agent_epoch = Some(agent_epoch);
@@ -193,11 +198,11 @@
                 command(FIRST_AGENT_EPOCH, Vec::new())
             };
         }
-        let orders = if machine.owed { machine.starts_and_stops() } else { Vec::new() };
-        machine.owed = !orders.is_empty();
+        let orders = if machine.commands_due { machine.direct_commands() } else { Vec::new() };
+        machine.commands_due = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
             command(machine.agent_epoch, orders)
-        } else if machine.delegated || machine.silent_for(now) > rules.late_after {
+        } else if machine.delegated || machine.time_since_heartbeat(now) > rules.late_after {
             // Its answer shows that it is within our reach again, or that it lives.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -173,7 +173,7 @@
             let run_s = self.task_s(id, job);
             let Some(work) = self.jobs.progress.get_mut(*id) else { continue };
             work.demand_group = Some(group);
-            if work.failures.mistaken() {
+            if work.failures.is_job_faulty() {
                 continue;
             }
             let (held, waiting) = (work.placed.len() as u64, work.waiting(job));
@@ -249,7 +249,7 @@
     /// What was told to stop makes way already and is held no longer.
     fn leave_out_stopping(&self, demands: &mut BTreeMap<Group, Demand>, largest: &Amount) {
         for machine in self.fleet.machines.values() {
-            for ((task, attempt), entry) in &machine.entries {
+            for ((task, attempt), entry) in &machine.attempts {
                 if entry.stop.is_none() || entry.state == TaskState::Exited {
                     continue;
                 }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::interner::Interner;
 use crate::cloud::MachinePool;
-use crate::constants::FAULTY_JOBS;
+use crate::constants::MACHINE_FAULT_JOBS;
 use crate::ids::{Amount, MachineId};
 use crate::wire::MachineType;
 use crate::workers::machine::{Machine, MachineState};
@@ -95,9 +95,8 @@
         let known = self.machines.get(id).map(|machine| machine.index);
         let indices = &mut self.zone_indices[pool.zone];
         let index = known.unwrap_or_else(|| indices.allocate() * zones + pool.zone as u64);
-        self.machines.entry(id.clone()).or_insert_with(|| {
-            Machine::new(id.clone(), pool.flavor, pool.zone, pool.spot, index, now)
-        })
+        let known = self.machines.entry(id.clone());
+        known.or_insert_with(|| Machine::new(id.clone(), pool, index, now))
     }
 
     /// Removes a machine and frees its index.
@@ -115,13 +114,14 @@
         let (up, reachable) = (vec![0; zones], vec![0; zones]);
         let mut summary = FleetSummary { up, reachable, ..FleetSummary::default() };
         for machine in self.machines.values() {
-            if machine.life == MachineState::Up {
+            if machine.state == MachineState::Up {
                 summary.up[machine.zone] += 1;
-                summary.reachable[machine.zone] += usize::from(machine.silent_for(now) < quiet);
+                summary.reachable[machine.zone] +=
+                    usize::from(machine.time_since_heartbeat(now) < quiet);
             }
-            summary.booting |= machine.life == MachineState::Booting;
-            summary.status_unanswered |= machine.asked_in_vain.is_some();
-            summary.failing |= machine.failed_jobs.len() >= FAULTY_JOBS;
+            summary.booting |= machine.state == MachineState::Booting;
+            summary.status_unanswered |= machine.unanswered_probe.is_some();
+            summary.failing |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
             if machine.up_since.is_some() {
                 summary.newest = summary.newest.max(Some(machine.rented));
             }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -14,7 +14,7 @@
     WritePriority,
 };
 use crate::wire::{Precondition, StoreValue, TaskState, Transaction, Write};
-use crate::workers::machine::{MachineState, OVER, Stop};
+use crate::workers::machine::{JOB_FINISHED, MachineState, StopRequest};
 use std::cmp::Reverse;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -59,11 +59,16 @@
                         let machine = self.fleet.machines.get_mut(&placed.machine);
                         let Some(machine) = machine else { continue };
                         let key = (TaskId { job: id.clone(), index: task }, placed.attempt);
-                        match machine.entries.get_mut(&key) {
-                            Some(entry) if entry.state == TaskState::Exited => entry.settled = true,
+                        match machine.attempts.get_mut(&key) {
+                            Some(entry) if entry.state == TaskState::Exited => {
+                                entry.exit_handled = true
+                            }
                             // A second run of a task that is done by now.
                             _ => {
-                                machine.stop(&key, Stop { grace_s: 0.0, reason: "done elsewhere" });
+                                machine.request_stop(
+                                    &key,
+                                    StopRequest { grace_s: 0.0, reason: "done elsewhere" },
+                                );
                                 self.direct_calls.dirty_machines.insert(machine.id.clone());
                             }
                         }
@@ -109,15 +114,15 @@
         for holder in self.jobs.machines.of(id) {
             let Some(machine) = self.fleet.machines.get_mut(&holder) else { continue };
             let mut keys = Vec::new();
-            for (key, entry) in machine.entries.range_mut(attempts.clone()) {
+            for (key, entry) in machine.attempts.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
-                    entry.settled = true;
+                    entry.exit_handled = true;
                 } else if entry.stop.as_ref().is_none_or(|stop| stop.grace_s > 0.0) {
                     keys.push(key.clone());
                 }
             }
             for key in keys {
-                machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
+                machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
                 self.statistics.stops += 1;
             }
         }
@@ -139,7 +144,7 @@
             && let Some(machine) = self.fleet.machines.get_mut(id)
         {
             machine.recorded = true;
-            machine.owed = true;
+            machine.commands_due = true;
             self.direct_calls.dirty_machines.insert(id.clone());
             self.planning_clock.pass_requested = true;
         }
@@ -149,7 +154,9 @@
     pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
         let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
-            machines.get(id).filter(|machine| machine.life == MachineState::Up && !machine.recorded)
+            machines
+                .get(id)
+                .filter(|machine| machine.state == MachineState::Up && !machine.recorded)
         };
         self.fleet.unrecorded.retain(|id| due(id).is_some());
         for machine in self.fleet.unrecorded.iter().filter_map(due) {
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -87,7 +87,7 @@
             // others end by themselves and all start again under a new attempt.
             return None;
         }
-        let most = match work.failures.allows(work.placed.len(), now) {
+        let most = match work.failures.allowed_starts(work.placed.len(), now) {
             // A gang starts as a whole, on trial too.
             Ok(allowed) if spec.shape != JobKind::Gang => most.min(allowed as u64),
             Ok(_) => most,
@@ -98,7 +98,7 @@
                 return None;
             }
         };
-        let trial = work.failures.mistaken();
+        let trial = work.failures.is_job_faulty();
         let work = self.jobs.progress.get_mut(id)?;
         work.expire_backoffs(now);
         let waiting = work.waiting(job);
@@ -135,7 +135,7 @@
             }
         }
         let index = |id| self.fleet.machines.get(id).map(|m: &Machine| m.index);
-        ask.avoid = work.failures.avoided().iter().filter_map(index).collect();
+        ask.avoid = work.failures.avoided_machines().iter().filter_map(index).collect();
         if trial {
             // A trial of a job that fails everywhere takes what room there is.
             ask.rents = ScaleOutPolicy::Nothing;
@@ -186,9 +186,9 @@
         let zones = silent.len();
         let mut lent = vec![0u64; zones];
         for machine in
-            self.fleet.machines.values().filter(|m| m.life == MachineState::Up && !m.spot)
+            self.fleet.machines.values().filter(|m| m.state == MachineState::Up && !m.spot)
         {
-            lent[machine.zone] += machine.low_cpu();
+            lent[machine.zone] += machine.low_priority_cpu();
         }
         let wanted = |zone: usize| {
             // What comes at once grows with the fleet, and so does the room that it finds.
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::{Scheduler, fair_share};
 use crate::store::Cache;
 use crate::wire::{JobKind, Priority, TaskState};
-use crate::workers::machine::Stop;
+use crate::workers::machine::StopRequest;
 use ordered_float::OrderedFloat;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -119,7 +119,7 @@
             .fleet
             .machines
             .values()
-            .flat_map(|machine| machine.entries.values())
+            .flat_map(|machine| machine.attempts.values())
             .filter(|entry| entry.state != TaskState::Exited)
             .filter(|entry| entry.stopped_for(PREEMPTED))
             .fold(Amount::default(), |sum, entry| sum.plus(&entry.need));
@@ -160,7 +160,7 @@
         let mut sources = Vec::new();
         for machine in self.fleet.machines.values().filter(|m| self.takes_work(m, now)) {
             let mut victims: Vec<Victim> = machine
-                .entries
+                .attempts
                 .iter()
                 .filter(|(_, entry)| {
                     entry.urgency > Priority::Production
@@ -308,7 +308,7 @@
         for (id, stopped) in chosen {
             let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             for (key, grace_s) in stopped {
-                machine.stop(&key, Stop { grace_s, reason: PREEMPTED });
+                machine.request_stop(&key, StopRequest { grace_s, reason: PREEMPTED });
                 self.statistics.stops += 1;
             }
         }
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::scheduler::Scheduler;
 use crate::store::Cache;
 use crate::wire::Heartbeat;
-use crate::workers::machine::Machine;
+use crate::workers::machine::{Machine, Relayer};
 use tokio::time::Instant;
 
 impl Scheduler {
@@ -29,7 +29,7 @@
                     let report = Heartbeat::from(report);
                     let orders = self.on_report(&report, cache, now)?.orders;
                     if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-                        machine.relayed_by = Some((from.clone(), now));
+                        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
                     HeartbeatResult::Accepted(
                         orders.into_iter().map(RelayedCommand::from).collect(),
@@ -53,17 +53,18 @@
     ) -> HeartbeatResult {
         let id = &unchanged.machine;
         let (token, quiet) = (self.term.token, self.settings.report_every() * 2);
-        let known = |machine: &mut Machine| machine.hear_same(unchanged, token, now);
+        let known =
+            |machine: &mut Machine| machine.record_unchanged_heartbeat(unchanged, token, now);
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return HeartbeatResult::ResendInFull;
         };
-        let was_silent = machine.silent_for(now) > quiet;
+        let was_silent = machine.time_since_heartbeat(now) > quiet;
         if !known(machine) {
             return HeartbeatResult::ResendInFull;
         }
         // Nothing was placed on it meanwhile.
         self.planning_clock.pass_requested |= was_silent;
-        machine.relayed_by = Some((from.clone(), now));
+        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
@@ -73,7 +74,8 @@
 
     /// The controller that takes a worker's reports, if it passed one on lately.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
-        let (name, at) = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
-        (now.saturating_duration_since(*at) < self.late_after()).then_some(name)
+        let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
+        let is_recent = now.saturating_duration_since(relayer.at) < self.late_after();
+        is_recent.then_some(&relayer.controller)
     }
 }
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -26,7 +26,7 @@
         };
         let mut zones: BTreeSet<usize> = BTreeSet::new();
         for machine in self.fleet.machines.values() {
-            let mut entries = machine.entries.range(attempts.clone());
+            let mut entries = machine.attempts.range(attempts.clone());
             // What a predecessor started there no report may have shown yet.
             let unsure = old && !machine.confirmed && may(machine);
             if unsure || entries.any(|(_, e)| e.state != TaskState::Exited) {
@@ -43,7 +43,7 @@
             let runs = |entry: &PlacedAttempt| {
                 matches!(entry.state, TaskState::Running | TaskState::Saving)
             };
-            let running = machine.entries.iter().filter(|(_, entry)| runs(entry));
+            let running = machine.attempts.iter().filter(|(_, entry)| runs(entry));
             // Tasks of a job stand side by side: one look at the counts serves them all.
             let mut last: Option<(&JobId, u32)> = None;
             for job in running.map(|((task, _), _)| &task.job) {
@@ -75,12 +75,12 @@
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
         let mut free = Amount::default();
         for machine in self.fleet.machines.values() {
-            let silent = machine.silent_for(now) > self.settings.report_every() * 3;
+            let silent = machine.time_since_heartbeat(now) > self.settings.report_every() * 3;
             let name = format!(
                 "{}-{}-{}",
                 zones[machine.zone],
                 if machine.spot { "spot" } else { "ordinary" },
-                match machine.life {
+                match machine.state {
                     MachineState::Booting => "booting",
                     MachineState::Up if silent => "silent",
                     MachineState::Up if machine.is_empty() => "idle",
@@ -89,7 +89,7 @@
                 }
             );
             *by_kind.entry(name).or_default() += 1;
-            if machine.life == MachineState::Up {
+            if machine.state == MachineState::Up {
                 free = free.plus(&self.fleet.capacity(machine.flavor).minus(&machine.used()));
             }
         }
