--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -10,7 +10,8 @@
 use troutspindle::scheduler::Scheduler;
 use troutspindle::settings::Settings;
 use troutspindle::store::StoreClient;
-use troutspindle::store::records::{self, JobRecord};
+use troutspindle::store::encoding;
+use troutspindle::store::records::JobRecord;
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -131,7 +132,7 @@
             depends_on: None,
         };
         with(&mut spec);
-        let record = records::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
+        let record = encoding::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
         self.state.cache.jobs.apply_record(id.clone(), &record, Revision(self.rev));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -22,7 +22,7 @@
 };
 pub use troutspindle::peers::mesh::PeerMessage;
 pub use troutspindle::settings::Settings;
-pub use troutspindle::store::records::json_len;
+pub use troutspindle::store::encoding::json_len;
 pub use troutspindle::store::{StoreRequest, StoreResponse};
 pub use troutspindle::wire::{
     self, CommandBatch, Heartbeat, JobKind, JobSpec, JobStatus, JobView, KeyValue, ListedMachine,
--- a/crates/simulation/src/store_core.rs
+++ b/crates/simulation/src/store_core.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use troutspindle::ids::Revision;
-use troutspindle::store::records::json_len;
+use troutspindle::store::encoding::json_len;
 use troutspindle::wire::{StoreValue, Transaction, WatchEvent, WatchResponse, Write};
 
 /// A value with the revision of its last change and the lease that it is attached to.
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,212 +1,71 @@
-//! Users' requests: a core that decides each answer from the cache, after a read-index sync or a
-//! commit where the answer needs one.
+//! Users' requests: a state machine without I/O that decides each response from the cache, after a
+//! linearizable read or a commit where the response needs one.
 
-use crate::admission::{Need, come_back_s};
+mod cancellation;
+mod request;
+mod routing;
+mod submission;
+mod validation;
+
+pub use routing::{Route, need, route, valid_id};
+
+use crate::admission::come_back_s;
+use crate::api::request::{PendingRequest, UserRequest};
 use crate::clock::WallClock;
-use crate::constants::{CHANGE_DEADLINE, LEGS_MAX, USER_DEADLINE};
-use crate::http::{Method, Request, Response};
-use crate::ids::{Amount, ControllerId, JobId};
-use crate::jobs::{self, Acceptance, Job, Jobs};
-use crate::leadership::controller_lease::{CancellationAcks, Given, Missing};
+use crate::constants::{CHANGE_DEADLINE, USER_DEADLINE};
+use crate::http::Response;
+use crate::ids::{ControllerId, JobId};
+use crate::jobs::{FinalState, Job};
+use crate::leadership::controller_lease::{CancellationAcks, Given};
 use crate::settings::Settings;
 use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
-use crate::wire::{self, JobKind, JobName, JobSpec, JobStatus, JobView, MachineType, Transaction};
-use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+use crate::wire::{self, JobStatus, JobView, Transaction};
+use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
 
-/// Count. User requests waiting in one process; beyond it they are refused at once.
+/// Count. Users' requests that wait in one process; beyond it they are refused at once.
 pub const USER_QUEUE_MAX: usize = 2000;
-/// How long a cancellation waits for the promises of controllers that are in reach, some milliseconds
-/// as a rule; beyond it the user is told to come back.
-pub const PROMISE_WAIT: Duration = Duration::from_millis(800);
-/// Pause before a controller that has not answered is asked again.
-pub const PROMISE_AGAIN: Duration = Duration::from_millis(300);
-
-/// Where a request goes.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Route {
-    Up,
-    Hello,
-    Submit,
-    Poll(JobId),
-    Abort(JobId),
-    /// Operators ask what is at risk.
-    AtRisk,
-    /// And what is starving.
-    Starving,
-    Drain,
-    Undrain,
-    Drains,
-    Unknown,
-    WrongMethod,
-}
-
-pub fn route(request: &Request) -> Route {
-    let path = request.target.split('?').next().unwrap_or("");
-    let want = |method, route| if request.method == method { route } else { Route::WrongMethod };
-    // Operators' paths that are shut are not there, whatever is asked of them.
-    let ops_want = |route| if request.method == Method::Post { route } else { Route::Unknown };
-    match path {
-        "/up" => want(Method::Get, Route::Up),
-        "/hello" => want(Method::Post, Route::Hello),
-        "/api/jobs" => want(Method::Post, Route::Submit),
-        ops::AT_RISK_PATH => ops_want(Route::AtRisk),
-        ops::STARVING_PATH => ops_want(Route::Starving),
-        ops::DRAIN_PATH => ops_want(Route::Drain),
-        ops::UNDRAIN_PATH => ops_want(Route::Undrain),
-        ops::DRAINS_PATH => ops_want(Route::Drains),
-        _ => match path.strip_prefix("/api/jobs/") {
-            Some(rest) => match rest.split_once('/') {
-                None if valid_id(rest) => want(Method::Get, Route::Poll(JobId::new(rest))),
-                Some((id, "abort")) if valid_id(id) => {
-                    want(Method::Post, Route::Abort(JobId::new(id)))
-                }
-                _ => Route::Unknown,
-            },
-            None => Route::Unknown,
-        },
-    }
-}
-
-/// How much a request is needed by whoever sent it, by its path alone.
-pub fn need(request: &Request) -> Need {
-    match route(request) {
-        Route::Poll(_) => Need::Asks,
-        Route::Submit => Need::Submits,
-        _ => Need::Keeps,
-    }
-}
-
-/// PROTOCOL: ids are always in the form `wk-000412`.
-pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("wk-").is_some_and(|rest| {
-        (1..=40).contains(&rest.len()) && rest.bytes().all(|b| b.is_ascii_digit())
-    })
-}
-
-/// Bytes. Names in a submission; far beyond any in use, and small enough for a record's value.
-const TEXT_MAX: usize = 200;
-
-fn well_formed(spec: &JobSpec) -> bool {
-    let text = |s: &str| !s.is_empty() && s.len() <= TEXT_MAX;
-    let amount = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
-    valid_id(spec.id.as_str())
-        && text(&spec.class)
-        && text(&spec.team)
-        && spec.image.len() <= TEXT_MAX
-        && (1..=LEGS_MAX).contains(&spec.tasks)
-        && [spec.cpus, spec.gpus, spec.ram_gb, spec.image_gb, spec.expect_s]
-            .into_iter()
-            .chain([spec.checkpoint_s, spec.save_s, spec.due_s.unwrap_or(0.0)])
-            .all(amount)
-        && spec.flavors.as_ref().is_none_or(|list| list.len() <= 32 && list.iter().all(|f| text(f)))
-        && spec.zone.as_ref().is_none_or(|zone| text(zone))
-        && spec.depends_on.as_ref().is_none_or(|list| list.iter().all(|id| valid_id(id.as_str())))
-}
-
-/// A submission in the form in which it is kept: each job that it waits for is named once.
-fn normal(mut spec: JobSpec) -> JobSpec {
-    if let Some(depends_on) = &mut spec.depends_on {
-        let mut seen = HashSet::new();
-        depends_on.retain(|id| seen.insert(id.clone()));
-    }
-    spec.depends_on.take_if(|depends_on| depends_on.is_empty());
-    spec
-}
-
-/// Why a job can never wait for what it names, if it can't. One that was accepted a moment ago may
-/// not be known here yet.
-fn unfit_need(spec: &JobSpec, known: &Jobs) -> Option<&'static str> {
-    spec.depends_on.iter().flatten().find_map(|id| match known.get(id).map(|job| job.live()) {
-        None if known.is_unreadable(id) => None,
-        None => Some("waits for a job that was never accepted"),
-        Some(Some(live)) if live.spec.shape == JobKind::Service => Some("waits for a service"),
-        Some(_) => None,
-    })
-}
-
-/// Why the job can never run, if it can't.
-fn impossible(
-    spec: &JobSpec,
-    settings: &Settings,
-    flavors: &[MachineType],
-) -> Option<&'static str> {
-    let params = &settings.platform.params;
-    let Some(team) = params.teams.iter().find(|team| team.name == spec.team) else {
-        return Some("unknown team");
-    };
-    let need = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
-    let at_once = match spec.shape {
-        JobKind::Array => 1,
-        JobKind::Service | JobKind::Gang => spec.tasks,
-    };
-    if !need.times(at_once).fits(&team.most()) {
-        return Some("beyond its team's limit");
-    }
-    if spec.zone.as_ref().is_some_and(|zone| !params.zones.contains(zone)) {
-        return Some("unknown zone");
-    }
-    let fits = flavors.iter().any(|flavor| {
-        spec.flavors.as_ref().is_none_or(|list| list.contains(&flavor.name))
-            && spec.zone.as_ref().is_none_or(|zone| flavor.zones.contains(zone))
-            && need.fits(&Amount::room(flavor.cpus, flavor.gpus, flavor.ram_gb))
-    });
-    (!fits).then_some("fits no allowed machine type")
-}
-
-#[derive(Debug)]
-enum Wish {
-    Submit(Arc<JobSpec>),
-    /// A submission that is malformed but names a job: a known one is never told 400.
-    Broken(JobId),
-    Poll(JobId),
-    Abort(JobId),
-}
-
-#[derive(Debug)]
-struct Waiting {
-    wish: Wish,
-    deadline: Instant,
-    since: Instant,
-    /// What is being committed are parts of its description, and more is to follow.
-    in_parts: bool,
-    /// A submission that names jobs: the sync that goes beside its commit has brought news of them,
-    /// and it is accepted. What it names may have been cancelled, and a user been told, a moment ago
-    /// elsewhere; the answer has to say so, and comes when both are there.
-    synced: bool,
-    accepted: bool,
-    /// Its commit is under way.
-    committing: bool,
-    /// A cancellation waits for promises of other controllers until then.
-    promises_until: Option<Instant>,
-}
+/// Milliseconds. The longest latency that the histogram tells apart.
+const LATENCY_MAX_MS: u64 = 60_000;
 
+/// All requests of users that have no response yet, and what the responses need.
 pub struct Api {
     settings: Arc<Settings>,
+    /// The time of day.
     pub wall: WallClock,
-    waiting: BTreeMap<u64, Waiting>,
-    /// Tasks that run, by job, as the leader last told.
+    pending: BTreeMap<u64, PendingRequest>,
+    /// Running tasks by job, as the leader last published them.
     pub running: BTreeMap<JobId, u32>,
-    /// Jobs that this process told users to be cancelled, and when: a leader that is cut off
-    /// from the store learns them over the mesh.
+    /// Jobs of which this process told users that they are cancelled, and when: a leader that is
+    /// cut off from the store learns them from its peers.
     pub cancelled: Vec<(JobId, Instant)>,
+    /// How long requests took.
     pub latency_ms: hdrhistogram::Histogram<u64>,
+    /// Count of requests that were told to be sent again later.
     pub refused: u64,
+    /// What other controllers have acknowledged.
     pub promises: CancellationAcks,
-    /// What this controller promised to stop, or is about to cancel itself.
+    /// Cancellations that this controller acknowledged, or is about to commit itself.
     pub given: Given,
-    /// Whom to ask for which promise, and when each was asked last.
+    /// Which controllers are to be asked to acknowledge the cancellation of which job.
     pub asks: Vec<(ControllerId, JobId)>,
+    /// When each was asked last.
     asked: HashMap<(ControllerId, JobId), Instant>,
 }
 
-pub type Answer = (u64, Response);
+/// The response to a request that had to wait.
+#[derive(Debug)]
+pub struct Answer {
+    /// Names the request.
+    pub ticket: u64,
+    /// Its response.
+    pub response: Response,
+}
 
 impl Api {
+    /// No requests yet; none if the histogram of latencies can't be made.
     pub fn new(settings: Arc<Settings>, wall: WallClock) -> Option<Api> {
         let platform = &settings.platform;
         let workers = &platform.params.workers;
@@ -218,338 +77,231 @@
             asked: HashMap::new(),
             settings,
             wall,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             running: BTreeMap::new(),
             cancelled: Vec::new(),
-            latency_ms: hdrhistogram::Histogram::new_with_bounds(1, 60_000, 2).ok()?,
+            latency_ms: hdrhistogram::Histogram::new_with_bounds(1, LATENCY_MAX_MS, 2).ok()?,
             refused: 0,
         })
     }
 
-    fn view(&self, id: &JobId, job: &Job, status: u16) -> Response {
-        let view = match (job.final_state(), job.live()) {
-            (Some((status, done)), _) => JobView { id: id.clone(), status, done, running: 0 },
-            (None, live) => {
-                let running = u64::from(self.running.get(id).copied().unwrap_or(0));
-                let status = if running > 0 { JobStatus::Running } else { JobStatus::Queued };
-                let done = live.map_or(0, |live| live.done_count());
-                JobView { id: id.clone(), status, done, running }
-            }
-        };
-        Response::with(status, wire::encode(&view))
-    }
-
-    fn later(&mut self) -> Response {
-        self.refused += 1;
-        Response::later_in(503, come_back_s(self.waiting.len(), self.refused))
-    }
-
-    /// Takes a request in; an answer that needs nothing more comes back at once.
+    /// Takes a request in; a response that needs nothing more is returned at once.
     pub fn on_request(
         &mut self,
         ticket: u64,
         route: Route,
         body: &[u8],
-        state: &mut StoreClient,
+        store: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
-        let wish = match route {
-            Route::Poll(id) => Wish::Poll(id),
-            Route::Abort(id) => Wish::Abort(id),
-            _ => match wire::decode::<JobSpec>(body) {
-                Ok(spec) if well_formed(&spec) => Wish::Submit(Arc::new(normal(spec))),
-                _ => match wire::decode::<JobName>(body) {
-                    Ok(name) if valid_id(name.id.as_str()) => Wish::Broken(name.id),
-                    _ => return Some(Response::empty(400)),
-                },
-            },
+        let Some(request) = UserRequest::decode(route, body) else {
+            return Some(Response::empty(400));
         };
-        if !state.cache.loaded {
-            return Some(self.later());
+        if !store.cache.loaded {
+            return Some(self.retry_later());
         }
-        let id = match &wish {
-            Wish::Submit(spec) => &spec.id,
-            Wish::Broken(id) | Wish::Poll(id) | Wish::Abort(id) => id,
-        };
+        let id = request.job();
+        let job = store.cache.jobs.get(id);
         // A final state never changes, so the cache may answer.
-        if let Some(job) = state.cache.jobs.get(id)
-            && job.final_state().is_some()
+        if let Some(job) = job
+            && job.is_finished()
         {
-            return Some(self.view(id, job, 200));
+            return Some(self.job_response(id, job, 200));
         }
-        if state.cache.jobs.is_unreadable(id) {
-            return Some(self.later());
-        }
-        if state.is_unavailable(now) || self.waiting.len() >= USER_QUEUE_MAX {
-            return Some(self.later());
+        if store.cache.jobs.is_unreadable(id)
+            || store.is_unavailable(now)
+            || self.pending.len() >= USER_QUEUE_MAX
+        {
+            return Some(self.retry_later());
         }
-        let deadline = match wish {
-            Wish::Submit(_) | Wish::Abort(_) => now + CHANGE_DEADLINE,
-            _ => now + USER_DEADLINE,
+        let allowed = if request.is_change() { CHANGE_DEADLINE } else { USER_DEADLINE };
+        // A change goes to the store at once: its precondition finds out whether the cache was old.
+        let direct = match &request {
+            UserRequest::Submit(_) => job.is_none(),
+            UserRequest::Cancel(_) => job.is_some(),
+            UserRequest::MalformedSubmission(_) | UserRequest::Poll(_) => false,
         };
-        let known = state.cache.jobs.get(id).is_some();
-        // A change goes to the store at once: its guard finds out whether the cache was old.
-        let direct = match &wish {
-            Wish::Submit(_) => !known,
-            Wish::Abort(_) => known,
-            _ => false,
-        };
-        self.waiting.insert(
-            ticket,
-            Waiting {
-                wish,
-                deadline,
-                since: now,
-                in_parts: false,
-                synced: false,
-                accepted: false,
-                committing: false,
-                promises_until: None,
-            },
-        );
-        if direct { self.act(ticket, false, state, now) } else { self.sync(ticket, state) }
+        self.pending.insert(ticket, PendingRequest::new(request, now, now + allowed));
+        if direct { self.decide(ticket, false, store, now) } else { self.sync(ticket, store) }
     }
 
-    fn sync(&self, ticket: u64, state: &mut StoreClient) -> Option<Response> {
-        match self.waiting.get(&ticket).map(|waiting| &waiting.wish) {
-            Some(Wish::Poll(_)) => state.sync(ticket),
-            _ => state.sync_soon(ticket),
+    /// Decides again once the cache is as new as the store was when the request came.
+    fn sync(&self, ticket: u64, store: &mut StoreClient) -> Option<Response> {
+        match self.pending.get(&ticket).map(|pending| &pending.request) {
+            Some(UserRequest::Poll(_)) => store.sync(ticket),
+            _ => store.sync_soon(ticket),
         }
         None
     }
 
-    /// Answers, or commits, by what the cache says; `fresh` if it was synced for this request.
-    fn act(
+    /// Responds, or commits, by what the cache says; `is_fresh` if it was synced for this request.
+    fn decide(
         &mut self,
         ticket: u64,
-        fresh: bool,
-        state: &mut StoreClient,
+        is_fresh: bool,
+        store: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
-        let waiting = self.waiting.get(&ticket)?;
-        let id = match &waiting.wish {
-            Wish::Submit(spec) => spec.id.clone(),
-            Wish::Broken(id) | Wish::Poll(id) | Wish::Abort(id) => id.clone(),
-        };
-        let job = state.cache.jobs.get(&id);
-        let transaction = match (&waiting.wish, job) {
-            (Wish::Submit(spec), None) => {
-                let flavors = &state.cache.machine_types.0;
-                if flavors.is_empty() {
-                    let response = self.later();
-                    return Some(self.finish(ticket, response));
-                }
-                let layout = state.layout();
-                // An old leader would start it before what it waits for is done. Another controller
-                // may know already that there is none any more.
-                let early = spec.depends_on.is_some() && !layout.second();
-                let unfit = impossible(spec, &self.settings, flavors)
-                    .or_else(|| unfit_need(spec, &state.cache.jobs));
-                if !fresh && (early || unfit.is_some()) {
-                    return self.sync(ticket, state);
-                }
-                if early {
-                    tracing::info!(job = %id, "waits for others, which not all controllers know yet");
-                    let response = self.later();
-                    return Some(self.finish(ticket, response));
-                }
-                if let Some(why) = unfit {
-                    tracing::info!(job = %id, team = spec.team, why, "refused for good");
-                    return Some(self.finish(ticket, Response::empty(422)));
-                }
-                tracing::debug!(job = %id, ?spec, "submitted");
-                let accepted_ms = self.wall.ms(now);
-                let step = jobs::accept(spec, accepted_ms, &layout, &state.cache.jobs);
-                let in_parts = matches!(step, Acceptance::SpecChunks(_));
-                if let Some(waiting) = self.waiting.get_mut(&ticket) {
-                    waiting.in_parts = in_parts;
-                }
-                match step {
-                    Acceptance::SpecChunks(transaction) | Acceptance::JobRecord(transaction) => {
-                        transaction
-                    }
-                }
+        let pending = self.pending.get(&ticket)?;
+        let id = pending.request.job();
+        match (&pending.request, store.cache.jobs.get(id)) {
+            (UserRequest::Submit(spec), None) => {
+                let spec = spec.clone();
+                self.submit(ticket, &spec, is_fresh, store, now)
             }
-            (Wish::Abort(_), Some(job)) if job.live().is_some() => {
-                let transaction = jobs::cancel(&id, job, self.wall.ms(now), &state.layout())?;
-                let zone_of = |peer: &ControllerId| self.zone_of(peer);
-                match self.promises.guards(&id, &state.cache, zone_of, now) {
-                    Ok(guards) => {
-                        // Should it be applied late, this controller may be the one cut off by then.
-                        self.given.promise(std::slice::from_ref(&id));
-                        Transaction { guards: [transaction.guards, guards].concat(), ..transaction }
-                    }
-                    Err(missing) => return self.await_promises(ticket, id, missing, now),
-                }
+            (UserRequest::Cancel(id), Some(job)) if !job.is_finished() => {
+                let id = id.clone();
+                self.cancel(ticket, &id, is_fresh, store, now)
+            }
+            (UserRequest::MalformedSubmission(_), None) => {
+                Some(self.finish(ticket, Response::empty(400)))
             }
-            (Wish::Broken(_), None) => return Some(self.finish(ticket, Response::empty(400))),
-            (_, None) => return Some(self.finish(ticket, Response::empty(404))),
+            (_, None) => Some(self.finish(ticket, Response::empty(404))),
             (_, Some(job)) => {
-                let response = self.view(&id, job, if waiting.accepted { 201 } else { 200 });
-                if matches!(job.final_state(), Some((JobStatus::Cancelled, _))) {
-                    self.cancelled.push((id, waiting.since));
+                let response = self.job_response(id, job, if pending.accepted { 201 } else { 200 });
+                if job.final_state().is_some_and(|state| state.status == JobStatus::Cancelled) {
+                    self.cancelled.push((id.clone(), pending.received_at));
                 }
-                return Some(self.finish(ticket, response));
-            }
-        };
-        if let Some(waiting) = self.waiting.get_mut(&ticket) {
-            waiting.committing = true;
-            waiting.synced |= fresh;
-            let names = matches!(&waiting.wish, Wish::Submit(spec) if spec.depends_on.is_some());
-            if names && !waiting.synced {
-                state.sync_soon(ticket);
+                Some(self.finish(ticket, response))
             }
         }
-        state.enqueue(PendingWrite {
-            priority: WritePriority::Interactive,
-            origin: WriteOrigin::User(ticket),
-            transaction,
-        });
-        None
     }
 
-    fn zone_of(&self, peer: &ControllerId) -> Option<String> {
-        let others = &self.settings.platform.others;
-        others.iter().find(|other| other.host_name == *peer).map(|other| other.location.clone())
-    }
-
-    /// A cancellation that can't be committed yet: asks whom it takes, or refuses at once.
-    fn await_promises(
+    fn commit(
         &mut self,
         ticket: u64,
-        id: JobId,
-        missing: Missing,
-        now: Instant,
-    ) -> Option<Response> {
-        let peers = match &missing {
-            Missing::CancellationAcks(peers) => peers.clone(),
-            // The leader may know that the job has nothing where that one is.
-            Missing::Time => {
-                let others = &self.settings.platform.others;
-                others.iter().map(|other| other.host_name.clone()).collect()
-            }
-        };
-        for peer in peers {
-            let key = (peer.clone(), id.clone());
-            if self.asked.get(&key).is_none_or(|at| now >= *at + PROMISE_AGAIN) {
-                self.asked.insert(key, now);
-                self.asks.push((peer, id.clone()));
-            }
-        }
-        let waiting = self.waiting.get_mut(&ticket)?;
-        let until = *waiting.promises_until.get_or_insert(now + PROMISE_WAIT);
-        let hopeless = missing == Missing::Time && self.promises.knows_place(&id);
-        if now < until && !hopeless {
-            return None;
-        }
-        tracing::info!(job = %id, ?missing, "cannot be cancelled yet");
-        let response = self.later();
-        Some(self.finish(ticket, response))
-    }
-
-    /// Looks again at cancellations that wait for promises.
-    pub fn on_promised(&mut self, state: &mut StoreClient, now: Instant) -> Vec<Answer> {
-        let due = self.waiting.iter().filter(|(_, w)| w.promises_until.is_some());
-        let due: Vec<u64> = due.map(|(ticket, _)| *ticket).collect();
-        let mut answers = Vec::new();
-        for ticket in due {
-            if self.waiting.get(&ticket).is_some_and(|waiting| !waiting.committing)
-                && let Some(response) = self.act(ticket, false, state, now)
-            {
-                answers.push((ticket, response));
+        transaction: Transaction,
+        is_fresh: bool,
+        store: &mut StoreClient,
+    ) {
+        if let Some(pending) = self.pending.get_mut(&ticket) {
+            pending.committing = true;
+            pending.synced |= is_fresh;
+            if pending.request.has_dependencies() && !pending.synced {
+                store.sync_soon(ticket);
             }
         }
-        answers
-    }
-
-    fn finish(&mut self, ticket: u64, response: Response) -> Response {
-        if let Some(waiting) = self.waiting.remove(&ticket) {
-            let ms = waiting.since.elapsed().as_millis() as u64;
-            self.latency_ms.saturating_record(ms);
-        }
-        response
+        store.enqueue(PendingWrite {
+            priority: WritePriority::Interactive,
+            origin: WriteOrigin::User(ticket),
+            transaction,
+        });
     }
 
+    /// The cache is as new as the store was when this request asked for a linearizable read.
     pub fn on_synced(
         &mut self,
         ticket: u64,
-        state: &mut StoreClient,
+        store: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
-        if let Some(waiting) = self.waiting.get_mut(&ticket)
-            && waiting.committing
+        if let Some(pending) = self.pending.get_mut(&ticket)
+            && pending.committing
         {
-            waiting.synced = true;
+            pending.synced = true;
             return None;
         }
-        self.act(ticket, true, state, now)
+        self.decide(ticket, true, store, now)
     }
 
+    /// The request's commit has an outcome.
     pub fn on_outcome(
         &mut self,
         ticket: u64,
         outcome: WriteOutcome,
-        state: &mut StoreClient,
+        store: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
-        self.waiting.get_mut(&ticket)?.committing = false;
-        if outcome == WriteOutcome::Invalid {
-            // The state service will never take it as it is; the log says what.
-            let response = self.later();
-            return Some(self.finish(ticket, response));
-        }
-        if outcome != WriteOutcome::Committed {
+        self.pending.get_mut(&ticket)?.committing = false;
+        match outcome {
+            WriteOutcome::Committed => self.on_committed(ticket, store, now),
+            // The store will never take it as it is; the log says what.
+            WriteOutcome::Invalid => Some(self.finish_with_retry(ticket)),
             // Done by somebody else, perhaps done, or not done: read again, then decide again.
-            return self.sync(ticket, state);
+            WriteOutcome::Conflict | WriteOutcome::NotExecuted | WriteOutcome::Unknown => {
+                self.sync(ticket, store)
+            }
         }
-        let waiting = self.waiting.get(&ticket)?;
-        if waiting.in_parts {
-            return self.act(ticket, false, state, now);
+    }
+
+    fn on_committed(
+        &mut self,
+        ticket: u64,
+        store: &mut StoreClient,
+        now: Instant,
+    ) -> Option<Response> {
+        let pending = self.pending.get_mut(&ticket)?;
+        if pending.writes_spec_chunks {
+            return self.decide(ticket, false, store, now);
         }
-        if let Wish::Submit(spec) = &waiting.wish
-            && spec.depends_on.is_some()
-            && !waiting.synced
-        {
-            self.waiting.get_mut(&ticket)?.accepted = true;
+        if pending.request.has_dependencies() && !pending.synced {
+            pending.accepted = true;
             return None;
         }
-        let (id, status, code) = match &waiting.wish {
-            Wish::Submit(spec) => (spec.id.clone(), JobStatus::Queued, 201),
-            Wish::Abort(id) => (id.clone(), JobStatus::Cancelled, 200),
-            _ => return None,
+        let (id, status, code) = match &pending.request {
+            UserRequest::Submit(spec) => (spec.id.clone(), JobStatus::Queued, 201),
+            UserRequest::Cancel(id) => (id.clone(), JobStatus::Cancelled, 200),
+            UserRequest::MalformedSubmission(_) | UserRequest::Poll(_) => return None,
         };
         if status == JobStatus::Cancelled {
             self.cancelled.push((id.clone(), now));
         }
-        // A job that names a cancelled one is accepted, and cancelled from the start.
-        let response = match state.cache.jobs.get(&id) {
-            Some(job) => self.view(&id, job, code),
-            None => {
-                Response::with(code, wire::encode(&JobView { id, status, done: 0, running: 0 }))
-            }
+        // A job that depends on a cancelled one is accepted, and cancelled from the start.
+        let response = match store.cache.jobs.get(&id) {
+            Some(job) => self.job_response(&id, job, code),
+            None => encode_view(code, &JobView { id, status, done: 0, running: 0 }),
         };
         Some(self.finish(ticket, response))
     }
 
-    /// Answers what has waited too long, and everything if the store was lost.
-    pub fn tick(&mut self, state: &StoreClient, now: Instant) -> Vec<Answer> {
-        let lost = state.is_unavailable(now);
-        let late: Vec<u64> = self
-            .waiting
-            .iter()
-            .filter(|(_, waiting)| lost || now >= waiting.deadline)
-            .map(|(ticket, _)| *ticket)
-            .collect();
-        let keep = self.settings.platform.params.workers.cancel_s * 2.0;
-        self.asked.retain(|_, at| now < *at + PROMISE_AGAIN);
-        self.cancelled.retain(|(_, at)| now.saturating_duration_since(*at).as_secs_f64() < keep);
-        late.into_iter()
-            .map(|ticket| {
-                let response = self.later();
-                (ticket, self.finish(ticket, response))
-            })
-            .collect()
+    /// Responds to what has waited too long, and to everything if the store is unavailable.
+    pub fn tick(&mut self, store: &StoreClient, now: Instant) -> Vec<Answer> {
+        let unavailable = store.is_unavailable(now);
+        let overdue = |pending: &PendingRequest| unavailable || now >= pending.deadline;
+        let late = self.pending.iter().filter(|(_, pending)| overdue(pending));
+        let late: Vec<u64> = late.map(|(ticket, _)| *ticket).collect();
+        self.forget_old_cancellations(now);
+        let answer = |ticket| Answer { ticket, response: self.finish_with_retry(ticket) };
+        late.into_iter().map(answer).collect()
     }
+
+    fn job_response(&self, id: &JobId, job: &Job, status_code: u16) -> Response {
+        let id = id.clone();
+        let view = match (job.final_state(), job.live()) {
+            (Some(FinalState { status, completed_tasks }), _) => {
+                JobView { id, status, done: completed_tasks, running: 0 }
+            }
+            (None, live) => {
+                let running = u64::from(self.running.get(&id).copied().unwrap_or(0));
+                let status = if running > 0 { JobStatus::Running } else { JobStatus::Queued };
+                let done = live.map_or(0, |live| live.done_count());
+                JobView { id, status, done, running }
+            }
+        };
+        encode_view(status_code, &view)
+    }
+
+    fn retry_later(&mut self) -> Response {
+        self.refused += 1;
+        Response::later_in(503, come_back_s(self.pending.len(), self.refused))
+    }
+
+    fn finish_with_retry(&mut self, ticket: u64) -> Response {
+        let response = self.retry_later();
+        self.finish(ticket, response)
+    }
+
+    fn finish(&mut self, ticket: u64, response: Response) -> Response {
+        if let Some(pending) = self.pending.remove(&ticket) {
+            let ms = pending.received_at.elapsed().as_millis() as u64;
+            self.latency_ms.saturating_record(ms);
+        }
+        response
+    }
+}
+
+fn encode_view(status_code: u16, view: &JobView) -> Response {
+    Response::with(status_code, wire::encode(view))
 }
 
 #[cfg(test)]
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,9 +1,18 @@
-use super::*;
-use crate::ids::{ControllerId, Revision};
-use crate::store::records::{self, FORMAT, VersionRecord};
-use crate::store::{MACHINE_TYPES_KEY, StoreEvent, StoreRequest, StoreResponse};
-use crate::wire::StoreValue;
+use crate::api::validation::{Rejection, check_runnable};
+use crate::api::{Api, Route, route};
+use crate::clock::WallClock;
+use crate::http::{Method, Request, Response};
+use crate::ids::{ControllerId, JobId, Revision};
+use crate::jobs;
+use crate::store::records::{FORMAT, VersionRecord};
+use crate::store::{
+    MACHINE_TYPES_KEY, StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin, encoding,
+    keys,
+};
+use crate::wire::{self, JobKind, JobSpec, StoreValue};
+use std::sync::Arc;
 use std::time::Duration;
+use tokio::time::Instant;
 
 #[test]
 fn only_the_protocol_s_paths_and_ids_are_known() {
@@ -38,10 +47,10 @@
         state.poll(now);
         let (id, _) = state.calls.pop_front().unwrap();
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
-        let flavors = records::to_value(&vec![crate::settings::plain_flavor()]);
+        let flavors = encoding::to_value(&vec![crate::settings::plain_flavor()]);
         let version = VersionRecord { format: FORMAT, chunk: 16_384 };
         let told = names.iter().take(told);
-        let told = told.map(|n| row(records::version_key(n), records::to_value(&version)));
+        let told = told.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
         let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
         rows.extend(told);
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
@@ -110,7 +119,7 @@
     let synced = asked.syncs;
     assert_eq!(synced, 1);
     let job = asked.state.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
-    assert_eq!((job.depends_on().len(), job.open), (1, 1));
+    assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
     // Never accepted, itself, a service: for good, but only once the store has been asked.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
         assert_eq!(
@@ -136,7 +145,7 @@
 fn what_is_no_list_of_names_is_malformed_and_nothing_stands_for_no_list() {
     let mut asked = Asked::new(2);
     let spec = jobs::fixtures::job_spec("wk-1", 2);
-    let StoreValue::Map(fields) = records::to_value(&spec) else { panic!() };
+    let StoreValue::Map(fields) = encoding::to_value(&spec) else { panic!() };
     let with = |depends_on: StoreValue| {
         let fields = fields.iter().cloned().chain([(StoreValue::from("waitsOn"), depends_on)]);
         wire::encode(&StoreValue::Map(fields.collect()))
@@ -180,13 +189,13 @@
     let judge = |team: &str, cpus: f64, tasks: u64| {
         let (team, shape) = (team.to_owned(), JobKind::Service);
         let spec = JobSpec { team, cpus, shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
-        impossible(&spec, &settings, &flavors)
+        check_runnable(&spec, &settings, &flavors).err()
     };
     assert_eq!(judge("guest", 4.0, 100_000), None);
-    assert_eq!(judge("guest", 17.0, 1), Some("fits no allowed machine type"));
+    assert_eq!(judge("guest", 17.0, 1), Some(Rejection::FitsNoMachineType));
     assert_eq!(judge("t", 4.0, 2), None);
-    assert_eq!(judge("t", 4.0, 3), Some("beyond its team's limit"));
-    assert_eq!(judge("nobody", 1.0, 1), Some("unknown team"));
+    assert_eq!(judge("t", 4.0, 3), Some(Rejection::BeyondTeamLimit));
+    assert_eq!(judge("nobody", 1.0, 1), Some(Rejection::UnknownTeam));
 }
 
 /// Each field by its kind, as PROTOCOL's table of `POST /api/jobs` has it.
@@ -232,7 +241,7 @@
 #[test]
 fn a_broken_submission_is_malformed_unless_its_job_is_known() {
     let whole = jobs::fixtures::job_spec("wk-1", 2);
-    let StoreValue::Map(fields) = records::to_value(&whole) else { panic!() };
+    let StoreValue::Map(fields) = encoding::to_value(&whole) else { panic!() };
     // None: without the field.
     let with = |id: &str, name: &str, value: Option<StoreValue>| {
         let mut fields = fields.clone();
--- /dev/null
+++ b/src/api/validation.rs
@@ -0,0 +1,108 @@
+//! Which submissions are malformed, and which can never run.
+
+use crate::api::routing::valid_id;
+use crate::constants::LEGS_MAX;
+use crate::ids::Amount;
+use crate::jobs::Jobs;
+use crate::settings::Settings;
+use crate::wire::{JobKind, JobSpec, MachineType};
+use foldhash::{HashSet, HashSetExt};
+
+/// Bytes. Names in a submission; far beyond any in use, and small enough for a record's value.
+const TEXT_MAX: usize = 200;
+/// Count. Machine types that a submission may name.
+const MACHINE_TYPES_MAX: usize = 32;
+/// Amounts in a submission are below this.
+const AMOUNT_END: f64 = 1e9;
+
+/// Why a job can never run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(super) enum Rejection {
+    #[error("unknown team")]
+    UnknownTeam,
+    #[error("beyond its team's limit")]
+    BeyondTeamLimit,
+    #[error("unknown zone")]
+    UnknownZone,
+    #[error("fits no allowed machine type")]
+    FitsNoMachineType,
+    #[error("depends on a job that was never accepted")]
+    UnknownDependency,
+    #[error("depends on a service")]
+    DependsOnService,
+}
+
+/// Whether every field has a value that the protocol allows.
+pub(super) fn is_well_formed(spec: &JobSpec) -> bool {
+    let text = |s: &str| !s.is_empty() && s.len() <= TEXT_MAX;
+    let amount = |x: f64| x.is_finite() && (0.0..AMOUNT_END).contains(&x);
+    let amounts = [spec.cpus, spec.gpus, spec.ram_gb, spec.image_gb, spec.expect_s];
+    let times = [spec.checkpoint_s, spec.save_s, spec.due_s.unwrap_or(0.0)];
+    let machine_types =
+        |list: &Vec<String>| list.len() <= MACHINE_TYPES_MAX && list.iter().all(|name| text(name));
+    valid_id(spec.id.as_str())
+        && text(&spec.class)
+        && text(&spec.team)
+        && spec.image.len() <= TEXT_MAX
+        && (1..=LEGS_MAX).contains(&spec.tasks)
+        && amounts.into_iter().chain(times).all(amount)
+        && spec.flavors.as_ref().is_none_or(machine_types)
+        && spec.zone.as_ref().is_none_or(|zone| text(zone))
+        && spec.depends_on.iter().flatten().all(|id| valid_id(id.as_str()))
+}
+
+/// A submission in the form in which it is stored: each dependency is named once.
+pub(super) fn normalize(mut spec: JobSpec) -> JobSpec {
+    if let Some(depends_on) = &mut spec.depends_on {
+        let mut seen = HashSet::new();
+        depends_on.retain(|id| seen.insert(id.clone()));
+    }
+    spec.depends_on.take_if(|depends_on| depends_on.is_empty());
+    spec
+}
+
+/// Whether a job can ever run.
+pub(super) fn check_runnable(
+    spec: &JobSpec,
+    settings: &Settings,
+    machine_types: &[MachineType],
+) -> Result<(), Rejection> {
+    let params = &settings.platform.params;
+    let team = params.teams.iter().find(|team| team.name == spec.team);
+    let team = team.ok_or(Rejection::UnknownTeam)?;
+    let request = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
+    let tasks_at_once = match spec.shape {
+        JobKind::Array => 1,
+        JobKind::Service | JobKind::Gang => spec.tasks,
+    };
+    if !request.times(tasks_at_once).fits(&team.most()) {
+        return Err(Rejection::BeyondTeamLimit);
+    }
+    if spec.zone.as_ref().is_some_and(|zone| !params.zones.contains(zone)) {
+        return Err(Rejection::UnknownZone);
+    }
+    let fits = machine_types.iter().any(|machine_type| {
+        let room = Amount::room(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
+        spec.flavors.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
+            && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
+            && request.fits(&room)
+    });
+    if fits { Ok(()) } else { Err(Rejection::FitsNoMachineType) }
+}
+
+/// Whether a job can depend on what it names. One that was accepted a moment ago may not be known
+/// here yet.
+pub(super) fn check_dependencies(spec: &JobSpec, known: &Jobs) -> Result<(), Rejection> {
+    for id in spec.depends_on.iter().flatten() {
+        match known.get(id) {
+            None if known.is_unreadable(id) => {}
+            None => return Err(Rejection::UnknownDependency),
+            Some(job) => {
+                if job.live().is_some_and(|live| live.spec.shape == JobKind::Service) {
+                    return Err(Rejection::DependsOnService);
+                }
+            }
+        }
+    }
+    Ok(())
+}
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,7 +3,7 @@
 use crate::admission::{
     AdmissionQueue, LoadEstimator, MachineLimit, Need, Sockets, come_back_s, read_together,
 };
-use crate::api::{Api, Route, need, route};
+use crate::api::{Answer, Api, Route, need, route};
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
 use crate::constants::{FORMAT_HEARTBEAT, LATE};
@@ -16,11 +16,11 @@
 use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
-use crate::store::STATE_LOST;
-use crate::store::records;
+use crate::store::encoding;
+use crate::store::keys;
 use crate::store::{
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, StoreClient, StoreEvent,
-    StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, STORE_UNAVAILABLE_AFTER,
+    StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{
     self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
@@ -282,7 +282,8 @@
     /// Up while requests can be taken; a node that alone has lost the store says no, so that
     /// users go where it is served.
     fn is_up(&self, now: Instant) -> bool {
-        let fresh = |peer: &PeerView| now.saturating_duration_since(peer.heard) < STATE_LOST;
+        let fresh =
+            |peer: &PeerView| now.saturating_duration_since(peer.heard) < STORE_UNAVAILABLE_AFTER;
         let others_fine = self.peers.values().any(|peer| fresh(peer) && !peer.state_lost);
         let elsewhere = self.stands_aside(now) || self.leaves_users(now);
         self.state.cache.loaded && !(self.state.is_unavailable(now) && others_fine) && !elsewhere
@@ -292,7 +293,7 @@
     /// for a while.
     fn leaves_users(&self, now: Instant) -> bool {
         let serves = |view: &&PeerView| {
-            let fresh = now.saturating_duration_since(view.heard) < STATE_LOST;
+            let fresh = now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
             fresh && !view.state_lost && view.up > CROWDED_PEER_UP
         };
         self.crowded && self.peers.values().filter(serves).count() >= CROWDED_PEERS
@@ -303,7 +304,8 @@
     fn stands_aside(&self, now: Instant) -> bool {
         let cache = &self.state.cache;
         let drained = |name: &ControllerId| cache.is_controller_drained(name);
-        let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < STATE_LOST;
+        let fresh =
+            |view: &PeerView| now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
         let serves = |(name, view): (&ControllerId, &PeerView)| {
             fresh(view) && !view.state_lost && !drained(name)
         };
@@ -339,14 +341,14 @@
             return;
         }
         let layout = self.state.layout();
-        if !layout.second() || layout.fits(&all) {
-            return self.push_flavors(MACHINE_TYPES_KEY.into(), records::to_value(&all), rev);
+        if !layout.is_second() || layout.fits(&all) {
+            return self.push_flavors(MACHINE_TYPES_KEY.into(), encoding::to_value(&all), rev);
         }
         for flavor in all.iter().filter(|flavor| !known.contains(flavor)) {
             // Names may be of any text, keys may not.
-            let key = format!("{MACHINE_TYPE_PREFIX}{}", records::key_hash(&flavor.name));
+            let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&flavor.name));
             let rev = self.state.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
-            self.push_flavors(key, records::to_value(flavor), rev);
+            self.push_flavors(key, encoding::to_value(flavor), rev);
         }
     }
 
@@ -389,7 +391,7 @@
             self.relay_status(&beat, now);
             self.tell_sharing(now);
         }
-        let quiet = |at: Instant| now.saturating_duration_since(at) > STATE_LOST / 3;
+        let quiet = |at: Instant| now.saturating_duration_since(at) > STORE_UNAVAILABLE_AFTER / 3;
         if !self.probe_in_flight && self.state.synced_at.is_none_or(quiet) {
             self.probe_in_flight = true;
             self.state.sync(PROBE);
@@ -402,7 +404,7 @@
         if !self.settings.operator.hold_format {
             self.state.publish_version();
         }
-        for (ticket, response) in self.api.tick(&self.state, now) {
+        for Answer { ticket, response } in self.api.tick(&self.state, now) {
             self.reply(ticket, response);
         }
         self.look_at_promises(now);
@@ -632,12 +634,12 @@
                     scheduler.on_outcome(&origin, outcome, &mut self.state);
                 }
             }
-            StoreEvent::ControllerLease(call, sent, reply) => {
-                self.heartbeat.on_response(&call, sent, &reply, now);
+            StoreEvent::ControllerLease { request, sent_at, response } => {
+                self.heartbeat.on_response(&request, sent_at, &response, now);
             }
-            StoreEvent::Election(call, sent, reply) => {
+            StoreEvent::Election { request, sent_at, response } => {
                 let (calls, event) =
-                    self.election.on_response(&call, sent, &reply, &self.state.cache, now);
+                    self.election.on_response(&request, sent_at, &response, &self.state.cache, now);
                 for call in calls {
                     self.state.send_election_request(call, now);
                 }
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -138,7 +138,7 @@
                     tokio::spawn(async move {
                         let (request, within) = call.request();
                         let result = client.call(address, request, now + within).await;
-                        let _ = events.send(Event::State(id, call.reply(result)));
+                        let _ = events.send(Event::State(id, call.response(result)));
                     });
                 }
                 Effect::Cloud(id, call) => {
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -90,7 +90,7 @@
             reason: order.reason,
         };
         let key = drains::key(record.kind, &record.name);
-        self.order(ticket, key, records::to_value(&record))
+        self.order(ticket, key, encoding::to_value(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -205,7 +205,7 @@
     }
 
     pub(super) fn look_at_promises(&mut self, now: Instant) {
-        for (ticket, response) in self.api.on_promised(&mut self.state, now) {
+        for Answer { ticket, response } in self.api.on_promised(&mut self.state, now) {
             self.reply(ticket, response);
         }
     }
@@ -233,7 +233,7 @@
         let busy = |state: &StoreClient, n| state.is_pending(&WriteOrigin::Relay(to.clone(), n));
         let mut values = vec![(key.clone(), text)];
         if !layout.fits(&values[0].1) {
-            if !layout.second() || busy(&self.state, 1) {
+            if !layout.is_second() || busy(&self.state, 1) {
                 // Production knows whole messages only.
                 return;
             }
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -91,10 +91,8 @@
             _ => self.delegated_lease.answer(&report.machine, newest, now)?,
         };
         let cache = &self.state.cache;
-        let over = |id| {
-            self.api.given.has(id)
-                || cache.jobs.get(id).is_some_and(|job| job.final_state().is_some())
-        };
+        let over =
+            |id| self.api.given.has(id) || cache.jobs.get(id).is_some_and(|job| job.is_finished());
         let stop = |task: &wire::TaskStatus| wire::WorkerCommand::Stop {
             task: task.task.clone(),
             attempt: task.attempt,
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -1,59 +1,69 @@
-//! Drains as they are kept at the state service: what operators ordered, until they take it back. Versions
-//! before this one pass the keys over and go on placing tasks there while they lead.
+//! Drains as they are stored: what operators ordered, until they take it back. Older versions pass
+//! the keys over and go on placing tasks there while they lead.
 
-use crate::store::records;
+use crate::store::keys::{DRAIN_PREFIX, key_hash};
 use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
 use troutspindle_protocol::ops::DrainKind;
 
-pub const DRAIN_PREFIX: &str = "t/q/";
-
-/// What stands in the key of an order that was taken back.
+/// The value of the key of a drain that was taken back.
 pub const TAKEN_BACK: StoreValue = StoreValue::Bool(false);
 
+/// A drain that an operator ordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
+    /// What is drained: a machine, a zone or a controller.
     pub kind: DrainKind,
+    /// Its name.
     pub name: String,
-    /// Milliseconds of the time of day: by when it is to be done, and when it was ordered.
+    /// By when it is to be done, in milliseconds of the time of day.
     #[serde(default)]
     pub by_ms: Option<u64>,
+    /// When it was ordered, in milliseconds of the time of day.
     pub at_ms: u64,
+    /// Who ordered it.
     #[serde(default)]
     pub author: String,
+    /// Why.
     #[serde(default)]
     pub reason: String,
 }
 
-/// Names may be of any text, keys may not.
+/// The key of a drain. Names may be of any text, keys may not.
 pub fn key(kind: DrainKind, name: &str) -> String {
-    format!("{DRAIN_PREFIX}{}", records::key_hash(&(kind, name)))
+    format!("{DRAIN_PREFIX}{}", key_hash(&(kind, name)))
 }
 
-/// What is drained, looked up for many machines.
+/// The drains that are in force, looked up for many machines.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Drained {
     records: Vec<DrainRecord>,
 }
 
 impl Drained {
-    /// From all records that stand.
-    pub fn of_records<'a>(records: impl Iterator<Item = &'a DrainRecord>) -> Drained {
-        Drained { records: records.cloned().collect() }
-    }
+    /// Whether nothing is drained.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
+
+    /// Whether a zone is drained.
     pub fn zone(&self, name: &str) -> bool {
         self.records.iter().any(|drain| drain.kind == DrainKind::Zone && drain.name == name)
     }
-    /// The drain that holds a machine, the one that is to be done first.
+
+    /// The drain that covers a machine, the one that is to be done first.
     pub fn of(&self, machine: &str, zone: &str) -> Option<&DrainRecord> {
-        let holds = |drain: &&DrainRecord| match drain.kind {
+        let covers = |drain: &&DrainRecord| match drain.kind {
             DrainKind::Zone => drain.name == zone,
             DrainKind::Machine => drain.name == machine,
             DrainKind::Controller => false,
         };
-        self.records.iter().filter(holds).min_by_key(|drain| drain.by_ms.unwrap_or(u64::MAX))
+        self.records.iter().filter(covers).min_by_key(|drain| drain.by_ms.unwrap_or(u64::MAX))
+    }
+}
+
+impl<'a> FromIterator<&'a DrainRecord> for Drained {
+    fn from_iter<I: IntoIterator<Item = &'a DrainRecord>>(records: I) -> Drained {
+        Drained { records: records.into_iter().cloned().collect() }
     }
 }
--- /dev/null
+++ b/src/jobs/spec_chunks.rs
@@ -0,0 +1,126 @@
+//! Descriptions that are too long for their job's record, and are stored in chunks.
+
+use crate::ids::{JobId, Revision};
+use crate::store::encoding::decode_spec;
+use crate::store::keys::{SPEC_CHUNK_PREFIX, spec_chunk_key};
+use crate::store::records::SpecChunks;
+use crate::wire::JobSpec;
+use std::collections::BTreeMap;
+
+/// Names a description: a job may have been submitted with several.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct SpecId {
+    job: JobId,
+    hash: String,
+}
+
+#[derive(Debug)]
+struct StoredChunk {
+    text: String,
+    revision: Revision,
+}
+
+/// A key of a chunk of a description, taken apart.
+#[derive(Debug)]
+pub(super) struct SpecChunkKey {
+    pub(super) job: JobId,
+    pub(super) hash: String,
+    pub(super) number: u32,
+}
+
+impl SpecChunkKey {
+    /// Whether a key is one of a chunk of a description, by its prefix.
+    pub(super) fn matches(key: &str) -> bool {
+        key.starts_with(SPEC_CHUNK_PREFIX)
+    }
+
+    pub(super) fn parse(key: &str) -> Option<SpecChunkKey> {
+        let (spec, number) = key.strip_prefix(SPEC_CHUNK_PREFIX)?.rsplit_once('/')?;
+        let (job, hash) = spec.rsplit_once('/')?;
+        let number = number.parse().ok()?;
+        Some(SpecChunkKey { job: JobId::new(job), hash: hash.to_owned(), number })
+    }
+
+    pub(super) fn to_key(&self) -> String {
+        spec_chunk_key(&self.job, &self.hash, self.number)
+    }
+}
+
+/// A chunk that is stored.
+#[derive(Debug)]
+pub(super) struct SpecChunkEntry {
+    pub(super) key: SpecChunkKey,
+    pub(super) revision: Revision,
+}
+
+/// All chunks of descriptions that are stored.
+#[derive(Debug, Default)]
+pub(super) struct SpecChunkTable {
+    chunks: BTreeMap<SpecId, BTreeMap<u32, StoredChunk>>,
+}
+
+impl SpecChunkTable {
+    pub(super) fn insert(&mut self, key: SpecChunkKey, text: String, revision: Revision) {
+        let spec = SpecId { job: key.job, hash: key.hash };
+        self.chunks.entry(spec).or_default().insert(key.number, StoredChunk { text, revision });
+    }
+
+    pub(super) fn remove(&mut self, key: &SpecChunkKey) {
+        let spec = SpecId { job: key.job.clone(), hash: key.hash.clone() };
+        if let Some(chunks) = self.chunks.get_mut(&spec) {
+            chunks.remove(&key.number);
+        }
+    }
+
+    /// The revisions of a description's chunks, as far as they are stored.
+    pub(super) fn revisions(&self, job: &JobId, hash: &str) -> BTreeMap<u32, Revision> {
+        let spec = SpecId { job: job.clone(), hash: hash.to_owned() };
+        let chunks = self.chunks.get(&spec).into_iter().flatten();
+        chunks.map(|(number, chunk)| (*number, chunk.revision)).collect()
+    }
+
+    /// The description, once all its chunks are there; their texts are needed no longer then.
+    pub(super) fn take_spec(&mut self, job: &JobId, location: &SpecChunks) -> Option<JobSpec> {
+        let spec = SpecId { job: job.clone(), hash: location.hash.clone() };
+        let chunks = self.chunks.get_mut(&spec)?;
+        if !(0..location.count).all(|number| chunks.contains_key(&number)) {
+            return None;
+        }
+        let spec = decode_spec(chunks.values().map(|chunk| chunk.text.as_str()))?;
+        chunks.values_mut().for_each(|chunk| chunk.text = String::new());
+        Some(spec)
+    }
+
+    /// Takes all chunks of a job out.
+    pub(super) fn remove_job(&mut self, job: &JobId) -> Vec<SpecChunkEntry> {
+        let from = SpecId { job: job.clone(), hash: String::new() };
+        let specs = self.chunks.range(from..).take_while(|(spec, _)| spec.job == *job);
+        let specs: Vec<SpecId> = specs.map(|(spec, _)| spec.clone()).collect();
+        let mut removed = Vec::new();
+        for spec in specs {
+            for (number, chunk) in self.chunks.remove(&spec).unwrap_or_default() {
+                let key = SpecChunkKey { job: job.clone(), hash: spec.hash.clone(), number };
+                removed.push(SpecChunkEntry { key, revision: chunk.revision });
+            }
+        }
+        removed
+    }
+
+    /// The chunks of descriptions that `is_used` (given job and hash) says nothing needs.
+    pub(super) fn unused(
+        &self,
+        is_used: impl Fn(&JobId, &str) -> bool,
+    ) -> impl Iterator<Item = SpecChunkEntry> {
+        let unused = self.chunks.iter().filter(move |(spec, _)| !is_used(&spec.job, &spec.hash));
+        unused.flat_map(|(spec, chunks)| {
+            chunks.iter().map(move |(number, chunk)| SpecChunkEntry {
+                key: SpecChunkKey {
+                    job: spec.job.clone(),
+                    hash: spec.hash.clone(),
+                    number: *number,
+                },
+                revision: chunk.revision,
+            })
+        })
+    }
+}
--- /dev/null
+++ b/src/jobs/table.rs
@@ -0,0 +1,406 @@
+//! All jobs known to this process, kept up to date with what is read from the store.
+
+use crate::ids::{Amount, JobId, Revision};
+use crate::jobs::completed_chunks::{
+    ChunkKey, ChunkLayout, ChunkRevisions, EarlyChunk, EarlyChunks,
+};
+use crate::jobs::dag::{DependencyOutcome, DependencyState, Dependents};
+use crate::jobs::garbage::{Garbage, GarbageWrite, OrphanedSpecChunk};
+use crate::jobs::model::{Job, JobBody, LiveJob, OrphanedTasks};
+use crate::jobs::spec_chunks::{SpecChunkKey, SpecChunkTable};
+use crate::jobs::task_set::TaskSet;
+use crate::store::encoding::to_value;
+use crate::store::keys::job_key;
+use crate::store::records::{COMPLETED_CHUNK_TASKS, JobPhase, JobRecord, SpecChunks};
+use crate::wire::{JobSpec, StoreValue, Write};
+use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A record whose description has not been read whole yet.
+#[derive(Debug)]
+struct IncompleteRecord {
+    record: JobRecord,
+    revision: Revision,
+}
+
+/// All jobs known to this process. Nothing goes backward: an older revision is ignored, and a job
+/// that is finished stays so.
+#[derive(Debug)]
+pub struct Jobs {
+    /// The jobs whose records and descriptions have been read.
+    pub all: HashMap<JobId, Job>,
+    dependents: Dependents,
+    /// Tasks to a chunk of the first layout.
+    legacy_chunk_tasks: u32,
+    early_chunks: BTreeMap<JobId, EarlyChunks>,
+    spec_chunks: SpecChunkTable,
+    incomplete: HashMap<JobId, IncompleteRecord>,
+    /// Jobs whose records cannot be read: nobody may be told that they don't exist.
+    unreadable: HashSet<JobId>,
+    garbage: Garbage,
+    /// Jobs that are cancelled because one that they depend on is, while their records say that
+    /// they are live.
+    cancelled_by_dependency: BTreeSet<JobId>,
+    changed: Vec<JobId>,
+}
+
+impl Jobs {
+    /// No jobs; a chunk of the first layout has so many tasks.
+    pub fn new(legacy_chunk_tasks: u32) -> Jobs {
+        Jobs {
+            all: HashMap::new(),
+            dependents: Dependents::default(),
+            legacy_chunk_tasks,
+            early_chunks: BTreeMap::new(),
+            spec_chunks: SpecChunkTable::default(),
+            incomplete: HashMap::new(),
+            unreadable: HashSet::new(),
+            garbage: Garbage::default(),
+            cancelled_by_dependency: BTreeSet::new(),
+            changed: Vec::new(),
+        }
+    }
+
+    /// A job, if it is known.
+    pub fn get(&self, id: &JobId) -> Option<&Job> {
+        self.all.get(id)
+    }
+
+    /// Whether it has a record that this process cannot read.
+    pub fn is_unreadable(&self, id: &JobId) -> bool {
+        self.unreadable.contains(id) || self.incomplete.contains_key(id)
+    }
+
+    /// Jobs whose state may have changed since this was last asked.
+    pub fn take_changed(&mut self) -> Vec<JobId> {
+        std::mem::take(&mut self.changed)
+    }
+
+    /// Tasks to a chunk of the first layout.
+    pub fn legacy_chunk_tasks(&self) -> u32 {
+        self.legacy_chunk_tasks
+    }
+
+    /// Sets the tasks to a chunk of the first layout: the cluster has agreed on it.
+    pub(crate) fn set_legacy_chunk_tasks(&mut self, tasks: u32) {
+        self.legacy_chunk_tasks = tasks;
+    }
+
+    pub(super) fn spec_chunks(&self) -> &SpecChunkTable {
+        &self.spec_chunks
+    }
+
+    fn chunk_tasks(&self, layout: ChunkLayout) -> u32 {
+        match layout {
+            ChunkLayout::First => self.legacy_chunk_tasks,
+            ChunkLayout::Second => COMPLETED_CHUNK_TASKS,
+        }
+    }
+
+    /// Takes in the value of a job's key.
+    pub fn apply_record(&mut self, id: JobId, value: &StoreValue, rev: Revision) {
+        match value.deserialized::<JobRecord>() {
+            Ok(record) => {
+                self.unreadable.remove(&id);
+                self.apply_decoded_record(id, record, rev);
+            }
+            Err(error) => {
+                tracing::error!(job = %id, %error, "job record is unreadable");
+                self.unreadable.insert(id);
+            }
+        }
+    }
+
+    fn apply_decoded_record(&mut self, id: JobId, record: JobRecord, revision: Revision) {
+        if let Some(job) = self.all.get(&id)
+            && (job.rev >= revision || job.is_finished())
+        {
+            self.apply_to_final(&id, &record, revision);
+            return;
+        }
+        self.changed.push(id.clone());
+        let (spec, location) = match (record.phase, &record.spec, &record.spec_chunks) {
+            (JobPhase::Live, Some(spec), _) => (spec.clone(), None),
+            (JobPhase::Live, None, Some(location)) => {
+                match self.spec_chunks.take_spec(&id, location) {
+                    Some(spec) => (Arc::new(spec), Some(location.clone())),
+                    None => {
+                        self.incomplete.insert(id, IncompleteRecord { record, revision });
+                        return;
+                    }
+                }
+            }
+            _ => return self.apply_end(id, record, revision),
+        };
+        let live = match self.all.remove(&id).map(|job| job.body) {
+            Some(JobBody::Live(mut live)) => {
+                let completed = TaskSet::from_hex(&record.completed).unwrap_or_default();
+                let end = live.tasks();
+                live.completed.insert_chunk(&completed, 0, end);
+                live
+            }
+            _ => self.new_live(&id, &record, spec, location),
+        };
+        let job = Job { rev: revision, ended_ms: 0, body: JobBody::Live(live) };
+        self.all.insert(id.clone(), job);
+        self.link_dependencies(&id);
+    }
+
+    /// A record of a job that is finished here, or an older record. A job that is cancelled by a
+    /// dependency may get the record that says so.
+    fn apply_to_final(&mut self, id: &JobId, record: &JobRecord, revision: Revision) {
+        let Some(job) = self.all.get_mut(id) else { return };
+        if job.rev >= revision || !self.cancelled_by_dependency.contains(id) {
+            return;
+        }
+        job.rev = revision;
+        match record.phase {
+            JobPhase::Live => {}
+            JobPhase::Cancelled => {
+                self.cancelled_by_dependency.remove(id);
+            }
+            JobPhase::Done => {
+                tracing::error!(job = %id, "job is done though a dependency is cancelled");
+            }
+        }
+    }
+
+    fn new_live(
+        &mut self,
+        id: &JobId,
+        record: &JobRecord,
+        mut spec: Arc<JobSpec>,
+        location: Option<SpecChunks>,
+    ) -> Box<LiveJob> {
+        // An edge costs a pointer, not a name of its own: a job may depend on thousands.
+        for dependency in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
+            if let Some((known, _)) = self.all.get_key_value(dependency) {
+                *dependency = known.clone();
+            }
+        }
+        let mut completed = TaskSet::from_hex(&record.completed).unwrap_or_default();
+        let mut completed_chunks = ChunkRevisions::new();
+        for (chunk, early) in self.early_chunks.remove(id).unwrap_or_default() {
+            let first = chunk.number.saturating_mul(self.chunk_tasks(chunk.layout));
+            completed.insert_chunk(&early.tasks, first, spec.tasks as u32);
+            completed_chunks.insert(chunk, early.revision);
+        }
+        let need = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
+        Box::new(LiveJob {
+            spec,
+            accepted_ms: record.accepted_ms,
+            need,
+            unfinished_dependencies: 0,
+            dependencies_done_ms: 0,
+            completed,
+            completed_chunks,
+            spec_chunks: location,
+        })
+    }
+
+    /// Links a new live job with the jobs that it depends on. One whose record was written anew is
+    /// linked already.
+    fn link_dependencies(&mut self, id: &JobId) {
+        let Some(live) = self.all.get(id).and_then(Job::live) else { return };
+        let linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
+        if live.depends_on().is_empty() || linked {
+            return;
+        }
+        let depends_on = live.depends_on().to_vec();
+        let outcome =
+            |id: &JobId| self.all.get(id).map_or(DependencyOutcome::Open, DependencyOutcome::from);
+        let state = DependencyState::of(depends_on.iter().map(outcome));
+        for dependency in &depends_on {
+            if outcome(dependency) == DependencyOutcome::Open {
+                self.dependents.add(id, dependency);
+            }
+        }
+        let Some(live) = self.all.get_mut(id).and_then(Job::live_mut) else { return };
+        live.unfinished_dependencies = state.unfinished;
+        live.dependencies_done_ms = state.done_ms;
+        if state.cancelled {
+            self.cancel_by_dependency(id);
+            self.settle_dependents(id, DependencyOutcome::Cancelled);
+        }
+    }
+
+    fn apply_end(&mut self, id: JobId, record: JobRecord, rev: Revision) {
+        if record.phase == JobPhase::Live {
+            tracing::error!(job = %id, "job record has no description");
+            self.unreadable.insert(id);
+            return;
+        }
+        self.incomplete.remove(&id);
+        let orphaned_tasks = record.task.map(|task| OrphanedTasks {
+            need: task.request(),
+            team: task.team,
+            tasks: record.remaining_tasks,
+            ended_ms: record.ended_ms,
+        });
+        let body = JobBody::Finished {
+            cancelled: record.phase == JobPhase::Cancelled,
+            done: record.completed_count,
+            orphaned_tasks: orphaned_tasks.map(Box::new),
+        };
+        let job = Job { rev, ended_ms: record.ended_ms.unwrap_or(0), body };
+        let outcome = DependencyOutcome::from(&job);
+        let old = self.all.insert(id.clone(), job);
+        self.discard_auxiliary_keys(&id, old.as_ref().and_then(Job::live));
+        self.settle_dependents(&id, outcome);
+    }
+
+    /// A job is finished: those that depend on it, directly or through others, learn of it. Each
+    /// edge is walked once.
+    fn settle_dependents(&mut self, id: &JobId, outcome: DependencyOutcome) {
+        let mut finished = vec![(id.clone(), outcome)];
+        while let Some((id, outcome)) = finished.pop() {
+            for dependent in self.dependents.remove(&id) {
+                let Some(live) = self.all.get_mut(&dependent).and_then(Job::live_mut) else {
+                    continue;
+                };
+                match outcome {
+                    DependencyOutcome::Open => {}
+                    DependencyOutcome::Done(at_ms) => {
+                        live.unfinished_dependencies =
+                            live.unfinished_dependencies.saturating_sub(1);
+                        live.dependencies_done_ms = live.dependencies_done_ms.max(at_ms);
+                        self.changed.push(dependent);
+                    }
+                    DependencyOutcome::Cancelled => {
+                        self.cancel_by_dependency(&dependent);
+                        finished.push((dependent, outcome));
+                    }
+                }
+            }
+        }
+    }
+
+    /// The job is cancelled since one that it depends on is. It has no task and never had: that one
+    /// was never done.
+    fn cancel_by_dependency(&mut self, id: &JobId) {
+        let Some(job) = self.all.get_mut(id) else { return };
+        let finished = JobBody::Finished { cancelled: true, done: 0, orphaned_tasks: None };
+        if let JobBody::Live(live) = std::mem::replace(&mut job.body, finished) {
+            self.discard_auxiliary_keys(id, Some(&live));
+            self.cancelled_by_dependency.insert(id.clone());
+            self.changed.push(id.clone());
+        }
+    }
+
+    /// All keys beside the record of a finished job are garbage.
+    fn discard_auxiliary_keys(&mut self, id: &JobId, live: Option<&LiveJob>) {
+        let known = live.map(|live| live.completed_chunks.clone()).unwrap_or_default();
+        let early = self.early_chunks.remove(id).unwrap_or_default();
+        let early = early.into_iter().map(|(chunk, early)| (chunk, early.revision));
+        for (chunk, revision) in known.into_iter().chain(early) {
+            self.garbage.add(chunk.key(id), revision);
+        }
+        for entry in self.spec_chunks.remove_job(id) {
+            self.garbage.add(entry.key.to_key(), entry.revision);
+        }
+    }
+
+    /// Takes in the value or the removal of a key that stands beside a job's record; false if the
+    /// key is none.
+    pub fn apply_auxiliary_key(
+        &mut self,
+        key: &str,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) -> bool {
+        if value.is_none() {
+            self.garbage.remove(key);
+        }
+        if ChunkKey::matches(key) {
+            match (ChunkKey::parse(key), value) {
+                (Some(key), Some(value)) => self.apply_completed_chunk(key, value, rev),
+                (Some(key), None) => self.remove_completed_chunk(&key),
+                (None, _) => {}
+            }
+            return true;
+        }
+        if SpecChunkKey::matches(key) {
+            match (SpecChunkKey::parse(key), value) {
+                (Some(key), Some(value)) => self.apply_spec_chunk(key, value, rev),
+                (Some(key), None) => self.spec_chunks.remove(&key),
+                (None, _) => {}
+            }
+            return true;
+        }
+        false
+    }
+
+    fn apply_completed_chunk(&mut self, key: ChunkKey, value: &StoreValue, rev: Revision) {
+        let ChunkKey { job: id, chunk } = key;
+        let first = chunk.number.saturating_mul(self.chunk_tasks(chunk.layout));
+        let Some(tasks) = value.as_text().and_then(TaskSet::from_hex) else {
+            tracing::error!(job = %id, ?chunk, "chunk of completed tasks is unreadable");
+            return;
+        };
+        match self.all.get_mut(&id).map(|job| &mut job.body) {
+            Some(JobBody::Live(live)) => {
+                let known = live.completed_chunks.entry(chunk).or_default();
+                if *known < rev {
+                    *known = rev;
+                    let end = live.tasks();
+                    live.completed.insert_chunk(&tasks, first, end);
+                    self.changed.push(id);
+                }
+            }
+            Some(JobBody::Finished { .. }) => self.garbage.add(chunk.key(&id), rev),
+            None => {
+                let early = EarlyChunk { tasks, revision: rev };
+                self.early_chunks.entry(id).or_default().insert(chunk, early);
+            }
+        }
+    }
+
+    fn remove_completed_chunk(&mut self, key: &ChunkKey) {
+        if let Some(live) = self.all.get_mut(&key.job).and_then(Job::live_mut) {
+            live.completed_chunks.remove(&key.chunk);
+        }
+    }
+
+    fn apply_spec_chunk(&mut self, key: SpecChunkKey, value: &StoreValue, rev: Revision) {
+        let Some(text) = value.as_text() else { return };
+        if self.all.get(&key.job).is_some_and(Job::is_finished) {
+            self.garbage.add(key.to_key(), rev);
+            return;
+        }
+        let id = key.job.clone();
+        self.spec_chunks.insert(key, text.to_owned(), rev);
+        if let Some(IncompleteRecord { record, revision }) = self.incomplete.remove(&id) {
+            self.apply_decoded_record(id, record, revision);
+        }
+    }
+
+    /// Chunks of descriptions whose job was never accepted, though its submission has begun, the
+    /// first chunk of each before the others.
+    pub fn orphaned_spec_chunks(&self) -> impl Iterator<Item = OrphanedSpecChunk> {
+        let is_used = |id: &JobId, hash: &str| match self.all.get(id).and_then(Job::live) {
+            Some(live) => live.spec_chunks.as_ref().is_some_and(|chunks| chunks.hash == hash),
+            None => self.incomplete.contains_key(id),
+        };
+        self.spec_chunks.unused(is_used).map(|entry| {
+            let key = entry.key.to_key();
+            OrphanedSpecChunk { job: entry.key.job, key, revision: entry.revision }
+        })
+    }
+
+    /// What garbage collection writes next, at most so many writes: records of jobs that are
+    /// cancelled by a dependency, and removals of keys that finished jobs have beside their records.
+    pub fn garbage(&self, max_writes: usize) -> Vec<GarbageWrite> {
+        let cancelled = self.cancelled_by_dependency.iter().filter_map(|id| {
+            let record = JobRecord { phase: JobPhase::Cancelled, ..JobRecord::live(0, None) };
+            let write = Write::Put { key: job_key(id), data: to_value(&record), hold: None };
+            Some(GarbageWrite { write, revision: self.all.get(id)?.rev })
+        });
+        cancelled.chain(self.garbage.writes()).take(max_writes).collect()
+    }
+
+    /// A key that was to be removed is not as it was known: whoever reads all keys again finds it.
+    pub fn forget_garbage(&mut self, key: &str) {
+        self.garbage.remove(key);
+    }
+}
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,4 +1,13 @@
-use super::*;
+use crate::ids::{JobId, Revision};
+use crate::jobs::{
+    Acceptance, FinalState, GarbageWrite, Jobs, LiveJob, TaskSet, accept, cancel, complete, dag,
+    fixtures,
+};
+use crate::store::keys::JOB_PREFIX;
+use crate::store::records::Layout;
+use crate::wire::{self, JobSpec, JobStatus, Precondition, StoreValue, Transaction, Write};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
 fn spec(id: &str, tasks: u64) -> Arc<JobSpec> {
     Arc::new(fixtures::job_spec(id, tasks))
@@ -34,16 +43,18 @@
                 Write::Delete { .. } => None,
             };
             let fits = value.as_ref().is_none_or(|value| layout.fits(value));
-            assert!(fits || !layout.second(), "{}", write.key());
+            assert!(fits || !layout.is_second(), "{}", write.key());
             self.keys.insert(write.key().to_owned(), (value, self.rev));
         }
         true
     }
     fn take(&self, jobs: &mut Jobs, key: &str) {
         let (value, rev) = &self.keys[key];
-        match (key.strip_prefix(records::JOB_PREFIX), value) {
+        match (key.strip_prefix(JOB_PREFIX), value) {
             (Some(id), Some(value)) => jobs.apply_record(JobId::new(id), value, Revision(*rev)),
-            _ => drop(jobs.apply_auxiliary_key(key, value.as_ref(), Revision(*rev))),
+            _ => {
+                jobs.apply_auxiliary_key(key, value.as_ref(), Revision(*rev));
+            }
         }
     }
     /// What a process finds that reads all keys in this order.
@@ -59,15 +70,17 @@
 fn apply(jobs: &mut Jobs, transaction: &Transaction, rev: u64) {
     for write in &transaction.writes {
         let Write::Put { key, data, .. } = write else { continue };
-        match key.strip_prefix(records::JOB_PREFIX) {
+        match key.strip_prefix(JOB_PREFIX) {
             Some(id) => jobs.apply_record(JobId::new(id), data, Revision(rev)),
-            None => drop(jobs.apply_auxiliary_key(key, Some(data), Revision(rev))),
+            None => {
+                jobs.apply_auxiliary_key(key, Some(data), Revision(rev));
+            }
         }
     }
 }
 
 #[test]
-fn a_job_ends_with_its_last_task_whatever_the_order_and_repeats() {
+fn a_job_is_done_with_its_last_task_in_any_order_and_with_repeats() {
     let mut jobs = Jobs::new(LAYOUT.chunk);
     let id = JobId::new("wk-1");
     let transaction = record(&spec("wk-1", 40), &jobs);
@@ -84,11 +97,14 @@
         let over = jobs.get(&id).unwrap().final_state();
         assert_eq!(over.is_some(), nth >= 39, "{nth}");
     }
-    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Done, 40)));
+    assert_eq!(
+        jobs.get(&id).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Done, completed_tasks: 40 })
+    );
 }
 
 #[test]
-fn nothing_goes_backward() {
+fn older_revisions_and_changes_of_finished_jobs_are_ignored() {
     let mut jobs = Jobs::new(LAYOUT.chunk);
     let id = JobId::new("wk-2");
     let first = record(&spec("wk-2", 2), &jobs);
@@ -101,11 +117,14 @@
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     apply(&mut jobs, &end, 4);
     apply(&mut jobs, &half, 9);
-    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Cancelled, 1)));
+    assert_eq!(
+        jobs.get(&id).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Cancelled, completed_tasks: 1 })
+    );
 }
 
 /// A large job that was accepted in the first layout goes on in the second, under limits that
-/// its record would break: no mark is lost or invented, whoever reads the store in between, and
+/// its record would break: no completed task is lost or invented, whoever reads the store in between, and
 /// nothing is left in the end.
 #[test]
 fn a_large_job_goes_on_in_the_second_layout_from_any_point() {
@@ -129,12 +148,12 @@
             let Some(live) = jobs.get(&id).unwrap().live() else { break };
             // What a process reads is what was committed, in whichever layout.
             assert_eq!(
-                live.done.marks().collect::<Vec<_>>(),
-                committed.marks().collect::<Vec<_>>()
+                live.completed.iter().collect::<Vec<_>>(),
+                committed.iter().collect::<Vec<_>>()
             );
             let from = next;
             next = (next + step).min(tasks as u32);
-            // Every other one first, so that marks of all keys grow more than once.
+            // Every other one first, so that all chunks grow more than once.
             reported.extend((from..next).filter(|n| round % 2 == 1 || n % 2 == 0));
             if next == tasks as u32 {
                 reported.extend(0..next);
@@ -153,10 +172,11 @@
             };
             assert!(store.commit(&done.transaction, &layout));
             if let Some(live) = store.read(0..store.keys.len()).get(&id).unwrap().live() {
-                let new: Vec<u32> = live.done.marks().filter(|n| !committed.has(*n)).collect();
+                let new: Vec<u32> =
+                    live.completed.iter().filter(|n| !committed.contains(*n)).collect();
                 assert!(new.iter().all(|n| reported.contains(n)));
-                new.into_iter().for_each(|n| committed.set(n));
-                assert!((0..tasks as u32).all(|n| !committed.has(n) || live.is_done(n)));
+                new.into_iter().for_each(|n| committed.insert(n));
+                assert!((0..tasks as u32).all(|n| !committed.contains(n) || live.is_done(n)));
             }
         }
         let mut over = None;
@@ -166,18 +186,20 @@
             let (guards, writes) = jobs
                 .garbage(3)
                 .into_iter()
-                .map(|(write, rev)| (Precondition { key: write.key().into(), rev }, write))
+                .map(|GarbageWrite { write, revision: rev }| {
+                    (Precondition { key: write.key().into(), rev }, write)
+                })
                 .unzip();
             assert!(store.commit(&Transaction { guards, writes }, &LAYOUT));
         }
         let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
-        assert_eq!(over.unwrap().0, status);
+        assert_eq!(over.unwrap().status, status);
     }
 }
 
-/// However many keys marks are due in, each change fits the limits, and the rest follows.
+/// However many chunks change, each transaction fits the limits, and the rest follows.
 #[test]
-fn marks_of_many_keys_go_a_few_at_a_time() {
+fn many_changed_chunks_are_committed_a_few_at_a_time() {
     let (mut store, id) = (Store::default(), JobId::new("wk-1"));
     let transaction = record(&spec("wk-1", 100_000), &Jobs::new(16_384));
     assert!(store.commit(&transaction, &LAYOUT));
@@ -192,10 +214,10 @@
     assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 100);
 }
 
-/// A description larger than a value, from the first part to the tidying up; a second submission
+/// A description larger than a value, from the first chunk to garbage collection; a second submission
 /// elsewhere goes on with what the first one wrote.
 #[test]
-fn a_description_larger_than_a_value_is_kept_in_parts() {
+fn a_description_larger_than_a_value_is_stored_in_chunks() {
     let mut long = fixtures::job_spec("wk-9", 2000);
     long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
     long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
@@ -233,25 +255,25 @@
     assert_eq!(jobs.garbage(1000).len(), store.keys.len() - 1);
 }
 
-fn alone(job: &LiveJob) -> dag::InheritedPriority {
+fn own_priority(job: &LiveJob) -> dag::InheritedPriority {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
     dag::InheritedPriority { urgency: job.spec.urgency, due_ms }
 }
 
-fn length_ms(job: &LiveJob) -> u64 {
+fn duration_ms(job: &LiveJob) -> u64 {
     job.spec.expect_s as u64
 }
 
-/// The plain model of what is carried back: by recursion over all that need the job.
-fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
-    let mut carried = alone(live[id]);
+/// The plain model of what is inherited: by recursion over all that depend on the job.
+fn plain_inherited(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
+    let mut inherited = own_priority(live[id]);
     for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
-        let after = plain_carried(other, live);
-        carried.urgency = carried.urgency.min(after.urgency);
-        let begin = after.due_ms.map(|due| due.saturating_sub(length_ms(job)));
-        carried.due_ms = carried.due_ms.into_iter().chain(begin).min();
+        let after = plain_inherited(other, live);
+        inherited.urgency = inherited.urgency.min(after.urgency);
+        let begin = after.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
+        inherited.due_ms = inherited.due_ms.into_iter().chain(begin).min();
     }
-    carried
+    inherited
 }
 
 /// The plain model: what a job's state is, worked out anew from all records, by recursion.
@@ -321,9 +343,9 @@
                         let done = complete(&name(n), &job, &[0], 0, 9, &LAYOUT);
                         (done.map(|done| done.transaction), Some(false))
                     }
-                    // Tidying up changes no answer.
+                    // Garbage collection changes no state.
                     _ => {
-                        let transaction = jobs.garbage(2).pop().map(|(write, rev)| Transaction {
+                        let transaction = jobs.garbage(2).pop().map(|GarbageWrite { write, revision: rev }| Transaction {
                             guards: vec![Precondition { key: write.key().into(), rev }],
                             writes: vec![write],
                         });
@@ -345,20 +367,20 @@
             let mut memo = BTreeMap::new();
             let live: BTreeMap<&JobId, &LiveJob> =
                 jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let carried = dag::carry_back(&live, alone, |_, job| length_ms(job));
+            let inherited = dag::inherit_priorities(&live, own_priority, |_, job| duration_ms(job));
             for (id, job) in &live {
-                let found = carried.get(*id).copied().unwrap_or_else(|| alone(job));
-                proptest::prop_assert_eq!(found, plain_carried(id, &live), "job {}", id);
+                let found = inherited.get(*id).copied().unwrap_or_else(|| own_priority(job));
+                proptest::prop_assert_eq!(found, plain_inherited(id, &live), "job {}", id);
             }
             for n in 0..accepted {
                 let plain = plain_state(n, &depends_on, &ended, &mut memo);
                 for jobs in [&jobs, &again] {
                     let job = jobs.get(&name(n)).unwrap();
-                    let state = job.final_state().map(|(status, _)| status == JobStatus::Cancelled);
+                    let state = job.final_state().map(|state| state.status == JobStatus::Cancelled);
                     proptest::prop_assert_eq!(state, plain, "job {}", n);
                     if let Some(live) = job.live() {
                         let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
-                        proptest::prop_assert_eq!(live.open as usize, open.count());
+                        proptest::prop_assert_eq!(live.unfinished_dependencies as usize, open.count());
                     }
                 }
             }
@@ -394,19 +416,19 @@
                 apply(&mut jobs, &transaction, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let alone = |job: &LiveJob| dag::InheritedPriority {
+            let own = |job: &LiveJob| dag::InheritedPriority {
                 urgency: job.spec.urgency,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
-            let carried = dag::carry_back(&live, alone, |_, _| 10);
-            let first = carried[&name(0)];
+            let inherited = dag::inherit_priorities(&live, own, |_, _| 10);
+            let first = inherited[&name(0)];
             assert_eq!(first.urgency, wire::Priority::Production);
             let layers = if depends_on(4999).len() == 1 { 4999 } else { 999 };
             assert_eq!(first.due_ms, Some(1_000_000 - layers * 10));
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
             apply(&mut jobs, &end, 2);
-            let over = jobs.all.values().filter(|job| job.final_state().is_some()).count();
+            let over = jobs.all.values().filter(|job| job.is_finished()).count();
             let all = if layers == 999 { 4996 } else { 5000 };
             assert_eq!((over, jobs.take_changed().len()), (all, all));
         }
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -10,8 +10,9 @@
 
 use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, STATE_RETRY, WORKER_MARGIN};
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
-use crate::store::records::{self, VersionRecord};
+use crate::store::records::VersionRecord;
 use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::store::{encoding, keys};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -81,7 +82,7 @@
             Stage::Absent => StoreRequest::GrantLease(HEARTBEAT_LEASE),
             Stage::Leased(lease, _) => {
                 let (record, told) = version?;
-                let epoch = records::version_key(&self.me);
+                let epoch = keys::version_key(&self.me);
                 let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
                 StoreRequest::Commit(Transaction {
                     guards: vec![
@@ -90,7 +91,7 @@
                     ],
                     writes: vec![
                         put(&self.key, StoreValue::Bool(true), Some(lease)),
-                        put(&epoch, records::to_value(record), None),
+                        put(&epoch, encoding::to_value(record), None),
                     ],
                 })
             }
@@ -281,7 +282,7 @@
                 // Applied late, it must not take a later absence for this one: a heartbeat in between has
                 // written this key, which never goes away.
                 let told = cache.versions.get(peer).map(|(_, rev)| *rev).unwrap_or_default();
-                guards.insert(records::version_key(peer), told);
+                guards.insert(keys::version_key(peer), told);
             }
             let promise = given.and_then(|given| given.get(peer));
             let sure = match rev {
--- a/src/leadership/controller_lease/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::store::records::{self, FORMAT, VersionRecord};
+use crate::store::{encoding, keys};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -26,7 +27,7 @@
         Revision(self.key.map_or(0, |(rev, ..)| rev))
     }
     fn holds(&self, guards: &[Precondition]) -> bool {
-        let epoch = records::version_key(&ControllerId::new("f"));
+        let epoch = keys::version_key(&ControllerId::new("f"));
         let rev = |key: &str| if key == epoch { Revision(self.epoch) } else { self.key_rev() };
         guards.iter().all(|guard| guard.rev == rev(&guard.key))
     }
@@ -84,7 +85,7 @@
         let version = VersionRecord { format: FORMAT, chunk: 16 };
         cache.versions.insert(name.clone(), (version, Revision(1)));
         let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
-        let job = records::to_value(&records::JobRecord::live(1, Some(spec)));
+        let job = encoding::to_value(&records::JobRecord::live(1, Some(spec)));
         cache.jobs.apply_record(id.clone(), &job, Revision(2));
         let mut promises = CancellationAcks::new(vec![name.clone()], LEASE_S, CANCEL_S);
         let (mut to_other, mut to_us, mut commits) = (Vec::new(), Vec::new(), Vec::new());
@@ -213,7 +214,7 @@
     promises.look(&cache, now);
     let later = now + Duration::from_secs(60);
     let guards = promises.guards(&id, &cache, |_| None, later).unwrap();
-    let keys = [heartbeat_key(&me), heartbeat_key(&peer), records::version_key(&peer)];
+    let keys = [heartbeat_key(&me), heartbeat_key(&peer), keys::version_key(&peer)];
     let holds = |revs: [u64; 3]| {
         let now = |key: &String| keys.iter().position(|known| known == key).map(|at| revs[at]);
         guards.iter().all(|guard| now(&guard.key) == Some(guard.rev.0))
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -135,7 +135,7 @@
 /// A message's text in pieces, each small enough for a value: `<seq>.<count>.<number>:<text>`.
 pub fn in_pieces(text: &str, seq: u64, value_max: usize) -> Vec<String> {
     let size = value_max.saturating_sub(PIECE_HEAD).max(1);
-    let pieces = crate::store::records::split_text(text, size);
+    let pieces = crate::store::encoding::split_text(text, size);
     let count = pieces.len();
     let numbered = pieces.into_iter().enumerate();
     numbered.map(|(n, piece)| format!("{seq}.{count}.{n}:{piece}")).collect()
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -42,7 +42,7 @@
         let learned = self.settings.operator.estimates.due;
         let length_ms =
             |id: &JobId, job: &LiveJob| self.length(id, job, learned).as_millis() as u64;
-        let carried = dag::carry_back(&jobs, alone, length_ms);
+        let carried = dag::inherit_priorities(&jobs, alone, length_ms);
         let before = std::mem::replace(&mut self.carried, carried);
         for (id, job) in live {
             let old = before.get(*id).map_or(job.spec.urgency, |carried| carried.urgency);
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -31,7 +31,7 @@
 
 impl Scheduler {
     pub(super) fn read_drains(&mut self, cache: &Cache) {
-        let drained = Drained::of_records(cache.drained());
+        let drained = cache.drained().collect::<Drained>();
         if drained != self.draining.drained {
             self.draining.drained = drained;
             self.plan_wanted = true;
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -4,6 +4,7 @@
 //! found again in the store.
 
 use super::*;
+use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
 
 pub(super) struct Tidy {
     at: Instant,
@@ -28,22 +29,24 @@
         let most = TIDY_WRITES.min(state.layout().txn_ops);
         let mut writes = state.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
-        for (id, key, rev) in state.cache.jobs.orphaned_spec_chunks() {
-            let since = self.tidy.orphans.get(id).copied().unwrap_or(now);
-            waiting.insert(id.clone(), since);
+        for OrphanedSpecChunk { job, key, revision } in state.cache.jobs.orphaned_spec_chunks() {
+            let since = self.tidy.orphans.get(&job).copied().unwrap_or(now);
+            waiting.insert(job, since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
-                writes.push((Write::Delete { key }, rev));
+                writes.push(GarbageWrite { write: Write::Delete { key }, revision });
             }
         }
         self.tidy.orphans = waiting;
         if writes.is_empty() {
             return;
         }
-        let guard =
-            |(write, rev): &(Write, Revision)| Precondition { key: write.key().into(), rev: *rev };
+        let guard = |garbage: &GarbageWrite| Precondition {
+            key: garbage.write.key().into(),
+            rev: garbage.revision,
+        };
         let guards = std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
-        self.tidy.keys = writes.iter().map(|(write, _)| write.key().to_owned()).collect();
-        let writes = writes.into_iter().map(|(write, _)| write).collect();
+        self.tidy.keys = writes.iter().map(|garbage| garbage.write.key().to_owned()).collect();
+        let writes = writes.into_iter().map(|garbage| garbage.write).collect();
         let transaction = Transaction { guards, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -48,7 +48,7 @@
         let long_over = jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !lately(ms)));
         let long_over = long_over.map(|job| job.rev).max().unwrap_or_default();
         for job in jobs {
-            let JobBody::Finished { rest: Some(rest), .. } = &job.body else { continue };
+            let JobBody::Finished { orphaned_tasks: Some(rest), .. } = &job.body else { continue };
             if rest.ended_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
                 self.leftover.add(team, room(rest, 0));
@@ -62,7 +62,9 @@
         let (team, amount) = match &job.body {
             _ if !work.old => return,
             JobBody::Live(live) => (&live.spec.team, live.need.times(work.waiting(live))),
-            JobBody::Finished { rest: Some(rest), .. } => (&rest.team, room(rest, placed)),
+            JobBody::Finished { orphaned_tasks: Some(rest), .. } => {
+                (&rest.team, room(rest, placed))
+            }
             JobBody::Finished { .. } => return,
         };
         let team = self.team_of(team);
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -295,7 +295,7 @@
             }
             let mut most = within;
             if self.urgency(id, job) == Priority::Low && job.spec.shape == JobKind::Array {
-                let paced = self.low_starts.room(now) as u64;
+                let paced = self.low_starts.available(now) as u64;
                 if paced < most.min(waiting) {
                     *self.waits.entry("pace of starts").or_default() += most.min(waiting) - paced;
                     most = paced;
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -160,7 +160,7 @@
                 let urgency = self.urgency(&task.job, live);
                 (self.team_of(&live.spec.team), live.need, image, urgency)
             }
-            Some(JobBody::Finished { rest: Some(rest), .. }) => {
+            Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
                 (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -2,7 +2,7 @@
 use crate::admission::MACHINE_BYTES;
 use crate::controller::TICK_MOST;
 use crate::settings::plain_flavor as flavor;
-use crate::store::records;
+use crate::store::{encoding, records};
 use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::ops::Starving;
 
@@ -364,10 +364,13 @@
 }
 
 fn over(bench: &mut Bench, id: &str) {
-    let done =
-        records::JobRecord { p: records::Phase::Done, n: 4, ..records::JobRecord::live(1, None) };
+    let done = records::JobRecord {
+        phase: records::JobPhase::Done,
+        completed_count: 4,
+        ..records::JobRecord::live(1, None)
+    };
     let rev = Revision(bench.state.cache.rev.0.max(10) + 1);
-    bench.state.cache.jobs.apply_record(JobId::new(id), &records::to_value(&done), rev);
+    bench.state.cache.jobs.apply_record(JobId::new(id), &encoding::to_value(&done), rev);
     bench.scheduler.on_jobs(&[JobId::new(id)], &bench.state.cache, bench.now);
 }
 
@@ -377,7 +380,7 @@
     for n in 0..40 {
         bench.now += Duration::from_millis(300);
         bench.scheduler.store_estimates(&mut bench.state, bench.now);
-        for item in bench.state.take_items() {
+        for item in bench.state.take_queued_writes() {
             let (WriteOrigin::RuntimeEstimates(bucket), [Write::Put { data, .. }]) =
                 (&item.origin, &item.transaction.writes[..])
             else {
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -1,58 +1,63 @@
-//! What this process knows of the state service's content: one key's value or removal at a time, older revisions
-//! ignored.
+//! What this process knows of the store's content: one key's value or removal at a time, older
+//! revisions ignored.
 
-use super::*;
-use crate::drains::{self, DRAIN_PREFIX, DrainRecord};
-use crate::store::records::{JOB_PREFIX, VERSION_PREFIX};
+use crate::drains::{self, DrainRecord};
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
+use crate::jobs::Jobs;
+use crate::store::keys::{
+    CONTROLLER_LEASE_PREFIX, DRAIN_PREFIX, ESTIMATES_PREFIX, JOB_PREFIX, LEADER_KEY,
+    MACHINE_PREFIX, MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, RELAY_PREFIX, TOKEN_KEY,
+    VERSION_PREFIX,
+};
+use crate::store::records::{LeaderRecord, MachineRecord, VersionRecord};
+use crate::store::snapshot::Snapshot;
+use crate::wire::{self, MachineType, StoreValue};
+use foldhash::{HashMap, HashMapExt};
+use std::collections::BTreeMap;
 use troutspindle_protocol::ops::DrainKind;
 
-/// What this process knows of the state service's content.
+/// The store's content, each key with the revision at which it was written.
 #[derive(Debug)]
 pub struct Cache {
+    /// Whether all keys have been read once.
     pub loaded: bool,
     /// All changes up to here are in.
     pub rev: Revision,
+    /// All jobs.
     pub jobs: Jobs,
+    /// Who leads, if anybody does.
     pub leader: Option<(LeaderRecord, Revision)>,
+    /// The newest fencing token.
     pub token: (FencingToken, Revision),
+    /// The machine types of all keys, and the revision of the key that holds them as one list.
     pub machine_types: (Vec<MachineType>, Revision),
     /// Revisions of the keys that hold one machine type each.
     pub machine_type_keys: HashMap<String, Revision>,
-    /// Which format each controller says that it reads.
+    /// The format that each controller says it reads.
     pub versions: BTreeMap<ControllerId, (VersionRecord, Revision)>,
+    /// Machines on which tasks may have been started.
     pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
     /// What operators drain, by key.
     pub drains: BTreeMap<String, (DrainRecord, Revision)>,
-    /// Revisions of the keys of operators' orders, also of those that were taken back: such a key stays, so
-    /// that an order without an answer, carried out late, finds it changed.
+    /// Revisions of the keys of drains, also of those that were taken back: such a key stays, so
+    /// that a request without a response, carried out late, finds it changed.
     pub drain_keys: BTreeMap<String, Revision>,
-    /// Run times that were learned, as they are kept.
+    /// Learned run times, encoded; none where the key was removed.
     pub estimates: BTreeMap<u8, (Option<String>, Revision)>,
-    /// Revisions of the controllers' controller_leases.
+    /// Revisions of the keys of the controllers' leases.
     pub controller_leases: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
     pub relays: HashMap<String, Revision>,
-    /// Relayed messages not looked at yet: the key's rest, and the message in hexadecimal.
+    /// Relayed messages not read yet: the key without its prefix, and the message in hexadecimal.
     pub relayed: Vec<(String, String)>,
 }
 
 impl Cache {
-    /// What operators ordered to be drained.
-    pub fn drained(&self) -> impl Iterator<Item = &DrainRecord> {
-        self.drains.values().map(|(record, _)| record)
-    }
-
-    /// Whether a controller is to be drained.
-    pub fn is_controller_drained(&self, name: &ControllerId) -> bool {
-        !self.drains.is_empty()
-            && self.drains.contains_key(&drains::key(DrainKind::Controller, name.as_str()))
-    }
-
-    pub(crate) fn new(chunk: u32) -> Cache {
+    pub(crate) fn new(legacy_chunk_tasks: u32) -> Cache {
         Cache {
             loaded: false,
             rev: Revision(0),
-            jobs: Jobs::new(chunk),
+            jobs: Jobs::new(legacy_chunk_tasks),
             leader: None,
             token: Default::default(),
             machine_types: Default::default(),
@@ -68,106 +73,192 @@
         }
     }
 
+    /// What operators ordered to be drained.
+    pub fn drained(&self) -> impl Iterator<Item = &DrainRecord> {
+        self.drains.values().map(|(record, _)| record)
+    }
+
+    /// Whether a controller is to be drained.
+    pub fn is_controller_drained(&self, name: &ControllerId) -> bool {
+        !self.drains.is_empty()
+            && self.drains.contains_key(&drains::key(DrainKind::Controller, name.as_str()))
+    }
+
     /// Takes in one key's value or, with no value, its removal. Older revisions are ignored.
-    pub(super) fn take(
-        &mut self,
-        key: &str,
-        value: Option<&StoreValue>,
-        rev: Revision,
-    ) -> Option<()> {
+    pub(super) fn apply(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
-            self.jobs.apply_record(JobId::new(id), value?, rev);
-        } else if self.jobs.apply_auxiliary_key(key, value, rev) {
-        } else if let Some(node) = key.strip_prefix(VERSION_PREFIX) {
-            // Operators remove it before they go back to the version before.
-            let Some(value) = value else {
-                self.versions.remove(&ControllerId::new(node));
-                return None;
-            };
-            match value.deserialized::<VersionRecord>() {
-                Ok(record) => {
-                    // They all agree, since each takes it from those that came before.
-                    self.jobs.chunk = record.chunk.max(1);
-                    self.versions.insert(ControllerId::new(node), (record, rev));
-                }
-                Err(_) => tracing::error!(key, "unreadable version"),
-            }
-        } else if let Some(node) = key.strip_prefix(CONTROLLER_LEASE_PREFIX) {
-            let node = ControllerId::new(node);
-            if self.controller_leases.get(&node).is_some_and(|old| *old >= rev) {
-                return None;
-            }
-            match value {
-                Some(_) => drop(self.controller_leases.insert(node, rev)),
-                None => drop(self.controller_leases.remove(&node)),
+            if let Some(value) = value {
+                self.jobs.apply_record(JobId::new(id), value, rev);
             }
+        } else if self.jobs.apply_auxiliary_key(key, value, rev) {
+        } else if let Some(controller) = key.strip_prefix(VERSION_PREFIX) {
+            self.apply_version(ControllerId::new(controller), value, rev);
+        } else if let Some(controller) = key.strip_prefix(CONTROLLER_LEASE_PREFIX) {
+            self.apply_controller_lease(ControllerId::new(controller), value, rev);
         } else if let Some(id) = key.strip_prefix(MACHINE_PREFIX) {
-            let id = MachineId::new(id);
-            if self.machines.get(&id).is_some_and(|(_, old)| *old >= rev) {
-                return None;
-            }
-            match value.map(StoreValue::deserialized) {
-                Some(Ok(record)) => {
-                    self.machines.insert(id, (record, rev));
-                }
-                _ => {
-                    self.machines.remove(&id);
-                }
-            }
+            self.apply_machine(MachineId::new(id), value, rev);
         } else if key.starts_with(DRAIN_PREFIX) {
-            if self.drain_keys.get(key).is_some_and(|old| *old >= rev) {
-                return None;
-            }
-            match value {
-                Some(_) => drop(self.drain_keys.insert(key.to_owned(), rev)),
-                None => drop(self.drain_keys.remove(key)),
+            self.apply_drain(key, value, rev);
+        } else if let Some(bucket) = key.strip_prefix(ESTIMATES_PREFIX) {
+            self.apply_estimates(bucket, value, rev);
+        } else if let Some(route) = key.strip_prefix(RELAY_PREFIX) {
+            self.apply_relayed_message(key, route, value, rev);
+        } else if key == LEADER_KEY {
+            self.apply_leader(value, rev);
+        } else if key == TOKEN_KEY {
+            self.apply_token(value, rev);
+        } else if key == MACHINE_TYPES_KEY {
+            self.apply_machine_types(value, rev);
+        } else if key.starts_with(MACHINE_TYPE_PREFIX) {
+            self.apply_machine_type(key, value, rev);
+        }
+    }
+
+    fn apply_version(
+        &mut self,
+        controller: ControllerId,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) {
+        // Operators remove it before they go back to an older version.
+        let Some(value) = value else {
+            self.versions.remove(&controller);
+            return;
+        };
+        match value.deserialized::<VersionRecord>() {
+            Ok(record) => {
+                // They all agree, since each takes it from those that came before.
+                self.jobs.set_legacy_chunk_tasks(record.chunk.max(1));
+                self.versions.insert(controller, (record, rev));
             }
-            match value.map(StoreValue::deserialized) {
-                Some(Ok(record)) => drop(self.drains.insert(key.to_owned(), (record, rev))),
-                Some(Err(_)) if value != Some(&drains::TAKEN_BACK) => {
-                    tracing::error!(key, "unreadable drain");
-                }
-                _ => drop(self.drains.remove(key)),
+            Err(error) => tracing::error!(%controller, %error, "version record is unreadable"),
+        }
+    }
+
+    fn apply_controller_lease(
+        &mut self,
+        controller: ControllerId,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) {
+        if self.controller_leases.get(&controller).is_some_and(|known| *known >= rev) {
+            return;
+        }
+        if value.is_some() {
+            self.controller_leases.insert(controller, rev);
+        } else {
+            self.controller_leases.remove(&controller);
+        }
+    }
+
+    fn apply_machine(&mut self, id: MachineId, value: Option<&StoreValue>, rev: Revision) {
+        if self.machines.get(&id).is_some_and(|(_, known)| *known >= rev) {
+            return;
+        }
+        match value.map(StoreValue::deserialized) {
+            Some(Ok(record)) => {
+                self.machines.insert(id, (record, rev));
             }
-        } else if let Some(bucket) = key.strip_prefix(ESTIMATES_PREFIX) {
-            let bucket = u8::from_str_radix(bucket, 16).ok()?;
-            let known = self.estimates.entry(bucket).or_default();
-            if known.1 < rev {
-                let text = value.and_then(StoreValue::as_text).map(str::to_owned);
-                // What is no text is kept as one that can't be read, and is replaced.
-                *known = (text.or_else(|| value.map(|_| String::new())), rev);
+            Some(Err(_)) | None => {
+                self.machines.remove(&id);
             }
-        } else if let Some(rest) = key.strip_prefix(RELAY_PREFIX) {
-            if let Some(text) = value.and_then(StoreValue::as_text)
-                && self.relays.get(key).is_none_or(|old| *old < rev)
-            {
-                self.relays.insert(key.to_owned(), rev);
-                self.relayed.push((rest.to_owned(), text.to_owned()));
+        }
+    }
+
+    fn apply_drain(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
+        if self.drain_keys.get(key).is_some_and(|known| *known >= rev) {
+            return;
+        }
+        if value.is_some() {
+            self.drain_keys.insert(key.to_owned(), rev);
+        } else {
+            self.drain_keys.remove(key);
+        }
+        match value.map(StoreValue::deserialized) {
+            Some(Ok(record)) => {
+                self.drains.insert(key.to_owned(), (record, rev));
             }
-        } else if key == LEADER_KEY {
-            if self.leader.as_ref().is_some_and(|(_, old)| *old >= rev) {
-                return None;
+            Some(Err(error)) if value != Some(&drains::TAKEN_BACK) => {
+                tracing::error!(key, %error, "drain record is unreadable");
             }
-            self.leader = value.and_then(|v| v.deserialized().ok()).map(|record| (record, rev));
-        } else if key == TOKEN_KEY {
-            if let Some(token) = value.and_then(|v| v.deserialized().ok())
-                && self.token.1 < rev
-            {
-                self.token = (token, rev);
+            Some(Err(_)) | None => {
+                self.drains.remove(key);
             }
-        } else if key == MACHINE_TYPES_KEY
-            && let Some(flavors) = value.and_then(|v| v.deserialized::<Vec<MachineType>>().ok())
+        }
+    }
+
+    fn apply_estimates(&mut self, bucket: &str, value: Option<&StoreValue>, rev: Revision) {
+        let Ok(bucket) = u8::from_str_radix(bucket, 16) else { return };
+        let known = self.estimates.entry(bucket).or_default();
+        if known.1 < rev {
+            let text = value.and_then(StoreValue::as_text).map(str::to_owned);
+            // What is no text is kept as one that can't be read, and is replaced.
+            *known = (text.or_else(|| value.map(|_| String::new())), rev);
+        }
+    }
+
+    fn apply_relayed_message(
+        &mut self,
+        key: &str,
+        route: &str,
+        value: Option<&StoreValue>,
+        rev: Revision,
+    ) {
+        if let Some(text) = value.and_then(StoreValue::as_text)
+            && self.relays.get(key).is_none_or(|known| *known < rev)
+        {
+            self.relays.insert(key.to_owned(), rev);
+            self.relayed.push((route.to_owned(), text.to_owned()));
+        }
+    }
+
+    fn apply_leader(&mut self, value: Option<&StoreValue>, rev: Revision) {
+        if self.leader.as_ref().is_none_or(|(_, known)| *known < rev) {
+            let record = value.and_then(|value| value.deserialized().ok());
+            self.leader = record.map(|record| (record, rev));
+        }
+    }
+
+    fn apply_token(&mut self, value: Option<&StoreValue>, rev: Revision) {
+        if let Some(token) = value.and_then(|value| value.deserialized().ok())
+            && self.token.1 < rev
+        {
+            self.token = (token, rev);
+        }
+    }
+
+    fn apply_machine_types(&mut self, value: Option<&StoreValue>, rev: Revision) {
+        if let Some(types) = value.and_then(|value| value.deserialized().ok())
             && self.machine_types.1 < rev
         {
             self.machine_types.1 = rev;
-            wire::merge(&mut self.machine_types.0, flavors);
-        } else if key.starts_with(MACHINE_TYPE_PREFIX)
-            && let Some(flavor) = value.and_then(|v| v.deserialized::<MachineType>().ok())
-            && self.machine_type_keys.get(key).is_none_or(|old| *old < rev)
+            wire::merge(&mut self.machine_types.0, types);
+        }
+    }
+
+    fn apply_machine_type(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
+        if let Some(machine_type) = value.and_then(|value| value.deserialized().ok())
+            && self.machine_type_keys.get(key).is_none_or(|known| *known < rev)
         {
             self.machine_type_keys.insert(key.to_owned(), rev);
-            wire::merge(&mut self.machine_types.0, vec![flavor]);
+            wire::merge(&mut self.machine_types.0, vec![machine_type]);
+        }
+    }
+
+    /// Forgets what was cached before a snapshot and isn't in it: it has been removed. Keys written
+    /// meanwhile have newer revisions and stay. The watch goes on from the first page's revision,
+    /// so that whatever changed between pages comes again.
+    pub(super) fn finish_snapshot(&mut self, snapshot: &Snapshot) {
+        let first = snapshot.first_revision();
+        self.machines.retain(|id, (_, rev)| snapshot.has_machine(id) || *rev > first);
+        self.versions.retain(|name, (_, rev)| snapshot.has_version(name) || *rev > first);
+        self.controller_leases
+            .retain(|name, rev| snapshot.has_controller_lease(name) || *rev > first);
+        self.drains.retain(|key, (_, rev)| snapshot.has_drain(key) || *rev > first);
+        self.drain_keys.retain(|key, rev| snapshot.has_drain(key) || *rev > first);
+        if !snapshot.has_leader() && self.leader.as_ref().is_some_and(|(_, rev)| *rev <= first) {
+            self.leader = None;
         }
-        None
+        self.rev = first;
     }
 }
--- a/src/store/records/tests.rs
+++ b/src/store/encoding/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use crate::store::encoding::{EncodedSpec, decode_spec, encode_spec, json_len};
 
 #[test]
 fn a_description_of_any_text_is_split_and_put_together_again() {
@@ -6,9 +6,9 @@
     spec.class = "\"\\\u{1}ž😀".repeat(40);
     spec.flavors = Some((0..32).map(|n| format!("{n}{}", "ü\"".repeat(60))).collect());
     for most in [100, 700, 1900] {
-        let (_, parts) = spec_parts(&spec, most);
-        assert!(parts.iter().all(|part| json_len(part) <= most), "{most}");
-        let whole = spec_of(parts.iter().map(String::as_str)).unwrap();
+        let EncodedSpec { chunks, .. } = encode_spec(&spec, most);
+        assert!(chunks.iter().all(|chunk| json_len(chunk) <= most), "{most}");
+        let whole = decode_spec(chunks.iter().map(String::as_str)).unwrap();
         assert_eq!(whole, spec);
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,133 +1,179 @@
-//! What is kept at the state service: keys, layouts and which of them may be written yet.
+//! Records as they are stored, and the two layouts of a job's progress and description.
 //!
-//! Two layouts are about. The *first* one is all that the version before this one knows: a job's
-//! record holds its description and the done marks of its first chunk of tasks, further chunks have
-//! keys of their own, and how many tasks a chunk has follows from the limit of a value. The *second*
-//! one has small values of a fixed geometry, and descriptions of any length. Both may hold marks of
-//! the same job: marks are only ever added, so what is done is what either of them says.
+//! The *first* layout is all that the oldest supported version knows: a job's record holds its
+//! description and the completed tasks of its first chunk, further chunks have keys of their own,
+//! and the size of a chunk follows from the limit of a value. The *second* one has small values of
+//! a fixed size, and descriptions of any length. Both may hold completed tasks of the same job:
+//! tasks are only ever added, so what is completed is what either of them says.
 //!
 //! Nothing of the second layout is written before every controller has said that it reads it
-//! ([`Layout::second`]). The first layout can go once no cluster runs a version before this one and
-//! no job is live that such a version accepted.
+//! ([`Layout::is_second`]). The first layout can go once no cluster runs a version that needs it
+//! and no job is live that such a version accepted.
 
-use crate::ids::{Amount, ControllerId, JobId};
-use crate::wire::{self, JobSpec, StoreValue};
+use crate::constants::FORMAT_HEARTBEAT;
+use crate::ids::{Amount, ControllerId, FencingToken};
+use crate::store::encoding::json_len;
+use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-pub const JOB_PREFIX: &str = "t/j/";
-/// Done marks of the first layout, from the second chunk on: `t/k/<job>/<chunk>`.
-pub const CHUNK_PREFIX: &str = "t/k/";
-/// Done marks of the second layout: `t/d/<job>/<piece>`.
-pub const PIECE_PREFIX: &str = "t/d/";
-/// Descriptions too long for their record: `t/s/<job>/<tag>/<part>`.
-pub const PART_PREFIX: &str = "t/s/";
-/// Which format a controller reads. Read before all else in key order: it says how many tasks a
-/// chunk of the first layout has.
-pub const VERSION_PREFIX: &str = "t/a/v/";
-
-/// The newest format that this program reads and writes: 1 brought the second layout, 2 heartbeats
-/// ([`crate::leadership::controller_lease`]). Production knows none: 0.
-pub const FORMAT: u32 = crate::constants::FORMAT_HEARTBEAT;
-
-/// Count. Tasks up to which the done marks stand in the job's record in both layouts.
+/// The newest format that this program reads and writes: 1 brought the second layout, 2 the
+/// controllers' leases ([`crate::leadership::controller_lease`]). The oldest version says none: 0.
+pub const FORMAT: u32 = FORMAT_HEARTBEAT;
+/// The first format with the second layout.
+const FORMAT_SECOND_LAYOUT: u32 = 1;
+/// Count. Tasks up to which the completed ones stand in the job's record in both layouts.
 pub const RECORD_TASKS: u64 = 1024;
-/// Count. Tasks whose marks stand in one piece: 1 KiB of hexadecimal, half of the smallest limit that
-/// settings may set. It belongs to the format and follows from no setting.
-pub const PIECE_TASKS: u32 = 4096;
+/// Count. Tasks to a chunk of the second layout: 1 KiB of hexadecimal, half of the smallest limit
+/// that settings may set. It belongs to the format and follows from no setting.
+pub const COMPLETED_CHUNK_TASKS: u32 = 4096;
+
+/// Who leads.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LeaderRecord {
+    /// The leader.
+    pub node: ControllerId,
+    /// Its fencing token.
+    pub token: FencingToken,
+}
+
+/// A machine on which tasks may have been started: the record is committed before the first
+/// start and removed once the machine has surely terminated.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct MachineRecord {
+    /// Where its agent is called.
+    pub address: String,
+    /// The name of its machine type.
+    pub flavor: String,
+    /// The name of its zone.
+    pub zone: String,
+    /// Whether it is a spot instance.
+    pub spot: bool,
+}
 
 /// What a controller says of itself. Never removed: no controller goes back to an older version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
+    /// The newest format that it reads.
     pub format: u32,
     /// Tasks to a chunk of the first layout, as it was when the cluster was upgraded: a limit that
-    /// is changed later must not move a mark to another task.
+    /// is changed later must not move a completed task to another index.
     pub chunk: u32,
 }
 
-pub fn version_key(node: &ControllerId) -> String {
-    format!("{VERSION_PREFIX}{node}")
-}
-
+/// Where a job is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum JobPhase {
+    /// Accepted, and not finished.
     Live,
+    /// All of its tasks are completed.
     Done,
+    /// Cancelled before that.
     Cancelled,
 }
 
-/// Where a long description stands.
+/// Where a long description is stored.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SpecChunks {
-    pub tag: String,
+    /// Names the chunks in their keys.
+    #[serde(rename = "tag")]
+    pub hash: String,
+    /// How many chunks there are.
     pub count: u32,
 }
 
-/// The value of a job's key; a finished job keeps only its last line.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct JobRecord {
-    pub p: Phase,
-    /// Milliseconds of the time of day when it was accepted.
-    #[serde(default)]
-    pub at: u64,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub s: Option<Arc<JobSpec>>,
-    /// Done marks while it is live.
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    pub d: String,
-    /// Count of done tasks when it is over.
-    #[serde(default)]
-    pub n: u64,
-    /// Team and size of a task of a cancelled job, whose tasks may run on for a while and count
-    /// against the team's limit until they are gone.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub w: Option<(String, f64, f64, f64)>,
-    /// Milliseconds of the time of day when it was done, or was to be cancelled: from its end the times
-    /// of jobs that need it count. Production ignores it and never rewrites the record of a job that is over.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub e: Option<u64>,
-    /// How many tasks may still be on machines of a job that is over. Production ignores it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub t: Option<u64>,
-    /// Second layout: the description stands elsewhere. Production would take such a record for a
-    /// job that is done.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub x: Option<SpecChunks>,
+/// Team and resources of one task of a finished job. Stored as a list.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(String, f64, f64, f64)", into = "(String, f64, f64, f64)")]
+pub struct TaskFootprint {
+    /// The team whose limit it counts against.
+    pub team: String,
+    /// CPUs.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+    /// Memory in GB.
+    pub ram_gb: f64,
+}
+
+impl TaskFootprint {
+    /// The resources that it requests.
+    pub fn request(&self) -> Amount {
+        Amount::need(self.cpus, self.gpus, self.ram_gb)
+    }
 }
 
-impl JobRecord {
-    pub fn live(at: u64, spec: Option<Arc<JobSpec>>) -> JobRecord {
-        let d = String::new();
-        JobRecord { p: Phase::Live, at, s: spec, d, n: 0, w: None, e: None, t: None, x: None }
+impl From<&JobSpec> for TaskFootprint {
+    fn from(spec: &JobSpec) -> TaskFootprint {
+        let JobSpec { cpus, gpus, ram_gb, .. } = *spec;
+        TaskFootprint { team: spec.team.clone(), cpus, gpus, ram_gb }
     }
 }
 
-pub fn rest(spec: &JobSpec) -> (String, f64, f64, f64) {
-    (spec.team.clone(), spec.cpus, spec.gpus, spec.ram_gb)
+impl From<(String, f64, f64, f64)> for TaskFootprint {
+    fn from((team, cpus, gpus, ram_gb): (String, f64, f64, f64)) -> TaskFootprint {
+        TaskFootprint { team, cpus, gpus, ram_gb }
+    }
 }
 
-pub fn need(spec: &JobSpec) -> Amount {
-    Amount::need(spec.cpus, spec.gpus, spec.ram_gb)
+impl From<TaskFootprint> for (String, f64, f64, f64) {
+    fn from(task: TaskFootprint) -> (String, f64, f64, f64) {
+        (task.team, task.cpus, task.gpus, task.ram_gb)
+    }
 }
 
-pub fn to_value<T: Serialize>(value: &T) -> StoreValue {
-    // Our own records always serialize; Null would be refused on reading.
-    StoreValue::serialized(value).unwrap_or(StoreValue::Null)
+/// The value of a job's key. A finished job keeps no description.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct JobRecord {
+    /// Where it is in its life.
+    #[serde(rename = "p")]
+    pub phase: JobPhase,
+    /// Milliseconds of the time of day when it was accepted.
+    #[serde(rename = "at", default)]
+    pub accepted_ms: u64,
+    /// Its description, unless that stands in chunks.
+    #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
+    pub spec: Option<Arc<JobSpec>>,
+    /// Completed tasks while it is live, one bit each, in hexadecimal.
+    #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
+    pub completed: String,
+    /// Count of completed tasks when it is finished.
+    #[serde(rename = "n", default)]
+    pub completed_count: u64,
+    /// A task of a finished job: some may run on for a while and count against the team's limit
+    /// until they are gone.
+    #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
+    pub task: Option<TaskFootprint>,
+    /// Milliseconds of the time of day when it was done, or was to be cancelled: the times of jobs
+    /// that depend on it count from its end. The oldest version ignores it and never rewrites the
+    /// record of a finished job.
+    #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
+    pub ended_ms: Option<u64>,
+    /// How many tasks of a finished job may still be on machines. The oldest version ignores it.
+    #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
+    pub remaining_tasks: Option<u64>,
+    /// Second layout: where the description is stored. The oldest version would take such a record
+    /// for a job that is done.
+    #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
+    pub spec_chunks: Option<SpecChunks>,
 }
 
-pub fn job_key(id: &JobId) -> String {
-    format!("{JOB_PREFIX}{id}")
-}
-pub fn chunk_key(id: &JobId, chunk: u32) -> String {
-    format!("{CHUNK_PREFIX}{id}/{chunk}")
-}
-pub fn piece_key(id: &JobId, piece: u32) -> String {
-    format!("{PIECE_PREFIX}{id}/{piece}")
-}
-pub fn part_key(id: &JobId, tag: &str, part: u32) -> String {
-    format!("{PART_PREFIX}{id}/{tag}/{part}")
+impl JobRecord {
+    /// The record of a job of which no task is completed.
+    pub fn live(accepted_ms: u64, spec: Option<Arc<JobSpec>>) -> JobRecord {
+        JobRecord {
+            phase: JobPhase::Live,
+            accepted_ms,
+            spec,
+            completed: String::new(),
+            completed_count: 0,
+            task: None,
+            ended_ms: None,
+            remaining_tasks: None,
+            spec_chunks: None,
+        }
+    }
 }
 
 /// What may be written now.
@@ -144,70 +190,13 @@
 }
 
 impl Layout {
-    /// Whether values of the second layout and jobs that wait for others may be written.
-    pub fn second(&self) -> bool {
-        self.format >= 1
+    /// Whether values of the second layout and jobs with dependencies may be written.
+    pub fn is_second(&self) -> bool {
+        self.format >= FORMAT_SECOND_LAYOUT
     }
+
+    /// Whether a value keeps to the store's limit.
     pub fn fits<T: Serialize>(&self, value: &T) -> bool {
         json_len(value) <= self.value_max
     }
 }
-
-/// Bytes that a text takes in JSON at the most, whichever way it is spelled.
-fn text_len(text: &str) -> usize {
-    text.chars()
-        .map(|c| match c {
-            '"' | '\\' => 2,
-            ' '..='~' => 1,
-            _ => c.len_utf16() * 6,
-        })
-        .sum()
-}
-
-/// Bytes of a value in JSON, in which the limits are counted.
-pub fn json_len<T: Serialize>(value: &T) -> usize {
-    // What is written as JSON is escaped already but for what is not ASCII.
-    let text = serde_json::to_string(value).unwrap_or_default();
-    text.chars().map(|c| if c.is_ascii() { 1 } else { c.len_utf16() * 6 }).sum()
-}
-
-/// A text in pieces of at most so many bytes each, as JSON spells them.
-pub fn split_text(text: &str, most: usize) -> Vec<String> {
-    let mut parts = vec![String::new()];
-    let mut room = most;
-    for c in text.chars() {
-        let size = text_len(c.encode_utf8(&mut [0; 4]));
-        if size > room {
-            parts.push(String::new());
-            room = most;
-        }
-        room -= size.min(room);
-        if let Some(part) = parts.last_mut() {
-            part.push(c);
-        }
-    }
-    parts
-}
-
-/// A short name, the same everywhere, for a part of a key that may hold no spaces.
-pub fn key_hash<T: Hash>(value: &T) -> String {
-    let mut hasher = DefaultHasher::new();
-    value.hash(&mut hasher);
-    wire::hex(&hasher.finish().to_be_bytes())
-}
-
-/// A description in parts, and the tag by which its parts are known: the same description gets the
-/// same tag everywhere, so that a submission begun at one controller goes on at another.
-pub fn spec_parts(spec: &JobSpec, value_max: usize) -> (String, Vec<String>) {
-    let text = serde_json::to_string(spec).unwrap_or_default();
-    let tag = key_hash(&(&text, value_max));
-    // The quotes of a text are part of it.
-    (tag, split_text(&text, value_max.saturating_sub(2)))
-}
-
-pub fn spec_of<'a>(parts: impl Iterator<Item = &'a str>) -> Option<JobSpec> {
-    serde_json::from_str(&parts.collect::<String>()).ok()
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,5 +1,13 @@
-use super::*;
-use crate::wire::Precondition;
+use crate::constants::STATE_RETRY;
+use crate::ids::{ControllerId, Revision};
+use crate::settings::KeptLimits;
+use crate::store::{
+    Cache, MACHINE_TYPES_KEY, PendingWrite, StoreClient, StoreEvent, StoreRequest, StoreResponse,
+    WriteOrigin, WriteOutcome, WritePriority, encoding,
+};
+use crate::wire::{self, MachineType, Precondition, StoreValue, Transaction, Write};
+use foldhash::HashSet;
+use tokio::time::Instant;
 
 fn limits(txn_ops: usize) -> KeptLimits {
     KeptLimits {
@@ -12,16 +20,16 @@
     }
 }
 
-fn core(now: Instant) -> StoreClient {
-    let mut core = StoreClient::new(limits(4), vec![ControllerId::new("n")], 0, now);
-    core.poll(now);
-    let (id, _) = core.calls.pop_front().unwrap();
+fn client(now: Instant) -> StoreClient {
+    let mut client = StoreClient::new(limits(4), vec![ControllerId::new("n")], 0, now);
+    client.poll(now);
+    let (id, _) = client.calls.pop_front().unwrap();
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(5) };
-    core.on_response(id, StoreResponse::Range(page), now);
-    core
+    client.on_response(id, StoreResponse::Range(page), now);
+    client
 }
 
-fn item(ticket: u64, key: &str) -> PendingWrite {
+fn write(ticket: u64, key: &str) -> PendingWrite {
     PendingWrite {
         priority: WritePriority::Interactive,
         origin: WriteOrigin::User(ticket),
@@ -32,9 +40,9 @@
     }
 }
 
-fn commit(core: &mut StoreClient, now: Instant) -> (u64, Transaction) {
-    core.poll(now);
-    while let Some((id, call)) = core.calls.pop_front() {
+fn commit(client: &mut StoreClient, now: Instant) -> (u64, Transaction) {
+    client.poll(now);
+    while let Some((id, call)) = client.calls.pop_front() {
         if let StoreRequest::Commit(txn) = call {
             return (id, txn);
         }
@@ -42,8 +50,8 @@
     panic!("no commit was sent")
 }
 
-fn outcomes(core: &mut StoreClient) -> Vec<(WriteOrigin, WriteOutcome)> {
-    std::iter::from_fn(|| core.events.pop_front())
+fn outcomes(client: &mut StoreClient) -> Vec<(WriteOrigin, WriteOutcome)> {
+    std::iter::from_fn(|| client.events.pop_front())
         .filter_map(|event| match event {
             StoreEvent::Outcome(origin, outcome) => Some((origin, outcome)),
             _ => None,
@@ -52,60 +60,60 @@
 }
 
 #[test]
-fn one_failed_guard_costs_only_its_own_item() {
+fn one_failed_precondition_costs_only_its_own_write() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut client = client(now);
     for (ticket, key) in [(1, "t/x/1"), (2, "t/x/2"), (3, "t/x/3")] {
-        core.enqueue(item(ticket, key));
+        client.enqueue(write(ticket, key));
     }
-    let (id, txn) = commit(&mut core, now);
+    let (id, txn) = commit(&mut client, now);
     assert_eq!(txn.writes.len(), 3);
-    core.on_response(id, StoreResponse::Conflict(vec!["t/x/2".into()]), now);
-    assert_eq!(outcomes(&mut core), [(WriteOrigin::User(2), WriteOutcome::Conflict)]);
-    let (id, txn) = commit(&mut core, now);
+    client.on_response(id, StoreResponse::Conflict(vec!["t/x/2".into()]), now);
+    assert_eq!(outcomes(&mut client), [(WriteOrigin::User(2), WriteOutcome::Conflict)]);
+    let (id, txn) = commit(&mut client, now);
     assert_eq!(txn.writes.len(), 2);
-    core.on_response(id, StoreResponse::Committed(Revision(9)), now);
-    assert_eq!(outcomes(&mut core).len(), 2);
+    client.on_response(id, StoreResponse::Committed(Revision(9)), now);
+    assert_eq!(outcomes(&mut client).len(), 2);
 }
 
 #[test]
-fn an_item_that_the_service_calls_malformed_holds_up_no_other() {
+fn a_write_that_the_store_calls_malformed_holds_up_no_other() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut client = client(now);
     for ticket in 0..3 {
-        core.enqueue(item(ticket, &format!("t/x/{ticket}")));
+        client.enqueue(write(ticket, &format!("t/x/{ticket}")));
     }
-    let (id, _) = commit(&mut core, now);
-    core.on_response(id, StoreResponse::Invalid, now);
-    let (id, txn) = commit(&mut core, now);
+    let (id, _) = commit(&mut client, now);
+    client.on_response(id, StoreResponse::Invalid, now);
+    let (id, txn) = commit(&mut client, now);
     assert_eq!(txn.writes.len(), 1);
-    core.on_response(id, StoreResponse::Invalid, now);
-    assert_eq!(outcomes(&mut core), [(WriteOrigin::User(0), WriteOutcome::Invalid)]);
+    client.on_response(id, StoreResponse::Invalid, now);
+    assert_eq!(outcomes(&mut client), [(WriteOrigin::User(0), WriteOutcome::Invalid)]);
     let later = now + STATE_RETRY * 2;
-    let (id, txn) = commit(&mut core, later);
+    let (id, txn) = commit(&mut client, later);
     assert_eq!(txn.writes.len(), 1);
-    core.on_response(id, StoreResponse::Committed(Revision(9)), later);
-    assert_eq!(outcomes(&mut core), [(WriteOrigin::User(1), WriteOutcome::Committed)]);
+    client.on_response(id, StoreResponse::Committed(Revision(9)), later);
+    assert_eq!(outcomes(&mut client), [(WriteOrigin::User(1), WriteOutcome::Committed)]);
 }
 
 #[test]
 fn a_transaction_keeps_its_limits_and_never_writes_a_key_twice() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut client = client(now);
     for ticket in 0..9 {
-        core.enqueue(item(ticket, &format!("t/x/{}", ticket / 2)));
+        client.enqueue(write(ticket, &format!("t/x/{}", ticket / 2)));
     }
     let mut seen = 0;
     for rev in 0..20 {
-        if core.items.is_empty() {
+        if client.queue_length() == 0 {
             break;
         }
-        let (id, txn) = commit(&mut core, now);
+        let (id, txn) = commit(&mut client, now);
         assert!(txn.writes.len() <= 4);
         let keys: HashSet<_> = txn.writes.iter().map(|w| w.key().to_owned()).collect();
         assert_eq!(keys.len(), txn.writes.len());
         seen += txn.writes.len();
-        core.on_response(id, StoreResponse::Committed(Revision(10 + rev)), now);
+        client.on_response(id, StoreResponse::Committed(Revision(10 + rev)), now);
     }
     assert_eq!(seen, 9);
 }
@@ -115,22 +123,22 @@
 #[test]
 fn changes_that_saw_a_key_at_two_revisions_go_one_after_the_other() {
     let now = Instant::now();
-    let mut core = core(now);
+    let mut client = client(now);
     for (ticket, seen) in [(1, 3), (2, 4), (3, 3)] {
-        let mut item = item(ticket, &format!("t/x/{ticket}"));
-        item.transaction.guards.push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
-        core.enqueue(item);
+        let mut write = write(ticket, &format!("t/x/{ticket}"));
+        write.transaction.guards.push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
+        client.enqueue(write);
     }
     let seen = |txn: &Transaction| -> Vec<Revision> {
         txn.guards.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
     };
-    let (id, txn) = commit(&mut core, now);
+    let (id, txn) = commit(&mut client, now);
     assert_eq!((txn.writes.len(), seen(&txn)), (2, vec![Revision(3)]));
-    core.on_response(id, StoreResponse::Committed(Revision(9)), now);
-    let (id, txn) = commit(&mut core, now);
+    client.on_response(id, StoreResponse::Committed(Revision(9)), now);
+    let (id, txn) = commit(&mut client, now);
     assert_eq!((txn.writes.len(), seen(&txn)), (1, vec![Revision(4)]));
-    core.on_response(id, StoreResponse::Conflict(vec!["t/a/p/m".into()]), now);
-    let told = outcomes(&mut core);
+    client.on_response(id, StoreResponse::Conflict(vec!["t/a/p/m".into()]), now);
+    let told = outcomes(&mut client);
     assert_eq!(told.last(), Some(&(WriteOrigin::User(2), WriteOutcome::Conflict)));
 }
 
@@ -143,37 +151,37 @@
         ..crate::settings::plain_flavor()
     };
     let mut cache = Cache::new(16_384);
-    let all = records::to_value(&vec![flavor("a", 1.0), flavor("b", 1.0)]);
-    cache.take(MACHINE_TYPES_KEY, Some(&all), Revision(3));
-    let one = |name, price| records::to_value(&flavor(name, price));
-    cache.take("t/a/f/x", Some(&one("b", 2.0)), Revision(5));
-    cache.take("t/a/f/y", Some(&one("c", 3.0)), Revision(6));
-    cache.take("t/a/f/x", Some(&one("b", 9.0)), Revision(4));
+    let all = encoding::to_value(&vec![flavor("a", 1.0), flavor("b", 1.0)]);
+    cache.apply(MACHINE_TYPES_KEY, Some(&all), Revision(3));
+    let one = |name, price| encoding::to_value(&flavor(name, price));
+    cache.apply("t/a/f/x", Some(&one("b", 2.0)), Revision(5));
+    cache.apply("t/a/f/y", Some(&one("c", 3.0)), Revision(6));
+    cache.apply("t/a/f/x", Some(&one("b", 9.0)), Revision(4));
     let known: Vec<_> = cache.machine_types.0.iter().map(|f| (&*f.name, f.price)).collect();
     assert_eq!(known, [("a", 1.0), ("b", 2.0), ("c", 3.0)]);
 }
 
 #[test]
-fn a_sync_is_told_only_by_an_answer_sent_after_it_was_asked() {
+fn a_linearizable_read_needs_a_response_to_a_later_request() {
     let now = Instant::now();
-    let mut core = core(now);
-    core.sync(1);
-    core.poll(now);
-    core.sync(2);
-    let syncs: Vec<u64> = core
+    let mut client = client(now);
+    client.sync(1);
+    client.poll(now);
+    client.sync(2);
+    let syncs: Vec<u64> = client
         .calls
         .drain(..)
         .filter(|(_, call)| matches!(call, StoreRequest::Watch { wait, .. } if wait.is_zero()))
         .map(|(id, _)| id)
         .collect();
-    core.on_response(
+    client.on_response(
         syncs[0],
         StoreResponse::Watch(wire::WatchResponse { rev: Revision(7), news: vec![] }),
         now,
     );
-    let told: Vec<u64> = std::iter::from_fn(|| core.events.pop_front())
+    let told: Vec<u64> = std::iter::from_fn(|| client.events.pop_front())
         .filter_map(|e| if let StoreEvent::Synced(t) = e { Some(t) } else { None })
         .collect();
     assert_eq!(told, [1]);
-    assert_eq!(core.cache.rev, Revision(7));
+    assert_eq!(client.cache.rev, Revision(7));
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -573,7 +573,7 @@
     let record = DrainRecord { kind, name: name.into(), by_ms, at_ms, author, reason };
     let put = Write::Put {
         key: key.clone(),
-        data: troutspindle::store::records::to_value(&record),
+        data: troutspindle::store::encoding::to_value(&record),
         hold: None,
     };
     let write = if on { put } else { Write::Delete { key: key.clone() } };
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -3,9 +3,10 @@
 
 use std::sync::Arc;
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
-use troutspindle::jobs::{self, Acceptance, Jobs};
+use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::peers::mesh;
-use troutspindle::store::records::{JOB_PREFIX, Layout};
+use troutspindle::store::keys::JOB_PREFIX;
+use troutspindle::store::records::Layout;
 use troutspindle::store::{LEADER_KEY, LeaderRecord, MACHINE_TYPES_KEY, MachineRecord, TOKEN_KEY};
 use troutspindle::wire::{
     self, JobKind, JobSpec, JobStatus, MachineType, Priority, StoreValue, Transaction, Write,
@@ -82,12 +83,21 @@
         assert!((0..tasks).all(|task| live.is_done(task) == (task % step == 0)), "{id}");
     }
     take(&mut jobs, "cancelled", 3);
-    assert_eq!(jobs.get(&small).unwrap().final_state(), Some((JobStatus::Cancelled, 3)));
-    assert_eq!(jobs.get(&large).unwrap().final_state(), Some((JobStatus::Cancelled, 11)));
+    assert_eq!(
+        jobs.get(&small).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Cancelled, completed_tasks: 3 })
+    );
+    assert_eq!(
+        jobs.get(&large).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Cancelled, completed_tasks: 11 })
+    );
     assert!(jobs.garbage(100).is_empty(), "production removes chunks itself");
     let mut jobs = Jobs::new(LOW.chunk);
     take(&mut jobs, "done", 1);
-    assert_eq!(jobs.get(&small).unwrap().final_state(), Some((JobStatus::Done, 20)));
+    assert_eq!(
+        jobs.get(&small).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Done, completed_tasks: 20 })
+    );
 
     let of = |key: &str| lines().into_iter().find(|line| line[1] == key).unwrap();
     let machine: MachineRecord = value(of("t/m/i-000231")[2]).deserialized().unwrap();
@@ -166,7 +176,7 @@
         let sent = mesh::in_pieces(&text, number, 1800);
         assert!(
             sent.len() > 5
-                && sent.iter().all(|p| troutspindle::store::records::json_len(p) <= 1800)
+                && sent.iter().all(|p| troutspindle::store::encoding::json_len(p) <= 1800)
         );
         let sent = sent.iter().enumerate().filter(|(n, _)| !(lose && *n == 2));
         let got: Vec<String> = sent.filter_map(|(_, piece)| pieces.take(piece)).collect();
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -6,15 +6,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
+use troutspindle::drains::{self, DrainRecord, TAKEN_BACK};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
-use troutspindle::jobs::{self, Acceptance, Jobs};
+use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
 use troutspindle::leadership::election::Election;
 use troutspindle::settings::KeptLimits;
+use troutspindle::store::keys::{
+    COMPLETED_CHUNK_PREFIX, DRAIN_PREFIX, JOB_PREFIX, LEGACY_COMPLETED_CHUNK_PREFIX,
+    SPEC_CHUNK_PREFIX, VERSION_PREFIX, completed_chunk_key, job_key, key_hash,
+    legacy_completed_chunk_key, spec_chunk_key, version_key,
+};
 use troutspindle::store::records::{
-    CHUNK_PREFIX, JOB_PREFIX, JobRecord, Layout, PART_PREFIX, PIECE_PREFIX, Phase, SpecChunks,
-    VERSION_PREFIX, VersionRecord, chunk_key, job_key, key_hash, part_key, piece_key, version_key,
+    JobPhase, JobRecord, Layout, SpecChunks, TaskFootprint, VersionRecord,
 };
 use troutspindle::store::{
     CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
@@ -82,20 +86,20 @@
 /// With every field, which no job has.
 fn full_record() -> JobRecord {
     JobRecord {
-        p: Phase::Cancelled,
-        at: ACCEPTED_MS,
-        s: Some(Arc::new(job_spec())),
-        d: "8102".into(),
-        n: 7,
-        w: Some(("team-a".into(), 1.5, 0.25, 3.1)),
-        e: Some(ENDED_MS),
-        t: Some(13),
-        x: Some(SpecChunks { tag: "0123456789abcdef".into(), count: 3 }),
+        phase: JobPhase::Cancelled,
+        accepted_ms: ACCEPTED_MS,
+        spec: Some(Arc::new(job_spec())),
+        completed: "8102".into(),
+        completed_count: 7,
+        task: Some(TaskFootprint { team: "team-a".into(), cpus: 1.5, gpus: 0.25, ram_gb: 3.1 }),
+        ended_ms: Some(ENDED_MS),
+        remaining_tasks: Some(13),
+        spec_chunks: Some(SpecChunks { hash: "0123456789abcdef".into(), count: 3 }),
     }
 }
 
-fn plain_record(phase: Phase) -> JobRecord {
-    JobRecord { p: phase, ..JobRecord::live(0, None) }
+fn plain_record(phase: JobPhase) -> JobRecord {
+    JobRecord { phase, ..JobRecord::live(0, None) }
 }
 
 fn transaction(name: &'static str, transaction: &Transaction) -> Sample {
@@ -166,15 +170,15 @@
         let known = self.jobs.get(&job()).unwrap();
         let cancellation = jobs::cancel(&job(), known, ENDED_MS, &self.layout).unwrap();
         self.commit(name, &cancellation);
-        assert_eq!(self.over().map(|(status, _)| status), Some(JobStatus::Cancelled));
+        assert_eq!(self.over().map(|state| state.status), Some(JobStatus::Cancelled));
     }
 
     fn tidy(&mut self, name: &'static str) {
-        let (writes, _): (Vec<Write>, Vec<Revision>) = self.jobs.garbage(100).into_iter().unzip();
+        let writes = self.jobs.garbage(100).into_iter().map(|garbage| garbage.write).collect();
         self.samples.push(transaction(name, &Transaction { guards: Vec::new(), writes }));
     }
 
-    fn over(&self) -> Option<(JobStatus, u64)> {
+    fn over(&self) -> Option<FinalState> {
         self.jobs.get(&job()).unwrap().final_state()
     }
 }
@@ -193,7 +197,7 @@
     life.complete("job-some-done", &[0, 7, 19], 0);
     let all: Vec<u32> = (0..20).collect();
     life.complete("job-done", &all, 3);
-    assert_eq!(life.over(), Some((JobStatus::Done, 20)));
+    assert_eq!(life.over(), Some(FinalState { status: JobStatus::Done, completed_tasks: 20 }));
     life.samples
 }
 
@@ -221,9 +225,9 @@
 fn records() -> Vec<Sample> {
     vec![
         Sample::stored("record-full", &full_record()),
-        Sample::stored("record-live", &plain_record(Phase::Live)),
-        Sample::stored("record-done", &plain_record(Phase::Done)),
-        Sample::cbor_without("record-least", &plain_record(Phase::Cancelled), &["at", "n"]),
+        Sample::stored("record-live", &plain_record(JobPhase::Live)),
+        Sample::stored("record-done", &plain_record(JobPhase::Done)),
+        Sample::cbor_without("record-least", &plain_record(JobPhase::Cancelled), &["at", "n"]),
         Sample::stored("record-machine", &machine_record()),
         Sample::stored("record-leader", &leader_record()),
         Sample::stored("record-version", &version_record()),
@@ -257,12 +261,12 @@
         Sample::written("key-version", version_key(&node())),
         Sample::written("key-jobs", JOB_PREFIX),
         Sample::written("key-job", job_key(&job())),
-        Sample::written("key-chunks", CHUNK_PREFIX),
-        Sample::written("key-chunk", chunk_key(&job(), 3)),
-        Sample::written("key-pieces", PIECE_PREFIX),
-        Sample::written("key-piece", piece_key(&job(), 3)),
-        Sample::written("key-parts", PART_PREFIX),
-        Sample::written("key-part", part_key(&job(), "0123456789abcdef", 3)),
+        Sample::written("key-chunks", LEGACY_COMPLETED_CHUNK_PREFIX),
+        Sample::written("key-chunk", legacy_completed_chunk_key(&job(), 3)),
+        Sample::written("key-pieces", COMPLETED_CHUNK_PREFIX),
+        Sample::written("key-piece", completed_chunk_key(&job(), 3)),
+        Sample::written("key-parts", SPEC_CHUNK_PREFIX),
+        Sample::written("key-part", spec_chunk_key(&job(), "0123456789abcdef", 3)),
         Sample::written("key-drains", DRAIN_PREFIX),
         Sample::written("key-drain-zone", drains::key(DrainKind::Zone, "a")),
         Sample::written("key-drain-machine", drains::key(DrainKind::Machine, "a")),
@@ -430,15 +434,16 @@
 /// Records of jobs that are over, read from the fixture.
 #[test]
 fn a_job_that_is_over_is_read_with_what_may_still_run_of_it() {
-    for (name, over, left) in
-        [("job-done", (JobStatus::Done, 20), 3), ("job-cancelled", (JobStatus::Cancelled, 1), 19)]
-    {
+    for (name, over, left) in [
+        ("job-done", FinalState { status: JobStatus::Done, completed_tasks: 20 }, 3),
+        ("job-cancelled", FinalState { status: JobStatus::Cancelled, completed_tasks: 1 }, 19),
+    ] {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         let mut jobs = Jobs::new(SECOND.chunk);
         apply(&mut jobs, &written, 1);
         let known = jobs.get(&job()).unwrap();
         assert_eq!((known.final_state(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
-        let jobs::JobBody::Finished { rest: Some(rest), .. } = &known.body else {
+        let jobs::JobBody::Finished { orphaned_tasks: Some(rest), .. } = &known.body else {
             panic!("{name}")
         };
         assert_eq!((&*rest.team, rest.tasks), ("team-a", Some(left)), "{name}");
