--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -244,7 +244,7 @@
 
     fn news_after(&self, after: u64) -> WatchResponse {
         let from = self.news.partition_point(|change| change.rev.0 <= after);
-        WatchResponse { rev: Revision(self.rev), news: self.news[from..].to_vec() }
+        WatchResponse { rev: Revision(self.rev), events: self.news[from..].to_vec() }
     }
 
     fn cloud(&self, call: &CloudRequest) -> Vec<u8> {
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -8,10 +8,10 @@
 use troutspindle::cloud::{CloudClient, CloudEvent, MachinePool};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
+use troutspindle::schema::encoding;
+use troutspindle::schema::records::JobRecord;
 use troutspindle::settings::Settings;
 use troutspindle::store::StoreClient;
-use troutspindle::store::encoding;
-use troutspindle::store::records::JobRecord;
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -382,7 +382,8 @@
         key: String,
         data: StoreValue,
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        hold: Option<LeaseId>,
+        #[serde(rename = "hold")]
+        lease: Option<LeaseId>,
     },
     Delete {
         #[serde(rename = "remove")]
@@ -400,7 +401,8 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
-    pub guards: Vec<Precondition>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
@@ -445,7 +447,8 @@
 pub struct WatchResponse {
     #[serde(rename = "storeRev")]
     pub rev: Revision,
-    pub news: Vec<WatchEvent>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -135,7 +135,7 @@
     fn show(&mut self) {
         let leader = self.store.keys.get(LEADER_KEY);
         let leader = leader.and_then(|(data, ..)| data.deserialized::<LeaderRecord>().ok());
-        self.counters.leader = leader.map(|record| record.node);
+        self.counters.leader = leader.map(|record| record.controller);
         self.counters.keys = self.store.keys.len() as u64;
         self.shown.send_replace(self.counters.clone());
     }
@@ -271,7 +271,7 @@
                 Response::empty(410)
             } else {
                 let mut news = self.store.news(follow.after);
-                news.news.retain(|change| {
+                news.events.retain(|change| {
                     let key = change.put.as_ref().or(change.delete.as_ref());
                     key.is_some_and(|key| key.starts_with(&follow.starts))
                 });
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -70,7 +70,7 @@
         let node = &node.to_le_bytes();
         match effect {
             Effect::Reply(ticket, response) => trace.response(at_ms, node, *ticket, response),
-            Effect::State(_, call) => trace.request("state", at_ms, node, &call.request().0),
+            Effect::State(_, call) => trace.request("state", at_ms, node, &call.to_http().request),
             Effect::Cloud(_, call) => trace.request("cloud", at_ms, node, &call.request()),
             Effect::DirectCall(machine, address, direct) => {
                 let target = format!("{machine} {address}");
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -21,8 +21,8 @@
     Attempt, ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision, TaskId,
 };
 pub use troutspindle::peers::mesh::PeerMessage;
+pub use troutspindle::schema::encoding::json_len;
 pub use troutspindle::settings::Settings;
-pub use troutspindle::store::encoding::json_len;
 pub use troutspindle::store::{StoreRequest, StoreResponse};
 pub use troutspindle::wire::{
     self, CommandBatch, Heartbeat, JobKind, JobSpec, JobStatus, JobView, KeyValue, ListedMachine,
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -127,7 +127,7 @@
 
     pub fn news_for(&self, node: usize, after: u64) -> WatchResponse {
         let mut news = self.news(after);
-        for change in news.news.iter_mut().filter(|_| self.old[node]) {
+        for change in news.events.iter_mut().filter(|_| self.old[node]) {
             if let (Some(key), Some(data)) = (&change.put, &mut change.data) {
                 *data = self.shown(key, data);
             }
--- a/crates/simulation/src/store_core.rs
+++ b/crates/simulation/src/store_core.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use troutspindle::ids::Revision;
-use troutspindle::store::encoding::json_len;
+use troutspindle::schema::encoding::json_len;
 use troutspindle::wire::{StoreValue, Transaction, WatchEvent, WatchResponse, Write};
 
 /// A value with the revision of its last change and the lease that it is attached to.
@@ -45,7 +45,7 @@
         (ops, bytes): (usize, usize),
     ) -> Result<Revision, CommitError> {
         let failed: Vec<String> = txn
-            .guards
+            .preconditions
             .iter()
             .filter(|g| self.keys.get(&g.key).map_or(0, |(_, rev, _)| *rev) != g.rev.0)
             .map(|g| g.key.clone())
@@ -57,11 +57,14 @@
             Write::Put { data, .. } => json_len(data) > bytes,
             Write::Delete { .. } => false,
         };
-        if txn.writes.len() > ops || txn.guards.len() > ops * 4 || txn.writes.iter().any(large) {
+        if txn.writes.len() > ops
+            || txn.preconditions.len() > ops * 4
+            || txn.writes.iter().any(large)
+        {
             return Err(CommitError::TooLarge);
         }
         for write in &txn.writes {
-            if let Write::Put { hold: Some(lease), .. } = write
+            if let Write::Put { lease: Some(lease), .. } = write
                 && !self.leases.contains_key(&lease.0)
             {
                 return Err(CommitError::NoSuchLease);
@@ -71,9 +74,9 @@
         for write in txn.writes {
             let rev = self.rev;
             match write {
-                Write::Put { key, data, hold } => {
+                Write::Put { key, data, lease } => {
                     self.log.push((rev, key.clone(), Some(data.clone())));
-                    self.keys.insert(key, (data, rev, hold.map(|lease| lease.0)));
+                    self.keys.insert(key, (data, rev, lease.map(|lease| lease.0)));
                 }
                 Write::Delete { key } => {
                     self.log.push((rev, key.clone(), None));
@@ -92,7 +95,7 @@
                 if data.is_some() { (Some(key.clone()), None) } else { (None, Some(key.clone())) };
             WatchEvent { put, delete, data: data.clone(), rev: Revision(*rev) }
         });
-        WatchResponse { rev: Revision(self.rev), news: news.collect() }
+        WatchResponse { rev: Revision(self.rev), events: news.collect() }
     }
 
     /// Ends a lease and removes the keys that are attached to it.
@@ -101,7 +104,7 @@
         let keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, hold))| *hold == Some(lease))
+            .filter(|(_, (_, _, attached_to))| *attached_to == Some(lease))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
--- a/src/api.rs
+++ b/src/api.rs
@@ -274,7 +274,7 @@
             (None, live) => {
                 let running = u64::from(self.running.get(&id).copied().unwrap_or(0));
                 let status = if running > 0 { JobStatus::Running } else { JobStatus::Queued };
-                let done = live.map_or(0, |live| live.done_count());
+                let done = live.map_or(0, |live| live.completed_count());
                 JobView { id, status, done, running }
             }
         };
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -28,8 +28,8 @@
         let job = store.cache.jobs.get(id)?;
         let mut transaction = jobs::cancel(id, job, self.wall.ms(now), &store.layout())?;
         let zone_of = |peer: &ControllerId| self.zone_of(peer);
-        match self.promises.guards(id, &store.cache, zone_of, now) {
-            Ok(preconditions) => transaction.guards.extend(preconditions),
+        match self.promises.preconditions(id, &store.cache, zone_of, now) {
+            Ok(preconditions) => transaction.preconditions.extend(preconditions),
             Err(missing) => return self.await_promises(ticket, id.clone(), missing, now),
         }
         // Should it be applied late, this controller may be the one cut off by then.
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -22,7 +22,7 @@
     pub(super) fn decode(route: Route, body: &[u8]) -> Option<UserRequest> {
         match route {
             Route::Poll(id) => return Some(UserRequest::Poll(id)),
-            Route::Abort(id) => return Some(UserRequest::Cancel(id)),
+            Route::Cancel(id) => return Some(UserRequest::Cancel(id)),
             _ => {}
         }
         if let Ok(spec) = wire::decode::<JobSpec>(body)
--- a/src/api/routing.rs
+++ b/src/api/routing.rs
@@ -45,8 +45,8 @@
     // Operators' paths that are disabled don't exist, whatever is asked of them.
     let operators = |route| if request.method == Method::Post { route } else { Route::Unknown };
     match path {
-        "/up" => with(Method::Get, Route::Up),
-        "/hello" => with(Method::Post, Route::Hello),
+        "/up" => with(Method::Get, Route::Health),
+        "/hello" => with(Method::Post, Route::Heartbeat),
         JOBS_PATH => with(Method::Post, Route::Submit),
         ops::AT_RISK_PATH => operators(Route::AtRisk),
         ops::STARVING_PATH => operators(Route::Starving),
@@ -62,7 +62,7 @@
     let Some(job) = job else { return Route::Unknown };
     match job.split_once('/') {
         None if valid_id(job) => with(Method::Get, Route::Poll(JobId::new(job))),
-        Some((id, "abort")) if valid_id(id) => with(Method::Post, Route::Abort(JobId::new(id))),
+        Some((id, "abort")) if valid_id(id) => with(Method::Post, Route::Cancel(JobId::new(id))),
         _ => Route::Unknown,
     }
 }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -4,10 +4,11 @@
 use crate::http::{Method, Request, Response};
 use crate::ids::{ControllerId, JobId, Revision};
 use crate::jobs;
-use crate::store::records::{FORMAT, VersionRecord};
+use crate::schema::records::{FORMAT, VersionRecord};
+use crate::schema::{encoding, keys};
 use crate::store::{
-    MACHINE_TYPES_KEY, StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin, encoding,
-    keys,
+    MACHINE_TYPES_KEY, OutgoingRequest, StoreClient, StoreEvent, StoreRequest, StoreResponse,
+    WriteOrigin,
 };
 use crate::wire::{self, JobKind, JobSpec, StoreValue};
 use std::sync::Arc;
@@ -15,20 +16,20 @@
 use tokio::time::Instant;
 
 #[test]
-fn only_the_protocol_s_paths_and_ids_are_known() {
+fn only_paths_and_ids_of_the_protocol_are_routed() {
     let at =
         |method, target: &str| route(&Request { method, target: target.into(), body: Vec::new() });
-    assert_eq!(at(Method::Get, "/up"), Route::Up);
+    assert_eq!(at(Method::Get, "/up"), Route::Health);
     assert_eq!(at(Method::Post, "/up"), Route::WrongMethod);
     assert_eq!(at(Method::Get, "/api/jobs/wk-7"), Route::Poll(JobId::new("wk-7")));
-    assert_eq!(at(Method::Post, "/api/jobs/wk-7/abort"), Route::Abort(JobId::new("wk-7")));
+    assert_eq!(at(Method::Post, "/api/jobs/wk-7/abort"), Route::Cancel(JobId::new("wk-7")));
     for path in ["/", "/api/jobs/", "/api/jobs/wk-", "/api/jobs/wk-1/x", "/api/jobs/wk-1%2f"] {
         assert_eq!(at(Method::Get, path), Route::Unknown, "{path}");
     }
 }
 
 /// The core with a state service that does all it is told and knows what is given.
-struct Asked {
+struct TestApi {
     api: Api,
     state: StoreClient,
     rev: u64,
@@ -36,19 +37,19 @@
     syncs: u32,
 }
 
-impl Asked {
+impl TestApi {
     /// Two controllers, of which `told` say that they read the newest format.
-    fn new(told: usize) -> Asked {
+    fn new(told: usize) -> TestApi {
         let now = Instant::now();
         let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
         let names = ["n-0", "n-1"].map(ControllerId::new).to_vec();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, names.clone(), 1, now);
         state.poll(now);
-        let (id, _) = state.calls.pop_front().unwrap();
+        let id = state.next_request().unwrap().id;
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
         let flavors = encoding::to_value(&vec![crate::settings::plain_flavor()]);
-        let version = VersionRecord { format: FORMAT, chunk: 16_384 };
+        let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
         let told = names.iter().take(told);
         let told = told.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
         let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
@@ -56,10 +57,10 @@
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
         state.on_response(id, StoreResponse::Range(page), now);
         let api = Api::new(settings, WallClock { at: now, ms: 5 }).unwrap();
-        Asked { api, state, rev: 1, now, syncs: 0 }
+        TestApi { api, state, rev: 1, now, syncs: 0 }
     }
 
-    fn ask(&mut self, body: &[u8]) -> Response {
+    fn submit_body(&mut self, body: &[u8]) -> Response {
         let answer = self.api.on_request(10, Route::Submit, body, &mut self.state, self.now);
         if let Some(answer) = answer {
             return answer;
@@ -67,9 +68,8 @@
         loop {
             self.now += Duration::from_millis(500);
             self.state.poll(self.now);
-            let calls: Vec<_> = self.state.calls.drain(..).collect();
-            for (id, call) in calls {
-                let reply = match call {
+            while let Some(OutgoingRequest { id, request }) = self.state.next_request() {
+                let response = match request {
                     StoreRequest::Watch { wait, .. } if !wait.is_zero() => {
                         StoreResponse::Unavailable
                     }
@@ -81,12 +81,12 @@
                     _ => {
                         self.syncs += 1;
                         let rev = Revision(self.rev);
-                        StoreResponse::Watch(wire::WatchResponse { rev, news: vec![] })
+                        StoreResponse::Watch(wire::WatchResponse { rev, events: vec![] })
                     }
                 };
-                self.state.on_response(id, reply, self.now);
+                self.state.on_response(id, response, self.now);
             }
-            while let Some(event) = self.state.events.pop_front() {
+            while let Some(event) = self.state.next_event() {
                 let (api, state) = (&mut self.api, &mut self.state);
                 let answer = match event {
                     StoreEvent::Synced(10) => api.on_synced(10, state, self.now),
@@ -105,45 +105,41 @@
     fn submit(&mut self, id: &str, shape: JobKind, depends_on: &[&str]) -> u16 {
         let depends_on = Some(depends_on.iter().map(|id| JobId::new(id)).collect());
         let spec = JobSpec { shape, depends_on, ..jobs::fixtures::job_spec(id, 2) };
-        self.ask(&wire::encode(&spec)).status
+        self.submit_body(&wire::encode(&spec)).status
     }
 }
 
 #[test]
-fn a_job_may_wait_for_what_was_accepted_and_for_nothing_else() {
-    let mut asked = Asked::new(2);
-    assert_eq!(asked.submit("wk-1", JobKind::Array, &[]), 201);
-    assert_eq!(asked.submit("wk-2", JobKind::Service, &[]), 201);
-    assert_eq!(asked.submit("wk-3", JobKind::Array, &["wk-1", "wk-1"]), 201);
+fn a_job_may_depend_on_accepted_jobs_only() {
+    let mut api = TestApi::new(2);
+    assert_eq!(api.submit("wk-1", JobKind::Array, &[]), 201);
+    assert_eq!(api.submit("wk-2", JobKind::Service, &[]), 201);
+    assert_eq!(api.submit("wk-3", JobKind::Array, &["wk-1", "wk-1"]), 201);
     // Accepted without one; the answer then waits for news of what it names.
-    let synced = asked.syncs;
+    let synced = api.syncs;
     assert_eq!(synced, 1);
-    let job = asked.state.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
+    let job = api.state.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
     assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
-    // Never accepted, itself, a service: for good, but only once the store has been asked.
+    // Never accepted, itself, a service: for good, but only once the store has been api.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
-        assert_eq!(
-            asked.submit("wk-4", JobKind::Array, &["wk-1", depends_on]),
-            422,
-            "{depends_on}"
-        );
-        assert_eq!(asked.syncs, synced + n as u32 + 1);
+        assert_eq!(api.submit("wk-4", JobKind::Array, &["wk-1", depends_on]), 422, "{depends_on}");
+        assert_eq!(api.syncs, synced + n as u32 + 1);
     }
-    assert_eq!(asked.submit("wk-4", JobKind::Array, &["job-1"]), 400);
+    assert_eq!(api.submit("wk-4", JobKind::Array, &["job-1"]), 400);
     // A repeat is known whatever it says now.
-    assert_eq!(asked.submit("wk-3", JobKind::Array, &["wk-9"]), 200);
+    assert_eq!(api.submit("wk-3", JobKind::Array, &["wk-9"]), 200);
     // As many as a body may name, in a record far larger than a value.
     let many: Vec<String> = (0..3000).map(|n| format!("wk-{}", n + 100)).collect();
     for id in &many {
-        assert_eq!(asked.submit(id, JobKind::Array, &[]), 201);
+        assert_eq!(api.submit(id, JobKind::Array, &[]), 201);
     }
     let names: Vec<&str> = many.iter().map(String::as_str).collect();
-    assert_eq!(asked.submit("wk-5", JobKind::Array, &names), 201);
+    assert_eq!(api.submit("wk-5", JobKind::Array, &names), 201);
 }
 
 #[test]
-fn what_is_no_list_of_names_is_malformed_and_nothing_stands_for_no_list() {
-    let mut asked = Asked::new(2);
+fn a_malformed_list_of_dependencies_is_rejected_and_null_means_none() {
+    let mut api = TestApi::new(2);
     let spec = jobs::fixtures::job_spec("wk-1", 2);
     let StoreValue::Map(fields) = encoding::to_value(&spec) else { panic!() };
     let with = |depends_on: StoreValue| {
@@ -158,29 +154,29 @@
         StoreValue::Map(vec![]),
     ];
     for depends_on in wrong {
-        assert_eq!(asked.ask(&with(depends_on.clone())).status, 400, "{depends_on:?}");
+        assert_eq!(api.submit_body(&with(depends_on.clone())).status, 400, "{depends_on:?}");
     }
-    assert_eq!(asked.ask(&with(StoreValue::Null)).status, 201);
-    assert_eq!(asked.ask(&with(StoreValue::Array(vec![]))).status, 200);
-    assert_eq!(asked.ask(&with(StoreValue::from(7))).status, 200);
+    assert_eq!(api.submit_body(&with(StoreValue::Null)).status, 201);
+    assert_eq!(api.submit_body(&with(StoreValue::Array(vec![]))).status, 200);
+    assert_eq!(api.submit_body(&with(StoreValue::from(7))).status, 200);
 }
 
 /// An old leader would start it at once.
 #[test]
-fn a_job_that_waits_is_refused_while_any_controller_may_be_old() {
-    let mut asked = Asked::new(1);
-    assert_eq!(asked.submit("wk-1", JobKind::Array, &[]), 201);
+fn a_job_with_dependencies_is_refused_while_any_controller_may_be_old() {
+    let mut api = TestApi::new(1);
+    assert_eq!(api.submit("wk-1", JobKind::Array, &[]), 201);
     let spec = JobSpec {
         depends_on: Some(vec![JobId::new("wk-1")]),
         ..jobs::fixtures::job_spec("wk-2", 2)
     };
-    let answer = asked.ask(&wire::encode(&spec));
+    let answer = api.submit_body(&wire::encode(&spec));
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s.is_some());
-    assert!(asked.state.cache.jobs.get(&JobId::new("wk-2")).is_none());
+    assert!(api.state.cache.jobs.get(&JobId::new("wk-2")).is_none());
 }
 
-/// Guests have neither guarantee nor limit; each of their jobs was once refused for good.
+/// Guests have neither quota nor limit; each of their jobs was once rejected.
 #[test]
 fn a_team_without_a_limit_may_run_whatever_fits_a_machine() {
     let teams = r#"[{"name":"t","cpus":2.0,"cpus_max":8.0},{"name":"guest"}]"#;
@@ -239,7 +235,7 @@
 /// omitted." "Unknown fields must be ignored by receivers." "Retrying an accepted job returns 200 with the job's
 /// current state", whatever the retry says.
 #[test]
-fn a_broken_submission_is_malformed_unless_its_job_is_known() {
+fn a_malformed_submission_is_rejected_unless_its_job_is_known() {
     let whole = jobs::fixtures::job_spec("wk-1", 2);
     let StoreValue::Map(fields) = encoding::to_value(&whole) else { panic!() };
     // None: without the field.
@@ -253,7 +249,7 @@
         wire::encode(&StoreValue::Map(fields))
     };
     let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(StoreValue::from);
-    let mut asked = Asked::new(2);
+    let mut api = TestApi::new(2);
     let mut broken = 0;
     for (name, field) in FIELDS {
         let mut values =
@@ -261,11 +257,15 @@
         if field == Field::MayBeNull {
             let id = format!("wk-9{broken}");
             assert_eq!(
-                asked.ask(&with(&id, name, Some(StoreValue::Null))).status,
+                api.submit_body(&with(&id, name, Some(StoreValue::Null))).status,
                 201,
                 "{name}: null"
             );
-            assert_eq!(asked.ask(&with(&format!("{id}0"), name, None)).status, 201, "{name}: none");
+            assert_eq!(
+                api.submit_body(&with(&format!("{id}0"), name, None)).status,
+                201,
+                "{name}: none"
+            );
         } else {
             values.extend([None, Some(StoreValue::Null)]);
         }
@@ -291,23 +291,23 @@
         };
         values.extend(more.into_iter().map(Some));
         for value in values {
-            let answer = asked.ask(&with("wk-1", name, value.clone()));
+            let answer = api.submit_body(&with("wk-1", name, value.clone()));
             assert_eq!(answer.status, 400, "{name}: {value:?}");
             broken += 1;
         }
     }
-    assert!(broken > 100 && asked.state.cache.jobs.get(&JobId::new("wk-1")).is_none());
+    assert!(broken > 100 && api.state.cache.jobs.get(&JobId::new("wk-1")).is_none());
     for body in [&b""[..], b"{", b"\xff", &wire::encode(&StoreValue::from("wk-1")), b"\x80"] {
-        assert_eq!(asked.ask(body).status, 400);
+        assert_eq!(api.submit_body(body).status, 400);
     }
     let mut twice = wire::encode(&whole);
     twice.push(0);
-    assert_eq!(asked.ask(&twice).status, 400, "more than one item");
-    assert_eq!(asked.ask(&with("wk-1", "colour", Some(StoreValue::from("red")))).status, 201);
+    assert_eq!(api.submit_body(&twice).status, 400, "more than one item");
+    assert_eq!(api.submit_body(&with("wk-1", "colour", Some(StoreValue::from("red")))).status, 201);
     // Known by now.
     for (name, _) in FIELDS.into_iter().skip(1) {
         for value in [None, Some(StoreValue::Map(vec![]))] {
-            assert_eq!(asked.ask(&with("wk-1", name, value)).status, 200, "{name}");
+            assert_eq!(api.submit_body(&with("wk-1", name, value)).status, 200, "{name}");
         }
     }
 }
@@ -315,7 +315,7 @@
 /// "422: can never run: unknown team, a task fits no allowed machine type, or the job needs more than the team's limit
 /// (array: one task; service: all tasks)."
 #[test]
-fn what_can_never_run_is_refused_for_good_unless_its_job_is_known() {
+fn a_job_that_can_never_run_is_rejected_unless_it_is_known() {
     let plain = jobs::fixtures::job_spec("wk-1", 2);
     let spec = || JobSpec { team: "t".into(), ..plain.clone() };
     let never = [
@@ -328,12 +328,15 @@
         JobSpec { zone: Some("nowhere".into()), ..spec() },
         JobSpec { shape: JobKind::Service, tasks: 9, cpus: 1.0, ..spec() },
     ];
-    let mut asked = Asked::new(2);
+    let mut api = TestApi::new(2);
     for spec in &never {
-        assert_eq!(asked.ask(&wire::encode(spec)).status, 422, "{spec:?}");
+        assert_eq!(api.submit_body(&wire::encode(spec)).status, 422, "{spec:?}");
     }
-    assert_eq!(asked.ask(&wire::encode(&JobSpec { tasks: 9, cpus: 1.0, ..spec() })).status, 201);
+    assert_eq!(
+        api.submit_body(&wire::encode(&JobSpec { tasks: 9, cpus: 1.0, ..spec() })).status,
+        201
+    );
     for spec in &never {
-        assert_eq!(asked.ask(&wire::encode(spec)).status, 200, "known: {spec:?}");
+        assert_eq!(api.submit_body(&wire::encode(spec)).status, 200, "known: {spec:?}");
     }
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,7 +1,7 @@
 //! Which submissions are malformed, and which can never run.
 
 use crate::api::routing::valid_id;
-use crate::constants::LEGS_MAX;
+use crate::constants::MAX_TASKS_PER_JOB;
 use crate::ids::Amount;
 use crate::jobs::Jobs;
 use crate::settings::Settings;
@@ -44,7 +44,7 @@
         && text(&spec.class)
         && text(&spec.team)
         && spec.image.len() <= TEXT_MAX
-        && (1..=LEGS_MAX).contains(&spec.tasks)
+        && (1..=MAX_TASKS_PER_JOB).contains(&spec.tasks)
         && amounts.into_iter().chain(times).all(amount)
         && spec.flavors.as_ref().is_none_or(machine_types)
         && spec.zone.as_ref().is_none_or(|zone| text(zone))
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Renting, returning and listing machines: a core without clock or I/O.
 
-use crate::constants::{HIRE_MAX, STATE_BUDGET, STATE_RETRY};
+use crate::constants::{HIRE_MAX, RATE_LIMIT_SHARE, RETRY_PAUSE};
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::store::TokenBucket;
@@ -104,7 +104,7 @@
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
             // Other controllers may have spent of the same budget just before.
-            bucket: TokenBucket::new(rps * STATE_BUDGET, 1.0, now),
+            bucket: TokenBucket::new(rps * RATE_LIMIT_SHARE, 1.0, now),
             token: FencingToken(0),
             counter: 0,
             hires: BTreeMap::new(),
@@ -244,12 +244,12 @@
             _ => {}
         }
         if status == 429 {
-            self.rest_until = now + STATE_RETRY;
+            self.rest_until = now + RETRY_PAUSE;
         }
         match call {
             CloudRequest::MachineTypes => {
                 self.flavors_in_flight = false;
-                self.flavors_at = now + STATE_RETRY * 4;
+                self.flavors_at = now + RETRY_PAUSE * 4;
                 if status == 200
                     && let Ok(found) = wire::decode::<MachineTypes>(&body)
                 {
@@ -274,14 +274,14 @@
                 } else if status == 503 && !no_capacity(&body) {
                     // The cloud as a whole is out; that tells nothing of what it has.
                     self.hires.remove(&n);
-                    self.rest_until = now + STATE_RETRY * 4;
+                    self.rest_until = now + RETRY_PAUSE * 4;
                 } else if status == 503 || status == 400 {
                     self.hires.remove(&n);
                     events.push(CloudEvent::Refused(kind));
                 } else if let Some(open) = self.hires.get_mut(&n) {
                     // Perhaps executed: the same name again gets the same machines.
                     open.in_flight = false;
-                    open.next = now + STATE_RETRY * 2;
+                    open.next = now + RETRY_PAUSE * 2;
                 }
             }
             CloudRequest::Delete(machines) => {
@@ -294,7 +294,7 @@
                 } else {
                     for machine in &machines {
                         if let Some(at) = self.deletes.get_mut(machine) {
-                            *at = now + STATE_RETRY * 2;
+                            *at = now + RETRY_PAUSE * 2;
                         }
                     }
                 }
@@ -314,7 +314,7 @@
                             ));
                         }
                     }
-                    _ => self.list_at = now + STATE_RETRY * 4,
+                    _ => self.list_at = now + RETRY_PAUSE * 4,
                 }
             }
         }
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -25,7 +25,7 @@
     let (id, name) = hire_sent(&mut core, now);
     assert!(core.on_response(id, Err(CallError::Unknown), now).is_empty());
     assert_eq!(core.pending(), [(KIND, 2)]);
-    let later = now + STATE_RETRY * 3;
+    let later = now + RETRY_PAUSE * 3;
     let (id, again) = hire_sent(&mut core, later);
     assert_eq!(name, again);
     let refused = core.on_response(id, refusal(NO_CAPACITY), later);
@@ -60,7 +60,7 @@
     let id = core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).unwrap().0;
     assert!(core.on_response(id, Err(CallError::NotSent), now).is_empty());
     core.out.clear();
-    core.poll(true, now + STATE_RETRY * 3);
+    core.poll(true, now + RETRY_PAUSE * 3);
     let (id, _) =
         core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).cloned().unwrap();
     let events = core.on_response(id, Ok(Response::empty(200)), now);
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -18,9 +18,9 @@
 /// have come, and each write is read by every controller.
 pub const MARKS_EVERY: Duration = Duration::from_millis(1000);
 /// Pause after a failed call to the state service, grown by a random half.
-pub const STATE_RETRY: Duration = Duration::from_millis(250);
+pub const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Share of the state service's budget that we plan to use; the rest is for its own counting.
-pub const STATE_BUDGET: f64 = 0.92;
+pub const RATE_LIMIT_SHARE: f64 = 0.92;
 /// Count. Writes of tidying up in one transaction: few, so that they hold up nothing.
 pub const TIDY_WRITES: usize = 4;
 /// Pause between two such transactions.
@@ -146,7 +146,7 @@
 /// A task that ran this long shows that its job does well: mistakes show at once.
 pub const PROVEN_AFTER: Duration = Duration::from_secs(10);
 /// Count. PROTOCOL's cap on the tasks of a job.
-pub const LEGS_MAX: u64 = 100_000;
+pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// How long another controller may answer reports on a leader's behalf after it last heard from
 /// it: longer than the cuts between zones that operators see.
 pub const DELEGATION_TERM: Duration = Duration::from_secs(45);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,12 +15,13 @@
 use crate::leadership::election::{Election, ElectionEvent};
 use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
+use crate::schema::encoding;
+use crate::schema::keys;
 use crate::settings::Settings;
-use crate::store::encoding;
-use crate::store::keys;
 use crate::store::{
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, STORE_UNAVAILABLE_AFTER,
-    StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, RELAY_PREFIX,
+    STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin,
+    WriteOutcome, WritePriority,
 };
 use crate::wire::{
     self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
@@ -261,10 +262,10 @@
 
     fn on_http(&mut self, ticket: u64, request: Request, now: Instant) {
         let response = match route(&request) {
-            Route::Up => {
+            Route::Health => {
                 Some(if self.is_up(now) { Response::empty(200) } else { Response::empty(503) })
             }
-            Route::Hello => self.on_hello(ticket, &request.body, now),
+            Route::Heartbeat => self.on_hello(ticket, &request.body, now),
             Route::Unknown => Some(Response::empty(404)),
             Route::WrongMethod => Some(Response::empty(405)),
             Route::AtRisk => Some(self.on_at_risk(&request.body, now)),
@@ -357,9 +358,9 @@
         if self.state.is_pending(&origin) {
             return;
         }
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
         self.state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin,
@@ -526,7 +527,7 @@
     /// Lets the cores act on what has happened until nothing more follows.
     fn pump(&mut self, now: Instant) {
         loop {
-            while let Some(event) = self.state.events.pop_front() {
+            while let Some(event) = self.state.next_event() {
                 self.on_state(event, now);
             }
             self.take_relayed(now);
@@ -556,13 +557,13 @@
             self.pump_sharing(now);
             self.state.poll(now);
             self.cloud.poll(act && self.scheduler.is_some(), now);
-            for (id, call) in self.state.calls.drain(..) {
+            while let Some(OutgoingRequest { id, request: call }) = self.state.next_request() {
                 self.out.push(Effect::State(id, call));
             }
             for (id, call) in self.cloud.out.drain(..) {
                 self.out.push(Effect::Cloud(id, call));
             }
-            if self.state.events.is_empty() {
+            if !self.state.has_events() {
                 return;
             }
         }
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::api::USER_QUEUE_MAX;
+use crate::store::TimedRequest;
 use crate::workers::command_delivery::WORKER_TIMEOUT;
 
 /// Timeout of the question whether a worker lives.
@@ -136,8 +137,8 @@
                     let (client, events) = (client.clone(), state_events.clone());
                     let address = platform.external.state;
                     tokio::spawn(async move {
-                        let (request, within) = call.request();
-                        let result = client.call(address, request, now + within).await;
+                        let TimedRequest { request, timeout } = call.to_http();
+                        let result = client.call(address, request, now + timeout).await;
                         let _ = events.send(Event::State(id, call.response(result)));
                     });
                 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -89,7 +89,7 @@
             author: order.author,
             reason: order.reason,
         };
-        let key = drains::key(record.kind, &record.name);
+        let key = keys::drain_key(record.kind, &record.name);
         self.order(ticket, key, encoding::to_value(&record))
     }
 
@@ -97,7 +97,7 @@
         let Some(order) = self.opened(body, |order: &ops::DrainName| &order.key) else {
             return Some(Response::empty(404));
         };
-        let key = drains::key(order.kind, &order.name);
+        let key = keys::drain_key(order.kind, &order.name);
         if !self.state.cache.drains.contains_key(&key) {
             return Some(Response::empty(422));
         }
@@ -111,9 +111,9 @@
             return Some(Response::later(503));
         }
         let rev = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
         self.state.enqueue(PendingWrite {
             priority: WritePriority::Blocking,
             origin: WriteOrigin::Operator(ticket),
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -213,7 +213,7 @@
     /// A follower that does not hear its leader asks for a grant by way of the store.
     pub(super) fn relay_status(&mut self, beat: &PeerMessage, now: Instant) {
         let Some((leader, _)) = &self.state.cache.leader else { return };
-        let leader = leader.node.clone();
+        let leader = leader.controller.clone();
         let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
         if leader == self.settings.platform.host_name
             || now < self.relay_at
@@ -246,17 +246,18 @@
             return;
         }
         let whole = values.len() == 1;
-        for (n, some) in values.chunks(layout.txn_ops).enumerate() {
+        for (n, some) in values.chunks(layout.max_operations).enumerate() {
             let rev = |key: &String| self.state.cache.relays.get(key).copied().unwrap_or_default();
             let guard =
                 |(key, _): &(String, String)| Precondition { key: key.clone(), rev: rev(key) };
-            let guards = some.iter().map(guard).collect();
+            let preconditions = some.iter().map(guard).collect();
             let write = |(key, text): &(String, String)| Write::Put {
                 key: key.clone(),
                 data: StoreValue::Text(text.clone()),
-                hold: None,
+                lease: None,
             };
-            let transaction = Transaction { guards, writes: some.iter().map(write).collect() };
+            let transaction =
+                Transaction { preconditions, writes: some.iter().map(write).collect() };
             let origin = WriteOrigin::Relay(to.clone(), if whole { 0 } else { n + 1 });
             self.state.enqueue(PendingWrite {
                 priority: WritePriority::Blocking,
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -233,7 +233,7 @@
     fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
         let (leader, _) = self.state.cache.leader.as_ref()?;
         let lapsed = self.sharing.relay.lapsed(leader.token, now)?;
-        let silence = match self.peers.get(&leader.node) {
+        let silence = match self.peers.get(&leader.controller) {
             Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
             None => lapsed,
         };
@@ -245,7 +245,7 @@
         let fresh =
             synced.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
         let alive = fresh && !self.state.is_unavailable(now);
-        (apart && alive).then(|| leader.node.clone())
+        (apart && alive).then(|| leader.controller.clone())
     }
 
     pub(super) fn on_sharing(
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::leadership::delegation::DELEGATION_AFTER;
-use crate::store::records::{FORMAT, VersionRecord};
+use crate::schema::records::{FORMAT, VersionRecord};
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
 /// have come with the first's list of barred machines, and been acknowledged.
@@ -10,10 +10,10 @@
     let now = Instant::now();
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), now);
-    let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
+    let version = (VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 }, Revision(1));
     node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
@@ -24,7 +24,7 @@
     for number in 1..3 {
         node.relay(&ControllerId::new("m"), &grant(number));
         node.state.poll(now);
-        for (id, call) in node.state.calls.drain(..).collect::<Vec<_>>() {
+        while let Some(OutgoingRequest { id, request: call }) = node.state.next_request() {
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
@@ -32,7 +32,7 @@
             }
             node.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
-        node.state.events.clear();
+        while node.state.next_event().is_some() {}
     }
     let whole: Vec<_> = got.iter().map(|text| mesh::from_text(text)).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
@@ -46,7 +46,7 @@
     let up = |crowded: bool, peers: &[(bool, u64)]| {
         let mut node = Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
         node.state.poll(now);
-        let (id, _) = node.state.calls.pop_front().unwrap();
+        let id = node.state.next_request().unwrap().id;
         let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
         node.state.on_response(id, StoreResponse::Range(page), now);
         node.crowded = crowded;
@@ -162,7 +162,7 @@
     send(&mut node, 1, ops::DRAIN_PATH, body(&drain("a")));
     assert_eq!(told(&mut node), [(1, 503)], "nothing is known of the store yet");
     node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), now);
     send(&mut node, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
@@ -180,7 +180,7 @@
         send(&mut node, ticket, path, order);
         assert_eq!(told(&mut node), [], "not before it is kept");
         node.state.poll(now);
-        let calls: Vec<_> = node.state.calls.drain(..).collect();
+        let calls: Vec<_> = std::iter::from_fn(|| node.state.next_request()).collect();
         let commit = calls.into_iter().find_map(|(id, call)| match call {
             StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
@@ -189,13 +189,13 @@
         // The key stays when an order is taken back: one without an answer that is carried out late, with the
         // guard of the first one, finds it changed.
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
-        guarded.push(txn.guards[0].rev);
+        guarded.push(txn.preconditions[0].rev);
         let reply = match reply {
             Some(rev) => StoreResponse::Committed(rev),
-            None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
+            None => StoreResponse::Conflict(vec![txn.preconditions[0].key.clone()]),
         };
         node.state.on_response(id, reply, now);
-        while let Some(event) = node.state.events.pop_front() {
+        while let Some(event) = node.state.next_event() {
             node.on_state(event, now);
         }
         assert_eq!(told(&mut node), [(ticket, status)]);
@@ -213,7 +213,7 @@
     let wall = WallClock { at: start, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
     node.state.poll(start);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), start);
     node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -40,7 +40,7 @@
         if let Some(orders) = self.answer_for_leader(report, now) {
             return Response::with(200, wire::encode(&orders));
         }
-        let leader = self.state.cache.leader.as_ref().map(|(leader, _)| &leader.node);
+        let leader = self.state.cache.leader.as_ref().map(|(leader, _)| &leader.controller);
         match self.later_leader(now).or(leader) {
             Some(node) if *node != self.settings.platform.host_name => redirect(node),
             _ => Response::later(503),
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -1,7 +1,6 @@
 //! Drains as they are stored: what operators ordered, until they take it back. Older versions pass
 //! the keys over and go on placing tasks there while they lead.
 
-use crate::store::keys::{DRAIN_PREFIX, key_hash};
 use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
 use troutspindle_protocol::ops::DrainKind;
@@ -29,30 +28,25 @@
     pub reason: String,
 }
 
-/// The key of a drain. Names may be of any text, keys may not.
-pub fn key(kind: DrainKind, name: &str) -> String {
-    format!("{DRAIN_PREFIX}{}", key_hash(&(kind, name)))
-}
-
 /// The drains that are in force, looked up for many machines.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Drained {
+pub struct DrainSet {
     records: Vec<DrainRecord>,
 }
 
-impl Drained {
+impl DrainSet {
     /// Whether nothing is drained.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     /// Whether a zone is drained.
-    pub fn zone(&self, name: &str) -> bool {
+    pub fn covers_zone(&self, name: &str) -> bool {
         self.records.iter().any(|drain| drain.kind == DrainKind::Zone && drain.name == name)
     }
 
     /// The drain that covers a machine, the one that is to be done first.
-    pub fn of(&self, machine: &str, zone: &str) -> Option<&DrainRecord> {
+    pub fn drain_of_machine(&self, machine: &str, zone: &str) -> Option<&DrainRecord> {
         let covers = |drain: &&DrainRecord| match drain.kind {
             DrainKind::Zone => drain.name == zone,
             DrainKind::Machine => drain.name == machine,
@@ -62,8 +56,8 @@
     }
 }
 
-impl<'a> FromIterator<&'a DrainRecord> for Drained {
-    fn from_iter<I: IntoIterator<Item = &'a DrainRecord>>(records: I) -> Drained {
-        Drained { records: records.into_iter().cloned().collect() }
+impl<'a> FromIterator<&'a DrainRecord> for DrainSet {
+    fn from_iter<I: IntoIterator<Item = &'a DrainRecord>>(records: I) -> DrainSet {
+        DrainSet { records: records.into_iter().cloned().collect() }
     }
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,5 +1,5 @@
 //! Jobs as this process knows them, and how they change. How they are stored is in
-//! [`crate::store::records`].
+//! [`crate::schema::records`].
 
 mod completed_chunks;
 pub mod dag;
--- a/src/jobs/completed_chunks.rs
+++ b/src/jobs/completed_chunks.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{JobId, Revision};
 use crate::jobs::task_set::TaskSet;
-use crate::store::keys::{
+use crate::schema::keys::{
     COMPLETED_CHUNK_PREFIX, LEGACY_COMPLETED_CHUNK_PREFIX, completed_chunk_key,
     legacy_completed_chunk_key,
 };
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -3,7 +3,7 @@
 use crate::ids::{Amount, JobId, Revision};
 use crate::jobs::completed_chunks::ChunkRevisions;
 use crate::jobs::task_set::TaskSet;
-use crate::store::records::{JobRecord, Layout, RECORD_TASKS, SpecChunks, TaskFootprint};
+use crate::schema::records::{JobRecord, Layout, RECORD_TASKS, SpecChunks, TaskFootprint};
 use crate::wire::{JobSpec, JobStatus};
 use std::sync::Arc;
 
@@ -155,7 +155,7 @@
     /// Its record with these completed tasks, if that is where they may be stored.
     pub(super) fn record_with(&self, completed: &TaskSet, layout: &Layout) -> Option<JobRecord> {
         if !layout.is_second() {
-            return Some(self.record(completed.chunk(0, layout.chunk).to_hex()));
+            return Some(self.record(completed.chunk(0, layout.legacy_chunk_tasks).to_hex()));
         }
         if self.spec.tasks > RECORD_TASKS || self.spec_chunks.is_some() {
             return None;
--- a/src/jobs/spec_chunks.rs
+++ b/src/jobs/spec_chunks.rs
@@ -1,9 +1,9 @@
 //! Descriptions that are too long for their job's record, and are stored in chunks.
 
 use crate::ids::{JobId, Revision};
-use crate::store::encoding::decode_spec;
-use crate::store::keys::{SPEC_CHUNK_PREFIX, spec_chunk_key};
-use crate::store::records::SpecChunks;
+use crate::schema::encoding::decode_spec;
+use crate::schema::keys::{SPEC_CHUNK_PREFIX, spec_chunk_key};
+use crate::schema::records::SpecChunks;
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -9,9 +9,9 @@
 use crate::jobs::model::{Job, JobBody, LiveJob, OrphanedTasks};
 use crate::jobs::spec_chunks::{SpecChunkKey, SpecChunkTable};
 use crate::jobs::task_set::TaskSet;
-use crate::store::encoding::to_value;
-use crate::store::keys::job_key;
-use crate::store::records::{COMPLETED_CHUNK_TASKS, JobPhase, JobRecord, SpecChunks};
+use crate::schema::encoding::to_value;
+use crate::schema::keys::job_key;
+use crate::schema::records::{COMPLETED_CHUNK_TASKS, JobPhase, JobRecord, SpecChunks};
 use crate::wire::{JobSpec, StoreValue, Write};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::{BTreeMap, BTreeSet};
@@ -393,7 +393,7 @@
     pub fn garbage(&self, max_writes: usize) -> Vec<GarbageWrite> {
         let cancelled = self.cancelled_by_dependency.iter().filter_map(|id| {
             let record = JobRecord { phase: JobPhase::Cancelled, ..JobRecord::live(0, None) };
-            let write = Write::Put { key: job_key(id), data: to_value(&record), hold: None };
+            let write = Write::Put { key: job_key(id), data: to_value(&record), lease: None };
             Some(GarbageWrite { write, revision: self.all.get(id)?.rev })
         });
         cancelled.chain(self.garbage.writes()).take(max_writes).collect()
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -3,8 +3,8 @@
     Acceptance, FinalState, GarbageWrite, Jobs, LiveJob, TaskSet, accept, cancel, complete, dag,
     fixtures,
 };
-use crate::store::keys::JOB_PREFIX;
-use crate::store::records::Layout;
+use crate::schema::keys::JOB_PREFIX;
+use crate::schema::records::Layout;
 use crate::wire::{self, JobSpec, JobStatus, Precondition, StoreValue, Transaction, Write};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,8 @@
     Arc::new(fixtures::job_spec(id, tasks))
 }
 
-const LAYOUT: Layout = Layout { format: 1, chunk: 16_384, txn_ops: 4, value_max: 1800 };
+const LAYOUT: Layout =
+    Layout { format: 1, legacy_chunk_tasks: 16_384, max_operations: 4, value_max: 1800 };
 
 fn record(spec: &Arc<JobSpec>, jobs: &Jobs) -> Transaction {
     match accept(spec, 5, &LAYOUT, jobs) {
@@ -30,10 +31,10 @@
 
 impl Store {
     fn commit(&mut self, transaction: &Transaction, layout: &Layout) -> bool {
-        assert!(transaction.writes.len() <= layout.txn_ops);
-        assert!(transaction.guards.len() <= layout.txn_ops * 4);
+        assert!(transaction.writes.len() <= layout.max_operations);
+        assert!(transaction.preconditions.len() <= layout.max_operations * 4);
         let rev = |key| self.keys.get(key).filter(|(v, _)| v.is_some()).map_or(0, |(_, r)| *r);
-        if transaction.guards.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
+        if transaction.preconditions.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
             return false;
         }
         self.rev += 1;
@@ -59,7 +60,7 @@
     }
     /// What a process finds that reads all keys in this order.
     fn read(&self, order: impl Iterator<Item = usize>) -> Jobs {
-        let mut jobs = Jobs::new(LAYOUT.chunk);
+        let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
         let there: Vec<&String> =
             self.keys.iter().filter(|(_, (v, _))| v.is_some()).map(|(k, _)| k).collect();
         order.filter_map(|n| there.get(n)).for_each(|key| self.take(&mut jobs, key));
@@ -81,7 +82,7 @@
 
 #[test]
 fn a_job_is_done_with_its_last_task_in_any_order_and_with_repeats() {
-    let mut jobs = Jobs::new(LAYOUT.chunk);
+    let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-1");
     let transaction = record(&spec("wk-1", 40), &jobs);
     apply(&mut jobs, &transaction, 1);
@@ -105,7 +106,7 @@
 
 #[test]
 fn older_revisions_and_changes_of_finished_jobs_are_ignored() {
-    let mut jobs = Jobs::new(LAYOUT.chunk);
+    let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-2");
     let first = record(&spec("wk-2", 2), &jobs);
     apply(&mut jobs, &first, 1);
@@ -113,7 +114,7 @@
     let half = complete(&id, &job, &[0], 0, 7, &LAYOUT).unwrap().transaction;
     apply(&mut jobs, &half, 2);
     apply(&mut jobs, &first, 1);
-    assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 1);
+    assert_eq!(jobs.get(&id).unwrap().live().unwrap().completed_count(), 1);
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     apply(&mut jobs, &end, 4);
     apply(&mut jobs, &half, 9);
@@ -128,7 +129,7 @@
 /// nothing is left in the end.
 #[test]
 fn a_large_job_goes_on_in_the_second_layout_from_any_point() {
-    let first = Layout { format: 0, txn_ops: 12, value_max: 14_000, ..LAYOUT };
+    let first = Layout { format: 0, max_operations: 12, value_max: 14_000, ..LAYOUT };
     for (tasks, step, cancelled) in
         [(3000, 700, false), (50_000, 9000, false), (50_000, 9000, true)]
     {
@@ -166,7 +167,8 @@
                 continue;
             }
             let layout = if round < 2 { first } else { LAYOUT };
-            let open: Vec<u32> = reported.iter().copied().filter(|n| !live.is_done(*n)).collect();
+            let open: Vec<u32> =
+                reported.iter().copied().filter(|n| !live.is_completed(*n)).collect();
             let Some(done) = complete(&id, jobs.get(&id).unwrap(), &open, 0, 9, &layout) else {
                 continue;
             };
@@ -176,21 +178,21 @@
                     live.completed.iter().filter(|n| !committed.contains(*n)).collect();
                 assert!(new.iter().all(|n| reported.contains(n)));
                 new.into_iter().for_each(|n| committed.insert(n));
-                assert!((0..tasks as u32).all(|n| !committed.contains(n) || live.is_done(n)));
+                assert!((0..tasks as u32).all(|n| !committed.contains(n) || live.is_completed(n)));
             }
         }
         let mut over = None;
         while over.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
             let jobs = store.read(0..store.keys.len());
             over = jobs.get(&id).unwrap().final_state();
-            let (guards, writes) = jobs
+            let (preconditions, writes) = jobs
                 .garbage(3)
                 .into_iter()
                 .map(|GarbageWrite { write, revision: rev }| {
                     (Precondition { key: write.key().into(), rev }, write)
                 })
                 .unzip();
-            assert!(store.commit(&Transaction { guards, writes }, &LAYOUT));
+            assert!(store.commit(&Transaction { preconditions, writes }, &LAYOUT));
         }
         let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
         assert_eq!(over.unwrap().status, status);
@@ -211,7 +213,7 @@
     }
     let jobs = store.read(0..store.keys.len());
     assert!(complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).is_none());
-    assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 100);
+    assert_eq!(jobs.get(&id).unwrap().live().unwrap().completed_count(), 100);
 }
 
 /// A description larger than a value, from the first chunk to garbage collection; a second submission
@@ -320,7 +322,7 @@
             .collect();
         let name = |n: usize| JobId::new(&format!("wk-{}", (n * 17) % 41));
         let mut store = Store::default();
-        let mut jobs = Jobs::new(LAYOUT.chunk);
+        let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
         let mut ended: BTreeMap<usize, bool> = BTreeMap::new();
         let mut accepted = 0;
         for (which, act) in acts {
@@ -346,7 +348,7 @@
                     // Garbage collection changes no state.
                     _ => {
                         let transaction = jobs.garbage(2).pop().map(|GarbageWrite { write, revision: rev }| Transaction {
-                            guards: vec![Precondition { key: write.key().into(), rev }],
+                            preconditions: vec![Precondition { key: write.key().into(), rev }],
                             writes: vec![write],
                         });
                         (transaction, None)
@@ -400,7 +402,7 @@
     let graphs: [fn(usize) -> Vec<usize>; 2] = [chain, layered];
     for depends_on in graphs {
         for backward in [false, true] {
-            let mut jobs = Jobs::new(LAYOUT.chunk);
+            let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
             let name = |n: usize| JobId::new(&format!("wk-{n}"));
             let mut order: Vec<usize> = (0..5000).collect();
             if backward {
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -6,9 +6,9 @@
 use crate::jobs::model::{Job, LiveJob};
 use crate::jobs::table::Jobs;
 use crate::jobs::task_set::TaskSet;
-use crate::store::encoding::{EncodedSpec, encode_spec, to_value};
-use crate::store::keys::{job_key, spec_chunk_key};
-use crate::store::records::{COMPLETED_CHUNK_TASKS, JobPhase, JobRecord, Layout, SpecChunks};
+use crate::schema::encoding::{EncodedSpec, encode_spec, to_value};
+use crate::schema::keys::{job_key, spec_chunk_key};
+use crate::schema::records::{COMPLETED_CHUNK_TASKS, JobPhase, JobRecord, Layout, SpecChunks};
 use crate::wire::{JobKind, JobSpec, Precondition, StoreValue, Transaction, Write};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,31 +30,31 @@
 }
 
 fn put(key: String, data: StoreValue) -> Write {
-    Write::Put { key, data, hold: None }
+    Write::Put { key, data, lease: None }
 }
 
 /// Accepts a job.
 pub fn accept(spec: &Arc<JobSpec>, at_ms: u64, layout: &Layout, jobs: &Jobs) -> Acceptance {
     let key = job_key(&spec.id);
-    let mut guards = vec![Precondition { key: key.clone(), rev: Revision(0) }];
+    let mut preconditions = vec![Precondition { key: key.clone(), rev: Revision(0) }];
     let mut record = JobRecord::live(at_ms, Some(spec.clone()));
     if layout.is_second() && !layout.fits(&record) {
         let encoded = encode_spec(spec, layout.value_max);
         let stored = jobs.spec_chunks().revisions(&spec.id, &encoded.hash);
         if let Some(writes) = missing_spec_chunks(&spec.id, &encoded, &stored, layout) {
             let absent = |write: &Write| Precondition { key: write.key().into(), rev: Revision(0) };
-            guards.extend(writes.iter().map(absent));
-            return Acceptance::SpecChunks(Transaction { guards, writes });
+            preconditions.extend(writes.iter().map(absent));
+            return Acceptance::SpecChunks(Transaction { preconditions, writes });
         }
         // Orphaned chunks are removed from the first one on, so this precondition stands for all.
         let first = spec_chunk_key(&spec.id, &encoded.hash, 0);
         let rev = stored.get(&0).copied().unwrap_or_default();
-        guards.push(Precondition { key: first, rev });
+        preconditions.push(Precondition { key: first, rev });
         let count = encoded.chunks.len() as u32;
         record.spec_chunks = Some(SpecChunks { hash: encoded.hash, count });
         record.spec = None;
     }
-    Acceptance::JobRecord(Transaction { guards, writes: vec![put(key, to_value(&record))] })
+    Acceptance::JobRecord(Transaction { preconditions, writes: vec![put(key, to_value(&record))] })
 }
 
 /// The first chunks of a description that are not stored yet, as many as one transaction takes.
@@ -65,7 +65,7 @@
     layout: &Layout,
 ) -> Option<Vec<Write>> {
     // A transaction is bounded in bytes too.
-    let max_writes = layout.txn_ops.min(BODY_MAX / 2 / layout.value_max.max(1)).max(1);
+    let max_writes = layout.max_operations.min(BODY_MAX / 2 / layout.value_max.max(1)).max(1);
     let chunks = (0u32..).zip(&encoded.chunks);
     let missing = chunks.filter(|(number, _)| !stored.contains_key(number));
     let write = |(number, text)| put(spec_chunk_key(job, &encoded.hash, number), to_value(text));
@@ -76,7 +76,7 @@
 /// Cancels a job, unless it is finished.
 pub fn cancel(id: &JobId, job: &Job, now_ms: u64, layout: &Layout) -> Option<Transaction> {
     let live = job.live()?;
-    let completed_count = live.done_count();
+    let completed_count = live.completed_count();
     let remaining = live.spec.tasks.saturating_sub(completed_count);
     // The oldest version says neither how many may run on nor since when.
     let second = layout.is_second();
@@ -96,7 +96,7 @@
 fn finish(id: &JobId, job: &Job, record: &JobRecord) -> Transaction {
     let key = job_key(id);
     Transaction {
-        guards: vec![Precondition { key: key.clone(), rev: job.rev }],
+        preconditions: vec![Precondition { key: key.clone(), rev: job.rev }],
         writes: vec![put(key, to_value(record))],
     }
 }
@@ -113,7 +113,7 @@
     layout: &Layout,
 ) -> Option<Completion> {
     let live = job.live()?;
-    let new = tasks.iter().filter(|task| **task < live.tasks() && !live.is_done(**task));
+    let new = tasks.iter().filter(|task| **task < live.tasks() && !live.is_completed(**task));
     let new: BTreeSet<u32> = new.copied().collect();
     let mut completed = live.completed.clone();
     new.iter().for_each(|task| completed.insert(*task));
@@ -143,15 +143,15 @@
     completed: &TaskSet,
     layout: &Layout,
 ) -> Transaction {
-    let mut guards = vec![Precondition { key: job_key(id), rev: record_rev }];
+    let mut preconditions = vec![Precondition { key: job_key(id), rev: record_rev }];
     let mut writes = Vec::new();
     let record = live.record_with(completed, layout);
     let (chunk_layout, chunk_tasks) = match record {
-        Some(_) => (ChunkLayout::First, layout.chunk),
+        Some(_) => (ChunkLayout::First, layout.legacy_chunk_tasks),
         None => (ChunkLayout::Second, COMPLETED_CHUNK_TASKS),
     };
     let changed: BTreeSet<u32> = new.iter().map(|task| task / chunk_tasks).collect();
-    for number in changed.into_iter().take(layout.txn_ops) {
+    for number in changed.into_iter().take(layout.max_operations) {
         if let (Some(record), 0) = (&record, number) {
             writes.push(put(job_key(id), to_value(record)));
             continue;
@@ -159,9 +159,9 @@
         let chunk = ChunkId { layout: chunk_layout, number };
         let key = chunk.key(id);
         let rev = live.completed_chunks.get(&chunk).copied().unwrap_or_default();
-        guards.push(Precondition { key: key.clone(), rev });
+        preconditions.push(Precondition { key: key.clone(), rev });
         let tasks = completed.chunk(number * chunk_tasks, chunk_tasks);
         writes.push(put(key, StoreValue::Text(tasks.to_hex())));
     }
-    Transaction { guards, writes }
+    Transaction { preconditions, writes }
 }
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -8,11 +8,11 @@
 //! long that nothing it answered can outlive the cancellation's time. The proof is in
 //! `docs/design.md`, "A cut-off zone".
 
-use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, STATE_RETRY, WORKER_MARGIN};
+use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, RETRY_PAUSE, WORKER_MARGIN};
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
-use crate::store::records::VersionRecord;
+use crate::schema::records::VersionRecord;
+use crate::schema::{encoding, keys};
 use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
-use crate::store::{encoding, keys};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -83,9 +83,9 @@
             Stage::Leased(lease, _) => {
                 let (record, told) = version?;
                 let epoch = keys::version_key(&self.me);
-                let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
+                let put = |key: &str, data, lease| Write::Put { key: key.into(), data, lease };
                 StoreRequest::Commit(Transaction {
-                    guards: vec![
+                    preconditions: vec![
                         Precondition { key: self.key.clone(), rev: seen },
                         Precondition { key: epoch.clone(), rev: *told },
                     ],
@@ -109,7 +109,7 @@
         now: Instant,
     ) {
         self.in_flight = false;
-        self.due = now + STATE_RETRY * 2;
+        self.due = now + RETRY_PAUSE * 2;
         match (self.stage, call, reply) {
             (Stage::Absent, StoreRequest::GrantLease(_), StoreResponse::LeaseGranted(lease)) => {
                 self.stage = Stage::Leased(*lease, sent);
@@ -260,14 +260,14 @@
 
     /// What guards a cancellation of the job: for each other controller its key, or that it has
     /// none. `zone_of` tells where a controller stands.
-    pub fn guards(
+    pub fn preconditions(
         &self,
         id: &JobId,
         cache: &Cache,
         zone_of: impl Fn(&ControllerId) -> Option<String>,
         now: Instant,
     ) -> Result<Vec<Precondition>, Missing> {
-        let mut guards: BTreeMap<String, Revision> = BTreeMap::new();
+        let mut preconditions: BTreeMap<String, Revision> = BTreeMap::new();
         let (mut asked, mut late) = (Vec::new(), false);
         let given = self.given.get(id);
         let placed = self
@@ -277,12 +277,12 @@
         for peer in &self.peers {
             let seen = self.seen.get(peer);
             let rev = seen.and_then(|seen| seen.rev);
-            guards.insert(heartbeat_key(peer), rev.unwrap_or_default());
+            preconditions.insert(heartbeat_key(peer), rev.unwrap_or_default());
             if rev.is_none() {
                 // Applied late, it must not take a later absence for this one: a heartbeat in between has
                 // written this key, which never goes away.
                 let told = cache.versions.get(peer).map(|(_, rev)| *rev).unwrap_or_default();
-                guards.insert(keys::version_key(peer), told);
+                preconditions.insert(keys::version_key(peer), told);
             }
             let promise = given.and_then(|given| given.get(peer));
             let sure = match rev {
@@ -302,7 +302,7 @@
             if let (Some((leader, zones)), Some(zone)) = (placed, zone_of(peer))
                 && !zones.contains(&zone)
             {
-                guards.insert(crate::store::LEADER_KEY.into(), *leader);
+                preconditions.insert(crate::store::LEADER_KEY.into(), *leader);
                 continue;
             }
             match rev {
@@ -316,8 +316,8 @@
         if !asked.is_empty() {
             return Err(Missing::CancellationAcks(asked));
         }
-        let guards = guards.into_iter().map(|(key, rev)| Precondition { key, rev });
-        Ok(guards.chain(self.own.clone()).collect())
+        let preconditions = preconditions.into_iter().map(|(key, rev)| Precondition { key, rev });
+        Ok(preconditions.chain(self.own.clone()).collect())
     }
 }
 
--- a/src/leadership/controller_lease/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::store::records::{self, FORMAT, VersionRecord};
-use crate::store::{encoding, keys};
+use crate::schema::records::{self, FORMAT, VersionRecord};
+use crate::schema::{encoding, keys};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -26,10 +26,10 @@
     fn key_rev(&self) -> Revision {
         Revision(self.key.map_or(0, |(rev, ..)| rev))
     }
-    fn holds(&self, guards: &[Precondition]) -> bool {
+    fn holds(&self, preconditions: &[Precondition]) -> bool {
         let epoch = keys::version_key(&ControllerId::new("f"));
         let rev = |key: &str| if key == epoch { Revision(self.epoch) } else { self.key_rev() };
-        guards.iter().all(|guard| guard.rev == rev(&guard.key))
+        preconditions.iter().all(|guard| guard.rev == rev(&guard.key))
     }
     /// What a call of the controller does here.
     fn call(&mut self, call: &StoreRequest, now: Instant) -> StoreResponse {
@@ -42,8 +42,8 @@
                 self.leases[lease.0 as usize] = now + HEARTBEAT_LEASE;
                 StoreResponse::Done
             }
-            StoreRequest::Commit(txn) if self.holds(&txn.guards) => {
-                let Write::Put { hold: Some(lease), .. } = &txn.writes[0] else { panic!() };
+            StoreRequest::Commit(txn) if self.holds(&txn.preconditions) => {
+                let Write::Put { lease: Some(lease), .. } = &txn.writes[0] else { panic!() };
                 self.rev += 1;
                 self.key = Some((self.rev, lease.0, now));
                 self.epoch = self.rev;
@@ -82,7 +82,7 @@
         let mut other = born(start);
         let mut cache = Cache::new(16);
         cache.loaded = true;
-        let version = VersionRecord { format: FORMAT, chunk: 16 };
+        let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
         cache.versions.insert(name.clone(), (version, Revision(1)));
         let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
         let job = encoding::to_value(&records::JobRecord::live(1, Some(spec)));
@@ -158,11 +158,11 @@
                 now + Duration::from_millis(random.random_range(0..if late { 15_000 } else { 300 }))
             };
             if step >= asks_from && store.cancelled.is_none() {
-                match promises.guards(&id, &cache, |_| None, now) {
-                    Ok(guards) => {
+                match promises.preconditions(&id, &cache, |_| None, now) {
+                    Ok(preconditions) => {
                         // The user asks again after a while.
                         asks_from = step + 20;
-                        commits.push((delay(random), guards));
+                        commits.push((delay(random), preconditions));
                     }
                     Err(_) => {
                         promises.ask(step, now);
@@ -179,8 +179,8 @@
             for (_, seq, under) in to_us.extract_if(.., |(at, ..)| *at <= now) {
                 promises.promised(&name, seq, under, std::slice::from_ref(&id));
             }
-            for (_, guards) in commits.extract_if(.., |(at, _)| *at <= now) {
-                if store.holds(&guards) && store.cancelled.is_none() {
+            for (_, preconditions) in commits.extract_if(.., |(at, _)| *at <= now) {
+                if store.holds(&preconditions) && store.cancelled.is_none() {
                     store.cancelled = Some(now);
                 }
             }
@@ -207,19 +207,19 @@
     let now = Instant::now();
     let mut cache = Cache::new(16);
     cache.loaded = true;
-    let version = VersionRecord { format: FORMAT, chunk: 16 };
+    let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
     cache.versions.insert(peer.clone(), (version, Revision(5)));
     let mut promises = CancellationAcks::new(vec![peer.clone()], LEASE_S, CANCEL_S);
     promises.under(heartbeat_key(&me), Revision(7));
     promises.look(&cache, now);
     let later = now + Duration::from_secs(60);
-    let guards = promises.guards(&id, &cache, |_| None, later).unwrap();
+    let preconditions = promises.preconditions(&id, &cache, |_| None, later).unwrap();
     let keys = [heartbeat_key(&me), heartbeat_key(&peer), keys::version_key(&peer)];
     let holds = |revs: [u64; 3]| {
         let now = |key: &String| keys.iter().position(|known| known == key).map(|at| revs[at]);
-        guards.iter().all(|guard| now(&guard.key) == Some(guard.rev.0))
+        preconditions.iter().all(|guard| now(&guard.key) == Some(guard.rev.0))
     };
-    assert!(holds([7, 0, 5]), "{guards:?}");
+    assert!(holds([7, 0, 5]), "{preconditions:?}");
     assert!(!holds([7, 9, 9]), "it is there");
     assert!(!holds([7, 0, 9]), "it was there meanwhile");
     assert!(!holds([11, 0, 5]), "the sender was started anew");
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,6 +1,6 @@
 //! Who leads: the leader's lease, the token, and when one may act.
 
-use crate::constants::{DRIFT, STATE_RETRY};
+use crate::constants::{DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
@@ -201,7 +201,7 @@
 
     fn stand_back(&mut self, now: Instant) {
         self.role = Role::Follower;
-        self.campaign_at = now + STATE_RETRY;
+        self.campaign_at = now + RETRY_PAUSE;
     }
 
     /// Whether the leader has lost its right for good: another one leads.
@@ -263,7 +263,7 @@
                 self.renew_in_flight = false;
                 match reply {
                     StoreResponse::Done | StoreResponse::Gone => self.stand_back(now),
-                    _ => self.renew_at = now + STATE_RETRY,
+                    _ => self.renew_at = now + RETRY_PAUSE,
                 }
             }
             (Role::Leading { lease, .. }, StoreRequest::KeepAlive(touched))
@@ -280,7 +280,7 @@
                         self.pledges.clear();
                         event = Some(ElectionEvent::Lost("the lease ended"));
                     }
-                    _ => self.renew_at = now + STATE_RETRY,
+                    _ => self.renew_at = now + RETRY_PAUSE,
                 }
             }
             _ => {}
@@ -289,10 +289,10 @@
     }
 
     fn campaign(&self, token: FencingToken, token_rev: Revision, lease: LeaseId) -> Transaction {
-        let record = LeaderRecord { node: self.me.clone(), token };
-        let put = |key: &str, data: StoreValue, hold| Write::Put { key: key.into(), data, hold };
+        let record = LeaderRecord { controller: self.me.clone(), token };
+        let put = |key: &str, data: StoreValue, lease| Write::Put { key: key.into(), data, lease };
         Transaction {
-            guards: vec![
+            preconditions: vec![
                 Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
                 Precondition { key: TOKEN_KEY.into(), rev: token_rev },
             ],
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -15,7 +15,7 @@
     let reply = StoreResponse::Committed(Revision(3));
     let (_, event) = election.on_response(&calls.remove(0), now, &reply, &cache, now);
     assert_eq!(event, Some(ElectionEvent::Won(FencingToken(1))));
-    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
+    let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
     cache.leader = Some((record, Revision(3)));
     cache.token = (FencingToken(1), Revision(3));
     (election, cache, now)
@@ -55,7 +55,7 @@
 fn whoever_pledged_or_was_restarted_does_not_campaign_until_it_runs_out() {
     let now = Instant::now();
     let mut cache = loaded();
-    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
+    let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
     cache.leader = Some((record, Revision(3)));
     cache.token = (FencingToken(1), Revision(3));
     let mut follower = Election::new(ControllerId::new("b"), 2, 0, now);
@@ -93,7 +93,7 @@
     assert!(matches!(calls[..], [StoreRequest::RevokeLease(LeaseId(7))]));
     election.on_response(&calls[0], now, &StoreResponse::Done, &cache, now);
     assert!(election.poll(&cache, false, now).is_empty());
-    assert_eq!(election.poll(&cache, false, now + STATE_RETRY * 2).len(), 1);
+    assert_eq!(election.poll(&cache, false, now + RETRY_PAUSE * 2).len(), 1);
 }
 
 /// A pledge says that the leader knows of all that was cancelled. Each way in which its giver can't know that:
@@ -104,7 +104,7 @@
     let known = |loaded: bool, key: u64| Cache {
         loaded,
         leader: Some((
-            LeaderRecord { node: ControllerId::new("a"), token: FencingToken(key) },
+            LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(key) },
             Revision(3),
         )),
         token: (FencingToken(key), Revision(3)),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod peers;
 pub mod placement;
 pub mod scheduler;
+pub mod schema;
 pub mod settings;
 pub mod store;
 pub mod workers;
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -4,7 +4,7 @@
 //! acknowledges each frame with one byte, so that a dead connection is noticed and redialled.
 
 use crate::constants::{
-    BODY_MAX, CONNECT_TIMEOUT, IDLE_TIMEOUT, READ_AT_ONCE, READ_TIMEOUT, STATE_RETRY,
+    BODY_MAX, CONNECT_TIMEOUT, IDLE_TIMEOUT, READ_AT_ONCE, READ_TIMEOUT, RETRY_PAUSE,
 };
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use crate::peers::heartbeat_relay::{RelayedHeartbeat, Verdict};
@@ -135,7 +135,7 @@
 /// A message's text in pieces, each small enough for a value: `<seq>.<count>.<number>:<text>`.
 pub fn in_pieces(text: &str, seq: u64, value_max: usize) -> Vec<String> {
     let size = value_max.saturating_sub(PIECE_HEAD).max(1);
-    let pieces = crate::store::encoding::split_text(text, size);
+    let pieces = crate::schema::encoding::split_text(text, size);
     let count = pieces.len();
     let numbered = pieces.into_iter().enumerate();
     numbered.map(|(n, piece)| format!("{seq}.{count}.{n}:{piece}")).collect()
@@ -270,7 +270,7 @@
     loop {
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             // What waited meanwhile is old news.
-            tokio::time::sleep(STATE_RETRY).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             while from.try_recv().is_ok() {}
             if from.is_closed() {
                 return;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -160,7 +160,10 @@
     /// How many of the job's tasks are neither done nor placed. Some may be both, until the news
     /// of a commit has come.
     fn waiting(&self, job: &LiveJob) -> u64 {
-        job.spec.tasks.saturating_sub(job.done_count()).saturating_sub(self.placed.len() as u64)
+        job.spec
+            .tasks
+            .saturating_sub(job.completed_count())
+            .saturating_sub(self.placed.len() as u64)
     }
 
     /// The pause of a task until it may be tried again.
@@ -191,8 +194,9 @@
     /// Takes the next task that may be started out of those that wait. Each task is passed once
     /// and once more for each time it comes back, however many there are.
     fn next(&mut self, job: &LiveJob, now: Instant) -> Option<u32> {
-        let open =
-            |work: &JobProgress, task: u32| !work.placed.contains_key(&task) && !job.is_done(task);
+        let open = |work: &JobProgress, task: u32| {
+            !work.placed.contains_key(&task) && !job.is_completed(task)
+        };
         while let Some(task) = self.again.pop_first() {
             if open(self, task) {
                 return Some(task);
@@ -404,7 +408,7 @@
             stops: 0,
         };
         for (id, (record, _)) in &cache.machines {
-            let Some(kind) = scheduler.kind(&record.flavor, &record.zone, record.spot) else {
+            let Some(kind) = scheduler.kind(&record.machine_type, &record.zone, record.spot) else {
                 continue;
             };
             let machine = scheduler.add_machine(id, kind, now);
@@ -775,7 +779,7 @@
             let runs = u64::from(running.get(id).copied().unwrap_or(0));
             let entry = by_class.entry(&live.spec.class).or_default();
             entry.0 += runs;
-            entry.1 += live.spec.tasks.saturating_sub(live.done_count()).saturating_sub(runs);
+            entry.1 += live.spec.tasks.saturating_sub(live.completed_count()).saturating_sub(runs);
         }
         let zones = &self.settings.platform.params.zones;
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -4,12 +4,12 @@
 //! Nothing of this is kept but the order itself: a new leader goes on from what it finds running.
 
 use super::*;
-use crate::drains::{DrainRecord, Drained};
+use crate::drains::{DrainRecord, DrainSet};
 use troutspindle_protocol::ops::{Drain, DrainKind, Drains};
 
 #[derive(Debug, Default)]
 pub(super) struct Draining {
-    pub drained: Drained,
+    pub drained: DrainSet,
     at: Option<Instant>,
 }
 
@@ -31,7 +31,7 @@
 
 impl Scheduler {
     pub(super) fn read_drains(&mut self, cache: &Cache) {
-        let drained = cache.drained().collect::<Drained>();
+        let drained = cache.drained().collect::<DrainSet>();
         if drained != self.draining.drained {
             self.draining.drained = drained;
             self.plan_wanted = true;
@@ -43,7 +43,7 @@
     }
 
     fn drain_of(&self, machine: &Machine) -> Option<&DrainRecord> {
-        self.draining.drained.of(machine.id.as_str(), self.zone_name(machine.zone))
+        self.draining.drained.drain_of_machine(machine.id.as_str(), self.zone_name(machine.zone))
     }
 
     pub(super) fn is_drained(&self, machine: &Machine) -> bool {
@@ -52,7 +52,7 @@
 
     pub(super) fn drained_zones(&self) -> Vec<bool> {
         let zones = &self.settings.platform.params.zones;
-        zones.iter().map(|zone| self.draining.drained.zone(zone)).collect()
+        zones.iter().map(|zone| self.draining.drained.covers_zone(zone)).collect()
     }
 
     /// Seconds until a machine has to be empty; none if it is not drained, or by no time.
@@ -237,7 +237,7 @@
     ) -> bool {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
-        let pinned = spec.zone.as_ref().is_some_and(|zone| self.draining.drained.zone(zone));
+        let pinned = spec.zone.as_ref().is_some_and(|zone| self.draining.drained.covers_zone(zone));
         if spec.shape == JobKind::Service {
             let open = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open == 0 || (spec.spread && open == 1);
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -166,7 +166,7 @@
                 (each * (held + waiting)) as f64 * run_s / (within_s * LATE_WITHIN);
             if !std::mem::replace(&mut work.counted, true) {
                 let age = Duration::from_millis(now_ms.saturating_sub(job.eligible_ms()));
-                let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
+                let tasks = job.spec.tasks - job.completed_count().min(job.spec.tasks);
                 let work = (each * tasks) as f64 * run_s / MACHINE as f64;
                 self.shortage.scarcity.came(&group, work, age, since);
                 // What came under a predecessor it has told of.
@@ -273,7 +273,7 @@
         let group = self.group(job);
         let spec = &job.spec;
         let run_s = self.task_s(id, job);
-        let tasks = spec.tasks.saturating_sub(job.done_count()) as f64;
+        let tasks = spec.tasks.saturating_sub(job.completed_count()) as f64;
         let left =
             if spec.shape == JobKind::Service { 0.0 } else { tasks * run_s * ask.need.cpu as f64 };
         let whole = spec.spread || spec.one_zone || ask.gang;
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -44,10 +44,11 @@
             key: garbage.write.key().into(),
             rev: garbage.revision,
         };
-        let guards = std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
+        let preconditions =
+            std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
         self.tidy.keys = writes.iter().map(|garbage| garbage.write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|garbage| garbage.write).collect();
-        let transaction = Transaction { guards, writes };
+        let transaction = Transaction { preconditions, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::GarbageCollection,
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -19,8 +19,12 @@
                     if live.is_ready() {
                         work.known.get_or_insert(now);
                     }
-                    let done: Vec<u32> =
-                        work.placed.keys().filter(|task| live.is_done(**task)).copied().collect();
+                    let done: Vec<u32> = work
+                        .placed
+                        .keys()
+                        .filter(|task| live.is_completed(**task))
+                        .copied()
+                        .collect();
                     for task in done {
                         work.completing.remove(&task);
                         work.retry.remove(&task);
@@ -130,14 +134,14 @@
             let rev = state.cache.machines.get(&machine.id).map_or(Revision(0), |(_, rev)| *rev);
             let record = MachineRecord {
                 address: address.to_string(),
-                flavor: self.flavors[machine.flavor].name.clone(),
+                machine_type: self.flavors[machine.flavor].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
             let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
-                writes: vec![Write::Put { key, data, hold: None }],
+                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                writes: vec![Write::Put { key, data, lease: None }],
             };
             state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
@@ -158,7 +162,7 @@
             .iter()
             .filter(|(id, _)| !is_ours(id))
             // One of a kind that is not known is not known to be gone.
-            .filter(|(_, (m, _))| self.kind(&m.flavor, &m.zone, m.spot).is_some())
+            .filter(|(_, (m, _))| self.kind(&m.machine_type, &m.zone, m.spot).is_some())
             .map(|(id, (_, rev))| (id.clone(), *rev))
             .collect();
         for (id, rev) in gone {
@@ -168,7 +172,7 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Delete { key }],
             };
             state.enqueue(PendingWrite {
@@ -202,7 +206,7 @@
             }
             let Some(job) = state.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
-                live.done_count() + (work.completing.len() as u64) < live.spec.tasks
+                live.completed_count() + (work.completing.len() as u64) < live.spec.tasks
             };
             if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
@@ -217,7 +221,7 @@
                 continue;
             }
             let mut transaction = done.transaction;
-            transaction.guards.push(guard.clone());
+            transaction.preconditions.push(guard.clone());
             let priority =
                 if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
             state.enqueue(PendingWrite { priority, origin, transaction });
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -59,7 +59,7 @@
             claimed[team] = claimed[team].plus(&job.need.times(job.spec.tasks));
             let beyond = !claimed[team].fits(&params.teams[team].guarantee());
             let work = &self.work[*id];
-            let started = job.done_count() + work.placed.len() as u64;
+            let started = job.completed_count() + work.placed.len() as u64;
             let turn = placement::copies(&params.teams[team].most(), &job.need);
             let waited = work.known.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
             let (due, overdue) = self.due_aims(id, job, now);
@@ -105,7 +105,7 @@
             // What is being emptied takes nothing until it is empty.
             let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
             let name = &settings.platform.params.zones[machine.zone];
-            if drained.of(machine.id.as_str(), name).is_some() {
+            if drained.drain_of_machine(machine.id.as_str(), name).is_some() {
                 continue;
             }
             let up = machine.life == MachineState::Up
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -245,7 +245,7 @@
         }
         if let (true, Some(live)) = (done, live) {
             // The machine keeps the exit until the completion is committed.
-            if !live.is_done(task.index) {
+            if !live.is_completed(task.index) {
                 let work = self.work.entry(task.job.clone()).or_default();
                 work.completing.insert(task.index);
                 self.completing.insert(task.job.clone());
@@ -296,7 +296,8 @@
     /// Its completion was reported before.
     pub(super) fn is_completing(&self, task: &TaskId, live: &LiveJob) -> bool {
         let work = self.work.get(&task.job);
-        live.is_done(task.index) || work.is_some_and(|work| work.completing.contains(&task.index))
+        live.is_completed(task.index)
+            || work.is_some_and(|work| work.completing.contains(&task.index))
     }
 
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -272,7 +272,7 @@
         let rest = remaining(&estimate.centre, &running, waiting, width);
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
-        let ended = live.done_count();
+        let ended = live.completed_count();
         let seen = self.learning.seen(id, live);
         seen.late = late;
         seen.done_in_s = done_in_s;
@@ -301,10 +301,10 @@
             return;
         };
         let key = key(write.bucket);
-        let guards =
+        let preconditions =
             vec![Precondition { key: key.clone(), rev: Revision(write.rev) }, self.leader_guard()];
-        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), hold: None }];
-        let transaction = Transaction { guards, writes };
+        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), lease: None }];
+        let transaction = Transaction { preconditions, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::RuntimeEstimates(write.bucket),
@@ -334,7 +334,7 @@
                 late: seen.late,
                 due_in_s: (due_ms as f64 - self.wall.ms(now) as f64) / 1000.0,
                 done_in_s: seen.done_in_s,
-                done_tasks: live.done_count(),
+                done_tasks: live.completed_count(),
                 tasks: seen.spec.tasks,
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::admission::MACHINE_BYTES;
 use crate::controller::TICK_MOST;
+use crate::schema::{encoding, records};
 use crate::settings::plain_flavor as flavor;
-use crate::store::{encoding, records};
 use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::ops::Starving;
 
@@ -57,7 +57,7 @@
         let report = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: 1,
@@ -711,7 +711,7 @@
     for name in ["i-1", "i-2"] {
         let record = MachineRecord {
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "a".into(),
             spot: false,
         };
--- a/src/store/encoding.rs
+++ b/src/schema/encoding.rs
@@ -1,7 +1,7 @@
 //! Sizes of stored values as the store counts them (in JSON), and texts cut into chunks that keep
 //! to its limit.
 
-use crate::store::keys::key_hash;
+use crate::schema::keys::key_hash;
 use crate::wire::{JobSpec, StoreValue};
 use serde::Serialize;
 
--- a/src/store/encoding/tests.rs
+++ b/src/schema/encoding/tests.rs
@@ -1,4 +1,4 @@
-use crate::store::encoding::{EncodedSpec, decode_spec, encode_spec, json_len};
+use crate::schema::encoding::{EncodedSpec, decode_spec, encode_spec, json_len};
 
 #[test]
 fn a_description_of_any_text_is_split_and_put_together_again() {
--- a/src/store/keys.rs
+++ b/src/schema/keys.rs
@@ -3,6 +3,7 @@
 use crate::ids::{ControllerId, JobId};
 use crate::wire;
 use std::hash::{DefaultHasher, Hash, Hasher};
+use troutspindle_protocol::ops::DrainKind;
 
 /// All keys of this cluster have this prefix, and one watch covers them.
 pub const PREFIX: &str = "t/";
@@ -61,6 +62,11 @@
     format!("{SPEC_CHUNK_PREFIX}{job}/{hash}/{chunk}")
 }
 
+/// The key of a drain. Names may be of any text, keys may not.
+pub fn drain_key(kind: DrainKind, name: &str) -> String {
+    format!("{DRAIN_PREFIX}{}", key_hash(&(kind, name)))
+}
+
 /// A short name, the same in every process, for a part of a key that may hold no spaces.
 pub fn key_hash<T: Hash>(value: &T) -> String {
     let mut hasher = DefaultHasher::new();
--- a/src/store/records.rs
+++ b/src/schema/records.rs
@@ -12,7 +12,7 @@
 
 use crate::constants::FORMAT_HEARTBEAT;
 use crate::ids::{Amount, ControllerId, FencingToken};
-use crate::store::encoding::json_len;
+use crate::schema::encoding::json_len;
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -32,7 +32,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The leader.
-    pub node: ControllerId,
+    #[serde(rename = "node")]
+    pub controller: ControllerId,
     /// Its fencing token.
     pub token: FencingToken,
 }
@@ -44,7 +45,8 @@
     /// Where its agent is called.
     pub address: String,
     /// The name of its machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     /// The name of its zone.
     pub zone: String,
     /// Whether it is a spot instance.
@@ -58,7 +60,8 @@
     pub format: u32,
     /// Tasks to a chunk of the first layout, as it was when the cluster was upgraded: a limit that
     /// is changed later must not move a completed task to another index.
-    pub chunk: u32,
+    #[serde(rename = "chunk")]
+    pub legacy_chunk_tasks: u32,
 }
 
 /// Where a job is in its life.
@@ -182,9 +185,9 @@
     /// The least format that all controllers read: the cluster version.
     pub format: u32,
     /// Tasks to a chunk of the first layout.
-    pub chunk: u32,
+    pub legacy_chunk_tasks: u32,
     /// Writes to a transaction.
-    pub txn_ops: usize,
+    pub max_operations: usize,
     /// Bytes of a value, with room to spare.
     pub value_max: usize,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! What the platform hands over (JSON) and what operators may tune (YAML), both checked.
 
-use crate::constants::LEGS_MAX;
+use crate::constants::MAX_TASKS_PER_JOB;
 use crate::ids::{Amount, ControllerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     /// The same by the limit in force. What the version before this one has to read cannot be made
     /// smaller, and no limit changes while it serves.
     pub first_max: usize,
-    /// Tasks to a chunk of the first layout of done marks ([`crate::store::records`]): a mark takes a quarter
+    /// Tasks to a chunk of the first layout of done marks ([`crate::schema::records`]): a mark takes a quarter
     /// of a byte in hexadecimal, and a quarter of the value is planned for them. The version before
     /// this one reckons so, and does not know of limits to come.
     pub chunk: u32,
@@ -379,9 +379,19 @@
         }
         for elastic in &o.elastic {
             let name = &elastic.class;
-            range(&format!("elastic {name} least"), elastic.least as f64, 1.0, LEGS_MAX as f64);
+            range(
+                &format!("elastic {name} least"),
+                elastic.least as f64,
+                1.0,
+                MAX_TASKS_PER_JOB as f64,
+            );
             let least = elastic.least as f64;
-            range(&format!("elastic {name} most"), elastic.most as f64, least, LEGS_MAX as f64);
+            range(
+                &format!("elastic {name} most"),
+                elastic.most as f64,
+                least,
+                MAX_TASKS_PER_JOB as f64,
+            );
             let same = o.elastic.iter().filter(|other| other.class == *name).count();
             range(&format!("elastic {name} (how often it is named)"), same as f64, 1.0, 1.0);
         }
--- a/src/store.rs
+++ b/src/store.rs
@@ -5,26 +5,23 @@
 
 mod cache;
 mod client;
-pub mod encoding;
 mod group_commit;
-pub mod keys;
 mod messages;
 mod rate_limiter;
 mod read_index;
-pub mod records;
 mod snapshot;
 mod watch;
 
-pub use cache::Cache;
-pub use client::{STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent};
-pub use group_commit::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority};
-pub use keys::{
+pub use crate::schema::keys::{
     CONTROLLER_LEASE_PREFIX, ESTIMATES_PREFIX, LEADER_KEY, MACHINE_PREFIX, MACHINE_TYPE_PREFIX,
     MACHINE_TYPES_KEY, PREFIX, RELAY_PREFIX, TOKEN_KEY,
 };
-pub use messages::{StoreRequest, StoreResponse};
+pub use crate::schema::records::{LeaderRecord, MachineRecord};
+pub use cache::Cache;
+pub use client::{STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent};
+pub use group_commit::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority};
+pub use messages::{OutgoingRequest, StoreRequest, StoreResponse, TimedRequest};
 pub use rate_limiter::TokenBucket;
-pub use records::{LeaderRecord, MachineRecord};
 
 #[cfg(test)]
 mod tests;
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -4,12 +4,12 @@
 use crate::drains::{self, DrainRecord};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use crate::jobs::Jobs;
-use crate::store::keys::{
-    CONTROLLER_LEASE_PREFIX, DRAIN_PREFIX, ESTIMATES_PREFIX, JOB_PREFIX, LEADER_KEY,
+use crate::schema::keys::{
+    self, CONTROLLER_LEASE_PREFIX, DRAIN_PREFIX, ESTIMATES_PREFIX, JOB_PREFIX, LEADER_KEY,
     MACHINE_PREFIX, MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, RELAY_PREFIX, TOKEN_KEY,
     VERSION_PREFIX,
 };
-use crate::store::records::{LeaderRecord, MachineRecord, VersionRecord};
+use crate::schema::records::{LeaderRecord, MachineRecord, VersionRecord};
 use crate::store::snapshot::Snapshot;
 use crate::wire::{self, MachineType, StoreValue};
 use foldhash::{HashMap, HashMapExt};
@@ -81,7 +81,7 @@
     /// Whether a controller is to be drained.
     pub fn is_controller_drained(&self, name: &ControllerId) -> bool {
         !self.drains.is_empty()
-            && self.drains.contains_key(&drains::key(DrainKind::Controller, name.as_str()))
+            && self.drains.contains_key(&keys::drain_key(DrainKind::Controller, name.as_str()))
     }
 
     /// Takes in one key's value or, with no value, its removal. Older revisions are ignored.
@@ -128,7 +128,7 @@
         match value.deserialized::<VersionRecord>() {
             Ok(record) => {
                 // They all agree, since each takes it from those that came before.
-                self.jobs.set_legacy_chunk_tasks(record.chunk.max(1));
+                self.jobs.set_legacy_chunk_tasks(record.legacy_chunk_tasks.max(1));
                 self.versions.insert(controller, (record, rev));
             }
             Err(error) => tracing::error!(%controller, %error, "version record is unreadable"),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,18 +1,18 @@
 //! The store's client: which request goes next, and what a response changes.
 
-use crate::constants::{STATE_BUDGET, STATE_RETRY};
+use crate::constants::{RATE_LIMIT_SHARE, RETRY_PAUSE};
 use crate::ids::{ControllerId, JobId, Revision};
+use crate::schema::encoding::to_value;
+use crate::schema::keys;
+use crate::schema::records::{FORMAT, Layout, VersionRecord};
 use crate::settings::KeptLimits;
 use crate::store::cache::Cache;
-use crate::store::encoding::to_value;
 use crate::store::group_commit::{
     Batch, GroupCommit, PendingWrite, WriteOrigin, WriteOutcome, WritePriority,
 };
-use crate::store::keys;
-use crate::store::messages::{StoreRequest, StoreResponse};
+use crate::store::messages::{OutgoingRequest, StoreRequest, StoreResponse};
 use crate::store::rate_limiter::TokenBucket;
 use crate::store::read_index::ReadIndex;
-use crate::store::records::{FORMAT, Layout, VersionRecord};
 use crate::store::snapshot::Snapshot;
 use crate::store::watch::{WATCH_WAIT, Watch};
 use crate::wire::{self, Precondition, Transaction, Write};
@@ -95,10 +95,10 @@
     /// committed before.
     pub synced_at: Option<Instant>,
     random: StdRng,
-    /// Requests to be sent, each by its id.
-    pub calls: VecDeque<(u64, StoreRequest)>,
+    /// Requests that the owner has not sent yet.
+    outgoing: VecDeque<OutgoingRequest>,
     /// What the owner has not been told yet.
-    pub events: VecDeque<StoreEvent>,
+    events: VecDeque<StoreEvent>,
 }
 
 impl StoreClient {
@@ -119,7 +119,7 @@
             last_response_at: None,
             synced_at: None,
             random: StdRng::seed_from_u64(seed),
-            calls: VecDeque::new(),
+            outgoing: VecDeque::new(),
             events: VecDeque::new(),
         };
         client.set_leading(false, now);
@@ -137,8 +137,8 @@
         } else {
             (1.0 - LEADER_SHARE) / (controllers - 1.0)
         };
-        self.requests.set_rate(self.limits.rps * STATE_BUDGET * share, now);
-        self.writes.set_rate(self.limits.write_rps * STATE_BUDGET * share, now);
+        self.requests.set_rate(self.limits.rps * RATE_LIMIT_SHARE * share, now);
+        self.writes.set_rate(self.limits.write_rps * RATE_LIMIT_SHARE * share, now);
     }
 
     /// What may be written now. The cluster version is the least format that any controller says it
@@ -149,8 +149,8 @@
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
         let limits = &self.limits;
         let value_max = if format == 0 { limits.first_max } else { limits.value_max };
-        let chunk = self.cache.jobs.legacy_chunk_tasks();
-        Layout { format, chunk, txn_ops: limits.txn_ops, value_max }
+        let legacy_chunk_tasks = self.cache.jobs.legacy_chunk_tasks();
+        Layout { format, legacy_chunk_tasks, max_operations: limits.txn_ops, value_max }
     }
 
     /// Writes once that this controller reads the newest format.
@@ -165,10 +165,13 @@
         }
         let key = keys::version_key(me);
         let rev = known.map_or(Revision(0), |(_, rev)| *rev);
-        let record = VersionRecord { format: FORMAT, chunk: self.cache.jobs.legacy_chunk_tasks() };
-        let guards = vec![Precondition { key: key.clone(), rev }];
-        let writes = vec![Write::Put { key, data: to_value(&record), hold: None }];
-        let transaction = Transaction { guards, writes };
+        let record = VersionRecord {
+            format: FORMAT,
+            legacy_chunk_tasks: self.cache.jobs.legacy_chunk_tasks(),
+        };
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
+        let writes = vec![Write::Put { key, data: to_value(&record), lease: None }];
+        let transaction = Transaction { preconditions, writes };
         self.enqueue(PendingWrite {
             priority: WritePriority::Interactive,
             origin: WriteOrigin::Version,
@@ -235,7 +238,22 @@
         self.last_request_id += 1;
         self.requests.take(1.0, now);
         self.in_flight.insert(self.last_request_id, purpose);
-        self.calls.push_back((self.last_request_id, request));
+        self.outgoing.push_back(OutgoingRequest { id: self.last_request_id, request });
+    }
+
+    /// The next request that the owner is to send.
+    pub fn next_request(&mut self) -> Option<OutgoingRequest> {
+        self.outgoing.pop_front()
+    }
+
+    /// The next thing that the owner is to be told.
+    pub fn next_event(&mut self) -> Option<StoreEvent> {
+        self.events.pop_front()
+    }
+
+    /// Whether the owner has something to be told.
+    pub fn has_events(&self) -> bool {
+        !self.events.is_empty()
     }
 
     /// Sends what is due.
@@ -429,7 +447,7 @@
     }
 
     fn apply_changes(&mut self, changes: wire::WatchResponse) {
-        for event in changes.news {
+        for event in changes.events {
             if event.rev <= self.cache.rev {
                 continue;
             }
@@ -453,5 +471,5 @@
 
 /// The pause before a failed request is repeated, spread so that controllers don't do so together.
 fn retry_pause(random: &mut StdRng) -> Duration {
-    STATE_RETRY.mul_f64(1.0 + random.random::<f64>() / 2.0)
+    RETRY_PAUSE.mul_f64(1.0 + random.random::<f64>() / 2.0)
 }
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -217,7 +217,7 @@
     fn settle_conflicts(&mut self, batch: Batch, failed_keys: &[String]) -> Vec<SettledWrite> {
         let mut settled = Vec::new();
         for write in batch.writes {
-            let preconditions = &write.transaction.guards;
+            let preconditions = &write.transaction.preconditions;
             if preconditions.iter().any(|guard| failed_keys.contains(&guard.key)) {
                 settled.push(self.settle(write.origin, WriteOutcome::Conflict));
             } else {
@@ -250,7 +250,7 @@
             max_operations,
             single,
             writes: Vec::new(),
-            transaction: Transaction { guards: Vec::new(), writes: Vec::new() },
+            transaction: Transaction { preconditions: Vec::new(), writes: Vec::new() },
             written_keys: HashSet::new(),
             encoded_len: 0,
         }
@@ -265,7 +265,8 @@
     }
 
     fn has_room_for(&self, queued: &QueuedWrite) -> bool {
-        let preconditions = self.transaction.guards.len() + queued.write.transaction.guards.len();
+        let preconditions =
+            self.transaction.preconditions.len() + queued.write.transaction.preconditions.len();
         self.writes.is_empty()
             || (!self.single
                 && self.operations_with(queued) <= self.max_operations
@@ -277,10 +278,10 @@
     /// preconditions of one key are sent once, so one of the two would go unchecked.
     fn overlaps(&self, other: &Transaction) -> bool {
         let same_key = other.writes.iter().any(|write| self.written_keys.contains(write.key()));
-        let mut known = self.transaction.guards.iter();
+        let mut known = self.transaction.preconditions.iter();
         same_key
             || known.any(|guard| {
-                other.guards.iter().any(|new| new.key == guard.key && new.rev != guard.rev)
+                other.preconditions.iter().any(|new| new.key == guard.key && new.rev != guard.rev)
             })
     }
 
@@ -290,9 +291,9 @@
             self.written_keys.insert(write.key().to_owned());
             self.transaction.writes.push(write.clone());
         }
-        for guard in &queued.write.transaction.guards {
-            if !self.transaction.guards.iter().any(|known| known.key == guard.key) {
-                self.transaction.guards.push(guard.clone());
+        for guard in &queued.write.transaction.preconditions {
+            if !self.transaction.preconditions.iter().any(|known| known.key == guard.key) {
+                self.transaction.preconditions.push(guard.clone());
             }
         }
         self.writes.push(queued.write);
--- a/src/store/messages.rs
+++ b/src/store/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{LeaseId, Revision};
-use crate::store::keys::PREFIX;
+use crate::schema::keys::PREFIX;
 use crate::wire::{self, CommitResponse, LeaseCreated, LeaseTtl, Transaction};
 use std::time::Duration;
 
@@ -62,11 +62,31 @@
     Unknown,
 }
 
+/// A request that the client's owner is to send.
+#[derive(Debug)]
+pub struct OutgoingRequest {
+    /// Names it when its response is handed back.
+    pub id: u64,
+    /// What to ask.
+    pub request: StoreRequest,
+}
+
+/// An HTTP request, and how long to wait for its response.
+#[derive(Debug)]
+pub struct TimedRequest {
+    /// What to send.
+    pub request: Request,
+    /// How long to wait.
+    pub timeout: Duration,
+}
+
 impl StoreRequest {
-    /// The HTTP request that carries this one, and how long to wait for its response.
-    pub fn request(&self) -> (Request, Duration) {
-        let make =
-            |method, target: String, body| (Request { method, target, body }, REQUEST_TIMEOUT);
+    /// The HTTP request that carries this one.
+    pub fn to_http(&self) -> TimedRequest {
+        let make = |method, target: String, body| TimedRequest {
+            request: Request { method, target, body },
+            timeout: REQUEST_TIMEOUT,
+        };
         match self {
             StoreRequest::Commit(transaction) => {
                 make(Method::Post, "/commit".into(), wire::encode(transaction))
@@ -74,8 +94,9 @@
             StoreRequest::Watch { after, wait } => {
                 let wait_ms = wait.as_millis();
                 let target = format!("/follow?starts={PREFIX}&after={after}&waitMs={wait_ms}");
-                let (request, timeout) = make(Method::Get, target, Vec::new());
-                (request, timeout + *wait)
+                let mut timed = make(Method::Get, target, Vec::new());
+                timed.timeout += *wait;
+                timed
             }
             StoreRequest::Range { after } => {
                 let after = after.as_ref().map(|key| format!("&after={key}")).unwrap_or_default();
--- a/src/store/snapshot.rs
+++ b/src/store/snapshot.rs
@@ -1,7 +1,7 @@
 //! Reading all keys page by page, after a start or once the watch has fallen too far behind.
 
 use crate::ids::{ControllerId, MachineId, Revision};
-use crate::store::keys::{
+use crate::schema::keys::{
     CONTROLLER_LEASE_PREFIX, DRAIN_PREFIX, LEADER_KEY, MACHINE_PREFIX, VERSION_PREFIX,
 };
 use crate::wire::RangeResponse;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,9 +1,10 @@
-use crate::constants::STATE_RETRY;
+use crate::constants::RETRY_PAUSE;
 use crate::ids::{ControllerId, Revision};
+use crate::schema::encoding;
 use crate::settings::KeptLimits;
 use crate::store::{
-    Cache, MACHINE_TYPES_KEY, PendingWrite, StoreClient, StoreEvent, StoreRequest, StoreResponse,
-    WriteOrigin, WriteOutcome, WritePriority, encoding,
+    Cache, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, StoreClient, StoreEvent, StoreRequest,
+    StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{self, MachineType, Precondition, StoreValue, Transaction, Write};
 use foldhash::HashSet;
@@ -23,7 +24,7 @@
 fn client(now: Instant) -> StoreClient {
     let mut client = StoreClient::new(limits(4), vec![ControllerId::new("n")], 0, now);
     client.poll(now);
-    let (id, _) = client.calls.pop_front().unwrap();
+    let id = client.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(5) };
     client.on_response(id, StoreResponse::Range(page), now);
     client
@@ -34,16 +35,16 @@
         priority: WritePriority::Interactive,
         origin: WriteOrigin::User(ticket),
         transaction: Transaction {
-            guards: vec![Precondition { key: key.into(), rev: Revision(0) }],
-            writes: vec![Write::Put { key: key.into(), data: StoreValue::from(1), hold: None }],
+            preconditions: vec![Precondition { key: key.into(), rev: Revision(0) }],
+            writes: vec![Write::Put { key: key.into(), data: StoreValue::from(1), lease: None }],
         },
     }
 }
 
 fn commit(client: &mut StoreClient, now: Instant) -> (u64, Transaction) {
     client.poll(now);
-    while let Some((id, call)) = client.calls.pop_front() {
-        if let StoreRequest::Commit(txn) = call {
+    while let Some(OutgoingRequest { id, request }) = client.next_request() {
+        if let StoreRequest::Commit(txn) = request {
             return (id, txn);
         }
     }
@@ -51,7 +52,7 @@
 }
 
 fn outcomes(client: &mut StoreClient) -> Vec<(WriteOrigin, WriteOutcome)> {
-    std::iter::from_fn(|| client.events.pop_front())
+    std::iter::from_fn(|| client.next_event())
         .filter_map(|event| match event {
             StoreEvent::Outcome(origin, outcome) => Some((origin, outcome)),
             _ => None,
@@ -89,7 +90,7 @@
     assert_eq!(txn.writes.len(), 1);
     client.on_response(id, StoreResponse::Invalid, now);
     assert_eq!(outcomes(&mut client), [(WriteOrigin::User(0), WriteOutcome::Invalid)]);
-    let later = now + STATE_RETRY * 2;
+    let later = now + RETRY_PAUSE * 2;
     let (id, txn) = commit(&mut client, later);
     assert_eq!(txn.writes.len(), 1);
     client.on_response(id, StoreResponse::Committed(Revision(9)), later);
@@ -126,11 +127,14 @@
     let mut client = client(now);
     for (ticket, seen) in [(1, 3), (2, 4), (3, 3)] {
         let mut write = write(ticket, &format!("t/x/{ticket}"));
-        write.transaction.guards.push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
+        write
+            .transaction
+            .preconditions
+            .push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
         client.enqueue(write);
     }
     let seen = |txn: &Transaction| -> Vec<Revision> {
-        txn.guards.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
+        txn.preconditions.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
     };
     let (id, txn) = commit(&mut client, now);
     assert_eq!((txn.writes.len(), seen(&txn)), (2, vec![Revision(3)]));
@@ -168,18 +172,17 @@
     client.sync(1);
     client.poll(now);
     client.sync(2);
-    let syncs: Vec<u64> = client
-        .calls
-        .drain(..)
-        .filter(|(_, call)| matches!(call, StoreRequest::Watch { wait, .. } if wait.is_zero()))
-        .map(|(id, _)| id)
+    let requests = std::iter::from_fn(|| client.next_request());
+    let syncs: Vec<u64> = requests
+        .filter(|outgoing| matches!(&outgoing.request, StoreRequest::Watch { wait, .. } if wait.is_zero()))
+        .map(|outgoing| outgoing.id)
         .collect();
     client.on_response(
         syncs[0],
-        StoreResponse::Watch(wire::WatchResponse { rev: Revision(7), news: vec![] }),
+        StoreResponse::Watch(wire::WatchResponse { rev: Revision(7), events: vec![] }),
         now,
     );
-    let told: Vec<u64> = std::iter::from_fn(|| client.events.pop_front())
+    let told: Vec<u64> = std::iter::from_fn(|| client.next_event())
         .filter_map(|e| if let StoreEvent::Synced(t) = e { Some(t) } else { None })
         .collect();
     assert_eq!(told, [1]);
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -565,7 +565,7 @@
 
 /// An operator's order, as any controller would write it, or its end.
 fn order(world: &mut World, kind: DrainKind, name: &str, by_ms: Option<u64>, on: bool) {
-    let key = drains::key(kind, name);
+    let key = troutspindle::schema::keys::drain_key(kind, name);
     let rev = world.store.keys.get(&key).map_or(Revision(0), |(_, rev, _)| Revision(*rev));
     let at_ms = world.wall().ms(world.now());
     let (author, reason) = ("an operator".into(), "new floor".into());
@@ -573,12 +573,14 @@
     let record = DrainRecord { kind, name: name.into(), by_ms, at_ms, author, reason };
     let put = Write::Put {
         key: key.clone(),
-        data: troutspindle::store::encoding::to_value(&record),
-        hold: None,
+        data: troutspindle::schema::encoding::to_value(&record),
+        lease: None,
     };
     let write = if on { put } else { Write::Delete { key: key.clone() } };
-    let txn =
-        wire::Transaction { guards: vec![wire::Precondition { key, rev }], writes: vec![write] };
+    let txn = wire::Transaction {
+        preconditions: vec![wire::Precondition { key, rev }],
+        writes: vec![write],
+    };
     assert!(matches!(world.commit(txn), StoreResponse::Committed(_)));
 }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -5,15 +5,16 @@
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::peers::mesh;
-use troutspindle::store::keys::JOB_PREFIX;
-use troutspindle::store::records::Layout;
+use troutspindle::schema::keys::JOB_PREFIX;
+use troutspindle::schema::records::Layout;
 use troutspindle::store::{LEADER_KEY, LeaderRecord, MACHINE_TYPES_KEY, MachineRecord, TOKEN_KEY};
 use troutspindle::wire::{
     self, JobKind, JobSpec, JobStatus, MachineType, Priority, StoreValue, Transaction, Write,
 };
 
 /// While any controller of production may be there.
-const LOW: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
+const LOW: Layout =
+    Layout { format: 0, legacy_chunk_tasks: 16_384, max_operations: 12, value_max: 14_000 };
 
 /// (name, key, value in hexadecimal) of each line.
 fn lines() -> Vec<[&'static str; 3]> {
@@ -71,7 +72,7 @@
 
 #[test]
 fn every_record_of_production_is_read_as_it_was_meant() {
-    let mut jobs = Jobs::new(LOW.chunk);
+    let mut jobs = Jobs::new(LOW.legacy_chunk_tasks);
     let (small, large) = (JobId::new("wk-1"), JobId::new("wk-2"));
     take(&mut jobs, "accepted", 1);
     let live = jobs.get(&small).unwrap().live().unwrap();
@@ -80,7 +81,7 @@
     take(&mut jobs, "some-done", 2);
     for (id, step, tasks) in [(&small, 7, 20), (&large, 9973, 100_000)] {
         let live = jobs.get(id).unwrap().live().unwrap();
-        assert!((0..tasks).all(|task| live.is_done(task) == (task % step == 0)), "{id}");
+        assert!((0..tasks).all(|task| live.is_completed(task) == (task % step == 0)), "{id}");
     }
     take(&mut jobs, "cancelled", 3);
     assert_eq!(
@@ -92,7 +93,7 @@
         Some(FinalState { status: JobStatus::Cancelled, completed_tasks: 11 })
     );
     assert!(jobs.garbage(100).is_empty(), "production removes chunks itself");
-    let mut jobs = Jobs::new(LOW.chunk);
+    let mut jobs = Jobs::new(LOW.legacy_chunk_tasks);
     take(&mut jobs, "done", 1);
     assert_eq!(
         jobs.get(&small).unwrap().final_state(),
@@ -103,7 +104,10 @@
     let machine: MachineRecord = value(of("t/m/i-000231")[2]).deserialized().unwrap();
     assert_eq!((&*machine.address, machine.spot), ("10.1.0.232:9000", true));
     let leader: LeaderRecord = value(of(LEADER_KEY)[2]).deserialized().unwrap();
-    assert_eq!(leader, LeaderRecord { node: ControllerId::new("n-1"), token: FencingToken(41) });
+    assert_eq!(
+        leader,
+        LeaderRecord { controller: ControllerId::new("n-1"), token: FencingToken(41) }
+    );
     assert_eq!(value(of(TOKEN_KEY)[2]).deserialized::<FencingToken>().unwrap(), FencingToken(41));
     let flavors: Vec<MachineType> = value(of(MACHINE_TYPES_KEY)[2]).deserialized().unwrap();
     assert_eq!((flavors.len(), flavors[0].spot_price), (1, 4.5));
@@ -125,7 +129,7 @@
         lines.filter(|line| line[2] != "-").map(|line| (line[1].into(), line[2].into())).collect()
     };
     for (id, tasks, step) in [("wk-1", 20u64, 7), ("wk-2", 100_000, 9973)] {
-        let mut jobs = Jobs::new(LOW.chunk);
+        let mut jobs = Jobs::new(LOW.legacy_chunk_tasks);
         let spec = Arc::new(spec(id, tasks));
         let Acceptance::JobRecord(change) = jobs::accept(&spec, 1_700_000_000_000, &LOW, &jobs)
         else {
@@ -176,7 +180,7 @@
         let sent = mesh::in_pieces(&text, number, 1800);
         assert!(
             sent.len() > 5
-                && sent.iter().all(|p| troutspindle::store::encoding::json_len(p) <= 1800)
+                && sent.iter().all(|p| troutspindle::schema::encoding::json_len(p) <= 1800)
         );
         let sent = sent.iter().enumerate().filter(|(n, _)| !(lose && *n == 2));
         let got: Vec<String> = sent.filter_map(|(_, piece)| pieces.take(piece)).collect();
--- a/tests/wire_format/protocol.rs
+++ b/tests/wire_format/protocol.rs
@@ -153,7 +153,7 @@
 
 pub fn transaction() -> Transaction {
     Transaction {
-        guards: vec![
+        preconditions: vec![
             Precondition { key: "t/j/wk-1".into(), rev: Revision(0) },
             Precondition { key: "t/a/leader".into(), rev: Revision(70_000) },
         ],
@@ -161,9 +161,9 @@
             Write::Put {
                 key: "t/a/p/n-1".into(),
                 data: StoreValue::Bool(true),
-                hold: Some(LeaseId(9)),
+                lease: Some(LeaseId(9)),
             },
-            Write::Put { key: "t/e/07".into(), data: StoreValue::from("text"), hold: None },
+            Write::Put { key: "t/e/07".into(), data: StoreValue::from("text"), lease: None },
             Write::Delete { key: "t/d/wk-1/0".into() },
         ],
     }
@@ -253,7 +253,7 @@
         Sample::cbor_without("committed-least", &done, &["failed"]),
         Sample::cbor("page", &page),
         Sample::cbor_without("page-least", &whole, &["truncated"]),
-        Sample::cbor("news", &WatchResponse { rev: Revision(70_000), news: changes() }),
+        Sample::cbor("news", &WatchResponse { rev: Revision(70_000), events: changes() }),
         Sample::cbor("lease-life", &LeaseTtl { ttl_ms: 6000 }),
         Sample::cbor("lease-name", &LeaseCreated { lease: LeaseId(9) }),
     ]
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -22,7 +22,7 @@
 }
 
 fn state(name: &'static str, call: &StoreRequest) -> Sample {
-    request(name, &call.request().0)
+    request(name, &call.to_http().request)
 }
 
 fn cloud(name: &'static str, call: &CloudRequest) -> Sample {
@@ -53,11 +53,11 @@
     let ask =
         |method, target: &str| route(&Request { method, target: target.into(), body: Vec::new() });
     let job = || JobId::new("wk-000412");
-    assert_eq!(ask(Method::Get, "/up"), Route::Up);
-    assert_eq!(ask(Method::Post, "/hello"), Route::Hello);
+    assert_eq!(ask(Method::Get, "/up"), Route::Health);
+    assert_eq!(ask(Method::Post, "/hello"), Route::Heartbeat);
     assert_eq!(ask(Method::Post, "/api/jobs"), Route::Submit);
     assert_eq!(ask(Method::Get, "/api/jobs/wk-000412"), Route::Poll(job()));
-    assert_eq!(ask(Method::Post, "/api/jobs/wk-000412/abort"), Route::Abort(job()));
+    assert_eq!(ask(Method::Post, "/api/jobs/wk-000412/abort"), Route::Cancel(job()));
     assert_eq!(ask(Method::Post, "/ops/jobs/at-risk"), Route::AtRisk);
     assert_eq!(ask(Method::Post, "/ops/jobs/starving"), Route::Starving);
     assert_eq!(ask(Method::Post, "/ops/drain"), Route::Drain);
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -6,24 +6,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::drains::{self, DrainRecord, TAKEN_BACK};
+use troutspindle::drains::{DrainRecord, TAKEN_BACK};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
 use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
 use troutspindle::leadership::election::Election;
-use troutspindle::settings::KeptLimits;
-use troutspindle::store::keys::{
+use troutspindle::schema::keys::{
     COMPLETED_CHUNK_PREFIX, DRAIN_PREFIX, JOB_PREFIX, LEGACY_COMPLETED_CHUNK_PREFIX,
-    SPEC_CHUNK_PREFIX, VERSION_PREFIX, completed_chunk_key, job_key, key_hash,
+    SPEC_CHUNK_PREFIX, VERSION_PREFIX, completed_chunk_key, drain_key, job_key, key_hash,
     legacy_completed_chunk_key, spec_chunk_key, version_key,
 };
-use troutspindle::store::records::{
+use troutspindle::schema::records::{
     JobPhase, JobRecord, Layout, SpecChunks, TaskFootprint, VersionRecord,
 };
+use troutspindle::settings::KeptLimits;
 use troutspindle::store::{
     CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, PREFIX, RELAY_PREFIX, StoreClient,
-    StoreRequest, StoreResponse, TOKEN_KEY,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, OutgoingRequest, PREFIX, RELAY_PREFIX,
+    StoreClient, StoreRequest, StoreResponse, TOKEN_KEY,
 };
 use troutspindle::wire::{
     self, JobSpec, JobStatus, KeyValue, RangeResponse, StoreValue, Transaction, Write,
@@ -33,8 +33,10 @@
 
 const ACCEPTED_MS: u64 = 1_700_000_000_000;
 const ENDED_MS: u64 = 1_700_000_300_000;
-const FIRST: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
-const SECOND: Layout = Layout { format: 2, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
+const FIRST: Layout =
+    Layout { format: 0, legacy_chunk_tasks: 16_384, max_operations: 12, value_max: 14_000 };
+const SECOND: Layout =
+    Layout { format: 2, legacy_chunk_tasks: 16_384, max_operations: 12, value_max: 14_000 };
 /// So small that a description takes several parts.
 const SECOND_SMALL: Layout = Layout { value_max: 300, ..SECOND };
 
@@ -49,18 +51,18 @@
 fn machine_record() -> MachineRecord {
     MachineRecord {
         address: "10.1.0.232:9000".into(),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
     }
 }
 
 fn leader_record() -> LeaderRecord {
-    LeaderRecord { node: node(), token: FencingToken(41) }
+    LeaderRecord { controller: node(), token: FencingToken(41) }
 }
 
 fn version_record() -> VersionRecord {
-    VersionRecord { format: 2, chunk: 16_384 }
+    VersionRecord { format: 2, legacy_chunk_tasks: 16_384 }
 }
 
 fn drain_record(kind: DrainKind) -> DrainRecord {
@@ -127,7 +129,7 @@
 
 impl Life {
     fn new(layout: Layout) -> Life {
-        Life { jobs: Jobs::new(layout.chunk), layout, rev: 0, samples: Vec::new() }
+        Life { jobs: Jobs::new(layout.legacy_chunk_tasks), layout, rev: 0, samples: Vec::new() }
     }
 
     fn commit(&mut self, name: &'static str, written: &Transaction) {
@@ -162,7 +164,7 @@
             jobs::complete(&job(), known, tasks, second_runs, ENDED_MS, &self.layout).unwrap();
         self.commit(name, &completion.transaction);
         let known = self.jobs.get(&job()).unwrap();
-        let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_done(*task));
+        let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_completed(*task));
         assert!(known.live().is_none_or(done), "{name}");
     }
 
@@ -175,7 +177,7 @@
 
     fn tidy(&mut self, name: &'static str) {
         let writes = self.jobs.garbage(100).into_iter().map(|garbage| garbage.write).collect();
-        self.samples.push(transaction(name, &Transaction { guards: Vec::new(), writes }));
+        self.samples.push(transaction(name, &Transaction { preconditions: Vec::new(), writes }));
     }
 
     fn over(&self) -> Option<FinalState> {
@@ -268,9 +270,9 @@
         Sample::written("key-parts", SPEC_CHUNK_PREFIX),
         Sample::written("key-part", spec_chunk_key(&job(), "0123456789abcdef", 3)),
         Sample::written("key-drains", DRAIN_PREFIX),
-        Sample::written("key-drain-zone", drains::key(DrainKind::Zone, "a")),
-        Sample::written("key-drain-machine", drains::key(DrainKind::Machine, "a")),
-        Sample::written("key-drain-controller", drains::key(DrainKind::Controller, "a")),
+        Sample::written("key-drain-zone", drain_key(DrainKind::Zone, "a")),
+        Sample::written("key-drain-machine", drain_key(DrainKind::Machine, "a")),
+        Sample::written("key-drain-controller", drain_key(DrainKind::Controller, "a")),
         Sample::written("tag-flavor", key_hash(&"g8".to_owned())),
     ]
 }
@@ -287,7 +289,7 @@
     };
     let mut core = StoreClient::new(limits, vec![node()], 0, now);
     core.poll(now);
-    let (id, call) = core.calls.pop_front().expect("it reads pages first");
+    let OutgoingRequest { id, request: call } = core.next_request().expect("it reads pages first");
     assert!(matches!(call, StoreRequest::Range { after: None }));
     let rows = (1..).zip(rows).map(|(rev, (key, data))| KeyValue { key, data, rev: Revision(rev) });
     let page = RangeResponse { rows: rows.collect(), truncated: false, rev: Revision(100) };
@@ -320,9 +322,9 @@
 
     let mut core = loaded(Vec::new(), now);
     core.publish_version();
-    core.calls.clear();
+    while core.next_request().is_some() {}
     core.poll(now + Duration::from_secs(5));
-    let told = core.calls.into_iter().map(|(_, call)| call);
+    let told = std::iter::from_fn(|| core.next_request()).map(|outgoing| outgoing.request);
     let told = told.filter(|call| matches!(call, StoreRequest::Commit(_))).map(committed).next();
     vec![
         Sample::cbor("commit-campaign", &campaign),
@@ -387,7 +389,7 @@
 /// A controller that starts finds each record under its key.
 #[test]
 fn records_are_found_under_their_keys() {
-    let drain_key = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
+    let key_of_drain = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
     let row = |key: &str, data: StoreValue| (key.to_owned(), data);
     let rows = vec![
         row("t/a/leader", golden_data("record-leader")),
@@ -399,7 +401,7 @@
         row("t/e/1f", StoreValue::from("learned")),
         row("t/m/i-000231", golden_data("record-machine")),
         row("t/x/n-2/n-1", StoreValue::from("00")),
-        row(&drain_key, golden_data("record-drain-zone")),
+        row(&key_of_drain, golden_data("record-drain-zone")),
     ];
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
@@ -413,21 +415,21 @@
     let machine = cache.machines.get(&MachineId::new("i-000231"));
     assert_eq!(machine, Some(&(machine_record(), Revision(8))));
     assert_eq!(cache.relayed, [("n-2/n-1".into(), "00".into())]);
-    let drain = cache.drains.get(&drain_key);
+    let drain = cache.drains.get(&key_of_drain);
     assert_eq!(drain, Some(&(drain_record(DrainKind::Zone), Revision(10))));
 }
 
 /// Each change of a large job, read from the fixture in the order in which it was committed.
 #[test]
 fn a_large_job_is_read_from_what_was_written_of_it() {
-    let mut jobs = Jobs::new(SECOND_SMALL.chunk);
+    let mut jobs = Jobs::new(SECOND_SMALL.legacy_chunk_tasks);
     for (rev, name) in (1..).zip(["job-large-parts", "job-large-accept", "job-large-pieces"]) {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         apply(&mut jobs, &written, rev);
     }
     let live = jobs.get(&job()).unwrap().live().unwrap();
     assert_eq!(*live.spec, JobSpec { tasks: 10_000, depends_on: None, ..job_spec() });
-    let done: Vec<u32> = (0..10_000).filter(|task| live.is_done(*task)).collect();
+    let done: Vec<u32> = (0..10_000).filter(|task| live.is_completed(*task)).collect();
     assert_eq!((live.accepted_ms, done), (ACCEPTED_MS, vec![0, 4095, 4096, 9999]));
 }
 
@@ -439,7 +441,7 @@
         ("job-cancelled", FinalState { status: JobStatus::Cancelled, completed_tasks: 1 }, 19),
     ] {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
-        let mut jobs = Jobs::new(SECOND.chunk);
+        let mut jobs = Jobs::new(SECOND.legacy_chunk_tasks);
         apply(&mut jobs, &written, 1);
         let known = jobs.get(&job()).unwrap();
         assert_eq!((known.final_state(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
