--- a/src/api/routing.rs
+++ b/src/api/routing.rs
@@ -3,7 +3,7 @@
 use crate::admission::Need;
 use crate::http::{Method, Request};
 use crate::ids::JobId;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 /// The digits of a job's id.
 const ID_DIGITS: std::ops::RangeInclusive<usize> = 1..=40;
@@ -23,9 +23,9 @@
     /// A user cancels a job.
     Abort(JobId),
     /// Operators ask which jobs are at risk of missing their due time.
-    AtRisk,
+    JobsAtRisk,
     /// Operators ask which jobs starve.
-    Starving,
+    FairShareReport,
     /// Operators drain something.
     Drain,
     /// Operators take a drain back.
@@ -48,11 +48,11 @@
         "/up" => with(Method::Get, Route::Health),
         "/hello" => with(Method::Post, Route::Heartbeat),
         JOBS_PATH => with(Method::Post, Route::Submit),
-        ops::AT_RISK_PATH => operators(Route::AtRisk),
-        ops::STARVING_PATH => operators(Route::Starving),
-        ops::DRAIN_PATH => operators(Route::Drain),
-        ops::UNDRAIN_PATH => operators(Route::Undrain),
-        ops::DRAINS_PATH => operators(Route::Drains),
+        operator_api::AT_RISK_PATH => operators(Route::JobsAtRisk),
+        operator_api::STARVING_PATH => operators(Route::FairShareReport),
+        operator_api::DRAIN_PATH => operators(Route::Drain),
+        operator_api::UNDRAIN_PATH => operators(Route::Undrain),
+        operator_api::DRAINS_PATH => operators(Route::Drains),
         _ => job_route(path, with),
     }
 }
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -3,7 +3,7 @@
 
 use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 
 /// The value of the key of a drain that was taken back.
 pub const TAKEN_BACK: StoreValue = StoreValue::Bool(false);
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -3,7 +3,7 @@
 use crate::ids::{ControllerId, JobId};
 use crate::wire;
 use std::hash::{DefaultHasher, Hash, Hasher};
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 
 /// All keys of this cluster have this prefix, and one watch covers them.
 pub const PREFIX: &str = "t/";
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -14,7 +14,7 @@
 use crate::wire::{self, MachineType, StoreValue};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
-use troutspindle_protocol::ops::DrainKind;
+use troutspindle_protocol::operator_api::DrainKind;
 
 /// The store's content, each key with the revision at which it was written.
 #[derive(Debug)]
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -41,7 +41,7 @@
     /// The cache is at least as new as the store was when the read with this ticket was asked for.
     Synced(u64),
     /// What became of a write.
-    Outcome(WriteOrigin, WriteOutcome),
+    WriteOutcome(WriteOrigin, WriteOutcome),
     /// A response to a request of the election.
     Election {
         /// What was asked.
