--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -1,6 +1,6 @@
 //! Large messages on their way by the key-value store: chunks that each fit a stored value.
 
-use crate::schema::records;
+use crate::schema::encoding;
 use std::collections::BTreeMap;
 
 /// Bytes. What stands before the text of a chunk at the most.
