--- a/src/api/routing.rs
+++ b/src/api/routing.rs
@@ -13,15 +13,15 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route {
     /// Whether the process is up.
-    Up,
+    Health,
     /// A worker's heartbeat.
-    Hello,
+    Heartbeat,
     /// A user submits a job.
     Submit,
     /// A user asks for a job's state.
     Poll(JobId),
     /// A user cancels a job.
-    Abort(JobId),
+    Cancel(JobId),
     /// Operators ask which jobs are at risk of missing their due time.
     JobsAtRisk,
     /// Operators ask which jobs starve.
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -90,7 +90,7 @@
                 let (api, state) = (&mut self.api, &mut self.state);
                 let answer = match event {
                     StoreEvent::Synced(10) => api.on_synced(10, state, self.now),
-                    StoreEvent::Outcome(WriteOrigin::User(10), outcome) => {
+                    StoreEvent::WriteSettled(WriteOrigin::User(10), outcome) => {
                         api.on_outcome(10, outcome, state, self.now)
                     }
                     _ => None,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -618,16 +618,16 @@
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(WriteOrigin::Operator(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::Operator(ticket), outcome) => {
                 self.on_ordered(ticket, outcome);
             }
-            StoreEvent::Outcome(WriteOrigin::User(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::User(ticket), outcome) => {
                 let answer = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 if let Some(response) = answer {
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(origin, outcome) => {
+            StoreEvent::WriteSettled(origin, outcome) => {
                 if outcome != WriteOutcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -247,7 +247,8 @@
         });
         let apart = silence >= if lives { RELAY_TERM } else { LEADER_APART_AFTER };
         let synced = self.state.synced_at;
-        let fresh = synced.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
+        let fresh =
+            synced.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
         let alive = fresh && !self.state.is_unavailable(now);
         (apart && alive).then(|| leader.controller.clone())
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -195,7 +195,7 @@
         assert_eq!(told(&mut node), [], "not before it is kept");
         node.state.poll(now);
         let calls: Vec<_> = std::iter::from_fn(|| node.state.next_request()).collect();
-        let commit = calls.into_iter().find_map(|(id, call)| match call {
+        let commit = calls.into_iter().find_map(|OutgoingRequest { id, request }| match request {
             StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
         });
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -117,12 +117,12 @@
 
 impl LiveJob {
     /// Whether a task is completed.
-    pub fn is_done(&self, task: u32) -> bool {
+    pub fn is_completed(&self, task: u32) -> bool {
         self.completed.contains(task)
     }
 
     /// How many tasks are completed.
-    pub fn done_count(&self) -> u64 {
+    pub fn completed_count(&self) -> u64 {
         self.completed.len()
     }
 
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -26,7 +26,7 @@
             return;
         }
         self.tidy.at = now + TIDY_EVERY;
-        let most = TIDY_WRITES.min(state.layout().txn_ops);
+        let most = TIDY_WRITES.min(state.layout().max_operations);
         let mut writes = state.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
         for OrphanedSpecChunk { job, key, revision } in state.cache.jobs.orphaned_spec_chunks() {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -57,7 +57,7 @@
         let report = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
-            machine_type: "f".into(),
+            flavor: "f".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: 1,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -41,7 +41,7 @@
     /// The cache is at least as new as the store was when the read with this ticket was asked for.
     Synced(u64),
     /// What became of a write.
-    WriteOutcome(WriteOrigin, WriteOutcome),
+    WriteSettled(WriteOrigin, WriteOutcome),
     /// A response to a request of the election.
     Election {
         /// What was asked.
@@ -201,7 +201,7 @@
         self.read_index.add_urgent(ticket);
     }
 
-    /// Queues a write; [`StoreEvent::Outcome`] says what became of it.
+    /// Queues a write; [`StoreEvent::WriteSettled`] says what became of it.
     pub fn enqueue(&mut self, write: PendingWrite) {
         self.group_commit.enqueue(write);
     }
@@ -386,7 +386,8 @@
         let random = &mut self.random;
         let settled = self.group_commit.on_response(batch, response, || now + retry_pause(random));
         let outcomes = settled.into_iter().map(|write| (write.origin, write.outcome));
-        self.events.extend(outcomes.map(|(origin, outcome)| StoreEvent::Outcome(origin, outcome)));
+        self.events
+            .extend(outcomes.map(|(origin, outcome)| StoreEvent::WriteSettled(origin, outcome)));
     }
 
     fn on_snapshot_page(&mut self, response: StoreResponse, now: Instant) {
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -54,7 +54,7 @@
 fn outcomes(client: &mut StoreClient) -> Vec<(WriteOrigin, WriteOutcome)> {
     std::iter::from_fn(|| client.next_event())
         .filter_map(|event| match event {
-            StoreEvent::Outcome(origin, outcome) => Some((origin, outcome)),
+            StoreEvent::WriteSettled(origin, outcome) => Some((origin, outcome)),
             _ => None,
         })
         .collect()
