--- a/src/api.rs
+++ b/src/api.rs
@@ -21,6 +21,7 @@
 use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{self, JobStatus, JobView, Transaction};
 use foldhash::{HashMap, HashMapExt};
+use hdrhistogram::{CreationError, Histogram};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -42,7 +43,7 @@
     /// cut off from the store learns them from its peers.
     pub cancelled: Vec<(JobId, Instant)>,
     /// How long requests took.
-    pub latency_ms: hdrhistogram::Histogram<u64>,
+    pub latency_ms: Histogram<u64>,
     /// Count of requests that were told to be sent again later.
     pub refused: u64,
     /// What other controllers have acknowledged.
@@ -65,12 +66,15 @@
 }
 
 impl Api {
-    /// No requests yet; none if the histogram of latencies can't be made.
-    pub fn new(settings: Arc<Settings>, wall: WallClock) -> Option<Api> {
+    /// No requests yet.
+    ///
+    /// # Errors
+    /// The histogram of latencies can't be made.
+    pub fn new(settings: Arc<Settings>, wall: WallClock) -> Result<Api, CreationError> {
         let platform = &settings.platform;
         let workers = &platform.params.workers;
         let peers = platform.others.iter().map(|peer| peer.host_name.clone()).collect();
-        Some(Api {
+        Ok(Api {
             promises: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
             given: Given::default(),
             asks: Vec::new(),
@@ -80,7 +84,7 @@
             pending: BTreeMap::new(),
             running: BTreeMap::new(),
             cancelled: Vec::new(),
-            latency_ms: hdrhistogram::Histogram::new_with_bounds(1, LATENCY_MAX_MS, 2).ok()?,
+            latency_ms: Histogram::new_with_bounds(1, LATENCY_MAX_MS, 2)?,
             refused: 0,
         })
     }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -11,9 +11,9 @@
 
 /// How long a cancellation waits for controllers that are in reach, some milliseconds as a rule;
 /// beyond it the user is told to come back.
-pub const PROMISE_WAIT: Duration = Duration::from_millis(800);
+const PROMISE_WAIT: Duration = Duration::from_millis(800);
 /// Pause before a controller that has not answered is asked again.
-pub const PROMISE_AGAIN: Duration = Duration::from_millis(300);
+const PROMISE_AGAIN: Duration = Duration::from_millis(300);
 
 impl Api {
     /// Commits the end of a live job, once all controllers that have to know acknowledged it.
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -231,6 +231,31 @@
     ("dueS", Field::MayBeNull),
 ];
 
+/// Values of the field's own kind, or near it, that are not allowed.
+fn invalid_values(name: &str, field: Field) -> Vec<StoreValue> {
+    let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(StoreValue::from);
+    match field {
+        Field::Id => ["", "1", "wk-", "wk-x", "wk-1 ", "WK-1"].map(StoreValue::from).to_vec(),
+        Field::Name => {
+            vec![StoreValue::from(""), StoreValue::from(7), StoreValue::from("x".repeat(1000))]
+        }
+        Field::Text => vec![StoreValue::from(7), StoreValue::from("x".repeat(1000))],
+        Field::Word => ["", "other"].map(StoreValue::from).to_vec(),
+        Field::Flag => vec![StoreValue::from(1), StoreValue::from("true")],
+        Field::Count => {
+            vec![
+                StoreValue::from(0),
+                StoreValue::from(-1),
+                StoreValue::from(1.5),
+                StoreValue::from(100_001),
+            ]
+        }
+        Field::Amount => [&amounts[..], &[StoreValue::from("1")]].concat(),
+        Field::MayBeNull if name == "dueS" => amounts.to_vec(),
+        Field::MayBeNull => vec![StoreValue::from(7)],
+    }
+}
+
 /// "400: malformed: not CBOR, not a map, or a field is missing or invalid." "Any field that may be null may also be
 /// omitted." "Unknown fields must be ignored by receivers." "Retrying an accepted job returns 200 with the job's
 /// current state", whatever the retry says.
@@ -248,7 +273,6 @@
         fields.extend(value.map(|value| (StoreValue::from(name), value)));
         wire::encode(&StoreValue::Map(fields))
     };
-    let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(StoreValue::from);
     let mut api = TestApi::new(2);
     let mut broken = 0;
     for (name, field) in FIELDS {
@@ -269,27 +293,7 @@
         } else {
             values.extend([None, Some(StoreValue::Null)]);
         }
-        let more = match field {
-            Field::Id => ["", "1", "wk-", "wk-x", "wk-1 ", "WK-1"].map(StoreValue::from).to_vec(),
-            Field::Name => {
-                vec![StoreValue::from(""), StoreValue::from(7), StoreValue::from("x".repeat(1000))]
-            }
-            Field::Text => vec![StoreValue::from(7), StoreValue::from("x".repeat(1000))],
-            Field::Word => ["", "other"].map(StoreValue::from).to_vec(),
-            Field::Flag => vec![StoreValue::from(1), StoreValue::from("true")],
-            Field::Count => {
-                vec![
-                    StoreValue::from(0),
-                    StoreValue::from(-1),
-                    StoreValue::from(1.5),
-                    StoreValue::from(100_001),
-                ]
-            }
-            Field::Amount => [&amounts[..], &[StoreValue::from("1")]].concat(),
-            Field::MayBeNull if name == "dueS" => amounts.to_vec(),
-            Field::MayBeNull => vec![StoreValue::from(7)],
-        };
-        values.extend(more.into_iter().map(Some));
+        values.extend(invalid_values(name, field).into_iter().map(Some));
         for value in values {
             let answer = api.submit_body(&with("wk-1", name, value.clone()));
             assert_eq!(answer.status, 400, "{name}: {value:?}");
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -151,7 +151,7 @@
             election: Election::new(p.host_name.clone(), p.others.len(), seed, now),
             cloud: CloudClient::new(p.params.cloud.rps, now),
             scheduler: None,
-            api: Api::new(settings.clone(), wall)?,
+            api: Api::new(settings.clone(), wall).ok()?,
             peers: HashMap::new(),
             worker_here: None,
             worker_elsewhere: None,
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -124,9 +124,27 @@
     );
 }
 
+/// Collects garbage until the job's record is all that is left.
+fn collect_garbage(store: &mut Store, id: &JobId) -> FinalState {
+    let mut state = None;
+    while state.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
+        let jobs = store.read(0..store.keys.len());
+        state = jobs.get(id).unwrap().final_state();
+        let (preconditions, writes) = jobs
+            .garbage(3)
+            .into_iter()
+            .map(|GarbageWrite { write, revision: rev }| {
+                (Precondition { key: write.key().into(), rev }, write)
+            })
+            .unzip();
+        assert!(store.commit(&Transaction { preconditions, writes }, &LAYOUT));
+    }
+    state.unwrap()
+}
+
 /// A large job that was accepted in the first layout goes on in the second, under limits that
-/// its record would break: no completed task is lost or invented, whoever reads the store in between, and
-/// nothing is left in the end.
+/// its record would break: no completed task is lost or invented, whoever reads the store in
+/// between, and nothing is left in the end.
 #[test]
 fn a_large_job_goes_on_in_the_second_layout_from_any_point() {
     let first = Layout { format: 0, max_operations: 12, value_max: 14_000, ..LAYOUT };
@@ -181,21 +199,8 @@
                 assert!((0..tasks as u32).all(|n| !committed.contains(n) || live.is_completed(n)));
             }
         }
-        let mut over = None;
-        while over.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
-            let jobs = store.read(0..store.keys.len());
-            over = jobs.get(&id).unwrap().final_state();
-            let (preconditions, writes) = jobs
-                .garbage(3)
-                .into_iter()
-                .map(|GarbageWrite { write, revision: rev }| {
-                    (Precondition { key: write.key().into(), rev }, write)
-                })
-                .unzip();
-            assert!(store.commit(&Transaction { preconditions, writes }, &LAYOUT));
-        }
         let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
-        assert_eq!(over.unwrap().status, status);
+        assert_eq!(collect_garbage(&mut store, &id).status, status);
     }
 }
 
@@ -296,6 +301,67 @@
     state
 }
 
+/// What is inherited against the plain model.
+fn check_priorities(jobs: &Jobs) -> Result<(), proptest::test_runner::TestCaseError> {
+    let live: BTreeMap<&JobId, &LiveJob> =
+        jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
+    let inherited = dag::inherit_priorities(&live, own_priority, |_, job| duration_ms(job));
+    for (id, job) in &live {
+        let found = inherited.get(*id).copied().unwrap_or_else(|| own_priority(job));
+        proptest::prop_assert_eq!(found, plain_inherited(id, &live), "job {}", id);
+    }
+    Ok(())
+}
+
+/// A job whose priority, due time and duration vary with a number.
+fn submitted(which: usize, id: &JobId, depends_on: Vec<JobId>) -> Arc<JobSpec> {
+    let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
+    Arc::new(JobSpec {
+        depends_on: Some(depends_on),
+        urgency: urgencies[which % 3],
+        due_s: (which % 4 == 0).then_some(100.0 + (which * 7 % 50) as f64),
+        expect_s: which as f64,
+        ..fixtures::job_spec(id.as_str(), 1)
+    })
+}
+
+/// Of a random graph: the jobs that each one depends on, all before it.
+fn acyclic(edges: &[Vec<usize>]) -> Vec<Vec<usize>> {
+    let before = |(n, list): (usize, &Vec<usize>)| {
+        let set: BTreeSet<usize> = list.iter().filter(|_| n > 0).map(|m| m % n.max(1)).collect();
+        set.into_iter().collect()
+    };
+    edges.iter().enumerate().map(before).collect()
+}
+
+/// The id of a graph's n-th job: not in the order of acceptance.
+fn graph_job(n: usize) -> JobId {
+    JobId::new(&format!("wk-{}", (n * 17) % 41))
+}
+
+/// What processes derived of the accepted jobs against the plain model.
+fn check_states(
+    processes: &[&Jobs],
+    accepted: usize,
+    depends_on: &[Vec<usize>],
+    ended: &BTreeMap<usize, bool>,
+) -> Result<(), proptest::test_runner::TestCaseError> {
+    let mut memo = BTreeMap::new();
+    for n in 0..accepted {
+        let plain = plain_state(n, depends_on, ended, &mut memo);
+        for jobs in processes {
+            let job = jobs.get(&graph_job(n)).unwrap();
+            let state = job.final_state().map(|state| state.status == JobStatus::Cancelled);
+            proptest::prop_assert_eq!(state, plain, "job {}", n);
+            if let Some(live) = job.live() {
+                let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
+                proptest::prop_assert_eq!(live.unfinished_dependencies as usize, open.count());
+            }
+        }
+    }
+    Ok(())
+}
+
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config {
         cases: 60, failure_persistence: None,
@@ -312,15 +378,8 @@
         shuffle in 0usize..40,
     ) {
         let count = edges.len();
-        let depends_on: Vec<Vec<usize>> = edges
-            .iter()
-            .enumerate()
-            .map(|(n, list)| {
-                let set: BTreeSet<usize> = list.iter().filter(|_| n > 0).map(|m| m % n.max(1)).collect();
-                set.into_iter().collect()
-            })
-            .collect();
-        let name = |n: usize| JobId::new(&format!("wk-{}", (n * 17) % 41));
+        let depends_on = acyclic(&edges);
+        let name = graph_job;
         let mut store = Store::default();
         let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
         let mut ended: BTreeMap<usize, bool> = BTreeMap::new();
@@ -328,13 +387,9 @@
         for (which, act) in acts {
             let before = store.keys.clone();
             if accepted < count && act < 4 {
-                let mut spec = fixtures::job_spec(name(accepted).as_str(), 1);
-                spec.depends_on = Some(depends_on[accepted].iter().map(|n| name(*n)).collect());
-                let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
-                spec.urgency = urgencies[which % 3];
-                spec.due_s = (which % 4 == 0).then_some(100.0 + (which * 7 % 50) as f64);
-                spec.expect_s = which as f64;
-                store.commit(&record(&Arc::new(spec), &jobs), &LAYOUT);
+                let dependencies = depends_on[accepted].iter().map(|n| name(*n)).collect();
+                let spec = submitted(which, &name(accepted), dependencies);
+                store.commit(&record(&spec, &jobs), &LAYOUT);
                 accepted += 1;
             } else if accepted > 0 {
                 let n = which % accepted;
@@ -366,26 +421,8 @@
             new.iter().for_each(|key| store.take(&mut jobs, key));
             let total = store.keys.len();
             let again = store.read((0..total).map(|n| (n + shuffle) % total.max(1)));
-            let mut memo = BTreeMap::new();
-            let live: BTreeMap<&JobId, &LiveJob> =
-                jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let inherited = dag::inherit_priorities(&live, own_priority, |_, job| duration_ms(job));
-            for (id, job) in &live {
-                let found = inherited.get(*id).copied().unwrap_or_else(|| own_priority(job));
-                proptest::prop_assert_eq!(found, plain_inherited(id, &live), "job {}", id);
-            }
-            for n in 0..accepted {
-                let plain = plain_state(n, &depends_on, &ended, &mut memo);
-                for jobs in [&jobs, &again] {
-                    let job = jobs.get(&name(n)).unwrap();
-                    let state = job.final_state().map(|state| state.status == JobStatus::Cancelled);
-                    proptest::prop_assert_eq!(state, plain, "job {}", n);
-                    if let Some(live) = job.live() {
-                        let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
-                        proptest::prop_assert_eq!(live.unfinished_dependencies as usize, open.count());
-                    }
-                }
-            }
+            check_priorities(&jobs)?;
+            check_states(&[&jobs, &again], accepted, &depends_on, &ended)?;
         }
     }
 }
