--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -11,7 +11,7 @@
 use troutspindle::schema::encoding;
 use troutspindle::schema::records::JobRecord;
 use troutspindle::settings::Settings;
-use troutspindle::store::StoreClient;
+use troutspindle::store::{StoreClient, Versioned};
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -52,7 +52,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (
+        state.cache.machine_types = Versioned::new(
             vec![MachineType {
                 name: "f".into(),
                 cpus: 16.0,
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -20,7 +20,7 @@
         store: &mut StoreClient,
         now: Instant,
     ) -> Option<Response> {
-        let machine_types = &store.cache.machine_types.0;
+        let machine_types = &store.cache.machine_types.value;
         if machine_types.is_empty() {
             return Some(self.finish_with_retry(ticket));
         }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -20,8 +20,8 @@
 use crate::settings::Settings;
 use crate::store::{
     MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, RELAY_PREFIX,
-    STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent, StoreRequest, StoreResponse, WriteOrigin,
-    WriteOutcome, WritePriority,
+    STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent, StoreRequest, StoreResponse, Versioned,
+    WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{
     self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
@@ -334,7 +334,7 @@
     fn on_flavors(&mut self, found: Vec<wire::MachineType>) {
         // The catalogue is kept at the store, so that a controller started while the cloud is
         // out can still judge submissions. It only grows: records refer to it.
-        let (known, rev) = self.state.cache.machine_types.clone();
+        let Versioned { value: known, revision: rev } = self.state.cache.machine_types.clone();
         let mut all = known.clone();
         wire::merge(&mut all, found);
         // Only a leader, or whoever finds none there yet, writes it.
@@ -660,11 +660,13 @@
     /// The cache now holds everything that any predecessor committed.
     fn take_over(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
-        let Some((leader, rev)) = &self.state.cache.leader else { return };
+        let Some(Versioned { value: leader, revision: rev }) = &self.state.cache.leader else {
+            return;
+        };
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.machine_types.0.is_empty() {
+        if self.state.cache.machine_types.value.is_empty() {
             // Without the catalogue nothing can be judged; it comes from the cloud soon.
             self.state.sync_soon(TAKE_OVER);
             return;
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::leadership::delegation::DELEGATION_AFTER;
+use crate::store::RelayedMessage;
 
 /// Pause between messages that go by way of the store to a controller out of reach.
 pub const RELAY_EVERY: Duration = Duration::from_secs(3);
@@ -11,7 +12,7 @@
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         let (token, node) = self.leads.as_ref()?;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
-        (*token > self.state.cache.token.0 && self.peers.get(node).is_some_and(near))
+        (*token > self.state.cache.token.value && self.peers.get(node).is_some_and(near))
             .then_some(node)
     }
 
@@ -194,7 +195,7 @@
                 self.on_delivered(token, results, now)
             }
             PeerMessage::RunningTasks { token, counts } => {
-                if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+                if token >= self.state.cache.token.value && self.scheduler.is_none() {
                     self.api.running = counts.into_iter().collect();
                 }
             }
@@ -218,8 +219,8 @@
 
     /// A follower that does not hear its leader asks for a grant by way of the store.
     pub(super) fn relay_status(&mut self, beat: &PeerMessage, now: Instant) {
-        let Some((leader, _)) = &self.state.cache.leader else { return };
-        let leader = leader.controller.clone();
+        let Some(leader) = &self.state.cache.leader else { return };
+        let leader = leader.value.controller.clone();
         let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
         if leader == self.settings.platform.host_name
             || now < self.relay_at
@@ -276,8 +277,8 @@
     /// Takes messages in that came by way of the store.
     pub(super) fn take_relayed(&mut self, now: Instant) {
         let me = self.settings.platform.host_name.clone();
-        for (rest, text) in std::mem::take(&mut self.state.cache.relayed) {
-            let Some((from, to)) = rest.split_once('/') else { continue };
+        for RelayedMessage { route, text } in std::mem::take(&mut self.state.cache.relayed) {
+            let Some((from, to)) = route.split_once('/') else { continue };
             let (to, piece) = to.split_once('/').map_or((to, None), |(to, n)| (to, Some(n)));
             if to != me.as_str() {
                 continue;
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -185,7 +185,7 @@
         let me = &self.settings.platform.host_name;
         let members = match &self.scheduler {
             Some(_) => &self.sharing.members,
-            None => self.sharing.relay.members(self.state.cache.token.0, now)?,
+            None => self.sharing.relay.members(self.state.cache.token.value, now)?,
         };
         let owner = members.owner(&report.machine, &report.zone)?;
         if owner == me || !self.shares(owner, now) {
@@ -203,7 +203,7 @@
         report: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let newest = self.state.cache.token.0;
+        let newest = self.state.cache.token.value;
         if self.sharing.relay.members(newest, now).is_some() {
             if let Some(other) = self.other_owner(&report, now) {
                 return Some(redirect(&other));
@@ -236,7 +236,7 @@
 
     /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
     fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
-        let (leader, _) = self.state.cache.leader.as_ref()?;
+        let leader = &self.state.cache.leader.as_ref()?.value;
         let lapsed = self.sharing.relay.time_since_assignment(leader.token, now)?;
         let silence = match self.peers.get(&leader.controller) {
             Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
@@ -260,7 +260,7 @@
         members: Membership,
         now: Instant,
     ) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+        if token >= self.state.cache.token.value && self.scheduler.is_none() {
             self.sharing.relay.on_assignment(token, from, members, now);
         }
     }
@@ -311,7 +311,7 @@
         commands: Vec<Delivery>,
         now: Instant,
     ) {
-        if token < self.state.cache.token.0 || self.scheduler.is_some() && self.may_act(now) {
+        if token < self.state.cache.token.value || self.scheduler.is_some() && self.may_act(now) {
             return;
         }
         for delivery in commands {
@@ -363,7 +363,7 @@
     /// Sends what is due and gives up what is overdue.
     pub(super) fn pump_sharing(&mut self, now: Instant) {
         let from = self.settings.platform.host_name.clone();
-        for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
+        for batch in self.sharing.relay.take_batches(self.state.cache.token.value, now) {
             let message = PeerMessage::RelayedHeartbeats {
                 from: from.clone(),
                 token: batch.token,
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -4,6 +4,7 @@
 use crate::controller::relayed_heartbeats::MEMBER_FRESH;
 use crate::peers::heartbeat_relay::RelayedHeartbeat;
 use crate::peers::mesh::MESH_PROTOCOL;
+use crate::store::Versioned;
 
 /// A controller with four others, which has read an empty store.
 fn node(now: Instant) -> Controller {
@@ -28,7 +29,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     node
 }
 
@@ -115,7 +116,7 @@
 fn a_command_of_an_earlier_leader_is_left_out() {
     let now = Instant::now();
     let mut node = node(now);
-    node.state.cache.token = (FencingToken(5), Revision(3));
+    node.state.cache.token = Versioned::new(FencingToken(5), Revision(3));
     let command = |number: u64| crate::workers::command_delivery::Delivery {
         number,
         machine: MachineId::new("i-1"),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::leadership::delegation::DELEGATION_AFTER;
 use crate::schema::records::{FORMAT, VersionRecord};
+use crate::store::Versioned;
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
 /// have come with the first's list of barred machines, and been acknowledged.
@@ -13,7 +14,8 @@
     let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), now);
-    let version = (VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 }, Revision(1));
+    let record = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
+    let version = Versioned::new(record, Revision(1));
     node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
@@ -83,7 +85,7 @@
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
         let cache = &node.state.cache;
         let token = FencingToken(1);
@@ -230,7 +232,7 @@
     let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), start);
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -40,7 +40,7 @@
         if let Some(orders) = self.answer_for_leader(report, now) {
             return Response::with(200, wire::encode(&orders));
         }
-        let leader = self.state.cache.leader.as_ref().map(|(leader, _)| &leader.controller);
+        let leader = self.state.cache.leader.as_ref().map(|leader| &leader.value.controller);
         match self.later_leader(now).or(leader) {
             Some(node) if *node != self.settings.platform.host_name => redirect(node),
             _ => Response::later(503),
@@ -70,7 +70,7 @@
         if !(self.has_news(now) || sign && report.zone == self.settings.platform.location) {
             return None;
         }
-        let newest = self.state.cache.token.0;
+        let newest = self.state.cache.token.value;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
         let alone = !self.peers.values().any(near)
             || self.state.is_unavailable(now) && self.later_leader(now).is_none();
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -12,7 +12,7 @@
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
 use crate::schema::records::VersionRecord;
 use crate::schema::{encoding, keys};
-use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -72,7 +72,7 @@
     pub fn poll(
         &mut self,
         seen: Revision,
-        version: Option<&(VersionRecord, Revision)>,
+        version: Option<&Versioned<VersionRecord>>,
         now: Instant,
     ) -> Option<StoreRequest> {
         if self.in_flight || now < self.due {
@@ -81,7 +81,7 @@
         let call = match self.stage {
             Stage::Absent => StoreRequest::GrantLease(HEARTBEAT_LEASE),
             Stage::Leased(lease, _) => {
-                let (record, told) = version?;
+                let Versioned { value: record, revision: told } = version?;
                 let epoch = keys::version_key(&self.me);
                 let put = |key: &str, data, lease| Write::Put { key: key.into(), data, lease };
                 StoreRequest::Commit(Transaction {
@@ -214,7 +214,7 @@
         }
         for peer in &self.peers {
             let rev = cache.controller_leases.get(peer).copied();
-            let format = cache.versions.get(peer).map_or(0, |(v, _)| v.format);
+            let format = cache.versions.get(peer).map_or(0, |version| version.value.format);
             match self.seen.get_mut(peer) {
                 Some(seen) if seen.rev == rev => {}
                 Some(seen) => *seen = Seen { rev, since: now },
@@ -270,10 +270,9 @@
         let mut preconditions: BTreeMap<String, Revision> = BTreeMap::new();
         let (mut asked, mut late) = (Vec::new(), false);
         let given = self.given.get(id);
-        let placed = self
-            .placed
-            .get(id)
-            .filter(|(leader, _)| cache.leader.as_ref().is_some_and(|(_, rev)| rev == leader));
+        let placed = self.placed.get(id).filter(|(leader, _)| {
+            cache.leader.as_ref().is_some_and(|known| known.revision == *leader)
+        });
         for peer in &self.peers {
             let seen = self.seen.get(peer);
             let rev = seen.and_then(|seen| seen.rev);
@@ -281,7 +280,8 @@
             if rev.is_none() {
                 // Applied late, it must not take a later absence for this one: a heartbeat in between has
                 // written this key, which never goes away.
-                let told = cache.versions.get(peer).map(|(_, rev)| *rev).unwrap_or_default();
+                let told =
+                    cache.versions.get(peer).map(|version| version.revision).unwrap_or_default();
                 preconditions.insert(keys::version_key(peer), told);
             }
             let promise = given.and_then(|given| given.get(peer));
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -2,7 +2,9 @@
 
 use crate::constants::{DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
-use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
+use crate::store::{
+    Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
+};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
@@ -140,8 +142,8 @@
             return false;
         }
         // What we know is older than a leader with a newer token, who has read all of it.
-        let stands = token > cache.token.0
-            || (shown && cache.leader.as_ref().is_some_and(|(l, _)| l.token == token));
+        let stands = token > cache.token.value
+            || (shown && cache.leader.as_ref().is_some_and(|leader| leader.value.token == token));
         if stands {
             self.pledged_until = self.pledged_until.max(now + PLEDGE);
         }
@@ -207,7 +209,7 @@
     /// Whether the leader has lost its right for good: another one leads.
     pub fn check(&mut self, cache: &Cache) -> Option<ElectionEvent> {
         let token = self.token()?;
-        (cache.token.0 > token).then(|| {
+        (cache.token.value > token).then(|| {
             self.role = Role::Follower;
             self.pledges.clear();
             ElectionEvent::Lost("another leader has a higher token")
@@ -233,7 +235,7 @@
                         calls.push(StoreRequest::RevokeLease(*lease));
                         return (calls, None);
                     }
-                    let (old, rev) = cache.token;
+                    let Versioned { value: old, revision: rev } = cache.token;
                     let token = FencingToken(old.0 + 1);
                     self.role = Role::Campaigning { lease: *lease, sent, token };
                     calls.push(StoreRequest::Commit(self.campaign(token, rev, *lease)));
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::controller::TICK_MOST;
+use crate::store::Versioned;
 
 fn loaded() -> Cache {
     Cache { loaded: true, ..Cache::new(16_384) }
@@ -16,8 +17,8 @@
     let (_, event) = election.on_response(&calls.remove(0), now, &reply, &cache, now);
     assert_eq!(event, Some(ElectionEvent::Won(FencingToken(1))));
     let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
-    cache.leader = Some((record, Revision(3)));
-    cache.token = (FencingToken(1), Revision(3));
+    cache.leader = Some(Versioned::new(record, Revision(3)));
+    cache.token = Versioned::new(FencingToken(1), Revision(3));
     (election, cache, now)
 }
 
@@ -56,8 +57,8 @@
     let now = Instant::now();
     let mut cache = loaded();
     let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
-    cache.leader = Some((record, Revision(3)));
-    cache.token = (FencingToken(1), Revision(3));
+    cache.leader = Some(Versioned::new(record, Revision(3)));
+    cache.token = Versioned::new(FencingToken(1), Revision(3));
     let mut follower = Election::new(ControllerId::new("b"), 2, 0, now);
     cache.leader = cache.leader.take();
     assert!(follower.pledge(FencingToken(1), &cache, true, now + PLEDGE));
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -359,7 +359,7 @@
             since: now,
             counter: 0,
             teams: names.enumerate().map(|(i, name)| (name, i)).collect(),
-            flavors: cache.machine_types.0.clone(),
+            flavors: cache.machine_types.value.clone(),
             settings,
             machines: BTreeMap::new(),
             ranks,
@@ -407,7 +407,8 @@
             starts: 0,
             stops: 0,
         };
-        for (id, (record, _)) in &cache.machines {
+        for (id, known) in &cache.machines {
+            let record = &known.value;
             let Some(kind) = scheduler.kind(&record.machine_type, &record.zone, record.spot) else {
                 continue;
             };
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -252,7 +252,7 @@
 /// What is drained, as any controller knows it.
 pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
-    let drains = cache.drains.values().map(|(record, _)| Drain {
+    let drains = cache.drained().map(|record| Drain {
         kind: record.kind,
         name: record.name.clone(),
         by_in_s: record.by_ms.map(|by| (by as f64 - now_ms) / 1000.0),
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -131,7 +131,8 @@
             }
             let Some(address) = machine.address else { continue };
             let key = format!("{MACHINE_PREFIX}{}", machine.id);
-            let rev = state.cache.machines.get(&machine.id).map_or(Revision(0), |(_, rev)| *rev);
+            let rev =
+                state.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
                 machine_type: self.flavors[machine.flavor].name.clone(),
@@ -162,8 +163,11 @@
             .iter()
             .filter(|(id, _)| !is_ours(id))
             // One of a kind that is not known is not known to be gone.
-            .filter(|(_, (m, _))| self.kind(&m.machine_type, &m.zone, m.spot).is_some())
-            .map(|(id, (_, rev))| (id.clone(), *rev))
+            .filter(|(_, known)| {
+                let record = &known.value;
+                self.kind(&record.machine_type, &record.zone, record.spot).is_some()
+            })
+            .map(|(id, known)| (id.clone(), known.revision))
             .collect();
         for (id, rev) in gone {
             let origin = WriteOrigin::MachineRemoved(id.clone());
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -61,8 +61,9 @@
 
     /// Takes in what is kept at the store by now.
     fn read(&mut self, cache: &Cache) {
-        for (bucket, (value, rev)) in &cache.estimates {
-            if let Err(error) = self.learner.keeper.on_kept(*bucket, value.as_deref(), rev.0) {
+        for (bucket, known) in &cache.estimates {
+            let (value, revision) = (known.value.as_deref(), known.revision);
+            if let Err(error) = self.learner.keeper.on_kept(*bucket, value, revision.0) {
                 // It costs what was learned there, and nothing else.
                 tracing::info!(key = %key(*bucket), %error, "estimates not read");
             }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -3,6 +3,9 @@
 use crate::controller::TICK_MOST;
 use crate::schema::{encoding, records};
 use crate::settings::plain_flavor as flavor;
+use crate::store::Versioned;
+use crate::store::Versioned;
+use crate::store::Versioned;
 use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::operator_api::FairShareReport;
 
@@ -22,7 +25,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (vec![flavor()], Revision(1));
+        state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
@@ -388,7 +391,7 @@
             };
             assert_eq!(item.priority, WritePriority::Background);
             let text = data.as_text().map(str::to_owned);
-            bench.state.cache.estimates.insert(*bucket, (text, Revision(100 + n)));
+            bench.state.cache.estimates.insert(*bucket, Versioned::new(text, Revision(100 + n)));
             bench.scheduler.on_outcome(&item.origin, WriteOutcome::Committed, &mut bench.state);
             written += 1;
         }
@@ -430,9 +433,9 @@
     next.scheduler.store_estimates(&mut next.state, next.now);
     assert!((estimated(&mut next, "wk-2").unwrap() - known).abs() < 0.5);
     let mut damaged = learning_bench();
-    for (bucket, (text, rev)) in &bench.state.cache.estimates {
-        let text = text.as_ref().map(|text| text[..text.len() / 2].to_owned());
-        damaged.state.cache.estimates.insert(*bucket, (text, *rev));
+    for (bucket, known) in &bench.state.cache.estimates {
+        let text = known.value.as_ref().map(|text| text[..text.len() / 2].to_owned());
+        damaged.state.cache.estimates.insert(*bucket, Versioned::new(text, known.revision));
     }
     damaged.scheduler.store_estimates(&mut damaged.state, damaged.now);
     assert_eq!(estimated(&mut damaged, "wk-2"), None);
@@ -715,7 +718,11 @@
             zone: "a".into(),
             spot: false,
         };
-        bench.state.cache.machines.insert(MachineId::new(name), (record, Revision(3)));
+        bench
+            .state
+            .cache
+            .machines
+            .insert(MachineId::new(name), Versioned::new(record, Revision(3)));
     }
     let job = bench.job("wk-1", JobKind::Array, tasks);
     bench.lead_anew();
--- a/src/store.rs
+++ b/src/store.rs
@@ -17,7 +17,7 @@
     MACHINE_TYPES_KEY, PREFIX, RELAY_PREFIX, TOKEN_KEY,
 };
 pub use crate::schema::records::{LeaderRecord, MachineRecord};
-pub use cache::Cache;
+pub use cache::{Cache, RelayedMessage, Versioned};
 pub use client::{STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent};
 pub use group_commit::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority};
 pub use messages::{OutgoingRequest, StoreRequest, StoreResponse, TimedRequest};
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -16,6 +16,31 @@
 use std::collections::BTreeMap;
 use troutspindle_protocol::operator_api::DrainKind;
 
+/// A value with the revision at which it was written.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Versioned<T> {
+    /// What its key says.
+    pub value: T,
+    /// When that was written.
+    pub revision: Revision,
+}
+
+impl<T> Versioned<T> {
+    /// A value that was written at this revision.
+    pub fn new(value: T, revision: Revision) -> Versioned<T> {
+        Versioned { value, revision }
+    }
+}
+
+/// A message between controllers that cannot reach each other.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct RelayedMessage {
+    /// Its key without the prefix: sender and receiver.
+    pub route: String,
+    /// The message, or a chunk of it, in hexadecimal.
+    pub text: String,
+}
+
 /// The store's content, each key with the revision at which it was written.
 #[derive(Debug)]
 pub struct Cache {
@@ -26,30 +51,30 @@
     /// All jobs.
     pub jobs: Jobs,
     /// Who leads, if anybody does.
-    pub leader: Option<(LeaderRecord, Revision)>,
+    pub leader: Option<Versioned<LeaderRecord>>,
     /// The newest fencing token.
-    pub token: (FencingToken, Revision),
+    pub token: Versioned<FencingToken>,
     /// The machine types of all keys, and the revision of the key that holds them as one list.
-    pub machine_types: (Vec<MachineType>, Revision),
+    pub machine_types: Versioned<Vec<MachineType>>,
     /// Revisions of the keys that hold one machine type each.
     pub machine_type_keys: HashMap<String, Revision>,
     /// The format that each controller says it reads.
-    pub versions: BTreeMap<ControllerId, (VersionRecord, Revision)>,
+    pub versions: BTreeMap<ControllerId, Versioned<VersionRecord>>,
     /// Machines on which tasks may have been started.
-    pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
+    pub machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
     /// What operators drain, by key.
-    pub drains: BTreeMap<String, (DrainRecord, Revision)>,
+    pub drains: BTreeMap<String, Versioned<DrainRecord>>,
     /// Revisions of the keys of drains, also of those that were taken back: such a key stays, so
     /// that a request without a response, carried out late, finds it changed.
     pub drain_keys: BTreeMap<String, Revision>,
     /// Learned run times, encoded; none where the key was removed.
-    pub estimates: BTreeMap<u8, (Option<String>, Revision)>,
+    pub estimates: BTreeMap<u8, Versioned<Option<String>>>,
     /// Revisions of the keys of the controllers' leases.
     pub controller_leases: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
     pub relays: HashMap<String, Revision>,
-    /// Relayed messages not read yet: the key without its prefix, and the message in hexadecimal.
-    pub relayed: Vec<(String, String)>,
+    /// Relayed messages not read yet.
+    pub relayed: Vec<RelayedMessage>,
 }
 
 impl Cache {
@@ -59,8 +84,8 @@
             rev: Revision(0),
             jobs: Jobs::new(legacy_chunk_tasks),
             leader: None,
-            token: Default::default(),
-            machine_types: Default::default(),
+            token: Versioned::default(),
+            machine_types: Versioned::default(),
             machine_type_keys: HashMap::new(),
             versions: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -75,7 +100,7 @@
 
     /// What operators ordered to be drained.
     pub fn drained(&self) -> impl Iterator<Item = &DrainRecord> {
-        self.drains.values().map(|(record, _)| record)
+        self.drains.values().map(|drain| &drain.value)
     }
 
     /// Whether a controller is to be drained.
@@ -129,7 +154,7 @@
             Ok(record) => {
                 // They all agree, since each takes it from those that came before.
                 self.jobs.set_legacy_chunk_tasks(record.legacy_chunk_tasks.max(1));
-                self.versions.insert(controller, (record, rev));
+                self.versions.insert(controller, Versioned::new(record, rev));
             }
             Err(error) => tracing::error!(%controller, %error, "version record is unreadable"),
         }
@@ -152,12 +177,12 @@
     }
 
     fn apply_machine(&mut self, id: MachineId, value: Option<&StoreValue>, rev: Revision) {
-        if self.machines.get(&id).is_some_and(|(_, known)| *known >= rev) {
+        if self.machines.get(&id).is_some_and(|known| known.revision >= rev) {
             return;
         }
         match value.map(StoreValue::deserialized) {
             Some(Ok(record)) => {
-                self.machines.insert(id, (record, rev));
+                self.machines.insert(id, Versioned::new(record, rev));
             }
             Some(Err(_)) | None => {
                 self.machines.remove(&id);
@@ -176,7 +201,7 @@
         }
         match value.map(StoreValue::deserialized) {
             Some(Ok(record)) => {
-                self.drains.insert(key.to_owned(), (record, rev));
+                self.drains.insert(key.to_owned(), Versioned::new(record, rev));
             }
             Some(Err(error)) if value != Some(&drains::TAKEN_BACK) => {
                 tracing::error!(key, %error, "drain record is unreadable");
@@ -190,10 +215,10 @@
     fn apply_estimates(&mut self, bucket: &str, value: Option<&StoreValue>, rev: Revision) {
         let Ok(bucket) = u8::from_str_radix(bucket, 16) else { return };
         let known = self.estimates.entry(bucket).or_default();
-        if known.1 < rev {
+        if known.revision < rev {
             let text = value.and_then(StoreValue::as_text).map(str::to_owned);
             // What is no text is kept as one that can't be read, and is replaced.
-            *known = (text.or_else(|| value.map(|_| String::new())), rev);
+            *known = Versioned::new(text.or_else(|| value.map(|_| String::new())), rev);
         }
     }
 
@@ -208,31 +233,31 @@
             && self.relays.get(key).is_none_or(|known| *known < rev)
         {
             self.relays.insert(key.to_owned(), rev);
-            self.relayed.push((route.to_owned(), text.to_owned()));
+            self.relayed.push(RelayedMessage { route: route.to_owned(), text: text.to_owned() });
         }
     }
 
     fn apply_leader(&mut self, value: Option<&StoreValue>, rev: Revision) {
-        if self.leader.as_ref().is_none_or(|(_, known)| *known < rev) {
+        if self.leader.as_ref().is_none_or(|known| known.revision < rev) {
             let record = value.and_then(|value| value.deserialized().ok());
-            self.leader = record.map(|record| (record, rev));
+            self.leader = record.map(|record| Versioned::new(record, rev));
         }
     }
 
     fn apply_token(&mut self, value: Option<&StoreValue>, rev: Revision) {
         if let Some(token) = value.and_then(|value| value.deserialized().ok())
-            && self.token.1 < rev
+            && self.token.revision < rev
         {
-            self.token = (token, rev);
+            self.token = Versioned::new(token, rev);
         }
     }
 
     fn apply_machine_types(&mut self, value: Option<&StoreValue>, rev: Revision) {
         if let Some(types) = value.and_then(|value| value.deserialized().ok())
-            && self.machine_types.1 < rev
+            && self.machine_types.revision < rev
         {
-            self.machine_types.1 = rev;
-            wire::merge(&mut self.machine_types.0, types);
+            self.machine_types.revision = rev;
+            wire::merge(&mut self.machine_types.value, types);
         }
     }
 
@@ -241,7 +266,7 @@
             && self.machine_type_keys.get(key).is_none_or(|known| *known < rev)
         {
             self.machine_type_keys.insert(key.to_owned(), rev);
-            wire::merge(&mut self.machine_types.0, vec![machine_type]);
+            wire::merge(&mut self.machine_types.value, vec![machine_type]);
         }
     }
 
@@ -250,13 +275,15 @@
     /// so that whatever changed between pages comes again.
     pub(super) fn finish_snapshot(&mut self, snapshot: &Snapshot) {
         let first = snapshot.first_revision();
-        self.machines.retain(|id, (_, rev)| snapshot.has_machine(id) || *rev > first);
-        self.versions.retain(|name, (_, rev)| snapshot.has_version(name) || *rev > first);
+        self.machines.retain(|id, known| snapshot.has_machine(id) || known.revision > first);
+        self.versions.retain(|name, known| snapshot.has_version(name) || known.revision > first);
         self.controller_leases
             .retain(|name, rev| snapshot.has_controller_lease(name) || *rev > first);
-        self.drains.retain(|key, (_, rev)| snapshot.has_drain(key) || *rev > first);
+        self.drains.retain(|key, known| snapshot.has_drain(key) || known.revision > first);
         self.drain_keys.retain(|key, rev| snapshot.has_drain(key) || *rev > first);
-        if !snapshot.has_leader() && self.leader.as_ref().is_some_and(|(_, rev)| *rev <= first) {
+        if !snapshot.has_leader()
+            && self.leader.as_ref().is_some_and(|known| known.revision <= first)
+        {
             self.leader = None;
         }
         self.rev = first;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -145,7 +145,7 @@
     /// reads; one that says nothing runs an older version, or may. It only rises: no controller
     /// goes back.
     pub fn layout(&self) -> Layout {
-        let format = |name| self.cache.versions.get(name).map_or(0, |(v, _)| v.format);
+        let format = |name| self.cache.versions.get(name).map_or(0, |version| version.value.format);
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
         let limits = &self.limits;
         let value_max = if format == 0 { limits.first_max } else { limits.value_max };
@@ -158,13 +158,13 @@
         let Some(me) = self.controllers.first() else { return };
         let known = self.cache.versions.get(me);
         if !self.cache.loaded
-            || known.is_some_and(|(known, _)| known.format >= FORMAT)
+            || known.is_some_and(|known| known.value.format >= FORMAT)
             || self.is_pending(&WriteOrigin::Version)
         {
             return;
         }
         let key = keys::version_key(me);
-        let rev = known.map_or(Revision(0), |(_, rev)| *rev);
+        let rev = known.map_or(Revision(0), |known| known.revision);
         let record = VersionRecord {
             format: FORMAT,
             legacy_chunk_tasks: self.cache.jobs.legacy_chunk_tasks(),
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -23,7 +23,7 @@
 use troutspindle::store::{
     CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
     MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, OutgoingRequest, PREFIX, RELAY_PREFIX,
-    StoreClient, StoreRequest, StoreResponse, TOKEN_KEY,
+    RelayedMessage, StoreClient, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
 };
 use troutspindle::wire::{
     self, JobSpec, JobStatus, KeyValue, RangeResponse, StoreValue, Transaction, Write,
@@ -405,18 +405,27 @@
     ];
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
-    assert_eq!(cache.leader, Some((leader_record(), Revision(1))));
-    assert_eq!(cache.token, (FencingToken(41), Revision(2)));
-    assert_eq!(cache.machine_types, (vec![flavor()], Revision(3)));
+    assert_eq!(cache.leader, Some(Versioned::new(leader_record(), Revision(1))));
+    assert_eq!(
+        cache.token,
+        Versioned::newVersioned::newVersioned::new(FencingToken(41), Revision(2))
+    );
+    assert_eq!(
+        cache.machine_types,
+        Versioned::newVersioned::newVersioned::new(vec![flavor()], Revision(3))
+    );
     assert_eq!(cache.machine_type_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
     assert_eq!(cache.controller_leases.get(&node()), Some(&Revision(5)));
-    assert_eq!(cache.versions.get(&node()), Some(&(version_record(), Revision(6))));
-    assert_eq!(cache.estimates.get(&0x1f), Some(&(Some("learned".into()), Revision(7))));
+    assert_eq!(cache.versions.get(&node()), Some(&Versioned::new(version_record(), Revision(6))));
+    assert_eq!(
+        cache.estimates.get(&0x1f),
+        Some(&Versioned::new(Some("learned".into()), Revision(7)))
+    );
     let machine = cache.machines.get(&MachineId::new("i-000231"));
-    assert_eq!(machine, Some(&(machine_record(), Revision(8))));
-    assert_eq!(cache.relayed, [("n-2/n-1".into(), "00".into())]);
+    assert_eq!(machine, Some(&Versioned::new(machine_record(), Revision(8))));
+    assert_eq!(cache.relayed, [RelayedMessage { route: "n-2/n-1".into(), text: "00".into() }]);
     let drain = cache.drains.get(&key_of_drain);
-    assert_eq!(drain, Some(&(drain_record(DrainKind::Zone), Revision(10))));
+    assert_eq!(drain, Some(&Versioned::new(drain_record(DrainKind::Zone), Revision(10))));
 }
 
 /// Each change of a large job, read from the fixture in the order in which it was committed.
