--- a/src/leadership/controller_lease/tests.rs
+++ b/src/leadership/controller_lease/tests.rs
@@ -84,9 +84,7 @@
         let mut cache = Cache::new(16);
         cache.loaded = true;
         let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
-        cache
-            .versions
-            .insert(name.clone(), Versioned::newVersioned::newVersioned::new(version, Revision(1)));
+        cache.versions.insert(name.clone(), Versioned::new(version, Revision(1)));
         let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
         let job = encoding::to_value(&records::JobRecord::live(1, Some(spec)));
         cache.jobs.apply_record(id.clone(), &job, Revision(2));
@@ -128,8 +126,7 @@
             if !cut {
                 let seen = store.key_rev();
                 if step >= shows_from
-                    && let told =
-                        Versioned::newVersioned::newVersioned::new(version, Revision(store.epoch))
+                    && let told = Versioned::new(version, Revision(store.epoch))
                     && let Some(call) = other.heartbeat.poll(seen, Some(&told), now)
                 {
                     let reply = store.call(&call, now);
@@ -154,10 +151,7 @@
                 } else {
                     cache.controller_leases.remove(&name);
                 }
-                cache.versions.insert(
-                    name.clone(),
-                    Versioned::newVersioned::newVersioned::new(version, Revision(store.epoch)),
-                );
+                cache.versions.insert(name.clone(), Versioned::new(version, Revision(store.epoch)));
             }
             promises.look(&cache, now);
             let delay = |random: &mut StdRng| {
@@ -215,9 +209,7 @@
     let mut cache = Cache::new(16);
     cache.loaded = true;
     let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
-    cache
-        .versions
-        .insert(peer.clone(), Versioned::newVersioned::newVersioned::new(version, Revision(5)));
+    cache.versions.insert(peer.clone(), Versioned::new(version, Revision(5)));
     let mut promises = CancellationAcks::new(vec![peer.clone()], LEASE_S, CANCEL_S);
     promises.under(heartbeat_key(&me), Revision(7));
     promises.look(&cache, now);
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -315,7 +315,7 @@
     let campaign = committed(calls.remove(0));
 
     let mut heartbeat = ControllerLease::new(&node(), now);
-    let version = (version_record(), Revision(12));
+    let version = Versioned::new(version_record(), Revision(12));
     let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
     heartbeat.on_response(&asking, now, &lease, now);
     let first_beat = committed(heartbeat.poll(Revision(0), Some(&version), now).unwrap());
@@ -406,14 +406,8 @@
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
     assert_eq!(cache.leader, Some(Versioned::new(leader_record(), Revision(1))));
-    assert_eq!(
-        cache.token,
-        Versioned::newVersioned::newVersioned::new(FencingToken(41), Revision(2))
-    );
-    assert_eq!(
-        cache.machine_types,
-        Versioned::newVersioned::newVersioned::new(vec![flavor()], Revision(3))
-    );
+    assert_eq!(cache.token, Versioned::new(FencingToken(41), Revision(2)));
+    assert_eq!(cache.machine_types, Versioned::new(vec![flavor()], Revision(3)));
     assert_eq!(cache.machine_type_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
     assert_eq!(cache.controller_leases.get(&node()), Some(&Revision(5)));
     assert_eq!(cache.versions.get(&node()), Some(&Versioned::new(version_record(), Revision(6))));
