--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -104,11 +104,11 @@
     let now = Instant::now();
     let known = |loaded: bool, key: u64| Cache {
         loaded,
-        leader: Some((
+        leader: Some(Versioned::new(
             LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(key) },
             Revision(3),
         )),
-        token: (FencingToken(key), Revision(3)),
+        token: Versioned::new(FencingToken(key), Revision(3)),
         ..Cache::new(16_384)
     };
     let pledges = |cache: &Cache, shown: bool| {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -4,8 +4,6 @@
 use crate::schema::{encoding, records};
 use crate::settings::plain_flavor as flavor;
 use crate::store::Versioned;
-use crate::store::Versioned;
-use crate::store::Versioned;
 use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::operator_api::FairShareReport;
 
