--- a/crates/protocol/src/wire/store.rs
+++ b/crates/protocol/src/wire/store.rs
@@ -3,7 +3,7 @@
 use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Any value kept at the state service.
+/// Any value kept in the store.
 pub type StoreValue = ciborium::Value;
 
 /// A condition of a transaction: the key still has this revision.
@@ -29,7 +29,8 @@
         data: StoreValue,
         /// The lease that the key is attached to; `None` detaches it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        hold: Option<LeaseId>,
+        #[serde(rename = "hold")]
+        lease: Option<LeaseId>,
     },
     /// Removes a key.
     Delete {
@@ -52,7 +53,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
     /// The preconditions.
-    pub guards: Vec<Precondition>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     /// The changes.
     pub writes: Vec<Write>,
 }
@@ -117,7 +119,8 @@
     #[serde(rename = "storeRev")]
     pub rev: Revision,
     /// The changes, in order.
-    pub news: Vec<WatchEvent>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// Asks for a lease.
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -4,7 +4,7 @@
 //! Nothing of this is kept but the order itself: a new leader goes on from what it finds running.
 
 use crate::clock::WallClock;
-use crate::drains::{DrainRecord, Drained};
+use crate::drains::{DrainRecord, DrainSet};
 use crate::ids::{Amount, MachineId, TaskId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
-    pub drained: Drained,
+    pub drained: DrainSet,
     at: Option<Instant>,
 }
 
@@ -49,7 +49,7 @@
 
 impl Scheduler {
     pub(super) fn read_drains(&mut self, cache: &Cache) {
-        let drained = Drained::of_records(cache.drained());
+        let drained = cache.drained().collect::<DrainSet>();
         if drained != self.drains.drained {
             self.drains.drained = drained;
             self.planning_clock.pass_requested = true;
@@ -57,7 +57,9 @@
     }
 
     fn drain_of(&self, machine: &Machine) -> Option<&DrainRecord> {
-        self.drains.drained.of(machine.id.as_str(), self.fleet.zone_name(machine.zone))
+        self.drains
+            .drained
+            .drain_of_machine(machine.id.as_str(), self.fleet.zone_name(machine.zone))
     }
 
     pub(super) fn is_drained(&self, machine: &Machine) -> bool {
@@ -66,7 +68,7 @@
 
     pub(super) fn drained_zones(&self) -> Vec<bool> {
         let zones = &self.settings.platform.params.zones;
-        zones.iter().map(|zone| self.drains.drained.zone(zone)).collect()
+        zones.iter().map(|zone| self.drains.drained.covers_zone(zone)).collect()
     }
 
     /// Seconds until a machine has to be empty; none if it is not drained, or by no time.
@@ -251,7 +253,7 @@
     ) -> bool {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
-        let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.zone(zone));
+        let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.covers_zone(zone));
         if spec.shape == JobKind::Service {
             let open = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open == 0 || (spec.spread && open == 1);
@@ -267,7 +269,7 @@
 /// What is drained, as any controller knows it.
 pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
-    let drains = cache.drains.values().map(|(record, _)| Drain {
+    let drains = cache.drained().map(|record| Drain {
         kind: record.kind,
         name: record.name.clone(),
         by_in_s: record.by_ms.map(|by| (by as f64 - now_ms) / 1000.0),
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -78,7 +78,7 @@
             claimed[team] = claimed[team].plus(&job.need.times(job.spec.tasks));
             let beyond = !claimed[team].fits(&params.teams[team].guarantee());
             let work = &self.jobs.progress[*id];
-            let started = job.done_count() + work.placed.len() as u64;
+            let started = job.completed_count() + work.placed.len() as u64;
             let turn = placement::copies(&params.teams[team].most(), &job.need);
             let waited =
                 work.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
@@ -125,7 +125,7 @@
             // What is being emptied takes nothing until it is empty.
             let emptying = machine.last_consolidated.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
             let name = &settings.platform.params.zones[machine.zone];
-            if drained.of(machine.id.as_str(), name).is_some() {
+            if drained.drain_of_machine(machine.id.as_str(), name).is_some() {
                 continue;
             }
             let up = machine.state == MachineState::Up
@@ -326,7 +326,7 @@
             }
             let mut most = within;
             if self.urgency(id, job) == Priority::Low && job.spec.shape == JobKind::Array {
-                let paced = self.start_pacer.low_priority_starts.room(now) as u64;
+                let paced = self.start_pacer.low_priority_starts.available(now) as u64;
                 if paced < most.min(waiting) {
                     *self.statistics.waiting_by_cause.entry("pace of starts").or_default() +=
                         most.min(waiting) - paced;
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -91,8 +91,9 @@
 
     /// Takes in what is kept at the store by now.
     fn read(&mut self, cache: &Cache) {
-        for (bucket, (value, rev)) in &cache.estimates {
-            if let Err(error) = self.learner.keeper.on_kept(*bucket, value.as_deref(), rev.0) {
+        for (bucket, known) in &cache.estimates {
+            let (value, revision) = (known.value.as_deref(), known.revision);
+            if let Err(error) = self.learner.keeper.on_kept(*bucket, value, revision.0) {
                 // It costs what was learned there, and nothing else.
                 tracing::info!(key = %key(*bucket), %error, "estimates not read");
             }
@@ -311,7 +312,7 @@
         let rest = remaining(&estimate.centre, &running, waiting, width);
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
-        let ended = live.done_count();
+        let ended = live.completed_count();
         let seen = self.runtime_predictor.seen(id, live);
         seen.late = late;
         seen.done_in_s = done_in_s;
@@ -342,12 +343,12 @@
             return;
         };
         let key = key(write.bucket);
-        let guards = vec![
+        let preconditions = vec![
             Precondition { key: key.clone(), rev: Revision(write.rev) },
             self.term.precondition(),
         ];
-        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), hold: None }];
-        let transaction = Transaction { guards, writes };
+        let writes = vec![Write::Put { key, data: StoreValue::from(write.value), lease: None }];
+        let transaction = Transaction { preconditions, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::RuntimeEstimates(write.bucket),
@@ -377,7 +378,7 @@
                 late: seen.late,
                 due_in_s: (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0,
                 done_in_s: seen.done_in_s,
-                done_tasks: live.done_count(),
+                done_tasks: live.completed_count(),
                 tasks: seen.spec.tasks,
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -69,7 +69,7 @@
             let runs = u64::from(running.get(id).copied().unwrap_or(0));
             let entry = by_class.entry(&live.spec.class).or_default();
             entry.0 += runs;
-            entry.1 += live.spec.tasks.saturating_sub(live.done_count()).saturating_sub(runs);
+            entry.1 += live.spec.tasks.saturating_sub(live.completed_count()).saturating_sub(runs);
         }
         let zones = &self.settings.platform.params.zones;
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
