--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -61,11 +61,13 @@
 //! | `keyRev` | `rev` | [`Precondition`], [`KeyValue`], [`WatchEvent`] |
 //! | `write` | `key` | [`Write`] |
 //! | `remove` | `key` | [`Write`] |
+//! | `preconditions` | `preconditions` | [`Transaction`] |
+//! | `news` | `events` | [`WatchResponse`] |
 //! | `storeRev` | `rev` | [`CommitResponse`], [`RangeResponse`], [`WatchResponse`] |
 //! | `write` | `put` | [`WatchEvent`] |
 //! | `remove` | `delete` | [`WatchEvent`] |
 //! | `lifeMs` | `ttl_ms` | [`LeaseTtl`] |
-//! | `hold` | `lease` | [`LeaseCreated`] |
+//! | `hold` | `lease` | [`LeaseCreated`], [`Write`] |
 
 mod amount;
 mod cloud;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,10 +3,10 @@
 use crate::admission::{
     AdmissionQueue, LoadEstimator, MachineLimit, Need, Sockets, come_back_s, read_together,
 };
-use crate::api::{Api, Route, need, route};
+use crate::api::{Answer, Api, Route, need, route};
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
-use crate::constants::{FORMAT_HEARTBEAT, LATE};
+use crate::constants::FORMAT_HEARTBEAT;
 use crate::drains::{self, DrainRecord};
 use crate::http::{self, CallError, Client, Incoming, Method, Request, Response};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
@@ -15,12 +15,14 @@
 use crate::leadership::election::{Election, ElectionEvent};
 use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::scheduler::Scheduler;
+use crate::scheduler::planning_clock::LATE;
+use crate::schema::encoding;
+use crate::schema::keys;
 use crate::settings::Settings;
-use crate::store::STATE_LOST;
-use crate::store::records;
 use crate::store::{
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, StoreClient, StoreEvent,
-    StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, RELAY_PREFIX,
+    STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent, StoreRequest, StoreResponse, Versioned,
+    WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{
     self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
@@ -150,7 +152,7 @@
             election: Election::new(p.host_name.clone(), p.others.len(), seed, now),
             cloud: CloudClient::new(p.params.cloud.rps, now),
             scheduler: None,
-            api: Api::new(settings.clone(), wall)?,
+            api: Api::new(settings.clone(), wall).ok()?,
             peers: HashMap::new(),
             worker_here: None,
             worker_elsewhere: None,
@@ -188,7 +190,7 @@
     pub fn set_wall(&mut self, wall: WallClock) {
         self.api.wall = wall;
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.wall = wall;
+            scheduler.set_wall_clock(wall);
         }
     }
 
@@ -196,7 +198,7 @@
     pub fn took(&mut self, took: Duration, now: Instant) {
         self.pace.handled(took);
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.took(took, now);
+            scheduler.record_event_duration(took, now);
         }
     }
 
@@ -247,7 +249,7 @@
         now: Instant,
     ) {
         if let Some(scheduler) = &mut self.scheduler
-            && sent.is_none_or(|orders| orders.token == scheduler.token)
+            && sent.is_none_or(|orders| orders.token == scheduler.token())
             && !scheduler.on_direct(machine, sent, result, &self.state.cache, now)
         {
             tracing::info!(%machine, "a worker has seen a higher token");
@@ -261,10 +263,10 @@
 
     fn on_http(&mut self, ticket: u64, request: Request, now: Instant) {
         let response = match route(&request) {
-            Route::Up => {
+            Route::Health => {
                 Some(if self.is_up(now) { Response::empty(200) } else { Response::empty(503) })
             }
-            Route::Hello => self.on_hello(ticket, &request.body, now),
+            Route::Heartbeat => self.on_hello(ticket, &request.body, now),
             Route::Unknown => Some(Response::empty(404)),
             Route::WrongMethod => Some(Response::empty(405)),
             Route::JobsAtRisk => Some(self.on_at_risk(&request.body, now)),
@@ -282,7 +284,8 @@
     /// Up while requests can be taken; a node that alone has lost the store says no, so that
     /// users go where it is served.
     fn is_up(&self, now: Instant) -> bool {
-        let fresh = |peer: &PeerView| now.saturating_duration_since(peer.heard) < STATE_LOST;
+        let fresh =
+            |peer: &PeerView| now.saturating_duration_since(peer.heard) < STORE_UNAVAILABLE_AFTER;
         let others_fine = self.peers.values().any(|peer| fresh(peer) && !peer.state_lost);
         let elsewhere = self.stands_aside(now) || self.leaves_users(now);
         self.state.cache.loaded && !(self.state.is_unavailable(now) && others_fine) && !elsewhere
@@ -292,7 +295,7 @@
     /// for a while.
     fn leaves_users(&self, now: Instant) -> bool {
         let serves = |view: &&PeerView| {
-            let fresh = now.saturating_duration_since(view.heard) < STATE_LOST;
+            let fresh = now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
             fresh && !view.state_lost && view.up > CROWDED_PEER_UP
         };
         self.crowded && self.peers.values().filter(serves).count() >= CROWDED_PEERS
@@ -303,7 +306,8 @@
     fn stands_aside(&self, now: Instant) -> bool {
         let cache = &self.state.cache;
         let drained = |name: &ControllerId| cache.is_controller_drained(name);
-        let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < STATE_LOST;
+        let fresh =
+            |view: &PeerView| now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
         let serves = |(name, view): (&ControllerId, &PeerView)| {
             fresh(view) && !view.state_lost && !drained(name)
         };
@@ -331,7 +335,7 @@
     fn on_flavors(&mut self, found: Vec<wire::MachineType>) {
         // The catalogue is kept at the store, so that a controller started while the cloud is
         // out can still judge submissions. It only grows: records refer to it.
-        let (known, rev) = self.state.cache.machine_types.clone();
+        let Versioned { value: known, revision: rev } = self.state.cache.machine_types.clone();
         let mut all = known.clone();
         wire::merge(&mut all, found);
         // Only a leader, or whoever finds none there yet, writes it.
@@ -339,14 +343,14 @@
             return;
         }
         let layout = self.state.layout();
-        if !layout.second() || layout.fits(&all) {
-            return self.push_flavors(MACHINE_TYPES_KEY.into(), records::to_value(&all), rev);
+        if !layout.is_second() || layout.fits(&all) {
+            return self.push_flavors(MACHINE_TYPES_KEY.into(), encoding::to_value(&all), rev);
         }
         for flavor in all.iter().filter(|flavor| !known.contains(flavor)) {
             // Names may be of any text, keys may not.
-            let key = format!("{MACHINE_TYPE_PREFIX}{}", records::key_hash(&flavor.name));
+            let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&flavor.name));
             let rev = self.state.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
-            self.push_flavors(key, records::to_value(flavor), rev);
+            self.push_flavors(key, encoding::to_value(flavor), rev);
         }
     }
 
@@ -355,9 +359,9 @@
         if self.state.is_pending(&origin) {
             return;
         }
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
         self.state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin,
@@ -389,7 +393,7 @@
             self.relay_status(&beat, now);
             self.tell_sharing(now);
         }
-        let quiet = |at: Instant| now.saturating_duration_since(at) > STATE_LOST / 3;
+        let quiet = |at: Instant| now.saturating_duration_since(at) > STORE_UNAVAILABLE_AFTER / 3;
         if !self.probe_in_flight && self.state.synced_at.is_none_or(quiet) {
             self.probe_in_flight = true;
             self.state.sync(PROBE);
@@ -402,7 +406,7 @@
         if !self.settings.operator.hold_format {
             self.state.publish_version();
         }
-        for (ticket, response) in self.api.tick(&self.state, now) {
+        for Answer { ticket, response } in self.api.tick(&self.state, now) {
             self.reply(ticket, response);
         }
         self.look_at_promises(now);
@@ -416,7 +420,7 @@
             self.running_at = now + MESH_EVERY * 2;
             let running = scheduler.running();
             let counts = running.iter().map(|(id, n)| (id.clone(), *n)).take(1500).collect();
-            let token = scheduler.token;
+            let token = scheduler.token();
             self.api.running = running;
             self.broadcast(&PeerMessage::RunningTasks { token, counts });
         }
@@ -440,15 +444,15 @@
         let most_machines = self.ceiling.most();
         let machines = match &mut self.scheduler {
             Some(scheduler) => {
-                scheduler.pace(late, now);
-                scheduler.most_machines = most_machines;
-                let machines = scheduler.machines.len();
+                scheduler.adjust_pace(late, now);
+                scheduler.set_max_machines(most_machines);
+                let machines = scheduler.machine_count();
                 let shared = self.sharing.is_shared();
                 let free =
                     self.sockets.ours(self.open).1 + if shared { DELIVERIES_MORE } else { 0 };
                 // Orders that wait go with the answers to reports, which cost a fraction of a call.
                 let behind = !shared && scheduler.is_behind(now) && self.ceiling.is_large(machines);
-                scheduler.most_direct = if behind { free.min(DIRECT_BEHIND) } else { free };
+                scheduler.set_max_direct_calls(if behind { free.min(DIRECT_BEHIND) } else { free });
                 machines
             }
             None => 0,
@@ -463,19 +467,20 @@
     /// and once nobody led for so long that every lease ran out.
     fn resign_if_cut_off(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
-        let silence = now.saturating_duration_since(scheduler.last_report.max(self.woke));
-        let patience = if scheduler.reports > 0 {
+        let silence = now.saturating_duration_since(scheduler.last_heartbeat().max(self.woke));
+        let patience = if scheduler.heartbeats() > 0 {
             RESIGN_AFTER.max(self.settings.report_every() / 2) + self.sharing.patience(now)
         } else {
             RESIGN_AFTER + WORKER_GIVES_UP
         };
         let elsewhere = self.worker_elsewhere;
         // Whom another controller hears it sends here at once.
-        let missing = elsewhere.is_some_and(|at| at > scheduler.last_report + REDIRECT_MOST);
+        let missing = elsewhere.is_some_and(|at| at > scheduler.last_heartbeat() + REDIRECT_MOST);
         if !missing || silence <= patience || self.state.is_unavailable(now) {
             return;
         }
-        let known = scheduler.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
+        let known =
+            scheduler.fleet.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
         let known = known.count() as u32;
         if known >= 3 {
             tracing::info!(known, "workers report elsewhere and not here, giving up leadership");
@@ -524,7 +529,7 @@
     /// Lets the cores act on what has happened until nothing more follows.
     fn pump(&mut self, now: Instant) {
         loop {
-            while let Some(event) = self.state.events.pop_front() {
+            while let Some(event) = self.state.next_event() {
                 self.on_state(event, now);
             }
             self.take_relayed(now);
@@ -554,13 +559,13 @@
             self.pump_sharing(now);
             self.state.poll(now);
             self.cloud.poll(act && self.scheduler.is_some(), now);
-            for (id, call) in self.state.calls.drain(..) {
+            while let Some(OutgoingRequest { id, request: call }) = self.state.next_request() {
                 self.out.push(Effect::State(id, call));
             }
             for (id, call) in self.cloud.out.drain(..) {
                 self.out.push(Effect::Cloud(id, call));
             }
-            if self.state.events.is_empty() {
+            if !self.state.has_events() {
                 return;
             }
         }
@@ -615,16 +620,16 @@
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(WriteOrigin::Operator(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::Operator(ticket), outcome) => {
                 self.on_ordered(ticket, outcome);
             }
-            StoreEvent::Outcome(WriteOrigin::User(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::User(ticket), outcome) => {
                 let answer = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 if let Some(response) = answer {
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(origin, outcome) => {
+            StoreEvent::WriteSettled(origin, outcome) => {
                 if outcome != WriteOutcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
@@ -632,12 +637,12 @@
                     scheduler.on_outcome(&origin, outcome, &mut self.state);
                 }
             }
-            StoreEvent::ControllerLease(call, sent, reply) => {
-                self.heartbeat.on_response(&call, sent, &reply, now);
+            StoreEvent::ControllerLease { request, sent_at, response } => {
+                self.heartbeat.on_response(&request, sent_at, &response, now);
             }
-            StoreEvent::Election(call, sent, reply) => {
+            StoreEvent::Election { request, sent_at, response } => {
                 let (calls, event) =
-                    self.election.on_response(&call, sent, &reply, &self.state.cache, now);
+                    self.election.on_response(&request, sent_at, &response, &self.state.cache, now);
                 for call in calls {
                     self.state.send_election_request(call, now);
                 }
@@ -657,11 +662,13 @@
     /// The cache now holds everything that any predecessor committed.
     fn take_over(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
-        let Some((leader, rev)) = &self.state.cache.leader else { return };
+        let Some(Versioned { value: leader, revision: rev }) = &self.state.cache.leader else {
+            return;
+        };
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.machine_types.0.is_empty() {
+        if self.state.cache.machine_types.value.is_empty() {
             // Without the catalogue nothing can be judged; it comes from the cloud soon.
             self.state.sync_soon(TAKE_OVER);
             return;
@@ -670,7 +677,7 @@
         let (settings, wall) = (self.settings.clone(), self.api.wall);
         let mut scheduler = Scheduler::new(token, *rev, settings, cache, wall, now);
         scheduler.on_told_cancelled(&self.api.given.all(), cache);
-        tracing::info!(%token, machines = scheduler.machines.len(), "leading");
+        tracing::info!(%token, machines = scheduler.machine_count(), "leading");
         self.cloud.lead(token, now);
         self.scheduler = Some(scheduler);
         self.sharing.lead();
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -91,8 +91,8 @@
             author: order.author,
             reason: order.reason,
         };
-        let key = drains::key(record.kind, &record.name);
-        self.order(ticket, key, records::to_value(&record))
+        let key = keys::drain_key(record.kind, &record.name);
+        self.order(ticket, key, encoding::to_value(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
@@ -100,7 +100,7 @@
         else {
             return Some(Response::empty(404));
         };
-        let key = drains::key(order.kind, &order.name);
+        let key = keys::drain_key(order.kind, &order.name);
         if !self.state.cache.drains.contains_key(&key) {
             return Some(Response::empty(422));
         }
@@ -114,9 +114,9 @@
             return Some(Response::later(503));
         }
         let rev = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
         self.state.enqueue(PendingWrite {
             priority: WritePriority::Blocking,
             origin: WriteOrigin::Operator(ticket),
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -14,8 +14,11 @@
     LeaderLoad, MemberCandidate, Membership, Redirects, choose_members,
 };
 use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities};
+use crate::scheduler::direct_calls::OutgoingCall;
 use crate::settings::ShardHeartbeats;
-use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
+use crate::workers::command_delivery::{
+    Delivery, DeliveryResult, ForwardedCalls, PendingDeliveries,
+};
 
 /// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the key
 /// outlives its leader by less ([`LEADER_LEASE`], and its end is told within a follow).
@@ -35,8 +38,8 @@
 /// All that this controller knows of shared reports, in whatever role.
 pub(super) struct Sharing {
     pub(super) relay: HeartbeatRelay,
-    pub(super) deliveries: Deliveries,
-    pub(super) forwarded: ForwardedCommands,
+    pub(super) deliveries: PendingDeliveries,
+    pub(super) forwarded: ForwardedCalls,
     /// As the leader: whether reports are shared, and by whom.
     load: Load,
     members: Membership,
@@ -53,8 +56,8 @@
     pub(super) fn new(first: u64, settings: &Settings) -> Sharing {
         Sharing {
             relay: HeartbeatRelay::new(first),
-            deliveries: Deliveries::new(first),
-            forwarded: ForwardedCommands::new(),
+            deliveries: PendingDeliveries::new(first),
+            forwarded: ForwardedCalls::new(),
             load: Load::new(settings),
             members: Membership::default(),
             leader_helps: false,
@@ -130,7 +133,7 @@
     pub(super) fn tell_sharing(&mut self, now: Instant) {
         self.sharing.redirects.expire(now);
         let Some(scheduler) = self.scheduler.as_ref().filter(|_| self.may_act(now)) else { return };
-        let (token, machines) = (scheduler.token, scheduler.machines.len());
+        let (token, machines) = (scheduler.token(), scheduler.machine_count());
         let was = self.sharing.is_shared();
         let wanted = self.sharing.load.look(machines) && self.may_share();
         self.sharing.members =
@@ -185,7 +188,7 @@
         let me = &self.settings.platform.host_name;
         let members = match &self.scheduler {
             Some(_) => &self.sharing.members,
-            None => self.sharing.relay.members(self.state.cache.token.0, now)?,
+            None => self.sharing.relay.members(self.state.cache.token.value, now)?,
         };
         let owner = members.owner(&report.machine, &report.zone)?;
         if owner == me || !self.shares(owner, now) {
@@ -203,7 +206,7 @@
         report: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let newest = self.state.cache.token.0;
+        let newest = self.state.cache.token.value;
         if self.sharing.relay.members(newest, now).is_some() {
             if let Some(other) = self.other_owner(&report, now) {
                 return Some(redirect(&other));
@@ -236,9 +239,9 @@
 
     /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
     fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
-        let (leader, _) = self.state.cache.leader.as_ref()?;
+        let leader = &self.state.cache.leader.as_ref()?.value;
         let lapsed = self.sharing.relay.time_since_assignment(leader.token, now)?;
-        let silence = match self.peers.get(&leader.node) {
+        let silence = match self.peers.get(&leader.controller) {
             Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
             None => lapsed,
         };
@@ -247,9 +250,10 @@
         });
         let apart = silence >= if lives { RELAY_TERM } else { LEADER_APART_AFTER };
         let synced = self.state.synced_at;
-        let fresh = synced.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
+        let fresh =
+            synced.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
         let alive = fresh && !self.state.is_unavailable(now);
-        (apart && alive).then(|| leader.node.clone())
+        (apart && alive).then(|| leader.controller.clone())
     }
 
     pub(super) fn on_sharing(
@@ -259,7 +263,7 @@
         members: Membership,
         now: Instant,
     ) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+        if token >= self.state.cache.token.value && self.scheduler.is_none() {
             self.sharing.relay.on_assignment(token, from, members, now);
         }
     }
@@ -275,7 +279,7 @@
         if !self.may_act(now) {
             return;
         }
-        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token == token) else {
+        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
             return;
         };
         match scheduler.on_relayed(from, reports, &self.state.cache, now) {
@@ -310,7 +314,7 @@
         commands: Vec<Delivery>,
         now: Instant,
     ) {
-        if token < self.state.cache.token.0 || self.scheduler.is_some() && self.may_act(now) {
+        if token < self.state.cache.token.value || self.scheduler.is_some() && self.may_act(now) {
             return;
         }
         for delivery in commands {
@@ -318,7 +322,7 @@
                 continue;
             }
             let (machine, address) = (delivery.machine.clone(), delivery.address);
-            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct(token)));
+            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct_call(token)));
         }
     }
 
@@ -328,13 +332,12 @@
         results: Vec<(u64, DeliveryResult)>,
         now: Instant,
     ) {
-        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token != token) {
+        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token() != token) {
             return;
         }
         for (number, result) in results {
-            if let Some((machine, sent, result)) = self.sharing.deliveries.on_result(number, result)
-            {
-                self.on_direct(&machine, sent.as_ref(), result, now);
+            if let Some(call) = self.sharing.deliveries.on_result(number, result) {
+                self.on_direct(&call.machine, call.commands.as_ref(), call.result, now);
             }
         }
     }
@@ -342,27 +345,30 @@
     /// The leader's calls: by the controller that takes the worker's reports, or straight to the worker.
     pub(super) fn send_calls(&mut self, now: Instant) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        let calls: Vec<_> = scheduler.direct.drain(..).collect();
-        for (machine, address, direct) in calls {
+        let calls = scheduler.take_direct_calls();
+        for OutgoingCall { machine, address, call } in calls {
             let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
-            let relay = relay.filter(|_| self.sharing.deliveries.under_way() < DELIVERIES_MOST);
+            let relay = relay.filter(|_| self.sharing.deliveries.in_flight() < DELIVERIES_MOST);
             match relay.filter(|name| self.shares(name, now)).cloned() {
-                Some(by) => self.sharing.deliveries.push(&by, (machine, address), direct, now),
-                None => self.out.push(Effect::DirectCall(machine, address, direct)),
+                Some(by) => self.sharing.deliveries.push(&by, machine, address, call, now),
+                None => self.out.push(Effect::DirectCall(machine, address, call)),
             }
         }
-        let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
+        let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token()) else {
+            return;
+        };
         let me = self.settings.platform.host_name.clone();
-        for (to, commands) in self.sharing.deliveries.take_frames() {
-            let message = PeerMessage::RelayedCommands { from: me.clone(), token, commands };
-            self.out.push(Effect::Mesh(to, message));
+        for frame in self.sharing.deliveries.take_frames() {
+            let (from, commands) = (me.clone(), frame.deliveries);
+            let message = PeerMessage::RelayedCommands { from, token, commands };
+            self.out.push(Effect::Mesh(frame.to, message));
         }
     }
 
     /// Sends what is due and gives up what is overdue.
     pub(super) fn pump_sharing(&mut self, now: Instant) {
         let from = self.settings.platform.host_name.clone();
-        for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
+        for batch in self.sharing.relay.take_batches(self.state.cache.token.value, now) {
             let message = PeerMessage::RelayedHeartbeats {
                 from: from.clone(),
                 token: batch.token,
@@ -380,11 +386,13 @@
             self.reply(overdue.ticket, response);
         }
         self.sharing.relay.evict_beyond(self.sockets.public * 2);
-        for (to, token, results) in self.sharing.forwarded.take_results(now) {
-            self.out.push(Effect::Mesh(to, PeerMessage::CommandResults { token, results }));
+        for frame in self.sharing.forwarded.take_results(now) {
+            let message =
+                PeerMessage::CommandResults { token: frame.token, results: frame.results };
+            self.out.push(Effect::Mesh(frame.to, message));
         }
-        for (machine, sent, result) in self.sharing.deliveries.take_overdue(now) {
-            self.on_direct(&machine, sent.as_ref(), result, now);
+        for call in self.sharing.deliveries.take_overdue(now) {
+            self.on_direct(&call.machine, call.commands.as_ref(), call.result, now);
         }
     }
 }
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -4,6 +4,7 @@
 use crate::controller::relayed_heartbeats::MEMBER_FRESH;
 use crate::peers::heartbeat_relay::RelayedHeartbeat;
 use crate::peers::mesh::MESH_PROTOCOL;
+use crate::store::Versioned;
 
 /// A controller with four others, which has read an empty store.
 fn node(now: Instant) -> Controller {
@@ -28,7 +29,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     node
 }
 
@@ -105,7 +106,7 @@
     let reports = vec![RelayedHeartbeat::Full(report.into())];
     node.on_reports(&name(0), (FencingToken(1), 7), reports, now);
     assert!(node.out.is_empty(), "{:?}", node.out);
-    assert!(node.scheduler.as_ref().is_some_and(|scheduler| scheduler.reports == 0));
+    assert!(node.scheduler.as_ref().is_some_and(|scheduler| scheduler.heartbeats() == 0));
     node.tell_sharing(now);
     assert!(node.out.is_empty(), "{:?}", node.out);
 }
@@ -115,13 +116,13 @@
 fn a_command_of_an_earlier_leader_is_left_out() {
     let now = Instant::now();
     let mut node = node(now);
-    node.state.cache.token = (FencingToken(5), Revision(3));
+    node.state.cache.token = Versioned::new(FencingToken(5), Revision(3));
     let command = |number: u64| crate::workers::command_delivery::Delivery {
         number,
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".parse().unwrap(),
         agent_epoch: Some(1),
-        orders: Vec::new(),
+        commands: Vec::new(),
     };
     node.on_deliver(&name(0), FencingToken(4), vec![command(1)], now);
     assert!(node.out.is_empty());
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::leadership::delegation::DELEGATION_AFTER;
-use crate::store::records::{FORMAT, VersionRecord};
+use crate::schema::records::{FORMAT, VersionRecord};
+use crate::store::Versioned;
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
 /// have come with the first's list of barred machines, and been acknowledged.
@@ -10,10 +11,11 @@
     let now = Instant::now();
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), now);
-    let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
+    let record = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
+    let version = Versioned::new(record, Revision(1));
     node.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
@@ -30,7 +32,7 @@
     for number in 1..3 {
         node.relay(&ControllerId::new("m"), &grant(number));
         node.state.poll(now);
-        for (id, call) in node.state.calls.drain(..).collect::<Vec<_>>() {
+        while let Some(OutgoingRequest { id, request: call }) = node.state.next_request() {
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
@@ -38,7 +40,7 @@
             }
             node.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
-        node.state.events.clear();
+        while node.state.next_event().is_some() {}
     }
     let whole: Vec<_> = got.iter().map(|text| mesh::decode_text(text).ok()).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
@@ -52,7 +54,7 @@
     let up = |crowded: bool, peers: &[(bool, u64)]| {
         let mut node = Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
         node.state.poll(now);
-        let (id, _) = node.state.calls.pop_front().unwrap();
+        let id = node.state.next_request().unwrap().id;
         let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
         node.state.on_response(id, StoreResponse::Range(page), now);
         node.crowded = crowded;
@@ -83,7 +85,7 @@
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
         let cache = &node.state.cache;
         let token = FencingToken(1);
@@ -103,10 +105,10 @@
             };
             scheduler.on_report(&report, cache, now);
         }
-        scheduler.pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
+        scheduler.adjust_pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
         node.scheduler = Some(scheduler);
         node.look_at_limits(now);
-        node.scheduler.as_ref().map_or(0, |scheduler| scheduler.most_direct)
+        node.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
     };
     let many = node.ceiling.most() * 3 / 4;
     assert_eq!(most_direct(&mut node, many, true), DIRECT_BEHIND);
@@ -172,7 +174,7 @@
     send(&mut node, 1, operator_api::DRAIN_PATH, body(&drain("a")));
     assert_eq!(told(&mut node), [(1, 503)], "nothing is known of the store yet");
     node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), now);
     send(&mut node, 2, operator_api::DRAIN_PATH, body(&drain("nowhere")));
@@ -194,8 +196,8 @@
         send(&mut node, ticket, path, order);
         assert_eq!(told(&mut node), [], "not before it is kept");
         node.state.poll(now);
-        let calls: Vec<_> = node.state.calls.drain(..).collect();
-        let commit = calls.into_iter().find_map(|(id, call)| match call {
+        let calls: Vec<_> = std::iter::from_fn(|| node.state.next_request()).collect();
+        let commit = calls.into_iter().find_map(|OutgoingRequest { id, request }| match request {
             StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
         });
@@ -203,13 +205,13 @@
         // The key stays when an order is taken back: one without an answer that is carried out late, with the
         // guard of the first one, finds it changed.
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
-        guarded.push(txn.guards[0].rev);
+        guarded.push(txn.preconditions[0].rev);
         let reply = match reply {
             Some(rev) => StoreResponse::Committed(rev),
-            None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
+            None => StoreResponse::Conflict(vec![txn.preconditions[0].key.clone()]),
         };
         node.state.on_response(id, reply, now);
-        while let Some(event) = node.state.events.pop_front() {
+        while let Some(event) = node.state.next_event() {
             node.on_state(event, now);
         }
         assert_eq!(told(&mut node), [(ticket, status)]);
@@ -227,10 +229,10 @@
     let wall = WallClock { at: start, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
     node.state.poll(start);
-    let (id, _) = node.state.calls.pop_front().unwrap();
+    let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), start);
-    node.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::leadership::controller_lease::DELEGATION_MARGIN;
 use crate::leadership::delegation::DELEGATION_AFTER;
-use crate::workers::machine::ORDERS_MAX;
+use crate::workers::machine::MAX_COMMANDS_PER_ANSWER;
 
 impl Controller {
     /// A worker's report; None: its answer comes later.
@@ -40,7 +40,7 @@
         if let Some(orders) = self.answer_for_leader(report, now) {
             return Response::with(200, wire::encode(&orders));
         }
-        let leader = self.state.cache.leader.as_ref().map(|(leader, _)| &leader.node);
+        let leader = self.state.cache.leader.as_ref().map(|leader| &leader.value.controller);
         match self.later_leader(now).or(leader) {
             Some(node) if *node != self.settings.platform.host_name => redirect(node),
             _ => Response::later(503),
@@ -70,7 +70,7 @@
         if !(self.has_news(now) || sign && report.zone == self.settings.platform.location) {
             return None;
         }
-        let newest = self.state.cache.token.0;
+        let newest = self.state.cache.token.value;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
         let alone = !self.peers.values().any(near)
             || self.state.is_unavailable(now) && self.later_leader(now).is_none();
@@ -79,7 +79,7 @@
         let token = match &mut self.scheduler {
             // A leader that lost its right answers as those do to whom it gave theirs, but only where it
             // is alone or out of the store's reach: else it would hold workers that others can serve.
-            Some(scheduler) if scheduler.token >= latest => {
+            Some(scheduler) if scheduler.token() >= latest => {
                 if !alone {
                     return None;
                 }
@@ -91,10 +91,8 @@
             _ => self.delegated_lease.answer(&report.machine, newest, now)?,
         };
         let cache = &self.state.cache;
-        let over = |id| {
-            self.api.given.has(id)
-                || cache.jobs.get(id).is_some_and(|job| job.final_state().is_some())
-        };
+        let over =
+            |id| self.api.given.has(id) || cache.jobs.get(id).is_some_and(|job| job.is_finished());
         let stop = |task: &wire::TaskStatus| wire::WorkerCommand::Stop {
             task: task.task.clone(),
             attempt: task.attempt,
@@ -102,7 +100,7 @@
         };
         let running = |task: &&wire::TaskStatus| task.state != wire::TaskState::Exited;
         let tasks = report.tasks.iter().filter(running).filter(|task| over(&task.task.job));
-        let orders = tasks.take(ORDERS_MAX).map(stop).collect();
+        let orders = tasks.take(MAX_COMMANDS_PER_ANSWER).map(stop).collect();
         tracing::debug!(machine = %report.machine, %token, "answered for the leader");
         Some(CommandBatch { token, agent_epoch: None, orders })
     }
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::controller::TICK_MOST;
+use crate::store::Versioned;
 
 fn loaded() -> Cache {
     Cache { loaded: true, ..Cache::new(16_384) }
@@ -15,9 +16,9 @@
     let reply = StoreResponse::Committed(Revision(3));
     let (_, event) = election.on_response(&calls.remove(0), now, &reply, &cache, now);
     assert_eq!(event, Some(ElectionEvent::Won(FencingToken(1))));
-    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
-    cache.leader = Some((record, Revision(3)));
-    cache.token = (FencingToken(1), Revision(3));
+    let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
+    cache.leader = Some(Versioned::new(record, Revision(3)));
+    cache.token = Versioned::new(FencingToken(1), Revision(3));
     (election, cache, now)
 }
 
@@ -55,9 +56,9 @@
 fn whoever_pledged_or_was_restarted_does_not_campaign_until_it_runs_out() {
     let now = Instant::now();
     let mut cache = loaded();
-    let record = LeaderRecord { node: ControllerId::new("a"), token: FencingToken(1) };
-    cache.leader = Some((record, Revision(3)));
-    cache.token = (FencingToken(1), Revision(3));
+    let record = LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(1) };
+    cache.leader = Some(Versioned::new(record, Revision(3)));
+    cache.token = Versioned::new(FencingToken(1), Revision(3));
     let mut follower = Election::new(ControllerId::new("b"), 2, 0, now);
     cache.leader = cache.leader.take();
     assert!(follower.pledge(FencingToken(1), &cache, true, now + PLEDGE));
@@ -93,7 +94,7 @@
     assert!(matches!(calls[..], [StoreRequest::RevokeLease(LeaseId(7))]));
     election.on_response(&calls[0], now, &StoreResponse::Done, &cache, now);
     assert!(election.poll(&cache, false, now).is_empty());
-    assert_eq!(election.poll(&cache, false, now + STATE_RETRY * 2).len(), 1);
+    assert_eq!(election.poll(&cache, false, now + RETRY_PAUSE * 2).len(), 1);
 }
 
 /// A pledge says that the leader knows of all that was cancelled. Each way in which its giver can't know that:
@@ -103,11 +104,11 @@
     let now = Instant::now();
     let known = |loaded: bool, key: u64| Cache {
         loaded,
-        leader: Some((
-            LeaderRecord { node: ControllerId::new("a"), token: FencingToken(key) },
+        leader: Some(Versioned::new(
+            LeaderRecord { controller: ControllerId::new("a"), token: FencingToken(key) },
             Revision(3),
         )),
-        token: (FencingToken(key), Revision(3)),
+        token: Versioned::new(FencingToken(key), Revision(3)),
         ..Cache::new(16_384)
     };
     let pledges = |cache: &Cache, shown: bool| {
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,7 +1,47 @@
 //! Moving work together, so that machines become empty and go back: the paper's consolidation.
 
-use super::*;
-use crate::wire::JobSpec;
+use crate::ids::{Amount, JobId, MachineId};
+use crate::jobs::{Job, LiveJob};
+use crate::placement::Bin;
+use crate::scheduler::Scheduler;
+use crate::scheduler::preemption::MOVED;
+use crate::scheduler::task_attempt::TaskAttempt;
+use crate::store::Cache;
+use crate::wire::{JobKind, JobSpec, TaskState};
+use crate::workers::machine::{Machine, PlacedAttempt, StopRequest};
+use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Pause between two rounds of moves that empty machines, so that each shows its effect.
+pub(super) const CONSOLIDATE_EVERY: Duration = Duration::from_secs(10);
+/// Share of all running replicas that one round may move; a round that moves less empties one
+/// machine all the same. A move takes a replica a fraction of a second.
+pub(super) const MOVE_SHARE: f64 = 0.02;
+/// The same for tasks that save their progress when they are stopped: they lose a few seconds.
+const SAVED_MOVE_SHARE: f64 = 0.1;
+/// Count. Machines that one round of moves looks at, the least used ones, to bound its time.
+const EMPTIED_LOOKS: usize = 60;
+/// A task is moved only after it ran this long: users count a start that is undone within
+/// half a minute as none.
+const MOVE_AFTER: Duration = Duration::from_secs(45);
+/// A machine is emptied only if at most this share of it is used.
+const EMPTY_BELOW: f64 = 0.55;
+/// When work is moved together.
+#[derive(Debug)]
+pub(super) struct Consolidation {
+    /// When the next round may begin.
+    pub(super) next_round: Instant,
+}
+
+impl Consolidation {
+    /// Nothing is moved until the first tasks have run for a while.
+    pub(super) fn new(now: Instant) -> Consolidation {
+        Consolidation { next_round: now + MOVE_AFTER }
+    }
+}
 
 /// What a round may still move.
 struct Budget {
@@ -38,10 +78,10 @@
     ) {
         let mut order: Vec<usize> =
             (0..bins.len()).filter(|&i| bins[i].ready && bins[i].basket.is_some()).collect();
-        let used = |i: usize| self.size(bins[i].flavor).cpu - bins[i].free.cpu;
+        let used = |i: usize| self.fleet.capacity(bins[i].flavor).cpu - bins[i].free.cpu;
         order.sort_by_key(|&i| (used(i), bins[i].spot, Reverse(bins[i].index)));
         let mut budget = Budget { replicas: 0.0, savers: 0.0 };
-        for (id, work) in &self.work {
+        for (id, work) in &self.jobs.progress {
             let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
             let placed = work.placed.len() as f64;
             match job.spec.shape {
@@ -57,7 +97,7 @@
             if receiving.contains(&source) {
                 continue;
             }
-            let size = self.size(bins[source].flavor);
+            let size = self.fleet.capacity(bins[source].flavor);
             let used = size.cpu - bins[source].free.cpu;
             if used as f64 > size.cpu as f64 * EMPTY_BELOW {
                 return;
@@ -90,20 +130,24 @@
         let zone = &self.settings.platform.params.zones[bin.zone];
         (spec.spot || !bin.spot)
             && spec.zone.as_ref().is_none_or(|name| name == zone)
-            && spec.flavors.as_ref().is_none_or(|f| f.contains(&self.flavors[bin.flavor].name))
+            && spec
+                .flavors
+                .as_ref()
+                .is_none_or(|f| f.contains(&self.fleet.machine_types[bin.flavor].name))
     }
 
     fn empty(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
-        machine.emptied_at = Some(now);
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        machine.last_consolidated = Some(now);
         let running =
             |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
-        let keys: Vec<_> = machine.entries.iter().filter(running).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<_> =
+            machine.attempts.iter().filter(running).map(|(k, _)| k.clone()).collect();
         for key in keys {
             let job = cache.jobs.get(&key.0.job).and_then(Job::live);
             let grace_s = job.map_or(0.0, |job| job.spec.save_s);
-            machine.stop(&key, Stop { grace_s, reason: MOVED });
-            self.stops += 1;
+            machine.request_stop(&key, StopRequest { grace_s, reason: MOVED });
+            self.statistics.stops += 1;
         }
     }
 
@@ -117,8 +161,8 @@
         cache: &Cache,
         now: Instant,
     ) -> Option<Emptied> {
-        let machine = self.machines.get(id)?;
-        let tasks = || machine.entries.iter().filter(|(_, e)| e.state != TaskState::Exited);
+        let machine = self.fleet.machines.get(id)?;
+        let tasks = || machine.attempts.iter().filter(|(_, e)| e.state != TaskState::Exited);
         for ((task, _), entry) in tasks() {
             let job = cache.jobs.get(&task.job).and_then(Job::live)?;
             let ran = entry.running_since.is_some_and(|at| now >= at + MOVE_AFTER);
@@ -139,7 +183,7 @@
                 .filter(|&i| i != source && bins[i].ready && !bins[i].spot && bins[i].zone == zone)
                 .map(|i| bins[i].free.cpu)
                 .sum();
-            let size = self.size(machine.flavor).cpu;
+            let size = self.fleet.capacity(machine.flavor).cpu;
             let warm = size as f64 * self.settings.operator.warm_per_zone;
             if (spare.saturating_sub(machine.used().cpu) as f64) < warm {
                 return None;
@@ -149,7 +193,7 @@
         let mut moved: HashMap<(JobId, usize), u32> = HashMap::new();
         for ((task, _), entry) in tasks() {
             let spec = &cache.jobs.get(&task.job).and_then(Job::live)?.spec;
-            let work = self.work.get(&task.job)?;
+            let work = self.jobs.progress.get(&task.job)?;
             let half = (spec.tasks as u32).div_ceil(2);
             let target = free.values_mut().find(|(i, room)| {
                 let bin = &bins[*i];
@@ -158,14 +202,16 @@
                     return false;
                 }
                 let image = |m: &Machine| m.images.contains(&entry.image);
-                let warm = names[*i].as_ref().and_then(|m| self.machines.get(m)).is_some_and(image);
+                let warm =
+                    names[*i].as_ref().and_then(|m| self.fleet.machines.get(m)).is_some_and(image);
                 let same = !spec.one_zone || zone == machine.zone;
                 if !(warm && same) {
                     return false;
                 }
                 let there = || {
-                    let others = work.placed.values().filter(|(m, _)| {
-                        m != id && self.machines.get(m).is_some_and(|m| m.zone == zone)
+                    let others = work.placed.values().filter(|placed| {
+                        let there = self.fleet.machines.get(&placed.machine);
+                        placed.machine != *id && there.is_some_and(|m| m.zone == zone)
                     });
                     let moved = moved.get(&(task.job.clone(), zone)).copied().unwrap_or(0);
                     others.count() as u32 + moved
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -3,53 +3,94 @@
 //! Owns what follows from a job's record (it is over, a task is done) and every write of the leader but those of
 //! learning and tidying. It places nothing and talks to no worker.
 
-use super::*;
+use crate::ids::{JobId, MachineId, Revision, TaskId};
+use crate::jobs;
+use crate::jobs::{JobBody, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::JobProgress;
+use crate::scheduler::task_attempt::attempts_of;
+use crate::store::{
+    Cache, MACHINE_PREFIX, MachineRecord, PendingWrite, StoreClient, WriteOrigin, WriteOutcome,
+    WritePriority,
+};
+use crate::wire::{Precondition, StoreValue, TaskState, Transaction, Write};
+use crate::workers::machine::{JOB_FINISHED, MachineState, StopRequest};
+use std::cmp::Reverse;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long marks of tasks of jobs that go on wait for others: one write carries all of a job's that
+/// have come, and each write is read by every controller.
+const MARKS_EVERY: Duration = Duration::from_millis(1000);
+/// When progress of jobs that go on is written.
+#[derive(Debug)]
+pub(super) struct PersistenceSchedule {
+    /// The earliest time of the next write that ends no job.
+    pub(super) next_progress_write: Instant,
+}
+
+impl PersistenceSchedule {
+    /// A write is due now.
+    pub(super) fn new(now: Instant) -> PersistenceSchedule {
+        PersistenceSchedule { next_progress_write: now }
+    }
+}
 
 impl Scheduler {
     /// Records of these jobs may have changed.
     pub fn on_jobs(&mut self, ids: &[JobId], cache: &Cache, now: Instant) {
-        self.carried_old |= !self.carried.is_empty();
+        self.dependencies.stale |= !self.dependencies.inherited.is_empty();
         for id in ids {
             let Some(job) = cache.jobs.get(id) else { continue };
             match &job.body {
-                JobBody::Live(_) if self.told_cancelled.contains(id) => {}
+                JobBody::Live(_) if self.jobs.cancelling.contains(id) => {}
                 JobBody::Live(live) => {
-                    self.carried_old |= !live.depends_on().is_empty();
-                    let work = self.work.entry(id.clone()).or_default();
+                    self.dependencies.stale |= !live.depends_on().is_empty();
+                    let work = self.jobs.progress.entry(id.clone()).or_default();
                     if live.is_ready() {
-                        work.known.get_or_insert(now);
+                        work.first_seen.get_or_insert(now);
                     }
-                    let done: Vec<u32> =
-                        work.placed.keys().filter(|task| live.is_done(**task)).copied().collect();
+                    let done: Vec<u32> = work
+                        .placed
+                        .keys()
+                        .filter(|task| live.is_completed(**task))
+                        .copied()
+                        .collect();
                     for task in done {
                         work.completing.remove(&task);
-                        work.retry.remove(&task);
-                        let Some((machine, attempt)) = work.placed.remove(&task) else { continue };
-                        let Some(machine) = self.machines.get_mut(&machine) else { continue };
-                        let key = (TaskId { job: id.clone(), index: task }, attempt);
-                        match machine.entries.get_mut(&key) {
-                            Some(entry) if entry.state == TaskState::Exited => entry.settled = true,
+                        work.retries.remove(&task);
+                        let Some(placed) = work.placed.remove(&task) else { continue };
+                        let machine = self.fleet.machines.get_mut(&placed.machine);
+                        let Some(machine) = machine else { continue };
+                        let key = (TaskId { job: id.clone(), index: task }, placed.attempt);
+                        match machine.attempts.get_mut(&key) {
+                            Some(entry) if entry.state == TaskState::Exited => {
+                                entry.exit_handled = true
+                            }
                             // A second run of a task that is done by now.
                             _ => {
-                                machine.stop(&key, Stop { grace_s: 0.0, reason: "done elsewhere" });
-                                self.look_at.insert(machine.id.clone());
+                                machine.request_stop(
+                                    &key,
+                                    StopRequest { grace_s: 0.0, reason: "done elsewhere" },
+                                );
+                                self.direct_calls.dirty_machines.insert(machine.id.clone());
                             }
                         }
                     }
                 }
                 JobBody::Finished { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
-                    self.told_cancelled.remove(id);
-                    if let Some(work) = self.work.remove(id) {
+                    self.jobs.cancelling.remove(id);
+                    if let Some(work) = self.jobs.progress.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
                         self.leave_over(&work, job);
                     }
                     self.stop_all(id);
-                    self.holders.forget(id);
+                    self.jobs.machines.forget(id);
                 }
             }
         }
-        self.plan_wanted = true;
+        self.planning_clock.pass_requested = true;
     }
 
     /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
@@ -57,12 +98,12 @@
     pub fn on_told_cancelled(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
-            if open && !self.told_cancelled.contains(id) {
+            if open && !self.jobs.cancelling.contains(id) {
                 tracing::debug!(job = %id, "about to be cancelled, stopped");
                 // Remembered, not only forgotten as work: the end of one of its tasks would
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
-                self.told_cancelled.insert(id.clone());
-                if let Some((work, job)) = self.work.remove(id).zip(cache.jobs.get(id)) {
+                self.jobs.cancelling.insert(id.clone());
+                if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
                     self.leave_over(&work, job);
                 }
                 self.stop_all(id);
@@ -73,20 +114,20 @@
     /// Stops whatever a job that is over has anywhere.
     pub(super) fn stop_all(&mut self, id: &JobId) {
         let attempts = attempts_of(id);
-        self.look_all = true;
-        for holder in self.holders.of(id) {
-            let Some(machine) = self.machines.get_mut(&holder) else { continue };
+        self.direct_calls.all_dirty = true;
+        for holder in self.jobs.machines.of(id) {
+            let Some(machine) = self.fleet.machines.get_mut(&holder) else { continue };
             let mut keys = Vec::new();
-            for (key, entry) in machine.entries.range_mut(attempts.clone()) {
+            for (key, entry) in machine.attempts.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
-                    entry.settled = true;
+                    entry.exit_handled = true;
                 } else if entry.stop.as_ref().is_none_or(|stop| stop.grace_s > 0.0) {
                     keys.push(key.clone());
                 }
             }
             for key in keys {
-                machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
-                self.stops += 1;
+                machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
+                self.statistics.stops += 1;
             }
         }
     }
@@ -104,40 +145,46 @@
             return self.estimates_told(*bucket, outcome);
         }
         if let (WriteOrigin::MachineAdded(id), WriteOutcome::Committed) = (origin, outcome)
-            && let Some(machine) = self.machines.get_mut(id)
+            && let Some(machine) = self.fleet.machines.get_mut(id)
         {
             machine.recorded = true;
-            machine.owed = true;
-            self.look_at.insert(id.clone());
-            self.plan_wanted = true;
+            machine.commands_due = true;
+            self.direct_calls.dirty_machines.insert(id.clone());
+            self.planning_clock.pass_requested = true;
         }
     }
 
     /// Hands the store what is due: records of machines and completions.
     pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
-        let machines = &self.machines;
+        let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
-            machines.get(id).filter(|machine| machine.life == MachineState::Up && !machine.recorded)
+            machines
+                .get(id)
+                .filter(|machine| machine.state == MachineState::Up && !machine.recorded)
         };
-        self.unrecorded.retain(|id| due(id).is_some());
-        for machine in self.unrecorded.iter().filter_map(due) {
+        self.fleet.unrecorded.retain(|id| due(id).is_some());
+        for machine in self.fleet.unrecorded.iter().filter_map(due) {
             let origin = WriteOrigin::MachineAdded(machine.id.clone());
             if state.is_pending(&origin) {
                 continue;
             }
             let Some(address) = machine.address else { continue };
             let key = format!("{MACHINE_PREFIX}{}", machine.id);
-            let rev = state.cache.machines.get(&machine.id).map_or(Revision(0), |(_, rev)| *rev);
+            let rev =
+                state.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
-                flavor: self.flavors[machine.flavor].name.clone(),
+                machine_type: self.fleet.machine_types[machine.flavor].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
             let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
-                writes: vec![Write::Put { key, data, hold: None }],
+                preconditions: vec![
+                    Precondition { key: key.clone(), rev },
+                    self.term.precondition(),
+                ],
+                writes: vec![Write::Put { key, data, lease: None }],
             };
             state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
@@ -147,7 +194,7 @@
     /// Removes the records of machines that are surely gone.
     pub(super) fn store_gone(&self, state: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
-        let mut ours = self.machines.keys().peekable();
+        let mut ours = self.fleet.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
             while ours.next_if(|our| *our < id).is_some() {}
             ours.peek().is_some_and(|our| *our == id)
@@ -158,8 +205,11 @@
             .iter()
             .filter(|(id, _)| !is_ours(id))
             // One of a kind that is not known is not known to be gone.
-            .filter(|(_, (m, _))| self.kind(&m.flavor, &m.zone, m.spot).is_some())
-            .map(|(id, (_, rev))| (id.clone(), *rev))
+            .filter(|(_, known)| {
+                let record = &known.value;
+                self.fleet.pool(&record.machine_type, &record.zone, record.spot).is_some()
+            })
+            .map(|(id, known)| (id.clone(), known.revision))
             .collect();
         for (id, rev) in gone {
             let origin = WriteOrigin::MachineRemoved(id.clone());
@@ -168,7 +218,10 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                preconditions: vec![
+                    Precondition { key: key.clone(), rev },
+                    self.term.precondition(),
+                ],
                 writes: vec![Write::Delete { key }],
             };
             state.enqueue(PendingWrite {
@@ -180,17 +233,17 @@
     }
 
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.marks_at && !state.is_backlogged();
+        let marks = now >= self.persistence.next_progress_write && !state.is_backlogged();
         if marks {
-            self.marks_at = now + MARKS_EVERY;
+            self.persistence.next_progress_write = now + MARKS_EVERY;
         }
         let layout = state.layout();
-        let now_ms = self.wall.ms(now);
-        let guard = self.leader_guard();
-        let work = &self.work;
+        let now_ms = self.wall_clock.ms(now);
+        let guard = self.term.precondition();
+        let work = &self.jobs.progress;
         let due = |id: &JobId| work.get(id).is_some_and(|work| !work.completing.is_empty());
-        self.completing.retain(due);
-        let reported = self.completing.iter().filter_map(|id| work.get_key_value(id));
+        self.jobs.completing.retain(due);
+        let reported = self.jobs.completing.iter().filter_map(|id| work.get_key_value(id));
         let mut reported: Vec<(&JobId, &JobProgress)> = reported.collect();
         // A write carries whatever marks of a job have come, so the longer marks wait the fewer writes
         // they take. Where the budget is short, only what ends a job goes at once.
@@ -202,7 +255,7 @@
             }
             let Some(job) = state.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
-                live.done_count() + (work.completing.len() as u64) < live.spec.tasks
+                live.completed_count() + (work.completing.len() as u64) < live.spec.tasks
             };
             if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
@@ -217,7 +270,7 @@
                 continue;
             }
             let mut transaction = done.transaction;
-            transaction.guards.push(guard.clone());
+            transaction.preconditions.push(guard.clone());
             let priority =
                 if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
             state.enqueue(PendingWrite { priority, origin, transaction });
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -2,15 +2,16 @@
 
 use troutspindle::drains::DrainRecord;
 use troutspindle::ids::{JobId, Revision};
+use troutspindle::schema::keys;
 use troutspindle::store::StoreResponse;
+use troutspindle::wire;
 use troutspindle::wire::{JobKind, TaskState, Write};
-use troutspindle::{drains, wire};
 use troutspindle_protocol::operator_api::DrainKind;
 use troutspindle_simulation::{CONTROLLERS, Fault, SimEvent, World};
 
 /// An operator's order, as any controller would write it, or its end.
 fn drain_request(world: &mut World, kind: DrainKind, name: &str, by_ms: Option<u64>, on: bool) {
-    let key = drains::key(kind, name);
+    let key = keys::drain_key(kind, name);
     let rev = world.store.keys.get(&key).map_or(Revision(0), |(_, rev, _)| Revision(*rev));
     let at_ms = world.wall().ms(world.now());
     let (author, reason) = ("an operator".into(), "new floor".into());
@@ -18,12 +19,14 @@
     let record = DrainRecord { kind, name: name.into(), by_ms, at_ms, author, reason };
     let put = Write::Put {
         key: key.clone(),
-        data: troutspindle::store::records::to_value(&record),
-        hold: None,
+        data: troutspindle::schema::encoding::to_value(&record),
+        lease: None,
     };
     let write = if on { put } else { Write::Delete { key: key.clone() } };
-    let txn =
-        wire::Transaction { guards: vec![wire::Precondition { key, rev }], writes: vec![write] };
+    let txn = wire::Transaction {
+        preconditions: vec![wire::Precondition { key, rev }],
+        writes: vec![write],
+    };
     assert!(matches!(world.commit(txn), StoreResponse::Committed(_)));
 }
 
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -6,20 +6,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
+use troutspindle::drains::{DrainRecord, TAKEN_BACK};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
-use troutspindle::jobs::{self, Acceptance, Jobs};
+use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
 use troutspindle::leadership::election::Election;
-use troutspindle::settings::KeptLimits;
-use troutspindle::store::records::{
-    CHUNK_PREFIX, JOB_PREFIX, JobRecord, Layout, PART_PREFIX, PIECE_PREFIX, Phase, SpecChunks,
-    VERSION_PREFIX, VersionRecord, chunk_key, job_key, key_hash, part_key, piece_key, version_key,
+use troutspindle::schema::keys::{
+    COMPLETED_CHUNK_PREFIX, DRAIN_PREFIX, JOB_PREFIX, LEGACY_COMPLETED_CHUNK_PREFIX,
+    SPEC_CHUNK_PREFIX, VERSION_PREFIX, completed_chunk_key, drain_key, job_key, key_hash,
+    legacy_completed_chunk_key, spec_chunk_key, version_key,
+};
+use troutspindle::schema::records::{
+    JobPhase, JobRecord, Layout, SpecChunks, TaskFootprint, VersionRecord,
 };
+use troutspindle::settings::KeptLimits;
 use troutspindle::store::{
     CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, PREFIX, RELAY_PREFIX, StoreClient,
-    StoreRequest, StoreResponse, TOKEN_KEY,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, OutgoingRequest, PREFIX, RELAY_PREFIX,
+    RelayedMessage, StoreClient, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
 };
 use troutspindle::wire::{
     self, JobSpec, JobStatus, KeyValue, RangeResponse, StoreValue, Transaction, Write,
@@ -29,8 +33,10 @@
 
 const ACCEPTED_MS: u64 = 1_700_000_000_000;
 const ENDED_MS: u64 = 1_700_000_300_000;
-const FIRST: Layout = Layout { format: 0, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
-const SECOND: Layout = Layout { format: 2, chunk: 16_384, txn_ops: 12, value_max: 14_000 };
+const FIRST: Layout =
+    Layout { format: 0, legacy_chunk_tasks: 16_384, max_operations: 12, value_max: 14_000 };
+const SECOND: Layout =
+    Layout { format: 2, legacy_chunk_tasks: 16_384, max_operations: 12, value_max: 14_000 };
 /// So small that a description takes several parts.
 const SECOND_SMALL: Layout = Layout { value_max: 300, ..SECOND };
 
@@ -45,18 +51,18 @@
 fn machine_record() -> MachineRecord {
     MachineRecord {
         address: "10.1.0.232:9000".into(),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
     }
 }
 
 fn leader_record() -> LeaderRecord {
-    LeaderRecord { node: node(), token: FencingToken(41) }
+    LeaderRecord { controller: node(), token: FencingToken(41) }
 }
 
 fn version_record() -> VersionRecord {
-    VersionRecord { format: 2, chunk: 16_384 }
+    VersionRecord { format: 2, legacy_chunk_tasks: 16_384 }
 }
 
 fn drain_record(kind: DrainKind) -> DrainRecord {
@@ -82,20 +88,20 @@
 /// With every field, which no job has.
 fn full_record() -> JobRecord {
     JobRecord {
-        p: Phase::Cancelled,
-        at: ACCEPTED_MS,
-        s: Some(Arc::new(job_spec())),
-        d: "8102".into(),
-        n: 7,
-        w: Some(("team-a".into(), 1.5, 0.25, 3.1)),
-        e: Some(ENDED_MS),
-        t: Some(13),
-        x: Some(SpecChunks { tag: "0123456789abcdef".into(), count: 3 }),
+        phase: JobPhase::Cancelled,
+        accepted_ms: ACCEPTED_MS,
+        spec: Some(Arc::new(job_spec())),
+        completed: "8102".into(),
+        completed_count: 7,
+        task: Some(TaskFootprint { team: "team-a".into(), cpus: 1.5, gpus: 0.25, ram_gb: 3.1 }),
+        ended_ms: Some(ENDED_MS),
+        remaining_tasks: Some(13),
+        spec_chunks: Some(SpecChunks { hash: "0123456789abcdef".into(), count: 3 }),
     }
 }
 
-fn plain_record(phase: Phase) -> JobRecord {
-    JobRecord { p: phase, ..JobRecord::live(0, None) }
+fn plain_record(phase: JobPhase) -> JobRecord {
+    JobRecord { phase, ..JobRecord::live(0, None) }
 }
 
 fn transaction(name: &'static str, transaction: &Transaction) -> Sample {
@@ -123,7 +129,7 @@
 
 impl Life {
     fn new(layout: Layout) -> Life {
-        Life { jobs: Jobs::new(layout.chunk), layout, rev: 0, samples: Vec::new() }
+        Life { jobs: Jobs::new(layout.legacy_chunk_tasks), layout, rev: 0, samples: Vec::new() }
     }
 
     fn commit(&mut self, name: &'static str, written: &Transaction) {
@@ -158,7 +164,7 @@
             jobs::complete(&job(), known, tasks, second_runs, ENDED_MS, &self.layout).unwrap();
         self.commit(name, &completion.transaction);
         let known = self.jobs.get(&job()).unwrap();
-        let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_done(*task));
+        let done = |live: &jobs::LiveJob| tasks.iter().all(|task| live.is_completed(*task));
         assert!(known.live().is_none_or(done), "{name}");
     }
 
@@ -166,15 +172,15 @@
         let known = self.jobs.get(&job()).unwrap();
         let cancellation = jobs::cancel(&job(), known, ENDED_MS, &self.layout).unwrap();
         self.commit(name, &cancellation);
-        assert_eq!(self.over().map(|(status, _)| status), Some(JobStatus::Cancelled));
+        assert_eq!(self.over().map(|state| state.status), Some(JobStatus::Cancelled));
     }
 
     fn tidy(&mut self, name: &'static str) {
-        let (writes, _): (Vec<Write>, Vec<Revision>) = self.jobs.garbage(100).into_iter().unzip();
-        self.samples.push(transaction(name, &Transaction { guards: Vec::new(), writes }));
+        let writes = self.jobs.garbage(100).into_iter().map(|garbage| garbage.write).collect();
+        self.samples.push(transaction(name, &Transaction { preconditions: Vec::new(), writes }));
     }
 
-    fn over(&self) -> Option<(JobStatus, u64)> {
+    fn over(&self) -> Option<FinalState> {
         self.jobs.get(&job()).unwrap().final_state()
     }
 }
@@ -193,7 +199,7 @@
     life.complete("job-some-done", &[0, 7, 19], 0);
     let all: Vec<u32> = (0..20).collect();
     life.complete("job-done", &all, 3);
-    assert_eq!(life.over(), Some((JobStatus::Done, 20)));
+    assert_eq!(life.over(), Some(FinalState { status: JobStatus::Done, completed_tasks: 20 }));
     life.samples
 }
 
@@ -221,9 +227,9 @@
 fn records() -> Vec<Sample> {
     vec![
         Sample::stored("record-full", &full_record()),
-        Sample::stored("record-live", &plain_record(Phase::Live)),
-        Sample::stored("record-done", &plain_record(Phase::Done)),
-        Sample::cbor_without("record-least", &plain_record(Phase::Cancelled), &["at", "n"]),
+        Sample::stored("record-live", &plain_record(JobPhase::Live)),
+        Sample::stored("record-done", &plain_record(JobPhase::Done)),
+        Sample::cbor_without("record-least", &plain_record(JobPhase::Cancelled), &["at", "n"]),
         Sample::stored("record-machine", &machine_record()),
         Sample::stored("record-leader", &leader_record()),
         Sample::stored("record-version", &version_record()),
@@ -257,16 +263,16 @@
         Sample::written("key-version", version_key(&node())),
         Sample::written("key-jobs", JOB_PREFIX),
         Sample::written("key-job", job_key(&job())),
-        Sample::written("key-chunks", CHUNK_PREFIX),
-        Sample::written("key-chunk", chunk_key(&job(), 3)),
-        Sample::written("key-pieces", PIECE_PREFIX),
-        Sample::written("key-piece", piece_key(&job(), 3)),
-        Sample::written("key-parts", PART_PREFIX),
-        Sample::written("key-part", part_key(&job(), "0123456789abcdef", 3)),
+        Sample::written("key-chunks", LEGACY_COMPLETED_CHUNK_PREFIX),
+        Sample::written("key-chunk", legacy_completed_chunk_key(&job(), 3)),
+        Sample::written("key-pieces", COMPLETED_CHUNK_PREFIX),
+        Sample::written("key-piece", completed_chunk_key(&job(), 3)),
+        Sample::written("key-parts", SPEC_CHUNK_PREFIX),
+        Sample::written("key-part", spec_chunk_key(&job(), "0123456789abcdef", 3)),
         Sample::written("key-drains", DRAIN_PREFIX),
-        Sample::written("key-drain-zone", drains::key(DrainKind::Zone, "a")),
-        Sample::written("key-drain-machine", drains::key(DrainKind::Machine, "a")),
-        Sample::written("key-drain-controller", drains::key(DrainKind::Controller, "a")),
+        Sample::written("key-drain-zone", drain_key(DrainKind::Zone, "a")),
+        Sample::written("key-drain-machine", drain_key(DrainKind::Machine, "a")),
+        Sample::written("key-drain-controller", drain_key(DrainKind::Controller, "a")),
         Sample::written("tag-flavor", key_hash(&"g8".to_owned())),
     ]
 }
@@ -283,7 +289,7 @@
     };
     let mut core = StoreClient::new(limits, vec![node()], 0, now);
     core.poll(now);
-    let (id, call) = core.calls.pop_front().expect("it reads pages first");
+    let OutgoingRequest { id, request: call } = core.next_request().expect("it reads pages first");
     assert!(matches!(call, StoreRequest::Range { after: None }));
     let rows = (1..).zip(rows).map(|(rev, (key, data))| KeyValue { key, data, rev: Revision(rev) });
     let page = RangeResponse { rows: rows.collect(), truncated: false, rev: Revision(100) };
@@ -309,16 +315,16 @@
     let campaign = committed(calls.remove(0));
 
     let mut heartbeat = ControllerLease::new(&node(), now);
-    let version = (version_record(), Revision(12));
+    let version = Versioned::new(version_record(), Revision(12));
     let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
     heartbeat.on_response(&asking, now, &lease, now);
     let first_beat = committed(heartbeat.poll(Revision(0), Some(&version), now).unwrap());
 
     let mut core = loaded(Vec::new(), now);
     core.publish_version();
-    core.calls.clear();
+    while core.next_request().is_some() {}
     core.poll(now + Duration::from_secs(5));
-    let told = core.calls.into_iter().map(|(_, call)| call);
+    let told = std::iter::from_fn(|| core.next_request()).map(|outgoing| outgoing.request);
     let told = told.filter(|call| matches!(call, StoreRequest::Commit(_))).map(committed).next();
     vec![
         Sample::cbor("commit-campaign", &campaign),
@@ -383,7 +389,7 @@
 /// A controller that starts finds each record under its key.
 #[test]
 fn records_are_found_under_their_keys() {
-    let drain_key = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
+    let key_of_drain = String::from_utf8(golden_bytes("key-drain-zone")).unwrap();
     let row = |key: &str, data: StoreValue| (key.to_owned(), data);
     let rows = vec![
         row("t/a/leader", golden_data("record-leader")),
@@ -395,50 +401,54 @@
         row("t/e/1f", StoreValue::from("learned")),
         row("t/m/i-000231", golden_data("record-machine")),
         row("t/x/n-2/n-1", StoreValue::from("00")),
-        row(&drain_key, golden_data("record-drain-zone")),
+        row(&key_of_drain, golden_data("record-drain-zone")),
     ];
     let core = loaded(rows, Instant::now());
     let cache = core.cache;
-    assert_eq!(cache.leader, Some((leader_record(), Revision(1))));
-    assert_eq!(cache.token, (FencingToken(41), Revision(2)));
-    assert_eq!(cache.machine_types, (vec![flavor()], Revision(3)));
+    assert_eq!(cache.leader, Some(Versioned::new(leader_record(), Revision(1))));
+    assert_eq!(cache.token, Versioned::new(FencingToken(41), Revision(2)));
+    assert_eq!(cache.machine_types, Versioned::new(vec![flavor()], Revision(3)));
     assert_eq!(cache.machine_type_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
     assert_eq!(cache.controller_leases.get(&node()), Some(&Revision(5)));
-    assert_eq!(cache.versions.get(&node()), Some(&(version_record(), Revision(6))));
-    assert_eq!(cache.estimates.get(&0x1f), Some(&(Some("learned".into()), Revision(7))));
+    assert_eq!(cache.versions.get(&node()), Some(&Versioned::new(version_record(), Revision(6))));
+    assert_eq!(
+        cache.estimates.get(&0x1f),
+        Some(&Versioned::new(Some("learned".into()), Revision(7)))
+    );
     let machine = cache.machines.get(&MachineId::new("i-000231"));
-    assert_eq!(machine, Some(&(machine_record(), Revision(8))));
-    assert_eq!(cache.relayed, [("n-2/n-1".into(), "00".into())]);
-    let drain = cache.drains.get(&drain_key);
-    assert_eq!(drain, Some(&(drain_record(DrainKind::Zone), Revision(10))));
+    assert_eq!(machine, Some(&Versioned::new(machine_record(), Revision(8))));
+    assert_eq!(cache.relayed, [RelayedMessage { route: "n-2/n-1".into(), text: "00".into() }]);
+    let drain = cache.drains.get(&key_of_drain);
+    assert_eq!(drain, Some(&Versioned::new(drain_record(DrainKind::Zone), Revision(10))));
 }
 
 /// Each change of a large job, read from the fixture in the order in which it was committed.
 #[test]
 fn a_large_job_is_read_from_what_was_written_of_it() {
-    let mut jobs = Jobs::new(SECOND_SMALL.chunk);
+    let mut jobs = Jobs::new(SECOND_SMALL.legacy_chunk_tasks);
     for (rev, name) in (1..).zip(["job-large-parts", "job-large-accept", "job-large-pieces"]) {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
         apply(&mut jobs, &written, rev);
     }
     let live = jobs.get(&job()).unwrap().live().unwrap();
     assert_eq!(*live.spec, JobSpec { tasks: 10_000, depends_on: None, ..job_spec() });
-    let done: Vec<u32> = (0..10_000).filter(|task| live.is_done(*task)).collect();
+    let done: Vec<u32> = (0..10_000).filter(|task| live.is_completed(*task)).collect();
     assert_eq!((live.accepted_ms, done), (ACCEPTED_MS, vec![0, 4095, 4096, 9999]));
 }
 
 /// Records of jobs that are over, read from the fixture.
 #[test]
 fn a_job_that_is_over_is_read_with_what_may_still_run_of_it() {
-    for (name, over, left) in
-        [("job-done", (JobStatus::Done, 20), 3), ("job-cancelled", (JobStatus::Cancelled, 1), 19)]
-    {
+    for (name, over, left) in [
+        ("job-done", FinalState { status: JobStatus::Done, completed_tasks: 20 }, 3),
+        ("job-cancelled", FinalState { status: JobStatus::Cancelled, completed_tasks: 1 }, 19),
+    ] {
         let written: Transaction = wire::decode(&golden_bytes(name)).unwrap();
-        let mut jobs = Jobs::new(SECOND.chunk);
+        let mut jobs = Jobs::new(SECOND.legacy_chunk_tasks);
         apply(&mut jobs, &written, 1);
         let known = jobs.get(&job()).unwrap();
         assert_eq!((known.final_state(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
-        let jobs::JobBody::Finished { rest: Some(rest), .. } = &known.body else {
+        let jobs::JobBody::Finished { orphaned_tasks: Some(rest), .. } = &known.body else {
             panic!("{name}")
         };
         assert_eq!((&*rest.team, rest.tasks), ("team-a", Some(left)), "{name}");
