--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -263,7 +263,7 @@
                     zones: vec!["a".into(), "b".into()],
                 }],
             }),
-            CloudRequest::RentalRequest(..) | CloudRequest::Delete(_) => {
+            CloudRequest::ScaleOut(..) | CloudRequest::ScaleIn(_) => {
                 wire::encode(&MachineIds { machines: vec![] })
             }
             CloudRequest::List { .. } => {
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use troutspindle::clock::WallClock;
-use troutspindle::cloud::{CloudClient, CloudEvent, MachinePool};
+use troutspindle::cloud::{CloudClient, CloudEvent, MachineListing, MachinePool};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
 use troutspindle::settings::Settings;
@@ -70,7 +70,7 @@
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
         let mut cloud = CloudClient::new(5.0, now);
-        cloud.lead(FencingToken(1), now);
+        cloud.begin_leadership(FencingToken(1), now);
         let mut leader = Leader { scheduler, state, cloud, now, rev: 10, jobs: 0 };
         let full = MACHINES - FREE;
         for n in 0..full {
@@ -174,11 +174,13 @@
         ("1,000 arrays and 1,000 services while room is scarce", |leader| {
             for zone in 0..3 {
                 for spot in [true, false] {
-                    let refused = CloudEvent::Refused(MachinePool { flavor: 0, zone, spot });
+                    let refused =
+                        CloudEvent::CapacityExhausted(MachinePool { flavor: 0, zone, spot });
                     leader.scheduler.on_cloud(refused, &leader.state.cache, leader.now);
                 }
             }
-            let listed = CloudEvent::ListedMachine(Vec::new(), leader.now);
+            let listing = MachineListing { machines: Vec::new(), requested_at: leader.now };
+            let listed = CloudEvent::Listed(listing);
             leader.scheduler.on_cloud(listed, &leader.state.cache, leader.now);
             for n in 0..1000 {
                 leader.job(n % TEAMS, 60, |_| {});
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -31,7 +31,7 @@
                 Event::Cloud(id, refusal),
             ));
         }
-        let rents = matches!(call, CloudRequest::RentalRequest(..));
+        let rents = matches!(call, CloudRequest::ScaleOut(..));
         let response = match call {
             CloudRequest::MachineTypes => Response::with(
                 200,
@@ -50,7 +50,7 @@
                     }],
                 }),
             ),
-            CloudRequest::RentalRequest(kind, hire) => {
+            CloudRequest::ScaleOut(kind, hire) => {
                 let known = self.hired.get(&hire.request).cloned();
                 let alike = |w: &&Worker| !w.gone && w.zone == kind.zone && w.spot == kind.spot;
                 let held = self.workers.values().filter(alike).count();
@@ -67,7 +67,7 @@
                     Response::with(200, wire::encode(&MachineIds { machines }))
                 }
             }
-            CloudRequest::Delete(machines) => {
+            CloudRequest::ScaleIn(machines) => {
                 for machine in machines {
                     if let Some(worker) = self.workers.get_mut(&machine)
                         && !worker.gone
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,329 +1,252 @@
-//! Renting, returning and listing machines: a core without clock or I/O.
+//! The client of the cloud's interface: scale-out, scale-in, and the listing of machines and their types.
+//!
+//! It has neither clock nor I/O: [`CloudClient::poll`] puts requests into [`CloudClient::out`], and
+//! [`CloudClient::on_response`] turns their responses into [`CloudEvent`]s.
 
-use crate::constants::{HIRE_MAX, STATE_BUDGET, STATE_RETRY};
-use crate::http::{CallError, Method, Request, Response};
+mod listing;
+mod rentals;
+mod requests;
+mod returns;
+
+pub use rentals::PendingRental;
+pub use requests::{CloudEvent, CloudRequest, MachineListing, MachinePool};
+
+use crate::constants::{STATE_BUDGET, STATE_RETRY};
+use crate::http::{CallError, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::store::TokenBucket;
-use crate::wire::{
-    self, ListedMachine, MachineIds, MachinePage, MachineType, MachineTypes, RentalRequest,
-};
+use crate::wire::{self, MachineIds, MachinePage, MachineTypes};
 use foldhash::{HashMap, HashMapExt};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, VecDeque};
+use listing::{MachineLister, Schedule};
+use rentals::{RentalOutcome, RentalQueue};
+use returns::ReturnQueue;
+use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two listings of the cloud's machines.
-pub const LIST_EVERY: Duration = Duration::from_secs(4);
 /// Pause between two readings of the machine types and prices.
-pub const FLAVORS_EVERY: Duration = Duration::from_secs(60);
-/// Count. PROTOCOL's cap on names in one deletion.
-pub const DELETE_MAX: usize = 100;
-/// What the cloud's 503 says when a type, zone and kind is used up; any other is an outage.
+const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(60);
+/// What the cloud's 503 says when a pool has no machine left; any other 503 is an outage.
 pub const NO_CAPACITY: &str = "no capacity";
 
-/// Type, zone and kind, as indices into the catalogue and the zones, and whether it is spot.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct MachinePool {
-    pub flavor: usize,
-    pub zone: usize,
-    pub spot: bool,
-}
-
-#[derive(Debug, Clone)]
-pub enum CloudRequest {
-    MachineTypes,
-    RentalRequest(MachinePool, RentalRequest),
-    Delete(Vec<MachineId>),
-    List { after: String },
-}
-
-#[derive(Debug)]
-pub enum CloudEvent {
-    MachineTypes(Vec<MachineType>),
-    Hired(MachinePool, Vec<MachineId>),
-    Refused(MachinePool),
-    Deleted(Vec<MachineId>),
-    /// A whole listing, and when its first page was asked for.
-    ListedMachine(Vec<ListedMachine>, Instant),
-}
-
-impl CloudRequest {
-    pub fn request(&self) -> Request {
-        let post =
-            |target: &str, body| Request { method: Method::Post, target: target.to_owned(), body };
-        let get = |target: String| Request { method: Method::Get, target, body: Vec::new() };
-        match self {
-            CloudRequest::MachineTypes => get("/flavors".into()),
-            CloudRequest::RentalRequest(_, hire) => post("/hosts", wire::encode(hire)),
-            CloudRequest::Delete(machines) => {
-                post("/hosts/delete", wire::encode(&MachineIds { machines: machines.clone() }))
-            }
-            CloudRequest::List { after } if after.is_empty() => get("/hosts?most=500".into()),
-            CloudRequest::List { after } => get(format!("/hosts?after={after}&most=500")),
-        }
-    }
-}
-
-struct Open {
-    kind: MachinePool,
-    hire: RentalRequest,
-    next: Instant,
-    in_flight: bool,
-    /// A request keeps its content once it may have been executed.
-    sent: bool,
-}
-
-#[derive(Default)]
-struct Listing {
-    asked: Option<Instant>,
-    found: Vec<ListedMachine>,
+/// A request in flight.
+struct InFlight {
+    request: CloudRequest,
+    /// Number of the rental, if it is one.
+    rental: Option<u64>,
 }
 
+/// The client of the cloud's interface.
 pub struct CloudClient {
-    bucket: TokenBucket,
-    token: FencingToken,
-    counter: u64,
-    hires: BTreeMap<u64, Open>,
-    deletes: BTreeMap<MachineId, Instant>,
-    delete_in_flight: bool,
-    listing: Listing,
-    list_in_flight: bool,
-    list_at: Instant,
-    flavors_in_flight: bool,
-    flavors_at: Instant,
-    calls: HashMap<u64, (CloudRequest, Option<u64>, Instant)>,
-    next_call: u64,
-    rest_until: Instant,
-    /// Its last answer was that it is out as a whole.
-    is_out: bool,
+    rate_limit: TokenBucket,
+    rentals: RentalQueue,
+    returns: ReturnQueue,
+    lister: MachineLister,
+    machine_types: Schedule,
+    in_flight: HashMap<u64, InFlight>,
+    last_request: u64,
+    /// No request is sent before this.
+    paused_until: Instant,
+    is_unavailable: bool,
+    /// Requests to be sent, with the numbers that their responses are given under.
     pub out: VecDeque<(u64, CloudRequest)>,
 }
 
 impl CloudClient {
+    /// A client that sends up to a share of `rps` requests a second.
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
             // Other controllers may have spent of the same budget just before.
-            bucket: TokenBucket::new(rps * STATE_BUDGET, 1.0, now),
-            token: FencingToken(0),
-            counter: 0,
-            hires: BTreeMap::new(),
-            deletes: BTreeMap::new(),
-            delete_in_flight: false,
-            listing: Listing::default(),
-            list_in_flight: false,
-            list_at: now,
-            flavors_in_flight: false,
-            flavors_at: now,
-            calls: HashMap::new(),
-            next_call: 0,
-            rest_until: now,
-            is_out: false,
+            rate_limit: TokenBucket::new(rps * STATE_BUDGET, 1.0, now),
+            rentals: RentalQueue::default(),
+            returns: ReturnQueue::default(),
+            lister: MachineLister::new(now),
+            machine_types: Schedule::new(now),
+            in_flight: HashMap::new(),
+            last_request: 0,
+            paused_until: now,
+            is_unavailable: false,
             out: VecDeque::new(),
         }
     }
 
-    /// A new leadership: request names carry its token and so are never used twice.
-    pub fn lead(&mut self, token: FencingToken, now: Instant) {
-        self.token = token;
-        self.hires.clear();
-        self.deletes.clear();
-        self.listing = Listing::default();
-        self.list_at = now;
+    /// A new leadership begins: its requests carry its token in their names, so none is used twice.
+    pub fn begin_leadership(&mut self, token: FencingToken, now: Instant) {
+        self.rentals.begin_leadership(token);
+        self.returns.clear();
+        self.lister.restart(now);
     }
 
-    pub fn hire(&mut self, kind: MachinePool, flavor: &str, zone: &str, count: u32, now: Instant) {
-        let mut left = count;
-        // Calls are few: what is wanted of a kind while its request waits goes along with it.
-        for open in self.hires.values_mut().filter(|open| open.kind == kind && !open.sent) {
-            let more = left.min(HIRE_MAX - open.hire.count);
-            open.hire.count += more;
-            left -= more;
-        }
-        while left > 0 {
-            let count = left.min(HIRE_MAX);
-            left -= count;
-            self.counter += 1;
-            let hire = RentalRequest {
-                request: format!("r-{}-{}", self.token, self.counter),
-                flavor: flavor.to_owned(),
-                zone: zone.to_owned(),
-                spot: kind.spot,
-                count,
-            };
-            let open = Open { kind, hire, next: now, in_flight: false, sent: false };
-            self.hires.insert(self.counter, open);
-        }
+    /// Rents machines of a pool, whose type and zone have these names.
+    pub fn scale_out(
+        &mut self,
+        pool: MachinePool,
+        machine_type: &str,
+        zone: &str,
+        count: u32,
+        now: Instant,
+    ) {
+        self.rentals.push(pool, machine_type, zone, count, now);
     }
 
-    /// Whether the cloud takes no requests at all, as far as its last answer tells.
-    pub fn is_out(&self) -> bool {
-        self.is_out
+    /// Returns a machine.
+    pub fn scale_in(&mut self, machine: &MachineId, now: Instant) {
+        self.returns.push(machine, now);
     }
 
-    /// Machines of a kind asked for without an answer yet.
-    pub fn pending(&self) -> Vec<(MachinePool, u32)> {
-        self.hires.values().map(|open| (open.kind, open.hire.count)).collect()
+    /// Whether the cloud takes no requests at all, as far as its last response tells.
+    pub fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
-    pub fn delete(&mut self, machine: &MachineId, now: Instant) {
-        self.deletes.entry(machine.clone()).or_insert(now);
+    /// Rentals without a response.
+    pub fn pending_rentals(&self) -> Vec<PendingRental> {
+        self.rentals.pending()
     }
 
-    fn send(&mut self, call: CloudRequest, hire: Option<u64>, now: Instant) {
-        self.bucket.take(1.0, now);
-        self.next_call += 1;
-        self.calls.insert(self.next_call, (call.clone(), hire, now));
-        self.out.push_back((self.next_call, call));
+    fn send(&mut self, request: CloudRequest, rental: Option<u64>, now: Instant) {
+        self.rate_limit.take(1.0, now);
+        self.last_request += 1;
+        self.in_flight.insert(self.last_request, InFlight { request: request.clone(), rental });
+        self.out.push_back((self.last_request, request));
     }
 
     /// Sends what is due. A follower only reads the machine types.
     pub fn poll(&mut self, leading: bool, now: Instant) {
-        if now < self.rest_until {
+        if now < self.paused_until {
             return;
         }
         if leading {
-            if !self.delete_in_flight && self.bucket.has(1.0, now) {
-                let due: Vec<MachineId> = self
-                    .deletes
-                    .iter()
-                    .filter(|(_, at)| **at <= now)
-                    .map(|(id, _)| id.clone())
-                    .take(DELETE_MAX)
-                    .collect();
-                if !due.is_empty() {
-                    self.delete_in_flight = true;
-                    self.send(CloudRequest::Delete(due), None, now);
-                }
-            }
-            let mut due: Vec<(u32, u64)> = self
-                .hires
-                .iter()
-                .filter(|(_, open)| !open.in_flight && open.next <= now)
-                .map(|(n, open)| (open.hire.count, *n))
-                .collect();
-            due.sort_by_key(|(count, n)| (Reverse(*count), *n));
-            for (_, n) in due {
-                if !self.bucket.has(1.0, now) {
-                    break;
-                }
-                if let Some(open) = self.hires.get_mut(&n) {
-                    open.in_flight = true;
-                    open.sent = true;
-                    let call = CloudRequest::RentalRequest(open.kind, open.hire.clone());
-                    self.send(call, Some(n), now);
-                }
+            self.send_returns(now);
+            self.send_rentals(now);
+            self.send_listing(now);
+        }
+        if self.machine_types.is_due(now) && self.rate_limit.has(1.0, now) {
+            self.machine_types.begin();
+            self.send(CloudRequest::MachineTypes, None, now);
+        }
+    }
+
+    fn send_returns(&mut self, now: Instant) {
+        if self.returns.is_in_flight() || !self.rate_limit.has(1.0, now) {
+            return;
+        }
+        if let Some(machines) = self.returns.take_due(now) {
+            self.send(CloudRequest::ScaleIn(machines), None, now);
+        }
+    }
+
+    fn send_rentals(&mut self, now: Instant) {
+        for number in self.rentals.due(now) {
+            if !self.rate_limit.has(1.0, now) {
+                return;
             }
-            if !self.list_in_flight && now >= self.list_at && self.bucket.has(1.0, now) {
-                self.list_in_flight = true;
-                self.listing.asked.get_or_insert(now);
-                let after = self.listing.found.last();
-                let after = after.map(|m| m.machine.to_string()).unwrap_or_default();
-                self.send(CloudRequest::List { after }, None, now);
+            if let Some(request) = self.rentals.begin(number) {
+                self.send(request, Some(number), now);
             }
         }
-        if !self.flavors_in_flight && now >= self.flavors_at && self.bucket.has(1.0, now) {
-            self.flavors_in_flight = true;
-            self.send(CloudRequest::MachineTypes, None, now);
+    }
+
+    fn send_listing(&mut self, now: Instant) {
+        if self.lister.is_due(now) && self.rate_limit.has(1.0, now) {
+            let after = self.lister.begin_page(now);
+            self.send(CloudRequest::List { after }, None, now);
         }
     }
 
+    /// The response to the request of that number, and what it tells.
     pub fn on_response(
         &mut self,
-        id: u64,
-        reply: Result<Response, CallError>,
+        number: u64,
+        response: Result<Response, CallError>,
         now: Instant,
     ) -> Vec<CloudEvent> {
-        let Some((call, hire, _)) = self.calls.remove(&id) else { return Vec::new() };
-        let status = reply.as_ref().map(|r| r.status).unwrap_or(0);
-        let body = reply.map(|r| r.body).unwrap_or_default();
-        let mut events = Vec::new();
+        let Some(InFlight { request, rental }) = self.in_flight.remove(&number) else {
+            return Vec::new();
+        };
+        let (status, body) = match response {
+            Ok(response) => (response.status, response.body),
+            Err(_) => (0, Vec::new()),
+        };
         match status {
-            200 => self.is_out = false,
-            503 => self.is_out = !no_capacity(&body),
+            200 => self.is_unavailable = false,
+            503 => self.is_unavailable = !is_out_of_capacity(&body),
+            429 => self.paused_until = now + STATE_RETRY,
             _ => {}
         }
-        if status == 429 {
-            self.rest_until = now + STATE_RETRY;
+        match request {
+            CloudRequest::MachineTypes => self.on_machine_types(status, &body, now),
+            CloudRequest::ScaleOut(pool, _) => match rental {
+                Some(rental) => self.on_rented(rental, pool, status, &body, now),
+                None => Vec::new(),
+            },
+            CloudRequest::ScaleIn(machines) => self.on_returned(machines, status, now),
+            CloudRequest::List { .. } => self.on_listed(status, &body, now),
         }
-        match call {
-            CloudRequest::MachineTypes => {
-                self.flavors_in_flight = false;
-                self.flavors_at = now + STATE_RETRY * 4;
-                if status == 200
-                    && let Ok(found) = wire::decode::<MachineTypes>(&body)
-                {
-                    self.flavors_at = now + FLAVORS_EVERY;
-                    events.push(CloudEvent::MachineTypes(found.flavors));
-                }
-            }
-            CloudRequest::RentalRequest(kind, _) => {
-                let Some(n) = hire else { return events };
-                if !self.hires.contains_key(&n) {
-                    return events;
-                }
-                if status == 200
-                    && let Ok(found) = wire::decode::<MachineIds>(&body)
-                {
-                    let asked = self.hires.remove(&n).map_or(0, |open| open.hire.count as usize);
-                    let short = found.machines.len() < asked;
-                    events.push(CloudEvent::Hired(kind, found.machines));
-                    if short {
-                        events.push(CloudEvent::Refused(kind));
-                    }
-                } else if status == 503 && !no_capacity(&body) {
-                    // The cloud as a whole is out; that tells nothing of what it has.
-                    self.hires.remove(&n);
-                    self.rest_until = now + STATE_RETRY * 4;
-                } else if status == 503 || status == 400 {
-                    self.hires.remove(&n);
-                    events.push(CloudEvent::Refused(kind));
-                } else if let Some(open) = self.hires.get_mut(&n) {
-                    // Perhaps executed: the same name again gets the same machines.
-                    open.in_flight = false;
-                    open.next = now + STATE_RETRY * 2;
-                }
+    }
+
+    fn on_machine_types(&mut self, status: u16, body: &[u8], now: Instant) -> Vec<CloudEvent> {
+        match wire::decode::<MachineTypes>(body) {
+            Ok(found) if status == 200 => {
+                self.machine_types.end(now + MACHINE_TYPES_INTERVAL);
+                vec![CloudEvent::MachineTypes(found.flavors)]
             }
-            CloudRequest::Delete(machines) => {
-                self.delete_in_flight = false;
-                if status == 200 {
-                    for machine in &machines {
-                        self.deletes.remove(machine);
-                    }
-                    events.push(CloudEvent::Deleted(machines));
-                } else {
-                    for machine in &machines {
-                        if let Some(at) = self.deletes.get_mut(machine) {
-                            *at = now + STATE_RETRY * 2;
-                        }
-                    }
-                }
+            _ => {
+                self.machine_types.end(now + STATE_RETRY * 4);
+                Vec::new()
             }
-            CloudRequest::List { .. } => {
-                self.list_in_flight = false;
-                match wire::decode::<MachinePage>(&body) {
-                    Ok(page) if status == 200 => {
-                        let more = page.truncated && !page.machines.is_empty();
-                        self.listing.found.extend(page.machines);
-                        if !more {
-                            let listing = std::mem::take(&mut self.listing);
-                            self.list_at = now + LIST_EVERY;
-                            events.push(CloudEvent::ListedMachine(
-                                listing.found,
-                                listing.asked.unwrap_or(now),
-                            ));
-                        }
-                    }
-                    _ => self.list_at = now + STATE_RETRY * 4,
+        }
+    }
+
+    fn on_rented(
+        &mut self,
+        number: u64,
+        pool: MachinePool,
+        status: u16,
+        body: &[u8],
+        now: Instant,
+    ) -> Vec<CloudEvent> {
+        let rented = match status {
+            200 => wire::decode::<MachineIds>(body).ok(),
+            _ => None,
+        };
+        let outcome = match (rented, status) {
+            (Some(rented), _) => RentalOutcome::Rented(rented.machines),
+            (None, 503) if !is_out_of_capacity(body) => {
+                // The cloud as a whole is out, which tells nothing of its capacity.
+                if self.rentals.contains(number) {
+                    self.paused_until = now + STATE_RETRY * 4;
                 }
+                RentalOutcome::CloudUnavailable
             }
+            (None, 503 | 400) => RentalOutcome::Refused,
+            (None, _) => RentalOutcome::Unknown,
+        };
+        self.rentals.on_outcome(number, pool, outcome, now)
+    }
+
+    fn on_returned(
+        &mut self,
+        machines: Vec<MachineId>,
+        status: u16,
+        now: Instant,
+    ) -> Vec<CloudEvent> {
+        if status != 200 {
+            self.returns.retry(&machines, now);
+            return Vec::new();
         }
-        events
+        self.returns.confirm(&machines);
+        vec![CloudEvent::MachinesReturned(machines)]
+    }
+
+    fn on_listed(&mut self, status: u16, body: &[u8], now: Instant) -> Vec<CloudEvent> {
+        let page = wire::decode::<MachinePage>(body).ok().filter(|_| status == 200);
+        self.lister.on_page(page, now).map(CloudEvent::Listed).into_iter().collect()
     }
 }
 
-/// Whether a 503 is about the kind asked for.
-fn no_capacity(body: &[u8]) -> bool {
+/// Whether a 503 is about the pool that was asked for.
+fn is_out_of_capacity(body: &[u8]) -> bool {
     wire::decode::<wire::CloudError>(body).is_ok_and(|body| body.error == NO_CAPACITY)
 }
 
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,68 +1,77 @@
-use super::*;
+use super::{CloudClient, CloudEvent, CloudRequest, MachinePool, NO_CAPACITY};
+use crate::constants::{HIRE_MAX, STATE_RETRY};
+use crate::http::{CallError, Response};
+use crate::ids::{FencingToken, MachineId};
+use crate::wire;
+use tokio::time::Instant;
 
-const KIND: MachinePool = MachinePool { flavor: 0, zone: 0, spot: true };
+const POOL: MachinePool = MachinePool { flavor: 0, zone: 0, spot: true };
 
 fn refusal(error: &str) -> Result<Response, CallError> {
     let body = wire::encode(&wire::CloudError { error: error.into() });
     Ok(Response::with(503, body))
 }
 
-fn hire_sent(core: &mut CloudClient, now: Instant) -> (u64, String) {
-    core.poll(true, now);
-    let found = core.out.drain(..).find_map(|(id, call)| match call {
-        CloudRequest::RentalRequest(_, hire) => Some((id, hire.request)),
+fn pending(client: &CloudClient) -> Vec<(MachinePool, u32)> {
+    client.pending_rentals().iter().map(|rental| (rental.pool, rental.count)).collect()
+}
+
+fn rental_sent(client: &mut CloudClient, now: Instant) -> (u64, String) {
+    client.poll(true, now);
+    let found = client.out.drain(..).find_map(|(id, call)| match call {
+        CloudRequest::ScaleOut(_, hire) => Some((id, hire.request)),
         _ => None,
     });
-    found.expect("a hire was sent")
+    found.expect("a rental was sent")
 }
 
 #[test]
-fn a_hire_without_an_answer_keeps_its_name_and_a_new_one_gets_another() {
+fn a_rental_without_a_response_keeps_its_name_and_a_new_one_gets_another() {
     let now = Instant::now();
-    let mut core = CloudClient::new(100.0, now);
-    core.lead(FencingToken(3), now);
-    core.hire(KIND, "f", "z", 2, now);
-    let (id, name) = hire_sent(&mut core, now);
-    assert!(core.on_response(id, Err(CallError::Unknown), now).is_empty());
-    assert_eq!(core.pending(), [(KIND, 2)]);
+    let mut client = CloudClient::new(100.0, now);
+    client.begin_leadership(FencingToken(3), now);
+    client.scale_out(POOL, "f", "z", 2, now);
+    let (id, name) = rental_sent(&mut client, now);
+    assert!(client.on_response(id, Err(CallError::Unknown), now).is_empty());
+    assert_eq!(pending(&client), [(POOL, 2)]);
     let later = now + STATE_RETRY * 3;
-    let (id, again) = hire_sent(&mut core, later);
+    let (id, again) = rental_sent(&mut client, later);
     assert_eq!(name, again);
-    let refused = core.on_response(id, refusal(NO_CAPACITY), later);
-    assert!(matches!(refused[..], [CloudEvent::Refused(KIND)]));
-    core.lead(FencingToken(4), later);
-    core.hire(KIND, "f", "z", 1, later);
-    assert_ne!(hire_sent(&mut core, later).1, name);
+    let refused = client.on_response(id, refusal(NO_CAPACITY), later);
+    assert!(matches!(refused[..], [CloudEvent::CapacityExhausted(POOL)]));
+    client.begin_leadership(FencingToken(4), later);
+    client.scale_out(POOL, "f", "z", 1, later);
+    assert_ne!(rental_sent(&mut client, later).1, name);
 }
 
 #[test]
-fn what_waits_for_a_call_goes_as_one_request_and_an_outage_is_no_refusal() {
+fn unsent_rentals_of_a_pool_are_merged_and_an_outage_is_no_refusal() {
     let now = Instant::now();
-    let mut core = CloudClient::new(100.0, now);
-    core.lead(FencingToken(3), now);
-    core.hire(KIND, "f", "z", 2, now);
-    core.hire(KIND, "f", "z", HIRE_MAX, now);
-    assert_eq!(core.pending(), [(KIND, HIRE_MAX), (KIND, 2)]);
-    let (id, _) = hire_sent(&mut core, now);
+    let mut client = CloudClient::new(100.0, now);
+    client.begin_leadership(FencingToken(3), now);
+    client.scale_out(POOL, "f", "z", 2, now);
+    client.scale_out(POOL, "f", "z", HIRE_MAX, now);
+    assert_eq!(pending(&client), [(POOL, HIRE_MAX), (POOL, 2)]);
+    let (id, _) = rental_sent(&mut client, now);
     // What was sent keeps its content.
-    core.hire(KIND, "f", "z", 1, now);
-    assert_eq!(core.pending().len(), 3);
-    assert!(core.on_response(id, refusal("trouble"), now).is_empty());
-    assert_eq!(core.pending(), [(KIND, 2), (KIND, 1)]);
+    client.scale_out(POOL, "f", "z", 1, now);
+    assert_eq!(pending(&client).len(), 3);
+    assert!(client.on_response(id, refusal("trouble"), now).is_empty());
+    assert_eq!(pending(&client), [(POOL, 2), (POOL, 1)]);
 }
 
 #[test]
-fn a_deletion_is_repeated_until_it_is_answered() {
+fn a_return_is_retried_until_it_is_confirmed() {
     let now = Instant::now();
-    let mut core = CloudClient::new(100.0, now);
-    core.delete(&MachineId::new("i-1"), now);
-    core.poll(true, now);
-    let id = core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).unwrap().0;
-    assert!(core.on_response(id, Err(CallError::NotSent), now).is_empty());
-    core.out.clear();
-    core.poll(true, now + STATE_RETRY * 3);
+    let mut client = CloudClient::new(100.0, now);
+    client.scale_in(&MachineId::new("i-1"), now);
+    client.poll(true, now);
+    let id = client.out.iter().find(|(_, c)| matches!(c, CloudRequest::ScaleIn(_))).unwrap().0;
+    assert!(client.on_response(id, Err(CallError::NotSent), now).is_empty());
+    client.out.clear();
+    client.poll(true, now + STATE_RETRY * 3);
     let (id, _) =
-        core.out.iter().find(|(_, c)| matches!(c, CloudRequest::Delete(_))).cloned().unwrap();
-    let events = core.on_response(id, Ok(Response::empty(200)), now);
-    assert!(matches!(&events[..], [CloudEvent::Deleted(m)] if m.len() == 1));
+        client.out.iter().find(|(_, c)| matches!(c, CloudRequest::ScaleIn(_))).cloned().unwrap();
+    let events = client.on_response(id, Ok(Response::empty(200)), now);
+    assert!(matches!(&events[..], [CloudEvent::MachinesReturned(m)] if m.len() == 1));
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -671,7 +671,7 @@
         let mut scheduler = Scheduler::new(token, *rev, settings, cache, wall, now);
         scheduler.on_told_cancelled(&self.api.given.all(), cache);
         tracing::info!(%token, machines = scheduler.machines.len(), "leading");
-        self.cloud.lead(token, now);
+        self.cloud.begin_leadership(token, now);
         self.scheduler = Some(scheduler);
         self.sharing.lead();
         // The others hold reports back until they hear of it.
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -4,6 +4,7 @@
 //! told on as facts. It rents nothing by itself: the planner says how many.
 
 use super::*;
+use crate::cloud::MachineListing;
 
 impl Scheduler {
     pub fn on_cloud(&mut self, event: CloudEvent, cache: &Cache, now: Instant) {
@@ -15,7 +16,7 @@
                 // What counts as heavy follows from the largest type.
                 self.machines.values_mut().for_each(Machine::invalidate_usage);
             }
-            CloudEvent::Hired(kind, machines) => {
+            CloudEvent::MachinesRented(kind, machines) => {
                 self.shortage.cloud_told();
                 if let Some((_, most)) = self.scarce.get_mut(&kind) {
                     *most *= CAPACITY_GROWTH;
@@ -29,29 +30,24 @@
                 let zone = &self.settings.platform.params.zones[kind.zone];
                 tracing::info!(count = machines.len(), %zone, spot = kind.spot, "rented");
             }
-            CloudEvent::Refused(kind) => {
+            CloudEvent::CapacityExhausted(kind) => {
                 self.shortage.cloud_told();
                 let zone = &self.settings.platform.params.zones[kind.zone];
                 tracing::info!(%zone, spot = kind.spot, "rental refused");
                 self.scarce.insert(kind, (now + CAPACITY_REST, CAPACITY_PROBE));
             }
-            CloudEvent::Deleted(machines) => {
+            CloudEvent::MachinesReturned(machines) => {
                 for id in machines {
                     self.buried.insert(id.clone());
                     self.gone(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::ListedMachine(listed, asked) => self.on_list(listed, asked, cache, now),
+            CloudEvent::Listed(listing) => self.on_list(listing, cache, now),
         }
     }
 
-    pub(super) fn on_list(
-        &mut self,
-        listed: Vec<crate::wire::ListedMachine>,
-        asked: Instant,
-        cache: &Cache,
-        now: Instant,
-    ) {
+    pub(super) fn on_list(&mut self, listing: MachineListing, cache: &Cache, now: Instant) {
+        let MachineListing { machines: listed, requested_at: asked } = listing;
         self.listed_once = true;
         let mut present = HashSet::new();
         for row in listed {
@@ -225,7 +221,7 @@
                 machine.idle_since = None;
             }
             if machine.state == MachineState::Returning {
-                cloud.delete(&machine.id, now);
+                cloud.scale_in(&machine.id, now);
             }
         }
         for (id, fact) in facts {
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -106,7 +106,8 @@
             let zones = info.zones.iter().filter_map(|name| self.zone(name));
             zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
         });
-        cloud.is_out() || kinds.all(|kind| silent[kind.zone] || self.scarce.contains_key(&kind))
+        cloud.is_unavailable()
+            || kinds.all(|kind| silent[kind.zone] || self.scarce.contains_key(&kind))
     }
 
     /// Looks at what all jobs that may run ask for, and at what there is. `room_left` is what each team may
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,6 +1,7 @@
 //! What jobs ask of placement, and what could be rented for them.
 
 use super::*;
+use crate::cloud::PendingRental;
 
 impl Scheduler {
     /// What a job asks for by its description alone, for no task yet; none if it names a zone that
@@ -208,7 +209,7 @@
     pub(super) fn offers(
         &self,
         sizes: &[Amount],
-        pending: &[(MachinePool, u32)],
+        pending: &[PendingRental],
         now: Instant,
     ) -> Vec<(MachinePool, MachineTypeOffer)> {
         let mut offers = Vec::new();
@@ -221,7 +222,7 @@
                 for spot in [true, false] {
                     let kind = MachinePool { flavor, zone, spot };
                     let scarce = self.scarce.get(&kind);
-                    let asked = pending.iter().any(|(other, _)| *other == kind);
+                    let asked = pending.iter().any(|rental| rental.pool == kind);
                     if scarce.is_some_and(|(until, _)| *until > now || asked) {
                         continue;
                     }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -4,6 +4,7 @@
 //! `placement` decides; it changes no machine's life and writes nothing.
 
 use super::*;
+use crate::cloud::PendingRental;
 use crate::workers::machine::AttemptSpec;
 
 impl Scheduler {
@@ -259,10 +260,10 @@
         // No room is kept, and nothing rented, where all is to leave.
         silent.iter_mut().zip(self.drained_zones()).for_each(|(shut, drained)| *shut |= drained);
         let (mut bins, mut names) = self.bins(&sizes, &survey, now);
-        let pending = cloud.pending();
+        let pending = cloud.pending_rentals();
         let may_rent = now >= self.since + HIRE_SETTLE
             && (self.listed_once || now >= self.since + HIRE_SETTLE * 4);
-        let coming_up: u32 = pending.iter().map(|(_, count)| count).sum();
+        let coming_up: u32 = pending.iter().map(|rental| rental.count).sum();
         let held = u32::try_from(self.machines.len()).unwrap_or(u32::MAX);
         let rents_left = self.most_machines.saturating_sub(held.saturating_add(coming_up));
         self.look_for_shortage(
@@ -325,7 +326,7 @@
         self.coming_asks(&mut asks, coming, cache, &sizes);
         self.warm_asks(&mut asks, &sizes, (&survey, &silent), params.teams.len());
 
-        for (kind, count) in &pending {
+        for PendingRental { pool: kind, count } in &pending {
             for _ in 0..*count {
                 bins.push(Bin {
                     index: u64::MAX,
@@ -392,7 +393,7 @@
             if *count > 0 {
                 let (kind, _) = &kinds[n];
                 let flavor = self.flavors[kind.flavor].name.clone();
-                cloud.hire(*kind, &flavor, &params.zones[kind.zone], *count, now);
+                cloud.scale_out(*kind, &flavor, &params.zones[kind.zone], *count, now);
             }
         }
         if wake.is_some() || !plan.short.is_empty() || !plan.booked.is_empty() {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -27,7 +27,7 @@
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
         let mut cloud = CloudClient::new(5.0, now);
-        cloud.lead(FencingToken(1), now);
+        cloud.begin_leadership(FencingToken(1), now);
         Bench { scheduler, state, cloud, now, seq: 0 }
     }
 
@@ -231,7 +231,7 @@
     let rented = names.iter().map(|name| MachineId::new(name)).collect();
     let kind = MachinePool { flavor: 0, zone: 1, spot: true };
     bench.pass(PLAN_EVERY);
-    let hired = CloudEvent::Hired(kind, rented);
+    let hired = CloudEvent::MachinesRented(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
     let booting = |bench: &Bench| {
         bench.scheduler.machines.values().filter(|m| m.state == MachineState::Booting).count()
@@ -526,7 +526,7 @@
     for _ in 0..20 {
         bench.pass(PLAN_EVERY * 5);
     }
-    let asked: u32 = bench.cloud.pending().iter().map(|(_, count)| count).sum();
+    let asked: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
     assert_eq!(asked, 3);
     assert!(bench.scheduler.waits["controllers hold no more machines"] > 300);
     bench.scheduler.most_direct = 2;
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -41,8 +41,8 @@
         state("state-touch", &StoreRequest::KeepAlive(LeaseId(9))),
         state("state-drop-lease", &StoreRequest::RevokeLease(LeaseId(9))),
         cloud("cloud-flavors", &CloudRequest::MachineTypes),
-        cloud("cloud-hire", &CloudRequest::RentalRequest(kind, hire())),
-        cloud("cloud-delete", &CloudRequest::Delete(machines())),
+        cloud("cloud-hire", &CloudRequest::ScaleOut(kind, hire())),
+        cloud("cloud-delete", &CloudRequest::ScaleIn(machines())),
         cloud("cloud-list-first", &CloudRequest::List { after: String::new() }),
         cloud("cloud-list-next", &CloudRequest::List { after: "i-000231".into() }),
     ]
