--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -8,9 +8,10 @@
 use troutspindle::cloud::{CloudClient, CloudEvent, MachineListing, MachinePool};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
+use troutspindle::schema::encoding;
+use troutspindle::schema::records::JobRecord;
 use troutspindle::settings::Settings;
-use troutspindle::store::StoreClient;
-use troutspindle::store::records::{self, JobRecord};
+use troutspindle::store::{StoreClient, Versioned};
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -51,7 +52,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (
+        state.cache.machine_types = Versioned::new(
             vec![MachineType {
                 name: "f".into(),
                 cpus: 16.0,
@@ -136,7 +137,7 @@
             depends_on: None,
         };
         with(&mut spec);
-        let record = records::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
+        let record = encoding::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
         self.state.cache.jobs.apply_record(id.clone(), &record, Revision(self.rev));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -11,7 +11,7 @@
 pub use rentals::PendingRental;
 pub use requests::{CloudEvent, CloudRequest, MachineListing, MachinePool};
 
-use crate::constants::{STATE_BUDGET, STATE_RETRY};
+use crate::constants::{RATE_LIMIT_SHARE, RETRY_PAUSE};
 use crate::http::{CallError, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::store::TokenBucket;
@@ -57,7 +57,7 @@
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
             // Other controllers may have spent of the same budget just before.
-            rate_limit: TokenBucket::new(rps * STATE_BUDGET, 1.0, now),
+            rate_limit: TokenBucket::new(rps * RATE_LIMIT_SHARE, 1.0, now),
             rentals: RentalQueue::default(),
             returns: ReturnQueue::default(),
             lister: MachineLister::new(now),
@@ -171,7 +171,7 @@
         match status {
             200 => self.is_unavailable = false,
             503 => self.is_unavailable = !is_out_of_capacity(&body),
-            429 => self.paused_until = now + STATE_RETRY,
+            429 => self.paused_until = now + RETRY_PAUSE,
             _ => {}
         }
         match request {
@@ -192,7 +192,7 @@
                 vec![CloudEvent::MachineTypes(found.flavors)]
             }
             _ => {
-                self.machine_types.end(now + STATE_RETRY * 4);
+                self.machine_types.end(now + RETRY_PAUSE * 4);
                 Vec::new()
             }
         }
@@ -215,7 +215,7 @@
             (None, 503) if !is_out_of_capacity(body) => {
                 // The cloud as a whole is out, which tells nothing of its capacity.
                 if self.rentals.contains(number) {
-                    self.paused_until = now + STATE_RETRY * 4;
+                    self.paused_until = now + RETRY_PAUSE * 4;
                 }
                 RentalOutcome::CloudUnavailable
             }
--- a/src/cloud/listing.rs
+++ b/src/cloud/listing.rs
@@ -1,7 +1,7 @@
 //! The listing of rented machines, page by page.
 
 use super::requests::MachineListing;
-use crate::constants::STATE_RETRY;
+use crate::constants::RETRY_PAUSE;
 use crate::wire::{ListedMachine, MachinePage};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -73,7 +73,7 @@
         now: Instant,
     ) -> Option<MachineListing> {
         let Some(page) = page else {
-            self.schedule.end(now + STATE_RETRY * 4);
+            self.schedule.end(now + RETRY_PAUSE * 4);
             return None;
         };
         let has_more = page.truncated && !page.machines.is_empty();
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -1,7 +1,7 @@
 //! Rentals that the cloud has not answered yet.
 
 use super::requests::{CloudEvent, CloudRequest, MachinePool};
-use crate::constants::{HIRE_MAX, STATE_RETRY};
+use crate::constants::{HIRE_MAX, RETRY_PAUSE};
 use crate::ids::{FencingToken, MachineId};
 use crate::wire::RentalRequest;
 use std::cmp::Reverse;
@@ -126,7 +126,7 @@
         if matches!(outcome, RentalOutcome::Unknown) {
             // Repeated under the same name, it gets the same machines.
             rental.in_flight = false;
-            rental.not_before = now + STATE_RETRY * 2;
+            rental.not_before = now + RETRY_PAUSE * 2;
             return Vec::new();
         }
         self.open.remove(&number);
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -1,6 +1,6 @@
 //! Machines that are to be returned, until the cloud confirms it.
 
-use crate::constants::STATE_RETRY;
+use crate::constants::RETRY_PAUSE;
 use crate::ids::MachineId;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -52,7 +52,7 @@
         self.in_flight = false;
         for machine in machines {
             if let Some(not_before) = self.machines.get_mut(machine) {
-                *not_before = now + STATE_RETRY * 2;
+                *not_before = now + RETRY_PAUSE * 2;
             }
         }
     }
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,5 +1,5 @@
 use super::{CloudClient, CloudEvent, CloudRequest, MachinePool, NO_CAPACITY};
-use crate::constants::{HIRE_MAX, STATE_RETRY};
+use crate::constants::{HIRE_MAX, RETRY_PAUSE};
 use crate::http::{CallError, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::wire;
@@ -34,7 +34,7 @@
     let (id, name) = rental_sent(&mut client, now);
     assert!(client.on_response(id, Err(CallError::Unknown), now).is_empty());
     assert_eq!(pending(&client), [(POOL, 2)]);
-    let later = now + STATE_RETRY * 3;
+    let later = now + RETRY_PAUSE * 3;
     let (id, again) = rental_sent(&mut client, later);
     assert_eq!(name, again);
     let refused = client.on_response(id, refusal(NO_CAPACITY), later);
@@ -69,7 +69,7 @@
     let id = client.out.iter().find(|(_, c)| matches!(c, CloudRequest::ScaleIn(_))).unwrap().0;
     assert!(client.on_response(id, Err(CallError::NotSent), now).is_empty());
     client.out.clear();
-    client.poll(true, now + STATE_RETRY * 3);
+    client.poll(true, now + RETRY_PAUSE * 3);
     let (id, _) =
         client.out.iter().find(|(_, c)| matches!(c, CloudRequest::ScaleIn(_))).cloned().unwrap();
     let events = client.on_response(id, Ok(Response::empty(200)), now);
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::leadership::delegation::DELEGATION_AFTER;
+use crate::store::RelayedMessage;
 
 /// Pause between messages that go by way of the store to a controller out of reach.
 pub const RELAY_EVERY: Duration = Duration::from_secs(3);
@@ -11,7 +12,7 @@
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         let (token, node) = self.leads.as_ref()?;
         let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
-        (*token > self.state.cache.token.0 && self.peers.get(node).is_some_and(near))
+        (*token > self.state.cache.token.value && self.peers.get(node).is_some_and(near))
             .then_some(node)
     }
 
@@ -194,7 +195,7 @@
                 self.on_delivered(token, results, now)
             }
             PeerMessage::RunningTasks { token, counts } => {
-                if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+                if token >= self.state.cache.token.value && self.scheduler.is_none() {
                     self.api.running = counts.into_iter().collect();
                 }
             }
@@ -211,15 +212,15 @@
     }
 
     pub(super) fn look_at_promises(&mut self, now: Instant) {
-        for (ticket, response) in self.api.on_promised(&mut self.state, now) {
+        for Answer { ticket, response } in self.api.on_promised(&mut self.state, now) {
             self.reply(ticket, response);
         }
     }
 
     /// A follower that does not hear its leader asks for a grant by way of the store.
     pub(super) fn relay_status(&mut self, beat: &PeerMessage, now: Instant) {
-        let Some((leader, _)) = &self.state.cache.leader else { return };
-        let leader = leader.node.clone();
+        let Some(leader) = &self.state.cache.leader else { return };
+        let leader = leader.value.controller.clone();
         let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
         if leader == self.settings.platform.host_name
             || now < self.relay_at
@@ -239,7 +240,7 @@
         let busy = |state: &StoreClient, n| state.is_pending(&WriteOrigin::Relay(to.clone(), n));
         let mut values = vec![(key.clone(), text)];
         if !layout.fits(&values[0].1) {
-            if !layout.second() || busy(&self.state, 1) {
+            if !layout.is_second() || busy(&self.state, 1) {
                 // Production knows whole messages only.
                 return;
             }
@@ -252,17 +253,18 @@
             return;
         }
         let whole = values.len() == 1;
-        for (n, some) in values.chunks(layout.txn_ops).enumerate() {
+        for (n, some) in values.chunks(layout.max_operations).enumerate() {
             let rev = |key: &String| self.state.cache.relays.get(key).copied().unwrap_or_default();
             let guard =
                 |(key, _): &(String, String)| Precondition { key: key.clone(), rev: rev(key) };
-            let guards = some.iter().map(guard).collect();
+            let preconditions = some.iter().map(guard).collect();
             let write = |(key, text): &(String, String)| Write::Put {
                 key: key.clone(),
                 data: StoreValue::Text(text.clone()),
-                hold: None,
+                lease: None,
             };
-            let transaction = Transaction { guards, writes: some.iter().map(write).collect() };
+            let transaction =
+                Transaction { preconditions, writes: some.iter().map(write).collect() };
             let origin = WriteOrigin::Relay(to.clone(), if whole { 0 } else { n + 1 });
             self.state.enqueue(PendingWrite {
                 priority: WritePriority::Blocking,
@@ -275,8 +277,8 @@
     /// Takes messages in that came by way of the store.
     pub(super) fn take_relayed(&mut self, now: Instant) {
         let me = self.settings.platform.host_name.clone();
-        for (rest, text) in std::mem::take(&mut self.state.cache.relayed) {
-            let Some((from, to)) = rest.split_once('/') else { continue };
+        for RelayedMessage { route, text } in std::mem::take(&mut self.state.cache.relayed) {
+            let Some((from, to)) = route.split_once('/') else { continue };
             let (to, piece) = to.split_once('/').map_or((to, None), |(to, n)| (to, Some(n)));
             if to != me.as_str() {
                 continue;
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -187,7 +187,7 @@
         let me = &self.settings.platform.host_name;
         let members = match &self.scheduler {
             Some(_) => &self.sharing.members,
-            None => self.sharing.relay.members(self.state.cache.token.0, now)?,
+            None => self.sharing.relay.members(self.state.cache.token.value, now)?,
         };
         let owner = members.owner(&report.machine, &report.zone)?;
         if owner == me || !self.shares(owner, now) {
@@ -205,7 +205,7 @@
         report: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let newest = self.state.cache.token.0;
+        let newest = self.state.cache.token.value;
         if self.sharing.relay.members(newest, now).is_some() {
             if let Some(other) = self.other_owner(&report, now) {
                 return Some(redirect(&other));
@@ -238,9 +238,9 @@
 
     /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
     fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
-        let (leader, _) = self.state.cache.leader.as_ref()?;
+        let leader = &self.state.cache.leader.as_ref()?.value;
         let lapsed = self.sharing.relay.time_since_assignment(leader.token, now)?;
-        let silence = match self.peers.get(&leader.node) {
+        let silence = match self.peers.get(&leader.controller) {
             Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
             None => lapsed,
         };
@@ -249,9 +249,10 @@
         });
         let apart = silence >= if lives { RELAY_TERM } else { LEADER_APART_AFTER };
         let synced = self.state.synced_at;
-        let fresh = synced.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
+        let fresh =
+            synced.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
         let alive = fresh && !self.state.is_unavailable(now);
-        (apart && alive).then(|| leader.node.clone())
+        (apart && alive).then(|| leader.controller.clone())
     }
 
     pub(super) fn on_sharing(
@@ -261,7 +262,7 @@
         members: Membership,
         now: Instant,
     ) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+        if token >= self.state.cache.token.value && self.scheduler.is_none() {
             self.sharing.relay.on_assignment(token, from, members, now);
         }
     }
@@ -312,7 +313,7 @@
         commands: Vec<Delivery>,
         now: Instant,
     ) {
-        if token < self.state.cache.token.0 || self.scheduler.is_some() && self.may_act(now) {
+        if token < self.state.cache.token.value || self.scheduler.is_some() && self.may_act(now) {
             return;
         }
         for delivery in commands {
@@ -364,7 +365,7 @@
     /// Sends what is due and gives up what is overdue.
     pub(super) fn pump_sharing(&mut self, now: Instant) {
         let from = self.settings.platform.host_name.clone();
-        for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
+        for batch in self.sharing.relay.take_batches(self.state.cache.token.value, now) {
             let message = PeerMessage::RelayedHeartbeats {
                 from: from.clone(),
                 token: batch.token,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,8 +1,10 @@
 //! Who leads: the leader's lease, the token, and when one may act.
 
-use crate::constants::{DRIFT, STATE_RETRY};
+use crate::constants::{DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
-use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
+use crate::store::{
+    Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
+};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
@@ -140,8 +142,8 @@
             return false;
         }
         // What we know is older than a leader with a newer token, who has read all of it.
-        let stands = token > cache.token.0
-            || (shown && cache.leader.as_ref().is_some_and(|(l, _)| l.token == token));
+        let stands = token > cache.token.value
+            || (shown && cache.leader.as_ref().is_some_and(|leader| leader.value.token == token));
         if stands {
             self.pledged_until = self.pledged_until.max(now + PLEDGE);
         }
@@ -201,13 +203,13 @@
 
     fn stand_back(&mut self, now: Instant) {
         self.role = Role::Follower;
-        self.campaign_at = now + STATE_RETRY;
+        self.campaign_at = now + RETRY_PAUSE;
     }
 
     /// Whether the leader has lost its right for good: another one leads.
     pub fn check(&mut self, cache: &Cache) -> Option<ElectionEvent> {
         let token = self.token()?;
-        (cache.token.0 > token).then(|| {
+        (cache.token.value > token).then(|| {
             self.role = Role::Follower;
             self.pledges.clear();
             ElectionEvent::Lost("another leader has a higher token")
@@ -233,7 +235,7 @@
                         calls.push(StoreRequest::RevokeLease(*lease));
                         return (calls, None);
                     }
-                    let (old, rev) = cache.token;
+                    let Versioned { value: old, revision: rev } = cache.token;
                     let token = FencingToken(old.0 + 1);
                     self.role = Role::Campaigning { lease: *lease, sent, token };
                     calls.push(StoreRequest::Commit(self.campaign(token, rev, *lease)));
@@ -263,7 +265,7 @@
                 self.renew_in_flight = false;
                 match reply {
                     StoreResponse::Done | StoreResponse::Gone => self.stand_back(now),
-                    _ => self.renew_at = now + STATE_RETRY,
+                    _ => self.renew_at = now + RETRY_PAUSE,
                 }
             }
             (Role::Leading { lease, .. }, StoreRequest::KeepAlive(touched))
@@ -280,7 +282,7 @@
                         self.pledges.clear();
                         event = Some(ElectionEvent::Lost("the lease ended"));
                     }
-                    _ => self.renew_at = now + STATE_RETRY,
+                    _ => self.renew_at = now + RETRY_PAUSE,
                 }
             }
             _ => {}
@@ -289,10 +291,10 @@
     }
 
     fn campaign(&self, token: FencingToken, token_rev: Revision, lease: LeaseId) -> Transaction {
-        let record = LeaderRecord { node: self.me.clone(), token };
-        let put = |key: &str, data: StoreValue, hold| Write::Put { key: key.into(), data, hold };
+        let record = LeaderRecord { controller: self.me.clone(), token };
+        let put = |key: &str, data: StoreValue, lease| Write::Put { key: key.into(), data, lease };
         Transaction {
-            guards: vec![
+            preconditions: vec![
                 Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
                 Precondition { key: TOKEN_KEY.into(), rev: token_rev },
             ],
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -2,7 +2,7 @@
 
 use super::framing::encode_frame;
 use super::message::PeerMessage;
-use crate::constants::{CONNECT_TIMEOUT, STATE_RETRY};
+use crate::constants::{CONNECT_TIMEOUT, RETRY_PAUSE};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 ) {
     while !(outgoing.is_closed() && outgoing.is_empty()) {
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
-            sleep(STATE_RETRY).await;
+            sleep(RETRY_PAUSE).await;
             // What queued up meanwhile is out of date.
             while outgoing.try_recv().is_ok() {}
             continue;
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -19,8 +19,12 @@
                     if live.is_ready() {
                         work.known.get_or_insert(now);
                     }
-                    let done: Vec<u32> =
-                        work.placed.keys().filter(|task| live.is_done(**task)).copied().collect();
+                    let done: Vec<u32> = work
+                        .placed
+                        .keys()
+                        .filter(|task| live.is_completed(**task))
+                        .copied()
+                        .collect();
                     for task in done {
                         work.completing.remove(&task);
                         work.retry.remove(&task);
@@ -134,17 +138,18 @@
             }
             let Some(address) = machine.address else { continue };
             let key = format!("{MACHINE_PREFIX}{}", machine.id);
-            let rev = state.cache.machines.get(&machine.id).map_or(Revision(0), |(_, rev)| *rev);
+            let rev =
+                state.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
-                flavor: self.flavors[machine.flavor].name.clone(),
+                machine_type: self.flavors[machine.flavor].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
             let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
-                writes: vec![Write::Put { key, data, hold: None }],
+                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                writes: vec![Write::Put { key, data, lease: None }],
             };
             state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
@@ -165,8 +170,11 @@
             .iter()
             .filter(|(id, _)| !is_ours(id))
             // One of a kind that is not known is not known to be gone.
-            .filter(|(_, (m, _))| self.kind(&m.flavor, &m.zone, m.spot).is_some())
-            .map(|(id, (_, rev))| (id.clone(), *rev))
+            .filter(|(_, known)| {
+                let record = &known.value;
+                self.kind(&record.machine_type, &record.zone, record.spot).is_some()
+            })
+            .map(|(id, known)| (id.clone(), known.revision))
             .collect();
         for (id, rev) in gone {
             let origin = WriteOrigin::MachineRemoved(id.clone());
@@ -175,7 +183,7 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let transaction = Transaction {
-                guards: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
                 writes: vec![Write::Delete { key }],
             };
             state.enqueue(PendingWrite {
@@ -209,7 +217,7 @@
             }
             let Some(job) = state.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
-                live.done_count() + (work.completing.len() as u64) < live.spec.tasks
+                live.completed_count() + (work.completing.len() as u64) < live.spec.tasks
             };
             if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
@@ -224,7 +232,7 @@
                 continue;
             }
             let mut transaction = done.transaction;
-            transaction.guards.push(guard.clone());
+            transaction.preconditions.push(guard.clone());
             let priority =
                 if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
             state.enqueue(PendingWrite { priority, origin, transaction });
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -163,7 +163,7 @@
                 let urgency = self.urgency(&task.job, live);
                 (self.team_of(&live.spec.team), live.need, image, urgency)
             }
-            Some(JobBody::Finished { rest: Some(rest), .. }) => {
+            Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
                 (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
@@ -249,7 +249,7 @@
         }
         if let (true, Some(live)) = (done, live) {
             // The machine keeps the exit until the completion is committed.
-            if !live.is_done(task.index) {
+            if !live.is_completed(task.index) {
                 let work = self.work.entry(task.job.clone()).or_default();
                 work.completing.insert(task.index);
                 self.completing.insert(task.job.clone());
@@ -300,7 +300,8 @@
     /// Its completion was reported before.
     pub(super) fn is_completing(&self, task: &TaskId, live: &LiveJob) -> bool {
         let work = self.work.get(&task.job);
-        live.is_done(task.index) || work.is_some_and(|work| work.completing.contains(&task.index))
+        live.is_completed(task.index)
+            || work.is_some_and(|work| work.completing.contains(&task.index))
     }
 
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::admission::MACHINE_BYTES;
 use crate::controller::TICK_MOST;
+use crate::schema::{encoding, records};
 use crate::settings::plain_flavor as flavor;
-use crate::store::records;
+use crate::store::Versioned;
 use crate::wire::{JobSpec, TaskStatus};
 use troutspindle_protocol::operator_api::FairShareReport;
 
@@ -22,7 +23,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (vec![flavor()], Revision(1));
+        state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
@@ -364,10 +365,13 @@
 }
 
 fn over(bench: &mut Bench, id: &str) {
-    let done =
-        records::JobRecord { p: records::Phase::Done, n: 4, ..records::JobRecord::live(1, None) };
+    let done = records::JobRecord {
+        phase: records::JobPhase::Done,
+        completed_count: 4,
+        ..records::JobRecord::live(1, None)
+    };
     let rev = Revision(bench.state.cache.rev.0.max(10) + 1);
-    bench.state.cache.jobs.apply_record(JobId::new(id), &records::to_value(&done), rev);
+    bench.state.cache.jobs.apply_record(JobId::new(id), &encoding::to_value(&done), rev);
     bench.scheduler.on_jobs(&[JobId::new(id)], &bench.state.cache, bench.now);
 }
 
@@ -377,7 +381,7 @@
     for n in 0..40 {
         bench.now += Duration::from_millis(300);
         bench.scheduler.store_estimates(&mut bench.state, bench.now);
-        for item in bench.state.take_items() {
+        for item in bench.state.take_queued_writes() {
             let (WriteOrigin::RuntimeEstimates(bucket), [Write::Put { data, .. }]) =
                 (&item.origin, &item.transaction.writes[..])
             else {
@@ -385,7 +389,7 @@
             };
             assert_eq!(item.priority, WritePriority::Background);
             let text = data.as_text().map(str::to_owned);
-            bench.state.cache.estimates.insert(*bucket, (text, Revision(100 + n)));
+            bench.state.cache.estimates.insert(*bucket, Versioned::new(text, Revision(100 + n)));
             bench.scheduler.on_outcome(&item.origin, WriteOutcome::Committed, &mut bench.state);
             written += 1;
         }
@@ -427,9 +431,9 @@
     next.scheduler.store_estimates(&mut next.state, next.now);
     assert!((estimated(&mut next, "wk-2").unwrap() - known).abs() < 0.5);
     let mut damaged = learning_bench();
-    for (bucket, (text, rev)) in &bench.state.cache.estimates {
-        let text = text.as_ref().map(|text| text[..text.len() / 2].to_owned());
-        damaged.state.cache.estimates.insert(*bucket, (text, *rev));
+    for (bucket, known) in &bench.state.cache.estimates {
+        let text = known.value.as_ref().map(|text| text[..text.len() / 2].to_owned());
+        damaged.state.cache.estimates.insert(*bucket, Versioned::new(text, known.revision));
     }
     damaged.scheduler.store_estimates(&mut damaged.state, damaged.now);
     assert_eq!(estimated(&mut damaged, "wk-2"), None);
@@ -708,11 +712,15 @@
     for name in ["i-1", "i-2"] {
         let record = MachineRecord {
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "a".into(),
             spot: false,
         };
-        bench.state.cache.machines.insert(MachineId::new(name), (record, Revision(3)));
+        bench
+            .state
+            .cache
+            .machines
+            .insert(MachineId::new(name), Versioned::new(record, Revision(3)));
     }
     let job = bench.job("wk-1", JobKind::Array, tasks);
     bench.lead_anew();
