--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -85,6 +85,7 @@
             let id = MachineId::new(&format!("i-{n:06}"));
             let running = leader
                 .scheduler
+                .fleet
                 .machines
                 .get_mut(&id)
                 .map(|m| m.commands_for_answer())
@@ -156,7 +157,7 @@
             tasks,
         };
         self.scheduler.on_report(&report, &self.state.cache, self.now);
-        if let Some(machine) = self.scheduler.machines.get_mut(&report.machine) {
+        if let Some(machine) = self.scheduler.fleet.machines.get_mut(&report.machine) {
             machine.recorded = true;
             assert_eq!(machine.state, MachineState::Up);
         }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -3,21 +3,52 @@
 //! Owns what follows from a job's record (it is over, a task is done) and every write of the leader but those of
 //! learning and tidying. It places nothing and talks to no worker.
 
-use super::*;
+use crate::ids::{JobId, MachineId, Revision, TaskId};
+use crate::jobs;
+use crate::jobs::{JobBody, LiveJob};
+use crate::scheduler::Scheduler;
+use crate::scheduler::job_progress::JobProgress;
+use crate::scheduler::task_attempt::attempts_of;
+use crate::store::{
+    Cache, MACHINE_PREFIX, MachineRecord, PendingWrite, StoreClient, WriteOrigin, WriteOutcome,
+    WritePriority,
+};
+use crate::wire::{Precondition, StoreValue, TaskState, Transaction, Write};
+use crate::workers::machine::{JOB_FINISHED, MachineState, StopRequest};
+use std::cmp::Reverse;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long marks of tasks of jobs that go on wait for others: one write carries all of a job's that
+/// have come, and each write is read by every controller.
+const MARKS_EVERY: Duration = Duration::from_millis(1000);
+/// When progress of jobs that go on is written.
+#[derive(Debug)]
+pub(super) struct PersistenceSchedule {
+    /// The earliest time of the next write that ends no job.
+    pub(super) next_progress_write: Instant,
+}
+
+impl PersistenceSchedule {
+    /// A write is due now.
+    pub(super) fn new(now: Instant) -> PersistenceSchedule {
+        PersistenceSchedule { next_progress_write: now }
+    }
+}
 
 impl Scheduler {
     /// Records of these jobs may have changed.
     pub fn on_jobs(&mut self, ids: &[JobId], cache: &Cache, now: Instant) {
-        self.carried_old |= !self.carried.is_empty();
+        self.dependencies.stale |= !self.dependencies.inherited.is_empty();
         for id in ids {
             let Some(job) = cache.jobs.get(id) else { continue };
             match &job.body {
-                JobBody::Live(_) if self.told_cancelled.contains(id) => {}
+                JobBody::Live(_) if self.jobs.cancelling.contains(id) => {}
                 JobBody::Live(live) => {
-                    self.carried_old |= !live.depends_on().is_empty();
-                    let work = self.work.entry(id.clone()).or_default();
+                    self.dependencies.stale |= !live.depends_on().is_empty();
+                    let work = self.jobs.progress.entry(id.clone()).or_default();
                     if live.is_ready() {
-                        work.known.get_or_insert(now);
+                        work.first_seen.get_or_insert(now);
                     }
                     let done: Vec<u32> = work
                         .placed
@@ -27,10 +58,11 @@
                         .collect();
                     for task in done {
                         work.completing.remove(&task);
-                        work.retry.remove(&task);
-                        let Some((machine, attempt)) = work.placed.remove(&task) else { continue };
-                        let Some(machine) = self.machines.get_mut(&machine) else { continue };
-                        let key = (TaskId { job: id.clone(), index: task }, attempt);
+                        work.retries.remove(&task);
+                        let Some(placed) = work.placed.remove(&task) else { continue };
+                        let machine = self.fleet.machines.get_mut(&placed.machine);
+                        let Some(machine) = machine else { continue };
+                        let key = (TaskId { job: id.clone(), index: task }, placed.attempt);
                         match machine.attempts.get_mut(&key) {
                             Some(entry) if entry.state == TaskState::Exited => {
                                 entry.exit_handled = true
@@ -41,24 +73,24 @@
                                     &key,
                                     StopRequest { grace_s: 0.0, reason: "done elsewhere" },
                                 );
-                                self.look_at.insert(machine.id.clone());
+                                self.direct_calls.dirty_machines.insert(machine.id.clone());
                             }
                         }
                     }
                 }
                 JobBody::Finished { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
-                    self.told_cancelled.remove(id);
-                    if let Some(work) = self.work.remove(id) {
+                    self.jobs.cancelling.remove(id);
+                    if let Some(work) = self.jobs.progress.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
                         self.leave_over(&work, job);
                     }
                     self.stop_all(id);
-                    self.holders.forget(id);
+                    self.jobs.machines.forget(id);
                 }
             }
         }
-        self.plan_wanted = true;
+        self.planning_clock.pass_requested = true;
     }
 
     /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
@@ -66,12 +98,12 @@
     pub fn on_told_cancelled(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
-            if open && !self.told_cancelled.contains(id) {
+            if open && !self.jobs.cancelling.contains(id) {
                 tracing::debug!(job = %id, "about to be cancelled, stopped");
                 // Remembered, not only forgotten as work: the end of one of its tasks would
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
-                self.told_cancelled.insert(id.clone());
-                if let Some((work, job)) = self.work.remove(id).zip(cache.jobs.get(id)) {
+                self.jobs.cancelling.insert(id.clone());
+                if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
                     self.leave_over(&work, job);
                 }
                 self.stop_all(id);
@@ -82,9 +114,9 @@
     /// Stops whatever a job that is over has anywhere.
     pub(super) fn stop_all(&mut self, id: &JobId) {
         let attempts = attempts_of(id);
-        self.look_all = true;
-        for holder in self.holders.of(id) {
-            let Some(machine) = self.machines.get_mut(&holder) else { continue };
+        self.direct_calls.all_dirty = true;
+        for holder in self.jobs.machines.of(id) {
+            let Some(machine) = self.fleet.machines.get_mut(&holder) else { continue };
             let mut keys = Vec::new();
             for (key, entry) in machine.attempts.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
@@ -95,7 +127,7 @@
             }
             for key in keys {
                 machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
-                self.stops += 1;
+                self.statistics.stops += 1;
             }
         }
     }
@@ -113,25 +145,25 @@
             return self.estimates_told(*bucket, outcome);
         }
         if let (WriteOrigin::MachineAdded(id), WriteOutcome::Committed) = (origin, outcome)
-            && let Some(machine) = self.machines.get_mut(id)
+            && let Some(machine) = self.fleet.machines.get_mut(id)
         {
             machine.recorded = true;
             machine.commands_due = true;
-            self.look_at.insert(id.clone());
-            self.plan_wanted = true;
+            self.direct_calls.dirty_machines.insert(id.clone());
+            self.planning_clock.pass_requested = true;
         }
     }
 
     /// Hands the store what is due: records of machines and completions.
     pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
-        let machines = &self.machines;
+        let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
             machines
                 .get(id)
                 .filter(|machine| machine.state == MachineState::Up && !machine.recorded)
         };
-        self.unrecorded.retain(|id| due(id).is_some());
-        for machine in self.unrecorded.iter().filter_map(due) {
+        self.fleet.unrecorded.retain(|id| due(id).is_some());
+        for machine in self.fleet.unrecorded.iter().filter_map(due) {
             let origin = WriteOrigin::MachineAdded(machine.id.clone());
             if state.is_pending(&origin) {
                 continue;
@@ -142,13 +174,16 @@
                 state.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
-                machine_type: self.flavors[machine.flavor].name.clone(),
+                machine_type: self.fleet.machine_types[machine.flavor].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
             let data = StoreValue::serialized(&record).unwrap_or(StoreValue::Null);
             let transaction = Transaction {
-                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                preconditions: vec![
+                    Precondition { key: key.clone(), rev },
+                    self.term.precondition(),
+                ],
                 writes: vec![Write::Put { key, data, lease: None }],
             };
             state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
@@ -159,7 +194,7 @@
     /// Removes the records of machines that are surely gone.
     pub(super) fn store_gone(&self, state: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
-        let mut ours = self.machines.keys().peekable();
+        let mut ours = self.fleet.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
             while ours.next_if(|our| *our < id).is_some() {}
             ours.peek().is_some_and(|our| *our == id)
@@ -172,7 +207,7 @@
             // One of a kind that is not known is not known to be gone.
             .filter(|(_, known)| {
                 let record = &known.value;
-                self.kind(&record.machine_type, &record.zone, record.spot).is_some()
+                self.fleet.pool(&record.machine_type, &record.zone, record.spot).is_some()
             })
             .map(|(id, known)| (id.clone(), known.revision))
             .collect();
@@ -183,7 +218,10 @@
             }
             let key = format!("{MACHINE_PREFIX}{id}");
             let transaction = Transaction {
-                preconditions: vec![Precondition { key: key.clone(), rev }, self.leader_guard()],
+                preconditions: vec![
+                    Precondition { key: key.clone(), rev },
+                    self.term.precondition(),
+                ],
                 writes: vec![Write::Delete { key }],
             };
             state.enqueue(PendingWrite {
@@ -195,17 +233,17 @@
     }
 
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.marks_at && !state.is_backlogged();
+        let marks = now >= self.persistence.next_progress_write && !state.is_backlogged();
         if marks {
-            self.marks_at = now + MARKS_EVERY;
+            self.persistence.next_progress_write = now + MARKS_EVERY;
         }
         let layout = state.layout();
-        let now_ms = self.wall.ms(now);
-        let guard = self.leader_guard();
-        let work = &self.work;
+        let now_ms = self.wall_clock.ms(now);
+        let guard = self.term.precondition();
+        let work = &self.jobs.progress;
         let due = |id: &JobId| work.get(id).is_some_and(|work| !work.completing.is_empty());
-        self.completing.retain(due);
-        let reported = self.completing.iter().filter_map(|id| work.get_key_value(id));
+        self.jobs.completing.retain(due);
+        let reported = self.jobs.completing.iter().filter_map(|id| work.get_key_value(id));
         let mut reported: Vec<(&JobId, &JobProgress)> = reported.collect();
         // A write carries whatever marks of a job have come, so the longer marks wait the fewer writes
         // they take. Where the budget is short, only what ends a job goes at once.
