--- a/crates/elastic-width/src/tests.rs
+++ b/crates/elastic-width/src/tests.rs
@@ -1,5 +1,8 @@
-use super::*;
+use super::{ElasticJob, StableCapacity, WidthPlanner, share};
+use crate::constants::STABLE_AFTER;
 use proptest::prelude::*;
+use std::collections::BTreeMap;
+use std::time::Duration;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -12,41 +15,41 @@
         widths in prop::collection::vec((0u64..30, 0u64..40, 0u64..30), 0..8),
         need in 1u64..5, room in 0u64..200
     ) {
-        let growers: Vec<Grower> = widths
+        let elastic_jobs: Vec<ElasticJob> = widths
             .iter()
-            .map(|(width, most, waiting)| Grower { need, width: *width, most: *most, waiting: *waiting })
+            .map(|(width, most, waiting)| ElasticJob { need, width: *width, most: *most, waiting: *waiting })
             .collect();
-        let mut plain = vec![0u64; growers.len()];
+        let mut plain = vec![0u64; elastic_jobs.len()];
         let mut left = room;
         loop {
-            let open = |n: &usize| plain[*n] < growers[*n].wants() && need <= left;
-            let narrowest = (0..growers.len()).filter(open).min_by_key(|n| growers[*n].width + plain[*n]);
+            let open = |n: &usize| plain[*n] < elastic_jobs[*n].wants() && need <= left;
+            let narrowest = (0..elastic_jobs.len()).filter(open).min_by_key(|n| elastic_jobs[*n].width + plain[*n]);
             let Some(n) = narrowest else { break };
             plain[n] += 1;
             left -= need;
         }
-        prop_assert_eq!(share(&growers, room), plain);
+        prop_assert_eq!(share(&elastic_jobs, room), plain);
     }
 
     /// Of whatever sizes, nobody gets more than it wants and all together no more than there is; and
     /// nobody is widened beyond one who is narrower, wants more and would fit into what it got.
     #[test]
     fn nobody_takes_what_there_is_not(
-        growers in prop::collection::vec((1u64..50, 0u64..1000, 0u64..1000, any::<u64>()), 0..12),
+        elastic_jobs in prop::collection::vec((1u64..50, 0u64..1000, 0u64..1000, any::<u64>()), 0..12),
         room in any::<u64>()
     ) {
-        let growers: Vec<Grower> = growers
+        let elastic_jobs: Vec<ElasticJob> = elastic_jobs
             .iter()
-            .map(|(need, width, most, waiting)| Grower { need: *need, width: *width, most: *most, waiting: *waiting })
+            .map(|(need, width, most, waiting)| ElasticJob { need: *need, width: *width, most: *most, waiting: *waiting })
             .collect();
-        let grown = share(&growers, room);
-        let taken: u128 = grown.iter().zip(&growers).map(|(n, g)| u128::from(*n) * u128::from(g.need)).sum();
+        let grown = share(&elastic_jobs, room);
+        let taken: u128 = grown.iter().zip(&elastic_jobs).map(|(n, g)| u128::from(*n) * u128::from(g.need)).sum();
         prop_assert!(taken <= u128::from(room));
-        for (n, grower) in grown.iter().zip(&growers) {
-            prop_assert!(*n <= grower.wants());
-            for (m, other) in grown.iter().zip(&growers) {
-                let wider = *n > 1 && grower.width + n > other.width + m + 2;
-                prop_assert!(!wider || *m == other.wants() || other.need > grower.need, "{growers:?} {grown:?}");
+        for (n, elastic_job) in grown.iter().zip(&elastic_jobs) {
+            prop_assert!(*n <= elastic_job.wants());
+            for (m, other) in grown.iter().zip(&elastic_jobs) {
+                let wider = *n > 1 && elastic_job.width + n > other.width + m + 2;
+                prop_assert!(!wider || *m == other.wants() || other.need > elastic_job.need, "{elastic_jobs:?} {grown:?}");
             }
         }
     }
@@ -54,17 +57,17 @@
     /// Room that stayed free is the least that was seen within the while.
     #[test]
     fn what_stays_free_is_the_least_lately(looks in prop::collection::vec((0u64..2000, 0u64..100), 1..60)) {
-        let mut settled = Settled::default();
+        let mut stable_capacity = StableCapacity::default();
         let mut seen: Vec<(Duration, u64)> = Vec::new();
         let mut now = Duration::ZERO;
         for (ms, free) in looks {
             now += Duration::from_millis(ms);
-            settled.see(free, now);
+            stable_capacity.observe(free, now);
             seen.push((now, free));
             // Also that of the last look before the while began.
-            let first = seen.iter().rposition(|(at, _)| *at + STAYS_FREE <= now);
+            let first = seen.iter().rposition(|(at, _)| *at + STABLE_AFTER <= now);
             let plain = first.map_or(0, |first| seen[first..].iter().map(|(_, free)| *free).min().unwrap());
-            prop_assert_eq!(settled.room(now), plain);
+            prop_assert_eq!(stable_capacity.available(now), plain);
         }
     }
 }
@@ -73,7 +76,7 @@
 /// and then: each changes its direction only where the guest makes it.
 #[test]
 fn two_growers_never_swap_room_back_and_forth() {
-    let mut widths: Widths<u8> = Widths::default();
+    let mut widths: WidthPlanner<u8> = WidthPlanner::default();
     let mut width = [4u64, 4];
     let mut direction = [0i8; 2];
     let mut turns = [0; 2];
@@ -88,14 +91,15 @@
         while width.iter().sum::<u64>() + guest > all {
             let widest = usize::from(width[1] > width[0]);
             width[widest] -= 1;
-            widths.made_way(&(widest as u8), now);
+            widths.record_preemption(&(widest as u8), now);
             turns[widest] += u32::from(direction[widest] > 0);
             direction[widest] = -1;
             shrinks += 1;
         }
         let free = all - guest - width.iter().sum::<u64>();
-        let grower = |n: usize| Grower { need: 1, width: width[n], most: 60, waiting: 100 };
-        let grown = widths.grow(&[(0, grower(0)), (1, grower(1))], free, now);
+        let elastic_job =
+            |n: usize| ElasticJob { need: 1, width: width[n], most: 60, waiting: 100 };
+        let grown = widths.grow(&[(0, elastic_job(0)), (1, elastic_job(1))], free, now);
         for (id, more) in grown {
             let n = usize::from(id);
             width[n] += more;
@@ -111,16 +115,16 @@
 
 #[test]
 fn room_that_comes_and_goes_is_left_alone() {
-    let mut widths: Widths<u8> = Widths::default();
-    let grower = Grower { need: 1, width: 1, most: 50, waiting: 50 };
+    let mut widths: WidthPlanner<u8> = WidthPlanner::default();
+    let elastic_job = ElasticJob { need: 1, width: 1, most: 50, waiting: 50 };
     for step in 0..100u64 {
         let free = if step % 20 == 0 { 0 } else { 30 };
-        assert!(widths.grow(&[(0, grower)], free, s(step as f64 * 0.2)).is_empty(), "{step}");
+        assert!(widths.grow(&[(0, elastic_job)], free, s(step as f64 * 0.2)).is_empty(), "{step}");
     }
     // What stayed is taken by half, then by half of the rest.
     let mut grown = BTreeMap::new();
     for step in 100..150u64 {
-        grown = widths.grow(&[(0, grower)], 30, s(step as f64 * 0.2));
+        grown = widths.grow(&[(0, elastic_job)], 30, s(step as f64 * 0.2));
     }
     assert_eq!(grown.get(&0), Some(&15));
 }
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,4 +1,5 @@
-//! Who is owed room while there is less than all accepted work asks for.
+//! Fair shares of a scarce fleet: what each group is owed while there is less capacity than all accepted work
+//! asks for.
 //!
 //! Pure: no I/O, and the time is handed in. Work is told apart by *group*, its class and its team, so that a
 //! floor of each group is a floor of each class and of each team. Nothing is kept: what a group has missed still
@@ -8,23 +9,25 @@
 
 pub mod constants;
 
-use constants::*;
+use constants::{
+    ARRIVAL_WINDOW, ENTER_AFTER, EXIT_AFTER, EXIT_THRESHOLD, MIN_ARRIVAL_WINDOW, UNITS_PER_MACHINE,
+};
 use ordered_float::OrderedFloat;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Room in millionths of a machine; see [`MACHINE`].
-pub type Room = u64;
+/// Room in millionths of a machine; see [`UNITS_PER_MACHINE`].
+pub type Capacity = u64;
 
 /// What one group has and asks for.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
     /// What its tasks take up now.
-    pub held: Room,
+    pub held: Capacity,
     /// What its waiting tasks would take up, as far as their team's limit allows.
-    pub waiting: Room,
+    pub waiting: Capacity,
     /// What it has to hold, on average, to be served as fast as its work arrives.
-    pub offered: Room,
+    pub offered: Capacity,
     /// It may not use spot machines.
     pub ordinary: bool,
     /// Its team has no guarantee: it gets a floor from what the floors of others leave.
@@ -33,22 +36,24 @@
 
 impl Demand {
     /// What it could make use of now.
-    pub fn wanted(&self) -> Room {
+    pub fn wanted(&self) -> Capacity {
         self.held.saturating_add(self.waiting)
     }
 
     /// What it asks for in the long run: no more than it could use, since a job that is nearly done
     /// needs no more than what is left of it.
-    pub fn needed(&self) -> Room {
+    pub fn needed(&self) -> Capacity {
         self.offered.min(self.wanted())
     }
 }
 
-/// Machines that are there or surely on their way, in [`Room`].
+/// Machines that are there or surely on their way, in [`Capacity`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Supply {
-    pub ordinary: Room,
-    pub spot: Room,
+    /// Ordinary machines.
+    pub ordinary: Capacity,
+    /// Spot machines.
+    pub spot: Capacity,
     /// Nothing more can be rented now: every kind refuses, the cloud is out, or controllers can hold no
     /// more machines.
     pub exhausted: bool,
@@ -58,26 +63,33 @@
 }
 
 impl Supply {
-    pub fn all(&self) -> Room {
+    /// All of it.
+    pub fn all(&self) -> Capacity {
         self.ordinary.saturating_add(self.spot)
     }
 }
 
-fn share(of: Room, factor: f64) -> Room {
-    (of as f64 * factor) as Room
+fn share(of: Capacity, factor: f64) -> Capacity {
+    (of as f64 * factor) as Capacity
 }
 
-/// By what factor wishes are met where some may use ordinary machines alone: (those, the others).
-fn factors(ordinary: Room, any: Room, supply: &Supply) -> (f64, f64) {
-    let part = |room: Room, wish: Room| if wish == 0 { 1.0 } else { room as f64 / wish as f64 };
+/// By what factor demand is met, where some of it may use ordinary machines alone.
+struct Coverage {
+    ordinary_only: f64,
+    any_machine: f64,
+}
+
+fn coverage(ordinary: Capacity, any: Capacity, supply: &Supply) -> Coverage {
+    let part =
+        |room: Capacity, wish: Capacity| if wish == 0 { 1.0 } else { room as f64 / wish as f64 };
     let even = part(supply.all(), ordinary.saturating_add(any)).min(1.0);
     if share(ordinary, even) <= supply.ordinary {
-        return (even, even);
+        return Coverage { ordinary_only: even, any_machine: even };
     }
     // They fill the ordinary machines; all the others have is the rest.
     let strict = part(supply.ordinary, ordinary).min(1.0);
     let rest = supply.all().saturating_sub(share(ordinary, strict));
-    (strict, part(rest, any).min(1.0))
+    Coverage { ordinary_only: strict, any_machine: part(rest, any).min(1.0) }
 }
 
 /// The floor of each group: the same share of what each needs, or as much of it as there is for all. Groups
@@ -87,12 +99,12 @@
     demands: &BTreeMap<K, Demand>,
     supply: &Supply,
     floor: f64,
-) -> BTreeMap<K, Room> {
+) -> BTreeMap<K, Capacity> {
     let mut left = *supply;
     let mut floors = BTreeMap::new();
     let even = supply.all() / demands.len().max(1) as u64;
     for guests in [false, true] {
-        let tier: Vec<(&K, Room, bool)> = demands
+        let tier: Vec<(&K, Capacity, bool)> = demands
             .iter()
             .filter(|(_, demand)| demand.guest == guests)
             .map(|(key, demand)| {
@@ -100,13 +112,13 @@
                 (key, share(needed, floor), demand.ordinary)
             })
             .collect();
-        let wishes = |ordinary: bool| -> Room {
+        let wishes = |ordinary: bool| -> Capacity {
             tier.iter().filter(|(_, _, only)| *only == ordinary).map(|(_, wish, _)| *wish).sum()
         };
-        let (strict, open) = factors(wishes(true), wishes(false), &left);
+        let met = coverage(wishes(true), wishes(false), &left);
         let (mut ordinary, mut any) = (0, 0);
         for (key, wish, only) in tier {
-            let floor = share(wish, if only { strict } else { open });
+            let floor = share(wish, if only { met.ordinary_only } else { met.any_machine });
             *(if only { &mut ordinary } else { &mut any }) += floor;
             floors.insert(key.clone(), floor);
         }
@@ -118,18 +130,20 @@
     floors
 }
 
-/// How a group stands while room is scarce.
+/// What a group has and is owed while capacity is scarce.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
-    pub floor: Room,
-    pub held: Room,
+pub struct GroupShare {
+    /// What it is to have at the least.
+    pub floor: Capacity,
+    /// What its tasks take up.
+    pub held: Capacity,
     /// What it is to get before all others.
-    pub owed: Room,
-    /// How much of what it holds may make way for others.
-    pub spare: Room,
+    pub owed: Capacity,
+    /// How much of what it holds may be preempted for others.
+    pub preemptible: Capacity,
 }
 
-impl Standing {
+impl GroupShare {
     /// How much of its floor a group has, for the order among those below theirs.
     pub fn reached(&self) -> OrderedFloat<f64> {
         OrderedFloat(self.held as f64 / self.floor.max(1) as f64)
@@ -150,7 +164,7 @@
     }
 
     fn decay(age: Duration) -> f64 {
-        (-age.as_secs_f64() / ARRIVALS_OVER.as_secs_f64()).exp()
+        (-age.as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64()).exp()
     }
 
     fn forget(&mut self, now: Duration) {
@@ -159,7 +173,7 @@
     }
 
     /// Work of so many machine-seconds came, `age` ago.
-    fn came(&mut self, work: f64, age: Duration, now: Duration) {
+    fn record_arrival(&mut self, work: f64, age: Duration, now: Duration) {
         self.forget(now);
         self.sum += work * Self::decay(age);
         // What came before this average began widens what it is taken over.
@@ -167,22 +181,24 @@
     }
 
     fn rate(&self, now: Duration) -> f64 {
-        let seen = now.saturating_sub(self.since).max(ARRIVALS_LEAST);
-        let weight = ARRIVALS_OVER.as_secs_f64() * (1.0 - Self::decay(seen));
+        let seen = now.saturating_sub(self.since).max(MIN_ARRIVAL_WINDOW);
+        let weight = ARRIVAL_WINDOW.as_secs_f64() * (1.0 - Self::decay(seen));
         self.sum * Self::decay(now.saturating_sub(self.at)) / weight
     }
 }
 
-/// What a change of the state is told as.
+/// A change between enough and scarce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ScarcityChange {
+    /// Capacity became scarce.
     Began,
+    /// It is scarce no longer.
     Ended,
 }
 
-/// Whether room is scarce, and how each group stands; times are since any fixed moment.
+/// Whether capacity is scarce, and the share of each group; times are since any fixed moment.
 #[derive(Debug)]
-pub struct Scarcity<K> {
+pub struct ScarcityTracker<K> {
     /// Share of what each group needs that it is to have at the least; 0: nobody is owed anything.
     floor: f64,
     arrivals: BTreeMap<K, Arrivals>,
@@ -190,84 +206,88 @@
     above: Option<Duration>,
     below: Option<Duration>,
     began: Option<Duration>,
-    standings: BTreeMap<K, Standing>,
+    group_shares: BTreeMap<K, GroupShare>,
 }
 
-impl<K: Ord + Clone> Scarcity<K> {
-    pub fn new(floor: f64) -> Scarcity<K> {
-        Scarcity {
+impl<K: Ord + Clone> ScarcityTracker<K> {
+    /// A tracker that owes each group this share of what it needs.
+    pub fn new(floor: f64) -> ScarcityTracker<K> {
+        ScarcityTracker {
             floor,
             arrivals: BTreeMap::new(),
             above: None,
             below: None,
             began: None,
-            standings: BTreeMap::new(),
+            group_shares: BTreeMap::new(),
         }
     }
 
     /// A group's work of so many machine-seconds was accepted, or became ready, `age` ago.
-    pub fn came(&mut self, group: &K, work: f64, age: Duration, now: Duration) {
+    pub fn record_arrival(&mut self, group: &K, work: f64, age: Duration, now: Duration) {
         if self.floor > 0.0 {
             let arrivals = self.arrivals.entry(group.clone()).or_insert(Arrivals::new(now));
-            arrivals.came(work, age, now);
+            arrivals.record_arrival(work, age, now);
         }
     }
 
     /// What a group has to hold to be served as fast as its work arrives.
-    pub fn arriving(&self, group: &K, now: Duration) -> Room {
-        self.arrivals.get(group).map_or(0, |arrivals| (arrivals.rate(now) * MACHINE as f64) as Room)
+    pub fn arrival_rate(&self, group: &K, now: Duration) -> Capacity {
+        self.arrivals
+            .get(group)
+            .map_or(0, |arrivals| (arrivals.rate(now) * UNITS_PER_MACHINE as f64) as Capacity)
     }
 
-    /// Since when room has been scarce.
+    /// Since when capacity has been scarce.
     pub fn since(&self) -> Option<Duration> {
         self.began
     }
 
-    /// How a group stands; none while nothing is scarce.
-    pub fn standing(&self, group: &K) -> Option<Standing> {
+    /// The share of a group; `None` while nothing is scarce.
+    pub fn group_share(&self, group: &K) -> Option<GroupShare> {
         self.began?;
-        Some(self.standings.get(group).copied().unwrap_or_default())
+        Some(self.group_shares.get(group).copied().unwrap_or_default())
     }
 
-    pub fn standings(&self) -> impl Iterator<Item = (&K, &Standing)> {
-        self.standings.iter().filter(|_| self.began.is_some())
+    /// All shares; none while nothing is scarce.
+    pub fn group_shares(&self) -> impl Iterator<Item = (&K, &GroupShare)> {
+        self.group_shares.iter().filter(|_| self.began.is_some())
     }
 
-    /// Looks at what is asked for beside what there is.
-    pub fn look(
+    /// Compares what is asked for with what there is.
+    pub fn update(
         &mut self,
         demands: &BTreeMap<K, Demand>,
         supply: &Supply,
         now: Duration,
-    ) -> Option<Turn> {
+    ) -> Option<ScarcityChange> {
         if self.floor <= 0.0 {
             return None;
         }
-        let needed: Room = demands.values().map(Demand::needed).sum();
+        let needed: Capacity = demands.values().map(Demand::needed).sum();
         let ordinary = demands.values().filter(|demand| demand.ordinary);
-        let ordinary: Room = ordinary.map(Demand::needed).sum();
+        let ordinary: Capacity = ordinary.map(Demand::needed).sum();
         let above = |share_of: f64| {
             ordinary > share(supply.ordinary, share_of) || needed > share(supply.all(), share_of)
         };
         let since = |at: Option<Duration>, holds: bool| holds.then(|| at.unwrap_or(now));
         let exhausted = supply.exhausted || supply.presumed;
         self.above = since(self.above, exhausted && above(1.0));
-        self.below = since(self.below, !exhausted || !above(LEAVE_BELOW));
+        self.below = since(self.below, !exhausted || !above(EXIT_THRESHOLD));
         let enter = if supply.presumed { Duration::ZERO } else { ENTER_AFTER };
         let passed = |at: Option<Duration>, least: Duration| at.is_some_and(|at| now >= at + least);
         let turn = match self.began {
             None if passed(self.above, enter) => {
                 self.began = Some(now);
-                Some(Turn::Began)
+                Some(ScarcityChange::Began)
             }
-            Some(_) if passed(self.below, LEAVE_AFTER) => {
+            Some(_) if passed(self.below, EXIT_AFTER) => {
                 self.began = None;
-                Some(Turn::Ended)
+                Some(ScarcityChange::Ended)
             }
             _ => None,
         };
-        self.standings = if self.began.is_some() {
-            stand(demands, &floors(demands, supply, self.floor))
+        self.group_shares = if self.began.is_some() {
+            shares_of(demands, &floors(demands, supply, self.floor))
         } else {
             BTreeMap::new()
         };
@@ -275,17 +295,17 @@
     }
 }
 
-fn stand<K: Ord + Clone>(
+fn shares_of<K: Ord + Clone>(
     demands: &BTreeMap<K, Demand>,
-    floors: &BTreeMap<K, Room>,
-) -> BTreeMap<K, Standing> {
-    let standing = |(key, demand): (&K, &Demand)| {
+    floors: &BTreeMap<K, Capacity>,
+) -> BTreeMap<K, GroupShare> {
+    let group_share = |(key, demand): (&K, &Demand)| {
         let floor = floors.get(key).copied().unwrap_or(0);
         let owed = floor.saturating_sub(demand.held).min(demand.waiting);
-        let spare = demand.held.saturating_sub(floor);
-        (key.clone(), Standing { floor, held: demand.held, owed, spare })
+        let preemptible = demand.held.saturating_sub(floor);
+        (key.clone(), GroupShare { floor, held: demand.held, owed, preemptible })
     };
-    demands.iter().map(standing).collect()
+    demands.iter().map(group_share).collect()
 }
 
 #[cfg(test)]
