--- a/src/api.rs
+++ b/src/api.rs
@@ -7,7 +7,9 @@
 use crate::http::{Method, Request, Response};
 use crate::ids::{Amount, ControllerId, JobId};
 use crate::jobs::{self, Accept, Job, Jobs};
-use crate::leadership::controller_lease::{CancellationAcks, Given, Missing};
+use crate::leadership::cancellation_acks::{
+    AcknowledgedCancellations, CancellationAcks, CancellationBlocked,
+};
 use crate::settings::Settings;
 use crate::store::{Item, Origin, Outcome, Rank, StoreClient};
 use crate::wire::{self, JobKind, JobName, JobSpec, JobStatus, JobView, MachineType};
@@ -173,7 +175,7 @@
     /// Its commit is under way.
     committing: bool,
     /// A cancellation waits for promises of other controllers until then.
-    promises_until: Option<Instant>,
+    acks_deadline: Option<Instant>,
 }
 
 pub struct Api {
@@ -187,11 +189,11 @@
     pub cancelled: Vec<(JobId, Instant)>,
     pub latency_ms: hdrhistogram::Histogram<u64>,
     pub refused: u64,
-    pub promises: CancellationAcks,
+    pub cancellation_acks: CancellationAcks,
     /// What this controller promised to stop, or is about to cancel itself.
-    pub given: Given,
+    pub acknowledged_cancellations: AcknowledgedCancellations,
     /// Whom to ask for which promise, and when each was asked last.
-    pub asks: Vec<(ControllerId, JobId)>,
+    pub ack_requests: Vec<(ControllerId, JobId)>,
     asked: HashMap<(ControllerId, JobId), Instant>,
 }
 
@@ -203,9 +205,9 @@
         let workers = &platform.params.workers;
         let peers = platform.others.iter().map(|peer| peer.host_name.clone()).collect();
         Some(Api {
-            promises: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
-            given: Given::default(),
-            asks: Vec::new(),
+            cancellation_acks: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
+            acknowledged_cancellations: AcknowledgedCancellations::default(),
+            ack_requests: Vec::new(),
             asked: HashMap::new(),
             settings,
             wall,
@@ -295,7 +297,7 @@
                 synced: false,
                 accepted: false,
                 committing: false,
-                promises_until: None,
+                acks_deadline: None,
             },
         );
         if direct { self.act(ticket, false, state, now) } else { self.sync(ticket, state) }
@@ -362,13 +364,13 @@
             (Wish::Abort(_), Some(job)) if job.live().is_some() => {
                 let change = jobs::cancel(&id, job, self.wall.ms(now), &state.layout())?;
                 let zone_of = |peer: &ControllerId| self.zone_of(peer);
-                match self.promises.guards(&id, &state.cache, zone_of, now) {
+                match self.cancellation_acks.preconditions(&id, &state.cache, zone_of, now) {
                     Ok(guards) => {
                         // Should it be applied late, this controller may be the one cut off by then.
-                        self.given.promise(std::slice::from_ref(&id));
+                        self.acknowledged_cancellations.acknowledge(std::slice::from_ref(&id));
                         jobs::Change { guards: [change.guards, guards].concat(), ..change }
                     }
-                    Err(missing) => return self.await_promises(ticket, id, missing, now),
+                    Err(missing) => return self.await_acks(ticket, id, missing, now),
                 }
             }
             (Wish::Broken(_), None) => return Some(self.finish(ticket, Response::empty(400))),
@@ -399,31 +401,32 @@
     }
 
     /// A cancellation that can't be committed yet: asks whom it takes, or refuses at once.
-    fn await_promises(
+    fn await_acks(
         &mut self,
         ticket: u64,
         id: JobId,
-        missing: Missing,
+        missing: CancellationBlocked,
         now: Instant,
     ) -> Option<Response> {
         let peers = match &missing {
-            Missing::CancellationAcks(peers) => peers.clone(),
+            CancellationBlocked::AwaitingAcks(peers) => peers.clone(),
             // The leader may know that the job has nothing where that one is.
-            Missing::Time => {
+            CancellationBlocked::InQuarantine => {
                 let others = &self.settings.platform.others;
                 others.iter().map(|other| other.host_name.clone()).collect()
             }
         };
         for peer in peers {
             let key = (peer.clone(), id.clone());
-            if self.asked.get(&key).is_none_or(|at| now >= *at + PROMISE_AGAIN) {
+            if self.asked.get(&key).is_none_or(|at| now >= *at + ACK_REQUEST_INTERVAL) {
                 self.asked.insert(key, now);
-                self.asks.push((peer, id.clone()));
+                self.ack_requests.push((peer, id.clone()));
             }
         }
         let waiting = self.waiting.get_mut(&ticket)?;
-        let until = *waiting.promises_until.get_or_insert(now + PROMISE_WAIT);
-        let hopeless = missing == Missing::Time && self.promises.knows_place(&id);
+        let until = *waiting.acks_deadline.get_or_insert(now + ACK_WAIT);
+        let hopeless =
+            missing == CancellationBlocked::InQuarantine && self.cancellation_acks.knows_zones(&id);
         if now < until && !hopeless {
             return None;
         }
@@ -433,8 +436,8 @@
     }
 
     /// Looks again at cancellations that wait for promises.
-    pub fn on_promised(&mut self, state: &mut StoreClient, now: Instant) -> Vec<Answer> {
-        let due = self.waiting.iter().filter(|(_, w)| w.promises_until.is_some());
+    pub fn retry_cancellations(&mut self, state: &mut StoreClient, now: Instant) -> Vec<Answer> {
+        let due = self.waiting.iter().filter(|(_, w)| w.acks_deadline.is_some());
         let due: Vec<u64> = due.map(|(ticket, _)| *ticket).collect();
         let mut answers = Vec::new();
         for ticket in due {
@@ -526,7 +529,7 @@
             .map(|(ticket, _)| *ticket)
             .collect();
         let keep = self.settings.platform.params.workers.cancel_s * 2.0;
-        self.asked.retain(|_, at| now < *at + PROMISE_AGAIN);
+        self.asked.retain(|_, at| now < *at + ACK_REQUEST_INTERVAL);
         self.cancelled.retain(|(_, at)| now.saturating_duration_since(*at).as_secs_f64() < keep);
         late.into_iter()
             .map(|ticket| {
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -110,7 +110,7 @@
 pub const PAGE_ROWS: usize = 500;
 
 /// Life of the leader's lease at the state service.
-pub const LEADER_LEASE: Duration = Duration::from_millis(3000);
+pub const LEADER_LEASE_TTL: Duration = Duration::from_millis(3000);
 /// Pause between renewals of that lease.
 pub const RENEW_EVERY: Duration = Duration::from_millis(700);
 /// Subtracted from the lease's life besides drift: time between our check and the packet's
@@ -119,7 +119,7 @@
 /// Share by which two steady clocks may disagree: 0.05% each side.
 pub const DRIFT: f64 = 0.001;
 /// How long a pledge not to campaign lasts. A restarted process sits this out as well.
-pub const PLEDGE: Duration = Duration::from_millis(2000);
+pub const LEASE_EXTENSION: Duration = Duration::from_millis(2000);
 /// Pause before more of a message is written to a peer whose connection is full.
 pub const FULL_PAUSE: Duration = Duration::from_millis(5);
 /// Bytes. Acknowledgements read at once, one byte each: more than a peer can owe before its connection is given up.
@@ -319,10 +319,10 @@
 /// it: longer than the cuts between zones that operators see.
 pub const DELEGATION_TERM: Duration = Duration::from_secs(45);
 /// A controller answers on the leader's behalf after this long without a grant, three beats.
-pub const DELEGATION_AFTER: Duration = Duration::from_millis(1600);
+pub const PEER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
 /// Kept between the last answer on a leader's behalf without news of the store and the time by
 /// which a cancelled task must be gone.
-pub const DELEGATION_MARGIN: Duration = Duration::from_millis(1500);
+pub const CANCELLATION_MARGIN: Duration = Duration::from_millis(1500);
 
 /// Pause between two rounds of moves that empty machines, so that each shows its effect.
 pub const CONSOLIDATE_EVERY: Duration = Duration::from_secs(10);
@@ -354,16 +354,16 @@
 pub const FETCH_SHARE: f64 = 0.8;
 
 /// Life of a controller's heartbeat at the state service.
-pub const HEARTBEAT_LEASE: Duration = Duration::from_millis(6000);
+pub const CONTROLLER_LEASE_TTL: Duration = Duration::from_millis(6000);
 /// Pause between two renewals of it: two may fail.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(1800);
 /// From this format on controllers show heartbeats and promise to stop what is to be cancelled.
 pub const FORMAT_HEARTBEAT: u32 = 2;
 /// How long a cancellation waits for the promises of controllers that are in reach, some milliseconds
 /// as a rule; beyond it the user is told to come back.
-pub const PROMISE_WAIT: Duration = Duration::from_millis(800);
+pub const ACK_WAIT: Duration = Duration::from_millis(800);
 /// Pause before a controller that has not answered is asked again.
-pub const PROMISE_AGAIN: Duration = Duration::from_millis(300);
+pub const ACK_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 /// An answer to such a question that comes later than this counts for nothing.
 pub const PROMISE_LATE: Duration = Duration::from_secs(10);
 
@@ -376,7 +376,7 @@
 /// of workers sent straight to it would use up its sockets.
 pub const RELAY_RESUMES_WITHIN: Duration = Duration::from_secs(12);
 /// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the key
-/// outlives its leader by less ([`LEADER_LEASE`], and its end is told within a follow).
+/// outlives its leader by less ([`LEADER_LEASE_TTL`], and its end is told within a follow).
 pub const LEADER_APART_AFTER: Duration = Duration::from_millis(4500);
 /// For so long after its last message by way of the store a leader counts as alive though it is not heard otherwise.
 pub const LEADER_BY_STORE_FOR: Duration = Duration::from_millis(5000);
@@ -384,7 +384,7 @@
 /// those notice that they can't reach it and send workers to it, by way of the store in some seconds.
 pub const SHARED_PATIENCE: Duration = Duration::from_millis(4000);
 /// A report without an answer of the leader is dealt with otherwise after this long: by then a leader that is out of
-/// reach counts as such ([`DELEGATION_AFTER`]), and the worker, which waits for 4 s, still does.
+/// reach counts as such ([`PEER_UNREACHABLE_AFTER`]), and the worker, which waits for 4 s, still does.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
 /// Reports that say nothing new wait so long for others to go with them, and those that do.
 pub const RELAY_PAUSE: Duration = Duration::from_millis(60);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
 use crate::jobs;
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
-use crate::leadership::election::{Election, ElectionEvent};
+use crate::leadership::election::{Election, ElectionEvent, LeadershipLoss};
 use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
@@ -314,8 +314,9 @@
     /// cancelled before if its own heartbeat covers it, since each other controller promises only while
     /// that stands; without one it acts on recent news alone.
     fn may_act(&self, now: Instant) -> bool {
-        let informed = self.heartbeat.covers(self.state.synced_at) || self.has_news(now);
-        self.election.may_act(informed, now)
+        let informed =
+            self.heartbeat.knows_cancellations(self.state.synced_at) || self.has_news(now);
+        self.election.holds_leadership(informed, now)
     }
 
     fn step_down(&mut self, now: Instant) {
@@ -372,7 +373,7 @@
                 seq: self.mesh_seq,
                 leading: self.scheduler.as_ref().and(self.election.token()),
                 state_lost: self.state.lost(now),
-                ack: self.delegated_lease.ack(),
+                ack: self.delegated_lease.acknowledged().into(),
                 up_ms: age_ms(self.started, now),
                 answered_for_leader: self.delegated_lease.answered_for_leader(now),
                 worker_ms: self.worker_here.map(|at| age_ms(at, now)),
@@ -419,7 +420,7 @@
                 tracing::info!("drained, hands leadership over");
                 self.step_down(now);
             }
-            self.election.stand_aside(now);
+            self.election.defer_candidacy(now);
         }
     }
 
@@ -521,12 +522,14 @@
                 self.on_state(event, now);
             }
             self.take_relayed(now);
-            if let Some(ElectionEvent::Lost(why)) = self.election.check(&self.state.cache) {
+            if let Some(ElectionEvent::Lost(why)) =
+                self.election.detect_successor(&self.state.cache)
+            {
                 self.lost(why, now);
             }
             self.send_heartbeat(now);
             let lost = self.state.lost(now);
-            for call in self.election.poll(&self.state.cache, lost, now) {
+            if let Some(call) = self.election.next_request(&self.state.cache, lost, now) {
                 self.state.election(call, now);
             }
             let act = self.may_act(now);
@@ -563,30 +566,26 @@
     /// others' signs.
     fn send_heartbeat(&mut self, now: Instant) {
         let cache = &self.state.cache;
-        self.api.promises.look(cache, now);
-        self.api.given.look(cache);
+        self.api.cancellation_acks.observe(cache, now);
+        self.api.acknowledged_cancellations.forget_finished(cache);
         if self.state.layout().format >= FORMAT_HEARTBEAT && cache.loaded {
-            let me = &self.settings.platform.host_name;
-            let seen = cache.heartbeats.get(me).copied().unwrap_or_default();
-            let me = self.heartbeat.key().to_owned();
-            self.api.promises.under(me, self.heartbeat.revision());
-            let version = self.state.cache.versions.get(&self.settings.platform.host_name);
-            if let Some(call) = self.heartbeat.poll(seen, version, now) {
+            self.api.cancellation_acks.set_own_lease(&self.heartbeat);
+            if let Some(call) = self.heartbeat.next_request(cache, now) {
                 self.state.heartbeat(call, now);
             }
         }
-        if !self.api.asks.is_empty() {
+        if !self.api.ack_requests.is_empty() {
             self.ask_promises(now);
         }
         // A promise is kept in whatever role workers are answered.
-        let promised = self.api.given.news();
+        let promised = self.api.acknowledged_cancellations.take_unreported();
         if let Some(scheduler) = self.scheduler.as_mut().filter(|_| !promised.is_empty()) {
-            scheduler.on_told_cancelled(&promised, &self.state.cache);
+            scheduler.on_cancellation_acknowledged(&promised, &self.state.cache);
         }
     }
 
-    fn lost(&mut self, why: &'static str, now: Instant) {
-        tracing::info!(why, "leadership lost");
+    fn lost(&mut self, why: LeadershipLoss, now: Instant) {
+        tracing::info!(%why, "leadership lost");
         self.scheduler = None;
         self.state.set_leading(false, now);
     }
@@ -626,15 +625,14 @@
                 }
             }
             StoreEvent::ControllerLease(call, sent, reply) => {
-                self.heartbeat.on_reply(&call, sent, &reply, now);
+                self.heartbeat.on_response(&call, sent, &reply, now);
             }
             StoreEvent::Election(call, sent, reply) => {
-                let (calls, event) =
-                    self.election.on_reply(&call, sent, &reply, &self.state.cache, now);
-                for call in calls {
+                let step = self.election.on_response(&call, sent, &reply, &self.state.cache, now);
+                for call in step.requests {
                     self.state.election(call, now);
                 }
-                match event {
+                match step.event {
                     Some(ElectionEvent::Won(token)) => {
                         tracing::info!(%token, "won the leadership");
                         self.state.set_leading(true, now);
@@ -662,7 +660,7 @@
         let cache = &self.state.cache;
         let (settings, wall) = (self.settings.clone(), self.api.wall);
         let mut scheduler = Scheduler::new(token, *rev, settings, cache, wall, now);
-        scheduler.on_told_cancelled(&self.api.given.all(), cache);
+        scheduler.on_cancellation_acknowledged(&self.api.acknowledged_cancellations.all(), cache);
         tracing::info!(%token, machines = scheduler.machines.len(), "leading");
         self.cloud.lead(token, now);
         self.scheduler = Some(scheduler);
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,12 +1,15 @@
 //! What controllers say to each other, over the mesh or by way of the state service.
 
 use super::*;
+use crate::leadership::delegation::{FollowerStatus, GrantId, GrantedMachines};
+use crate::peers::message_route::MessageRoute;
 
 impl Controller {
     /// A later leader than the store told of so far, which spoke for itself a moment ago.
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         let (token, node) = self.leads.as_ref()?;
-        let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
+        let near =
+            |view: &PeerView| now.saturating_duration_since(view.heard) < PEER_UNREACHABLE_AFTER;
         (*token > self.state.cache.token.0 && self.peers.get(node).is_some_and(near))
             .then_some(node)
     }
@@ -20,7 +23,7 @@
         direct: bool,
         now: Instant,
     ) {
-        self.api.given.promise(&jobs);
+        self.api.acknowledged_cancellations.acknowledge(&jobs);
         let acts = self.may_act(now);
         let placed = self.scheduler.as_ref().filter(|_| acts).map(|scheduler| {
             let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.state.cache)).collect();
@@ -43,7 +46,7 @@
     pub(super) fn ask_promises(&mut self, now: Instant) {
         let mut by_peer: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
-        for (peer, job) in std::mem::take(&mut self.api.asks) {
+        for (peer, job) in std::mem::take(&mut self.api.ack_requests) {
             jobs.insert(job.clone());
             by_peer.entry(peer).or_default().push(job);
         }
@@ -52,10 +55,15 @@
         {
             // The leader need not ask itself where their tasks are.
             self.mesh_seq += 1;
-            self.api.promises.ask(self.mesh_seq, now);
+            self.api.cancellation_acks.record_request(self.mesh_seq, now);
             for id in &jobs {
                 let zones = scheduler.zones_of(id, &self.state.cache);
-                self.api.promises.placed(scheduler.leader_rev(), self.mesh_seq, id, zones);
+                self.api.cancellation_acks.record_zones(
+                    scheduler.leader_rev(),
+                    self.mesh_seq,
+                    id,
+                    zones,
+                );
             }
             self.look_at_promises(now);
         }
@@ -65,17 +73,19 @@
                 continue;
             }
             let heard = self.peers.get(&peer).map(|view| view.heard);
-            let near = heard.is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_AFTER);
+            let near =
+                heard.is_some_and(|at| now.saturating_duration_since(at) < PEER_UNREACHABLE_AFTER);
             let from = self.settings.platform.host_name.clone();
             self.mesh_seq += 1;
             let seq = self.mesh_seq;
-            self.api.promises.ask(seq, now);
+            self.api.cancellation_acks.record_request(seq, now);
             self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, near);
         }
     }
 
     /// A message of another controller, straight from it (`direct`) or by way of the store.
     pub(super) fn on_mesh(&mut self, message: PeerMessage, direct: bool, now: Instant) {
+        let route = if direct { MessageRoute::Direct } else { MessageRoute::Store };
         match message {
             PeerMessage::PeerStatus {
                 from,
@@ -110,14 +120,13 @@
                     && let Some(scheduler) = &mut self.scheduler
                 {
                     let up = Duration::from_millis(up_ms);
-                    scheduler.delegations.on_peer_status(
-                        &from,
-                        ack,
-                        up,
-                        &answered_for_leader,
-                        direct,
-                        now,
-                    );
+                    let status = FollowerStatus {
+                        acknowledged: ack.into(),
+                        uptime: up,
+                        answered_for_leader: &answered_for_leader,
+                        route,
+                    };
+                    scheduler.delegations.record_status(&from, &status, now);
                     if let Some(grant) = scheduler.grant(&from, seq, now) {
                         if direct {
                             self.out.push(Effect::Mesh(from.clone(), grant));
@@ -144,8 +153,8 @@
                 let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
                 let ours = self.election.token() == Some(token);
                 if let (Some(asked), true) = (asked, ours) {
-                    self.api.given.promise(&cancelled);
-                    self.election.pledged_by(&from, asked);
+                    self.api.acknowledged_cancellations.acknowledge(&cancelled);
+                    self.election.record_extension(&from, asked);
                 }
             }
             PeerMessage::Grant { seq, token, number, barred, lent } => {
@@ -154,18 +163,19 @@
                 }
                 let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
                 if let Some(asked) = asked {
-                    let lists = (barred, lent);
-                    self.delegated_lease.take((token, number), lists, direct, asked, now);
+                    let id = GrantId { token, number };
+                    let machines = GrantedMachines { revoked: barred, delegated: lent };
+                    self.delegated_lease.record_grant(id, machines, route, asked, now);
                 }
             }
             PeerMessage::Cancelling { from, seq, jobs } => {
                 self.on_cancelling((from, seq), jobs, direct, now);
             }
             PeerMessage::Promised { from, seq, under, jobs, placed } => {
-                self.api.promises.promised(&from, seq, under, &jobs);
+                self.api.cancellation_acks.record_ack(&from, seq, under, &jobs);
                 if let Some((leader, zones)) = placed {
                     for (id, zones) in jobs.iter().zip(zones) {
-                        self.api.promises.placed(leader, seq, id, zones);
+                        self.api.cancellation_acks.record_zones(leader, seq, id, zones);
                     }
                 }
                 self.look_at_promises(now);
@@ -197,11 +207,11 @@
         let cache = &self.state.cache;
         let shown =
             self.state.layout().format < FORMAT_HEARTBEAT || cache.heartbeats.contains_key(to);
-        self.election.pledge(token, cache, shown, now)
+        self.election.extend_lease(token, cache, shown, now)
     }
 
     pub(super) fn look_at_promises(&mut self, now: Instant) {
-        for (ticket, response) in self.api.on_promised(&mut self.state, now) {
+        for (ticket, response) in self.api.retry_cancellations(&mut self.state, now) {
             self.reply(ticket, response);
         }
     }
@@ -213,7 +223,7 @@
         let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
         if leader == self.settings.platform.host_name
             || now < self.relay_at
-            || now.saturating_duration_since(heard) < DELEGATION_AFTER
+            || now.saturating_duration_since(heard) < PEER_UNREACHABLE_AFTER
             || self.state.lost(now)
         {
             return;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::leadership::delegation::{GrantId, GrantedMachines};
+use crate::peers::message_route::MessageRoute;
 use crate::store::records::{FORMAT, VersionRecord};
 
 /// Two grants relayed in pieces within one beat once had one number: the second's number would
@@ -235,15 +237,17 @@
     }
     node.scheduler = Some(scheduler);
     // Nobody is heard, and what is known of the store is new.
-    let now = start + DELEGATION_AFTER * 2;
+    let now = start + PEER_UNREACHABLE_AFTER * 2;
     node.state.synced_at = Some(now);
     let token = |node: &mut Controller, name: &str| {
         node.answer_for_leader(&report(name), now).map(|o| o.token)
     };
     assert_eq!(token(&mut node, "i-1"), Some(FencingToken(1)));
     let barred = vec![MachineId::new("i-1")];
-    node.delegated_lease.take((FencingToken(2), 1), (barred, vec![]), true, start, start);
-    assert_eq!(node.delegated_lease.ack(), (FencingToken(2), 1));
+    let id = GrantId { token: FencingToken(2), number: 1 };
+    let machines = GrantedMachines { revoked: barred, delegated: vec![] };
+    node.delegated_lease.record_grant(id, machines, MessageRoute::Direct, start, start);
+    assert_eq!(node.delegated_lease.acknowledged(), id);
     assert_eq!(token(&mut node, "i-1"), None);
     assert_eq!(token(&mut node, "i-2"), Some(FencingToken(2)));
 }
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -49,7 +49,7 @@
     pub(super) fn has_news(&self, now: Instant) -> bool {
         let workers = &self.settings.platform.params.workers;
         let blind = Duration::from_secs_f64((workers.cancel_s - workers.lease_s).max(0.0));
-        let within = blind.saturating_sub(DELEGATION_MARGIN);
+        let within = blind.saturating_sub(CANCELLATION_MARGIN);
         self.state.synced_at.is_some_and(|at| now.saturating_duration_since(at) <= within)
     }
 
@@ -62,17 +62,18 @@
         report: &Heartbeat,
         now: Instant,
     ) -> Option<CommandBatch> {
-        let sign = self.heartbeat.answers_until(self.state.synced_at);
+        let sign = self.heartbeat.may_answer_until(self.state.synced_at);
         let sign = sign.is_some_and(|until| now < until);
         if !(self.has_news(now) || sign && report.zone == self.settings.platform.location) {
             return None;
         }
         let newest = self.state.cache.token.0;
-        let near = |view: &PeerView| now.saturating_duration_since(view.heard) < DELEGATION_AFTER;
+        let near =
+            |view: &PeerView| now.saturating_duration_since(view.heard) < PEER_UNREACHABLE_AFTER;
         let alone = !self.peers.values().any(near)
             || self.state.lost(now) && self.later_leader(now).is_none();
         // Whoever holds a later leader's grant keeps to it, and to its bars, though it led itself.
-        let latest = newest.max(self.delegated_lease.ack().0);
+        let latest = newest.max(self.delegated_lease.acknowledged().token);
         let token = match &mut self.scheduler {
             // A leader that lost its right answers as those do to whom it gave theirs, but only where it
             // is alone or out of the store's reach: else it would hold workers that others can serve.
@@ -82,14 +83,15 @@
                 }
                 let token = scheduler.answer_for_leader(&report.machine, now)?;
                 // A successor has to learn of it.
-                self.delegated_lease.note(&report.machine, now);
+                self.delegated_lease.record_answer(&report.machine, now);
                 token
             }
             _ => self.delegated_lease.answer(&report.machine, newest, now)?,
         };
         let cache = &self.state.cache;
         let over = |id| {
-            self.api.given.has(id) || cache.jobs.get(id).is_some_and(|job| job.over().is_some())
+            self.api.acknowledged_cancellations.contains(id)
+                || cache.jobs.get(id).is_some_and(|job| job.over().is_some())
         };
         let stop = |task: &wire::TaskStatus| wire::WorkerCommand::Stop {
             task: task.task.clone(),
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -1,100 +1,139 @@
-use super::*;
+use super::{
+    DelegatedLease, Delegations, FollowerStatus, GrantId, GrantedMachines, PEER_UNREACHABLE_AFTER,
+};
+use crate::constants::DELEGATION_TERM;
+use crate::ids::{ControllerId, FencingToken, MachineId};
+use crate::peers::mesh::PeerMessage;
+use crate::peers::message_route::MessageRoute;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use std::time::Duration;
+use tokio::time::Instant;
 
-fn id() -> MachineId {
+fn machine() -> MachineId {
     MachineId::new("i-1")
 }
 
+fn grant_id(token: u64, number: u64) -> GrantId {
+    GrantId { token: FencingToken(token), number }
+}
+
+/// Takes a grant that came straight from the leader.
+fn record(
+    lease: &mut DelegatedLease,
+    number: u64,
+    revoked: Vec<MachineId>,
+    delegated: Vec<MachineId>,
+    now: Instant,
+) {
+    let machines = GrantedMachines { revoked, delegated };
+    lease.record_grant(grant_id(3, number), machines, MessageRoute::Direct, now, now);
+}
+
 #[test]
 fn a_follower_answers_only_without_its_leader_and_within_the_grant() {
     let now = Instant::now();
-    let mut delegated_lease = DelegatedLease::default();
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(0), now), None);
-    delegated_lease.take((FencingToken(3), 1), (vec![], vec![]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now), None);
-    assert_eq!(
-        delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_AFTER),
-        Some(FencingToken(3))
-    );
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(4), now + DELEGATION_AFTER), None);
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_TERM), None);
-    delegated_lease.take((FencingToken(3), 2), (vec![id()], vec![id()]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now + DELEGATION_AFTER), None);
-    // A machine that is lent is answered at once.
-    delegated_lease.take((FencingToken(3), 3), (vec![], vec![id()]), true, now, now);
-    assert_eq!(delegated_lease.answer(&id(), FencingToken(3), now), Some(FencingToken(3)));
+    let later = now + PEER_UNREACHABLE_AFTER;
+    let token = FencingToken(3);
+    let mut lease = DelegatedLease::default();
+    assert_eq!(lease.answer(&machine(), FencingToken(0), now), None);
+    record(&mut lease, 1, vec![], vec![], now);
+    assert_eq!(lease.answer(&machine(), token, now), None);
+    assert_eq!(lease.answer(&machine(), token, later), Some(token));
+    assert_eq!(lease.answer(&machine(), FencingToken(4), later), None);
+    assert_eq!(lease.answer(&machine(), token, now + DELEGATION_TERM), None);
+    record(&mut lease, 2, vec![machine()], vec![machine()], now);
+    assert_eq!(lease.answer(&machine(), token, later), None);
+    // A delegated machine is answered at once.
+    record(&mut lease, 3, vec![], vec![machine()], now);
+    assert_eq!(lease.answer(&machine(), token, now), Some(token));
+}
+
+/// Status on its way to the leader.
+struct StatusInFlight {
+    due: Instant,
+    sent_at: Instant,
+    acknowledged: GrantId,
+    answered_for_leader: Vec<(MachineId, u64)>,
+}
+
+/// A grant on its way to the follower.
+struct GrantInFlight {
+    due: Instant,
+    requested_at: Instant,
+    id: GrantId,
+    machines: GrantedMachines,
 }
 
 /// Whatever a follower does with what reaches it, it never answers later than the leader
 /// reckons. Messages are lost and delayed at random.
 #[test]
 fn the_leader_s_bound_holds_under_loss_and_delay() {
-    use rand::rngs::StdRng;
-    use rand::{Rng, SeedableRng};
     let peer = ControllerId::new("b");
     for seed in 0..300 {
         let random = &mut StdRng::seed_from_u64(seed);
         let start = Instant::now();
         let mut delegations = Delegations::new(FencingToken(1), [peer.clone()].into_iter(), start);
-        let mut delegated_lease = DelegatedLease::default();
-        let mut barred_since = None;
-        let mut to_leader = Vec::new();
-        let mut to_follower = Vec::new();
-        let mut last: Option<Instant> = None;
+        let mut lease = DelegatedLease::default();
+        let mut revoked_since = None;
+        let mut last_number = 0;
+        let mut to_leader: Vec<StatusInFlight> = Vec::new();
+        let mut to_follower: Vec<GrantInFlight> = Vec::new();
+        let mut last_answer: Option<Instant> = None;
         for step in 0..400u64 {
             let now = start + Duration::from_millis(step * 250);
             let delay =
                 |random: &mut StdRng| now + Duration::from_millis(random.random_range(0..4000));
             if random.random_range(0..3) > 0 {
-                let due = delay(random);
-                to_leader.push((
-                    due,
-                    now,
-                    delegated_lease.ack(),
-                    delegated_lease.answered_for_leader(now),
-                ));
+                to_leader.push(StatusInFlight {
+                    due: delay(random),
+                    sent_at: now,
+                    acknowledged: lease.acknowledged(),
+                    answered_for_leader: lease.answered_for_leader(now),
+                });
             }
             if random.random_range(0..20) == 0 {
-                barred_since = match barred_since {
-                    None => Some(delegations.number + 1),
+                revoked_since = match revoked_since {
+                    None => Some(last_number + 1),
                     Some(_) => None,
                 };
             }
-            let arrived = |due: &Instant| *due <= now;
-            for (_, asked, ack, answered_for_leader) in to_leader.extract_if(.., |m| arrived(&m.0))
-            {
-                delegations.on_peer_status(
-                    &peer,
-                    ack,
-                    now - start + DELEGATION_TERM,
-                    &answered_for_leader,
-                    true,
-                    now,
-                );
-                delegations.number += 1;
-                let barred = barred_since.map(|_| id()).into_iter().collect();
-                let Some(PeerMessage::Grant { number, barred, lent, .. }) =
-                    delegations.give(&peer, 0, (barred, vec![id()]), now)
+            for status in to_leader.extract_if(.., |status| status.due <= now) {
+                let follower = FollowerStatus {
+                    acknowledged: status.acknowledged,
+                    uptime: now - start + DELEGATION_TERM,
+                    answered_for_leader: &status.answered_for_leader,
+                    route: MessageRoute::Direct,
+                };
+                delegations.record_status(&peer, &follower, now);
+                last_number = delegations.next_number();
+                let machines = GrantedMachines {
+                    revoked: revoked_since.map(|_| machine()).into_iter().collect(),
+                    delegated: vec![machine()],
+                };
+                let Some(PeerMessage::Grant { token, number, barred, lent, .. }) =
+                    delegations.grant(&peer, 0, machines, now)
                 else {
                     panic!()
                 };
                 if random.random_range(0..3) > 0 {
-                    to_follower.push((delay(random), asked, number, barred, lent));
+                    to_follower.push(GrantInFlight {
+                        due: delay(random),
+                        requested_at: status.sent_at,
+                        id: GrantId { token, number },
+                        machines: GrantedMachines { revoked: barred, delegated: lent },
+                    });
                 }
             }
-            for (_, asked, number, barred, lent) in to_follower.extract_if(.., |m| arrived(&m.0)) {
-                delegated_lease.take(
-                    (FencingToken(1), number),
-                    (barred, lent),
-                    step % 2 == 0,
-                    asked,
-                    now,
-                );
+            let route = if step % 2 == 0 { MessageRoute::Direct } else { MessageRoute::Store };
+            for grant in to_follower.extract_if(.., |grant| grant.due <= now) {
+                lease.record_grant(grant.id, grant.machines, route, grant.requested_at, now);
             }
-            if delegated_lease.answer(&id(), FencingToken(1), now).is_some() {
-                last = Some(now);
+            if lease.answer(&machine(), FencingToken(1), now).is_some() {
+                last_answer = Some(now);
             }
-            let bound = delegations.answered_until(&id(), barred_since);
-            assert!(last.is_none_or(|at| Some(at) <= bound), "seed {seed} step {step}");
+            let bound = delegations.answered_until(&machine(), revoked_since);
+            assert!(last_answer.is_none_or(|at| Some(at) <= bound), "seed {seed} step {step}");
         }
     }
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -4,3 +4,4 @@
 pub mod heartbeat_relay;
 pub mod membership;
 pub mod mesh;
+pub mod message_route;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -9,7 +9,7 @@
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs::dag::InheritedPriority;
 use crate::jobs::{self, Job, JobBody, LiveJob};
-use crate::leadership::delegation::Delegations;
+use crate::leadership::delegation::{Delegations, GrantedMachines};
 use crate::peers::mesh::PeerMessage;
 use crate::placement::{
     self, Basket, Bin, Input, MachineTypeOffer, PlacementRequest, QueuedJob, ScaleOutPolicy,
@@ -269,7 +269,7 @@
     completing: BTreeSet<JobId>,
     /// Jobs that this process promised to stop or that others told users to be cancelled, while the cache
     /// still has them as live: nothing of theirs is started any more.
-    told_cancelled: HashSet<JobId>,
+    cancelling: HashSet<JobId>,
     leftover: Leftover,
     images: HashMap<Arc<str>, u32>,
     /// Kinds that refused: until when each is left alone, and how many to ask for then.
@@ -363,7 +363,7 @@
             holders: Holders::default(),
             unrecorded: BTreeSet::new(),
             completing: BTreeSet::new(),
-            told_cancelled: HashSet::new(),
+            cancelling: HashSet::new(),
             leftover: Leftover::default(),
             images: HashMap::new(),
             scarce: HashMap::new(),
@@ -509,23 +509,23 @@
 
     /// A grant for another controller: it may answer for all machines that we hear.
     pub fn grant(&mut self, to: &ControllerId, seq: u64, now: Instant) -> Option<PeerMessage> {
-        self.delegations.number += 1;
+        let number = self.delegations.next_number();
         // Late enough for a worker to find a controller that hears it, and soon enough for the bar
         // to be acknowledged before its lease is over.
         let quiet = self.settings.worker_lease() * 3 / 4;
         let survey = self.survey(now);
         let cut_off = self.cut_off_zones(&survey, now);
-        let (mut barred, mut lent) = (Vec::new(), Vec::new());
+        let mut granted = GrantedMachines::default();
         let every = self.settings.report_every();
         for machine in self.machines.values_mut() {
-            let told = self.delegations.told(&machine.id);
+            let told = self.delegations.last_answered(&machine.id);
             let answered_for_leader =
                 told.is_some_and(|at| now.saturating_duration_since(at) < quiet);
             let dead =
                 machine.silent_for(now) > quiet && !cut_off[machine.zone] && !answered_for_leader;
             if dead || (machine.silent_for(now) > every && machine.is_doomed()) {
-                machine.barred_since.get_or_insert(self.delegations.number);
-                barred.push(machine.id.clone());
+                machine.barred_since.get_or_insert(number);
+                granted.revoked.push(machine.id.clone());
                 continue;
             }
             machine.barred_since = None;
@@ -534,10 +534,10 @@
                 machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
             if machine.lent {
                 self.look_at.insert(machine.id.clone());
-                lent.push(machine.id.clone());
+                granted.delegated.push(machine.id.clone());
             }
         }
-        self.delegations.give(to, seq, (barred, lent), now)
+        self.delegations.grant(to, seq, granted, now)
     }
 
     // ---- time -----------------------------------------------------------------------------
@@ -631,7 +631,7 @@
             let others = &self.settings.platform.others;
             let mut there = others.iter().filter(|peer| peer.location == names[zone]).peekable();
             there.peek().is_some()
-                && there.all(|peer| self.delegations.unheard(&peer.host_name, now))
+                && there.all(|peer| self.delegations.is_unreachable(&peer.host_name, now))
         };
         (0..up.len())
             .map(|zone| up[zone] > 0 && heard[zone] * 4 < up[zone] && (up[zone] >= 2 || deaf(zone)))
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -152,7 +152,7 @@
             // what it had.
             let others = self.delegations.answered_until(&machine.id, machine.barred_since);
             let beyond = machine.life == MachineState::Up
-                && machine.lease_over(self.delegations.told(&machine.id), lease, now)
+                && machine.lease_over(self.delegations.last_answered(&machine.id), lease, now)
                 && !cut_off[machine.zone];
             if machine.confirmed && machine.entries.is_empty() {
                 // Nothing can be running there.
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -12,7 +12,7 @@
         for id in ids {
             let Some(job) = cache.jobs.get(id) else { continue };
             match &job.body {
-                JobBody::Live(_) if self.told_cancelled.contains(id) => {}
+                JobBody::Live(_) if self.cancelling.contains(id) => {}
                 JobBody::Live(live) => {
                     self.carried_old |= !live.depends_on().is_empty();
                     let work = self.work.entry(id.clone()).or_default();
@@ -39,7 +39,7 @@
                 }
                 JobBody::Over { cancelled, .. } => {
                     self.learn_over(id, *cancelled, now);
-                    self.told_cancelled.remove(id);
+                    self.cancelling.remove(id);
                     if let Some(work) = self.work.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
                         self.leave_over(&work, job);
@@ -54,14 +54,14 @@
 
     /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
     /// learn of them; one that is not known yet was accepted a moment ago.
-    pub fn on_told_cancelled(&mut self, ids: &[JobId], cache: &Cache) {
+    pub fn on_cancellation_acknowledged(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
-            if open && !self.told_cancelled.contains(id) {
+            if open && !self.cancelling.contains(id) {
                 tracing::debug!(job = %id, "about to be cancelled, stopped");
                 // Remembered, not only forgotten as work: the end of one of its tasks would
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
-                self.told_cancelled.insert(id.clone());
+                self.cancelling.insert(id.clone());
                 if let Some((work, job)) = self.work.remove(id).zip(cache.jobs.get(id)) {
                     self.leave_over(&work, job);
                 }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -142,7 +142,7 @@
     /// The job, if its tasks may still be started.
     pub(super) fn live<'a>(&self, cache: &'a Cache, id: &JobId) -> Option<&'a LiveJob> {
         let live = cache.jobs.get(id).and_then(Job::live)?;
-        (!self.told_cancelled.contains(id)).then_some(live)
+        (!self.cancelling.contains(id)).then_some(live)
     }
 
     /// A task that a predecessor started.
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -137,7 +137,7 @@
     let orders = bench.report("i-1", vec![]);
     assert_eq!(shown(&orders, TaskState::Running).len(), 4);
     bench.report("i-1", shown(&orders, TaskState::Running));
-    bench.scheduler.on_told_cancelled(std::slice::from_ref(&id), &bench.state.cache);
+    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &bench.state.cache);
     bench.report("i-1", shown(&orders, TaskState::Exited));
     bench.scheduler.on_jobs(&[id], &bench.state.cache, bench.now);
     for _ in 0..20 {
@@ -656,7 +656,7 @@
     assert!(!bench.scheduler.look_all);
     assert_eq!(bench.scheduler.look_at, BTreeSet::new());
     // A job that is over has its tasks stopped, and each machine is looked at until it is told.
-    bench.scheduler.on_told_cancelled(std::slice::from_ref(&job), &bench.state.cache);
+    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.state.cache);
     let one = &names[0];
     bench.report(one, running[one].clone());
     assert_eq!(bench.scheduler.look_at.len(), 1);
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -36,7 +36,7 @@
             let alone = self.zone_heard[zone].is_some_and(|at| at > asked)
                 && silent[zone] * 2 <= up[zone]
                 && !cut_off[zone];
-            let told = self.delegations.told(&machine.id);
+            let told = self.delegations.last_answered(&machine.id);
             let elsewhere = told.is_some_and(|at| machine.heard.is_none_or(|heard| at > heard));
             let worth = if machine.confirmed { LOST_REPLICAS_WORTH } else { LOST_WORTH };
             let waits = lease.saturating_sub(silence) > worth;
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -9,7 +9,7 @@
 use troutspindle::drains::{self, DRAIN_PREFIX, DrainRecord, TAKEN_BACK};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
 use troutspindle::jobs::{self, Accept, Jobs};
-use troutspindle::leadership::controller_lease::{ControllerLease, heartbeat_key};
+use troutspindle::leadership::controller_lease::{ControllerLease, controller_lease_key};
 use troutspindle::leadership::election::Election;
 use troutspindle::settings::KeptLimits;
 use troutspindle::store::records::{
@@ -251,7 +251,7 @@
         Sample::written("key-flavor", FLAVOR_PREFIX),
         Sample::written("key-machine", MACHINE_PREFIX),
         Sample::written("key-heartbeats", HEARTBEAT_PREFIX),
-        Sample::written("key-heartbeat", heartbeat_key(&node())),
+        Sample::written("key-heartbeat", controller_lease_key(&node())),
         Sample::written("key-estimates", ESTIMATES_PREFIX),
         Sample::written("key-relay", RELAY_PREFIX),
         Sample::written("key-versions", VERSION_PREFIX),
@@ -305,15 +305,16 @@
     let cache: Cache = loaded(vec![(TOKEN_KEY.into(), Data::from(40))], now).cache;
 
     let mut election = Election::new(node(), 0, 0, now);
-    let asking = election.poll(&cache, false, now).remove(0);
-    let (mut calls, _) = election.on_reply(&asking, now, &lease, &cache, now);
-    let campaign = committed(calls.remove(0));
+    let lease_request = election.next_request(&cache, false, now).unwrap();
+    let mut step = election.on_response(&lease_request, now, &lease, &cache, now);
+    let candidacy = committed(step.requests.remove(0));
 
-    let mut heartbeat = ControllerLease::new(&node(), now);
-    let version = (version_record(), Revision(12));
-    let asking = heartbeat.poll(Revision(0), Some(&version), now).unwrap();
-    heartbeat.on_reply(&asking, now, &lease, now);
-    let first_beat = committed(heartbeat.poll(Revision(0), Some(&version), now).unwrap());
+    let mut cache = cache;
+    cache.versions.insert(node(), (version_record(), Revision(12)));
+    let mut controller_lease = ControllerLease::new(&node(), now);
+    let lease_request = controller_lease.next_request(&cache, now).unwrap();
+    controller_lease.on_response(&lease_request, now, &lease, now);
+    let lease_key = committed(controller_lease.next_request(&cache, now).unwrap());
 
     let mut core = loaded(Vec::new(), now);
     core.tell_version();
@@ -322,8 +323,8 @@
     let told = core.calls.into_iter().map(|(_, call)| call);
     let told = told.filter(|call| matches!(call, StoreRequest::Commit(_))).map(committed).next();
     vec![
-        Sample::cbor("commit-campaign", &campaign),
-        Sample::cbor("commit-heartbeat", &first_beat),
+        Sample::cbor("commit-campaign", &candidacy),
+        Sample::cbor("commit-heartbeat", &lease_key),
         Sample::cbor("commit-version", &told.expect("it tells its version")),
     ]
 }
