--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
 use crate::leadership::delegation::{GrantId, GrantedMachines};
 use crate::peers::message_route::MessageRoute;
 use crate::store::records::{FORMAT, VersionRecord};
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,5 +1,6 @@
 use super::{Election, ElectionEvent, LEADER_LEASE_TTL, LEASE_EXTENSION, LEASE_SAFETY_MARGIN};
-use crate::constants::{STATE_RETRY, TICK_MOST};
+use crate::constants::STATE_RETRY;
+use crate::controller::TICK_MOST;
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LeaderRecord, StoreRequest, StoreResponse};
 use std::time::Duration;
