--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -176,19 +176,19 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply(ticket, response) => {
+            Effect::Respond { ticket, response } => {
                 if let Some(n) = self.hello.remove(&ticket)
                     && let Ok(orders) = wire::decode::<CommandBatch>(&response.body)
                 {
                     self.workers[n].execute(&orders, self.at);
                 }
             }
-            Effect::State(id, call) => self.store(id, call),
-            Effect::Cloud(id, call) => {
+            Effect::CallStore { id, request: call } => self.store(id, call),
+            Effect::CallCloud { id, request: call } => {
                 let response = Response::with(200, self.cloud(&call));
-                self.soon("cloud", Event::Cloud(id, Ok(response)));
+                self.soon("cloud", Event::CloudResponse { id, result: Ok(response) });
             }
-            Effect::DirectCall(machine, _, direct) => {
+            Effect::CallWorker { machine, call: direct, .. } => {
                 let n: usize = machine.as_str()[2..].parse().unwrap();
                 let sent = match direct {
                     DirectCall::Do(orders) => Some(orders),
@@ -196,9 +196,12 @@
                 };
                 sent.iter().for_each(|orders| self.workers[n].execute(orders, self.at));
                 let report = self.workers[n].report(n, self.at);
-                self.soon("answer to a call", Event::DirectCall(machine, sent, Ok(report)));
+                self.soon(
+                    "answer to a call",
+                    Event::WorkerResponse { machine, sent, result: Ok(report) },
+                );
             }
-            Effect::Mesh(..) => {}
+            Effect::SendToPeer { .. } => {}
         }
     }
 
@@ -221,7 +224,7 @@
                     let news = self.news_after(after);
                     self.soon(
                         "news of the store",
-                        Event::State(id, StoreResponse::WatchResponse(news)),
+                        Event::StoreResponse { id, response: StoreResponse::WatchResponse(news) },
                     );
                 }
                 StoreResponse::Committed(rev)
@@ -232,7 +235,7 @@
             }
             StoreRequest::Follow { after, .. } => {
                 let news = StoreResponse::WatchResponse(self.news_after(after.0));
-                return self.soon("news of the store", Event::State(id, news));
+                return self.soon("news of the store", Event::StoreResponse { id, response: news });
             }
             StoreRequest::Range { .. } => StoreResponse::RangeResponse(RangeResponse {
                 rows: vec![],
@@ -242,7 +245,7 @@
             StoreRequest::NewLease(_) => StoreResponse::Lease(LeaseId(7)),
             StoreRequest::Touch(_) | StoreRequest::DropLease(_) => StoreResponse::Done,
         };
-        self.soon("answer of the store", Event::State(id, reply));
+        self.soon("answer of the store", Event::StoreResponse { id, response: reply });
     }
 
     fn news_after(&self, after: u64) -> WatchResponse {
@@ -289,7 +292,7 @@
         self.ticket += 1;
         let ticket = FIRST_TICKET + self.ticket;
         let request = Request { method: Method::Post, target: target.into(), body };
-        self.tell(kind, Event::Http(ticket, request));
+        self.tell(kind, Event::Request { ticket, request });
         ticket
     }
 
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -134,7 +134,7 @@
     pub fn mesh_rates(&self, number: usize) -> Option<(f64, f64)> {
         let log = self.dir.join(format!("{}.log", self.list[number].name));
         let text = std::fs::read_to_string(log).ok()?;
-        let line = text.lines().rev().find(|line| line.contains("written to other controllers"))?;
+        let line = text.lines().rev().find(|line| line.contains("peer traffic"))?;
         let value = |name: &str| {
             let mut words = line.split_whitespace();
             words.find_map(|word| word.strip_prefix(name)?.parse::<f64>().ok())
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -52,7 +52,9 @@
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("clean");
     let shared = (0..3).filter(|number| {
         let log = std::fs::read_to_string(dir.join(format!("spindle-{number}.log"))).unwrap();
-        log.lines().any(|line| line.contains("reports are shared out") && line.contains("on=true"))
+        log.lines().any(|line| {
+            line.contains("heartbeat sharding changed") && line.contains("sharded=true")
+        })
     });
     assert!(shared.count() >= 2, "{printed}");
 
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -5,13 +5,17 @@
 impl World {
     pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
         if self.on_island(node) {
-            let gives_up = Event::Cloud(id, Err(CallError::Unknown));
+            let gives_up = Event::CloudResponse { id, result: Err(CallError::Unknown) };
             return self.at(self.t + 4000, Due::Controller(node, incarnation, gives_up));
         }
         if self.cloud_out {
             let body = wire::encode(&wire::CloudError { error: "trouble".into() });
             let refusal = Ok(Response::with(503, body));
-            return self.soon(Due::Controller(node, incarnation, Event::Cloud(id, refusal)));
+            return self.soon(Due::Controller(
+                node,
+                incarnation,
+                Event::CloudResponse { id, result: refusal },
+            ));
         }
         let rents = matches!(call, CloudRequest::RentalRequest(..));
         let response = match call {
@@ -83,11 +87,17 @@
         if rents && self.aims.quick_boots {
             // The machines are up and report before whoever rented them hears of them.
             let late = self.t + self.random.random_range(300..3000);
-            return self
-                .at(late, Due::Controller(node, incarnation, Event::Cloud(id, Ok(response))));
+            return self.at(
+                late,
+                Due::Controller(
+                    node,
+                    incarnation,
+                    Event::CloudResponse { id, result: Ok(response) },
+                ),
+            );
         }
         let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
-        self.soon(Due::Controller(node, incarnation, Event::Cloud(id, result)));
+        self.soon(Due::Controller(node, incarnation, Event::CloudResponse { id, result }));
     }
 
     pub fn rent(&mut self, zone: usize, spot: bool) -> MachineId {
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -69,10 +69,14 @@
         let Some(trace) = &mut self.0 else { return };
         let node = &node.to_le_bytes();
         match effect {
-            Effect::Reply(ticket, response) => trace.response(at_ms, node, *ticket, response),
-            Effect::State(_, call) => trace.request("state", at_ms, node, &call.request().0),
-            Effect::Cloud(_, call) => trace.request("cloud", at_ms, node, &call.request()),
-            Effect::DirectCall(machine, address, direct) => {
+            Effect::Respond { ticket, response } => trace.response(at_ms, node, *ticket, response),
+            Effect::CallStore { request: call, .. } => {
+                trace.request("state", at_ms, node, &call.request().0)
+            }
+            Effect::CallCloud { request: call, .. } => {
+                trace.request("cloud", at_ms, node, &call.request())
+            }
+            Effect::CallWorker { machine, address, call: direct } => {
                 let target = format!("{machine} {address}");
                 let body = match direct {
                     DirectCall::Status => Vec::new(),
@@ -80,7 +84,7 @@
                 };
                 trace.add("direct", at_ms, &[node, target.as_bytes(), &body]);
             }
-            Effect::Mesh(peer, message) => {
+            Effect::SendToPeer { to: peer, message } => {
                 let text = mesh::to_text(message).unwrap_or_default();
                 trace.add("mesh", at_ms, &[node, peer.as_str().as_bytes(), text.as_bytes()]);
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -455,11 +455,12 @@
         };
         for node in 0..count {
             let wall = world.wall();
-            world.nodes.push(Controller::new(
+            let controller = Controller::new(
                 settings_sharing(count, node, old, world.floor, share),
                 seed * 10 + node as u64,
                 wall,
-            ));
+            );
+            world.nodes.push(controller.ok());
             world.at(1 + node as u64, Due::Tick(node));
         }
         world.at(50, Due::LeaseCheck);
@@ -602,7 +603,7 @@
                 }
                 let ticket = self.ticket(node, Ticket::Hello(machine, id));
                 let request = Request { method: Method::Post, target: "/hello".into(), body };
-                self.tell(node, Event::Http(ticket, request));
+                self.tell(node, Event::Request { ticket, request });
             }
             Due::HelloAnswer(machine, id, response) => self.hello_answer(machine, id, response),
             Due::Worker(machine) => self.worker(machine),
@@ -617,7 +618,7 @@
                     return self.soon(Due::UserAnswer(job, asked, Response::empty(599)));
                 }
                 let ticket = self.ticket(node, Ticket::User(job, asked));
-                self.tell(node, Event::Http(ticket, request));
+                self.tell(node, Event::Request { ticket, request });
             }
             Due::UserAnswer(job, asked, response) => self.user_answer(job, asked, &response),
             Due::Look(node, asked) => self.look(node, asked),
@@ -637,7 +638,8 @@
                     ),
                     seed,
                     self.wall(),
-                );
+                )
+                .ok();
             }
             Due::LeaseCheck => {
                 self.end_leases();
@@ -674,7 +676,7 @@
         for effect in effects {
             self.digest.effect(self.t, node, &effect);
             match effect {
-                Effect::Reply(ticket, response) => match self.tickets[node].remove(&ticket) {
+                Effect::Respond { ticket, response } => match self.tickets[node].remove(&ticket) {
                     Some(Ticket::Hello(machine, id))
                         if !self.apart(node, self.workers[&machine].zone) =>
                     {
@@ -696,12 +698,16 @@
                     }
                     _ => {}
                 },
-                Effect::State(id, call) => self.soon(Due::State(node, incarnation, id, call)),
-                Effect::Cloud(id, call) => self.soon(Due::Cloud(node, incarnation, id, call)),
-                Effect::DirectCall(machine, _, direct) => {
+                Effect::CallStore { id, request: call } => {
+                    self.soon(Due::State(node, incarnation, id, call))
+                }
+                Effect::CallCloud { id, request: call } => {
+                    self.soon(Due::Cloud(node, incarnation, id, call))
+                }
+                Effect::CallWorker { machine, call: direct, .. } => {
                     self.soon(Due::DirectCall(node, incarnation, machine, direct));
                 }
-                Effect::Mesh(peer, message) => self.mesh(node, &peer, message),
+                Effect::SendToPeer { to: peer, message } => self.mesh(node, &peer, message),
             }
         }
     }
@@ -720,7 +726,7 @@
         let text = troutspindle::peers::mesh::to_text(&message).unwrap();
         assert!(!self.old[to] || production::reads(&text), "production cannot read {message:?}");
         let copy = self.about_sharing(&message);
-        let due = Due::Controller(to, self.incarnation[to], Event::Mesh(message));
+        let due = Due::Controller(to, self.incarnation[to], Event::PeerMessage(message));
         let alone = [Some(from), Some(to)].contains(&self.alone);
         if self.no_mesh || alone || self.mute == Some(from) || self.unhearing == Some(to) {
             return;
@@ -731,7 +737,7 @@
         } else {
             if let Some(copy) = copy {
                 let later = self.t + self.random.random_range(500..9000);
-                let event = Event::Mesh(copy);
+                let event = Event::PeerMessage(copy);
                 self.at(later, Due::Controller(to, self.incarnation[to], event));
             }
             self.soon(due);
--- a/crates/simulation/src/looks.rs
+++ b/crates/simulation/src/looks.rs
@@ -98,7 +98,7 @@
         }
         let request = self.odd_or_not(&asked);
         let ticket = self.ticket(node, Ticket::Look(asked));
-        self.tell(node, Event::Http(ticket, request));
+        self.tell(node, Event::Request { ticket, request });
     }
 
     fn odd_or_not(&self, asked: &Asked) -> Request {
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -8,12 +8,15 @@
     pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
         let refuses = self.store.out || self.refused == Some(node);
         let reply = if refuses { StoreResponse::Refused } else { self.commit(txn) };
-        self.at(self.t + 3, Due::Controller(node, incarnation, Event::State(id, reply)));
+        self.at(
+            self.t + 3,
+            Due::Controller(node, incarnation, Event::StoreResponse { id, response: reply }),
+        );
     }
 
     pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
         if self.on_island(node) || self.alone == Some(node) {
-            let gives_up = Event::State(id, StoreResponse::Unknown);
+            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
             if matches!(call, StoreRequest::Commit(_)) {
                 // Held back, and applied when the cut ends.
                 self.held.push(Due::State(node, incarnation, id, call));
@@ -29,7 +32,7 @@
             let StoreRequest::Commit(txn) = call else { return };
             let later = self.t + self.random.random_range(2000..12_000);
             self.at(later, Due::LateWrite(txn));
-            let gives_up = Event::State(id, StoreResponse::Unknown);
+            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
             return self.at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
         }
         let reply = if self.store.out || self.refused == Some(node) {
@@ -94,7 +97,8 @@
                         Carried::Usual => self.commit(txn),
                         Carried::Unheard => {
                             self.commit(txn);
-                            let gives_up = Event::State(id, StoreResponse::Unknown);
+                            let gives_up =
+                                Event::StoreResponse { id, response: StoreResponse::Unknown };
                             return self
                                 .at(self.t + 1500, Due::Controller(node, incarnation, gives_up));
                         }
@@ -109,7 +113,7 @@
         // Now and then an answer gets lost after the deed.
         let lost = self.random.random_range(0..200) == 0;
         let reply = if lost { StoreResponse::Unknown } else { reply };
-        self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
+        self.soon(Due::Controller(node, incarnation, Event::StoreResponse { id, response: reply }));
     }
 
     /// What a node of the old version makes of a value: it has to be able to read it, and drops the
@@ -168,7 +172,11 @@
             .collect();
         for (node, incarnation, id, after, _) in ready {
             let reply = StoreResponse::WatchResponse(self.news_for(node, after));
-            self.soon(Due::Controller(node, incarnation, Event::State(id, reply)));
+            self.soon(Due::Controller(
+                node,
+                incarnation,
+                Event::StoreResponse { id, response: reply },
+            ));
         }
     }
 
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -140,7 +140,11 @@
             DirectCall::Do(orders) => Some(orders.clone()),
             DirectCall::Status => None,
         };
-        let unknown = Event::DirectCall(id.clone(), sent.clone(), Err(CallError::Unknown));
+        let unknown = Event::WorkerResponse {
+            machine: id.clone(),
+            sent: sent.clone(),
+            result: Err(CallError::Unknown),
+        };
         if worker.gone || worker.up_at > self.t {
             return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
@@ -176,7 +180,11 @@
             // It was carried out, and its answer is held up.
             return self.at(self.t + 3000, Due::Controller(node, incarnation, unknown));
         }
-        self.soon(Due::Controller(node, incarnation, Event::DirectCall(id, sent, Ok(report))));
+        self.soon(Due::Controller(
+            node,
+            incarnation,
+            Event::WorkerResponse { machine: id, sent, result: Ok(report) },
+        ));
     }
 
     pub fn execute(&mut self, id: &MachineId, orders: Vec<WorkerCommand>) {
--- /dev/null
+++ b/src/admission/sharding.rs
@@ -0,0 +1,48 @@
+//! Whether workers' heartbeats are sharded over the controllers.
+
+use crate::admission::{REQUEST_COST, SocketBudget};
+use crate::settings::{Settings, ShardHeartbeats};
+
+/// Share of what one controller can take above which heartbeats are sharded.
+const SHARD_ABOVE: f64 = 0.6;
+/// Share of what one controller can take at which the leader takes all heartbeats again.
+const UNSHARD_BELOW: f64 = 0.4;
+/// Count. Workers above which heartbeats are sharded whatever one controller could take: else the leader of many large
+/// controllers would fill to several times what the others hold before they take anything.
+const SHARD_ABOVE_WORKERS: f64 = 1500.0;
+
+/// Whether heartbeats are more than one controller should take alone, by its sockets or by the processor time that
+/// they cost.
+#[derive(Debug)]
+pub struct ShardingPolicy {
+    machines_by_sockets: f64,
+    machines_by_processor: f64,
+    setting: ShardHeartbeats,
+    is_needed: bool,
+}
+
+impl ShardingPolicy {
+    /// The policy of a deployment with these settings.
+    pub fn new(settings: &Settings) -> ShardingPolicy {
+        let resources = &settings.platform.params.resources;
+        let heartbeat_interval = settings.report_every();
+        ShardingPolicy {
+            machines_by_sockets: f64::from(SocketBudget::new(resources).max_machines),
+            machines_by_processor: resources.fits(heartbeat_interval, REQUEST_COST),
+            setting: settings.operator.share_reports,
+            is_needed: false,
+        }
+    }
+
+    /// Decides for that many machines. Sharding goes on until there are clearly too few for it.
+    pub fn update(&mut self, machines: usize) -> bool {
+        let capacity = self.machines_by_sockets.min(self.machines_by_processor);
+        let share = machines as f64 / capacity.clamp(1.0, SHARD_ABOVE_WORKERS / SHARD_ABOVE);
+        self.is_needed = share > if self.is_needed { UNSHARD_BELOW } else { SHARD_ABOVE };
+        match self.setting {
+            ShardHeartbeats::Auto => self.is_needed,
+            ShardHeartbeats::Always => true,
+            ShardHeartbeats::Never => false,
+        }
+    }
+}
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
 //! Users' requests: a core that decides each answer from the cache, after a read-index sync or a
 //! commit where the answer needs one.
 
-use crate::admission::{Need, come_back_s};
+use crate::admission::{RequestClass, retry_after_s};
 use crate::clock::WallClock;
 use crate::constants::{CHANGE_DEADLINE, LEGS_MAX, USER_DEADLINE};
 use crate::http::{Method, Request, Response};
@@ -74,12 +74,12 @@
     }
 }
 
-/// How much a request is needed by whoever sent it, by its path alone.
-pub fn need(request: &Request) -> Need {
+/// The class of a request, by its path alone.
+pub fn request_class(request: &Request) -> RequestClass {
     match route(request) {
-        Route::Poll(_) => Need::Asks,
-        Route::Submit => Need::Submits,
-        _ => Need::Keeps,
+        Route::Poll(_) => RequestClass::Poll,
+        Route::Submit => RequestClass::Submission,
+        _ => RequestClass::Critical,
     }
 }
 
@@ -243,7 +243,7 @@
 
     fn later(&mut self) -> Response {
         self.refused += 1;
-        Response::later_in(503, come_back_s(self.waiting.len(), self.refused))
+        Response::later_in(503, retry_after_s(self.waiting.len(), self.refused))
     }
 
     /// Takes a request in; an answer that needs nothing more comes back at once.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,11 +1,12 @@
 //! The command line: `serve` runs a controller, `check` validates its settings.
 
+use crate::controller::ControllerError;
 use crate::settings::{LogFormat, Settings};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tokio::runtime::Runtime;
 
+/// The arguments of the program.
 #[derive(Parser)]
 #[command(version, about = "A cluster scheduler: capped, indexed first fit on rented machines")]
 pub struct Cli {
@@ -60,12 +61,12 @@
 }
 
 fn check(settings: &Settings) -> ExitCode {
-    let p = &settings.platform;
-    println!("controller {} in {}", p.host_name, p.location);
-    println!("listen {}, mesh {}", p.listen, p.mesh_addr);
-    println!("state service {}, cloud {}", p.external.state, p.external.cloud);
-    println!("zones {}, teams {}", p.params.zones.join(" "), p.params.teams.len());
-    let kept = p.params.state.kept();
+    let platform = &settings.platform;
+    println!("controller {} in {}", platform.host_name, platform.location);
+    println!("listen {}, mesh {}", platform.listen, platform.mesh_addr);
+    println!("state service {}, cloud {}", platform.external.state, platform.external.cloud);
+    println!("zones {}, teams {}", platform.params.zones.join(" "), platform.params.teams.len());
+    let kept = platform.params.state.kept();
     println!(
         "state limits kept to: {} requests and {} changes a second, values of {} bytes, {} writes",
         kept.rps, kept.write_rps, kept.value_max, kept.txn_ops
@@ -77,30 +78,32 @@
     ExitCode::SUCCESS
 }
 
+fn serve(settings: Settings) -> Result<(), ControllerError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(ControllerError::Runtime)?;
+    // A task of its own: with a future that it blocks on, the runtime looks at sockets and timers once more before
+    // each poll.
+    let controller = async { tokio::spawn(crate::controller::run(settings)).await };
+    runtime.block_on(controller).map_err(ControllerError::Task)?
+}
+
 impl Cli {
+    /// Runs the subcommand that the arguments name.
     pub fn run() -> ExitCode {
-        let (files, serve) = match Cli::parse().command {
-            Command::Serve(files) => (files, true),
-            Command::Check(files) => (files, false),
-        };
+        let command = Cli::parse().command;
+        let (Command::Serve(files) | Command::Check(files)) = &command;
         let settings = match files.read() {
             Ok(settings) => settings,
             Err(code) => return code,
         };
-        if !serve {
+        if matches!(command, Command::Check(_)) {
             return check(&settings);
         }
         init_log(settings.operator.log_format);
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        // A task like all others: a future that the runtime blocks on has it look at sockets and timers once more
-        // before it is polled, for each event.
-        let serve = |runtime: Runtime| {
-            runtime.block_on(async { tokio::spawn(crate::controller::run(settings)).await })?
-        };
-        match runtime.and_then(serve) {
+        match serve(settings) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
-                tracing::error!(%error, "cannot run");
+                tracing::error!(%error, "controller failed");
                 ExitCode::FAILURE
             }
         }
--- /dev/null
+++ b/src/controller/cancellations.rs
@@ -0,0 +1,122 @@
+//! Acknowledgements of cancellations among controllers.
+
+use super::Controller;
+use crate::ids::{ControllerId, JobId, Revision};
+use crate::peers::mesh::PeerMessage;
+use crate::peers::message_route::MessageRoute;
+use std::collections::{BTreeMap, BTreeSet};
+use tokio::time::Instant;
+
+/// Where jobs may have tasks, as the leader says.
+pub(super) struct JobPlacements {
+    /// The revision of the leader key.
+    pub(super) leader_revision: Revision,
+    /// The zones of each job.
+    pub(super) zones: Vec<Vec<String>>,
+}
+
+/// A peer's acknowledgement of cancellations.
+pub(super) struct CancellationAck {
+    pub(super) from: ControllerId,
+    /// The number of the request.
+    pub(super) seq: u64,
+    /// The revision of the peer's lease key.
+    pub(super) lease_revision: Revision,
+    pub(super) jobs: Vec<JobId>,
+    /// Given by the leader.
+    pub(super) placements: Option<JobPlacements>,
+}
+
+impl Controller {
+    /// Sends the requests for acknowledgements that users' cancellations need, and tells the scheduler what this
+    /// controller has acknowledged itself.
+    pub(super) fn advance_cancellations(&mut self, now: Instant) {
+        if !self.api.ack_requests.is_empty() {
+            self.request_acks(now);
+        }
+        let acknowledged = self.api.acknowledged_cancellations.take_unreported();
+        if let Some(scheduler) = self.scheduler.as_mut().filter(|_| !acknowledged.is_empty()) {
+            scheduler.on_cancellation_acknowledged(&acknowledged, &self.state.cache);
+        }
+    }
+
+    /// Asks peers to acknowledge, over the connection or, where that is cut, by way of the store.
+    fn request_acks(&mut self, now: Instant) {
+        let mut by_peer: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
+        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        for (peer, job) in std::mem::take(&mut self.api.ack_requests) {
+            jobs.insert(job.clone());
+            by_peer.entry(peer).or_default().push(job);
+        }
+        self.record_own_zones(&jobs, now);
+        for (peer, jobs) in by_peer {
+            if !self.state.cache.heartbeats.contains_key(&peer) {
+                // It has no lease, so nothing reaches it that it would understand for certain.
+                continue;
+            }
+            let is_reachable = self.peers.is_reachable(&peer, now);
+            let route = if is_reachable { MessageRoute::Direct } else { MessageRoute::Store };
+            let seq = self.peer_requests.next_seq();
+            self.api.cancellation_acks.record_request(seq, now);
+            let from = self.name().clone();
+            self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, route);
+        }
+    }
+
+    /// A leader need not ask itself where the jobs' tasks are.
+    fn record_own_zones(&mut self, jobs: &BTreeSet<JobId>, now: Instant) {
+        if !self.holds_leadership(now) {
+            return;
+        }
+        let Some(scheduler) = &self.scheduler else { return };
+        let seq = self.peer_requests.next_seq();
+        let acks = &mut self.api.cancellation_acks;
+        acks.record_request(seq, now);
+        for id in jobs {
+            let zones = scheduler.zones_of(id, &self.state.cache);
+            acks.record_zones(scheduler.leader_rev(), seq, id, zones);
+        }
+        self.retry_cancellations(now);
+    }
+
+    /// Users of a peer ask to cancel these jobs. From here on nobody has any use for them (PROTOCOL), so to
+    /// acknowledge costs nothing even if the cancellation never comes.
+    pub(super) fn on_cancellation_request(
+        &mut self,
+        from: &ControllerId,
+        seq: u64,
+        jobs: Vec<JobId>,
+        route: MessageRoute,
+        now: Instant,
+    ) {
+        self.api.acknowledged_cancellations.acknowledge(&jobs);
+        let holds_leadership = self.holds_leadership(now);
+        let placed = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
+            let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.state.cache)).collect();
+            (scheduler.leader_rev(), zones)
+        });
+        let me = self.name().clone();
+        let under = self.controller_lease.revision();
+        self.send(from, PeerMessage::Promised { from: me, seq, under, jobs, placed }, route);
+    }
+
+    /// A peer acknowledges cancellations.
+    pub(super) fn on_cancellation_ack(&mut self, ack: CancellationAck, now: Instant) {
+        let CancellationAck { from, seq, lease_revision, jobs, placements } = ack;
+        let acks = &mut self.api.cancellation_acks;
+        acks.record_ack(&from, seq, lease_revision, &jobs);
+        if let Some(JobPlacements { leader_revision, zones }) = placements {
+            for (id, zones) in jobs.iter().zip(zones) {
+                acks.record_zones(leader_revision, seq, id, zones);
+            }
+        }
+        self.retry_cancellations(now);
+    }
+
+    /// Looks again at cancellations that wait for acknowledgements.
+    pub(super) fn retry_cancellations(&mut self, now: Instant) {
+        for (ticket, response) in self.api.retry_cancellations(&mut self.state, now) {
+            self.respond(ticket, response);
+        }
+    }
+}
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -1,129 +1,151 @@
-//! What operators ask of a controller and order it to do.
+//! Operators' queries and drains.
 
-use super::*;
+use super::Controller;
+use crate::drains::{self, DrainRecord};
+use crate::http::Response;
+use crate::ids::MachineId;
+use crate::jobs;
+use crate::scheduler::Scheduler;
+use crate::store::records;
+use crate::store::{Item, Origin, Outcome, Rank};
+use crate::wire::{Data, Precondition, Write};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use subtle::ConstantTimeEq;
+use tokio::time::Instant;
+use troutspindle_protocol::ops;
 
-/// Bytes. Texts in an operator's order.
-pub const NOTE_MAX: usize = 200;
+/// Bytes. A text in an operator's request.
+const NOTE_MAX: usize = 200;
+/// Seconds. The longest time in which a drain may be done.
+const DRAIN_TIME_MAX_S: f64 = 1e8;
 
 impl Controller {
-    /// What an operator asks, if it shows the key. Whoever does not know that learns not even that there
-    /// is such a path.
-    pub(super) fn opened<T: DeserializeOwned>(
-        &self,
-        body: &[u8],
-        shown: impl Fn(&T) -> &str,
-    ) -> Option<T> {
+    /// An operator's request, if it shows the key. Whoever doesn't know the key learns not even that there is such a
+    /// path.
+    fn authorize<T: DeserializeOwned>(&self, body: &[u8], shown: impl Fn(&T) -> &str) -> Option<T> {
         let key = self.settings.operator.operator_key.0.as_bytes();
-        let asked: T = serde_json::from_slice(body).ok()?;
-        let opens = !key.is_empty() && bool::from(shown(&asked).as_bytes().ct_eq(key));
-        opens.then_some(asked)
+        let request: T = serde_json::from_slice(body).ok()?;
+        let is_authorized = !key.is_empty() && bool::from(shown(&request).as_bytes().ct_eq(key));
+        is_authorized.then_some(request)
     }
 
     pub(super) fn on_at_risk(&self, body: &[u8], now: Instant) -> Response {
-        self.as_leader(body, now, |scheduler| scheduler.at_risk(&self.state.cache, now))
+        self.respond_from_scheduler(body, now, |scheduler| {
+            scheduler.at_risk(&self.state.cache, now)
+        })
     }
 
     pub(super) fn on_starving(&self, body: &[u8], now: Instant) -> Response {
-        self.as_leader(body, now, |scheduler| scheduler.starving(now))
+        self.respond_from_scheduler(body, now, |scheduler| scheduler.starving(now))
     }
 
     /// What only the leader can tell an operator.
-    pub(super) fn as_leader<T: Serialize>(
+    fn respond_from_scheduler<T: Serialize>(
         &self,
         body: &[u8],
         now: Instant,
-        tell: impl Fn(&Scheduler) -> T,
+        query: impl Fn(&Scheduler) -> T,
     ) -> Response {
-        if self.opened(body, |asked: &ops::Question| &asked.key).is_none() {
+        if self.authorize(body, |question: &ops::Question| &question.key).is_none() {
             return Response::empty(404);
         }
         match &self.scheduler {
-            Some(scheduler) if self.may_act(now) => {
-                Response::with(200, serde_json::to_vec(&tell(scheduler)).unwrap_or_default())
-            }
+            Some(scheduler) if self.holds_leadership(now) => json_response(&query(scheduler)),
             _ => Response::empty(421),
         }
     }
 
-    pub(super) fn on_drains(&self, body: &[u8], now: Instant) -> Response {
-        if self.opened(body, |asked: &ops::Question| &asked.key).is_none() {
+    pub(super) fn on_list_drains(&self, body: &[u8], now: Instant) -> Response {
+        if self.authorize(body, |question: &ops::Question| &question.key).is_none() {
             return Response::empty(404);
         }
         let cache = &self.state.cache;
         let found = match &self.scheduler {
-            Some(scheduler) if self.may_act(now) => scheduler.drains(cache, now),
+            Some(scheduler) if self.holds_leadership(now) => scheduler.drains(cache, now),
             _ => crate::scheduler::drains::list(cache, self.api.wall, now),
         };
-        Response::with(200, serde_json::to_vec(&found).unwrap_or_default())
+        json_response(&found)
     }
 
-    /// Any controller writes an operator's order down; the answer comes when it is there.
+    /// Any controller stores a drain; the response comes when it is committed.
     pub(super) fn on_drain(&mut self, ticket: u64, body: &[u8], now: Instant) -> Option<Response> {
-        let Some(order) = self.opened(body, |order: &ops::DrainOrder| &order.key) else {
+        let Some(request) = self.authorize(body, |request: &ops::DrainOrder| &request.key) else {
             return Some(Response::empty(404));
         };
-        let known = match order.kind {
-            ops::DrainKind::Zone => self.settings.platform.params.zones.contains(&order.name),
-            ops::DrainKind::Controller => {
-                let platform = &self.settings.platform;
-                let mut names = platform.others.iter().map(|peer| &peer.host_name);
-                platform.host_name.as_str() == order.name
-                    || names.any(|name| name.as_str() == order.name)
-            }
-            ops::DrainKind::Machine => {
-                self.state.cache.machines.contains_key(&MachineId::new(&order.name))
-            }
-        };
-        let texts = [&order.author, &order.reason];
-        let sane = texts.iter().all(|text| text.len() <= NOTE_MAX)
-            && order.by_s.is_none_or(|by_s| (0.0..1e8).contains(&by_s));
-        if !known || !sane {
+        if !self.is_known(&request) || !is_well_formed(&request) {
             return Some(Response::empty(422));
         }
         let at_ms = self.api.wall.ms(now);
         let record = DrainRecord {
-            kind: order.kind,
-            name: order.name,
-            by_ms: order.by_s.map(|by_s| at_ms.saturating_add((by_s * 1000.0) as u64)),
+            kind: request.kind,
+            name: request.name,
+            by_ms: request.by_s.map(|by_s| at_ms.saturating_add((by_s * 1000.0) as u64)),
             at_ms,
-            author: order.author,
-            reason: order.reason,
+            author: request.author,
+            reason: request.reason,
         };
         let key = drains::key(record.kind, &record.name);
-        self.order(ticket, key, records::data(&record))
+        self.store_drain(ticket, key, records::data(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
-        let Some(order) = self.opened(body, |order: &ops::DrainName| &order.key) else {
+        let Some(request) = self.authorize(body, |request: &ops::DrainName| &request.key) else {
             return Some(Response::empty(404));
         };
-        let key = drains::key(order.kind, &order.name);
+        let key = drains::key(request.kind, &request.name);
         if !self.state.cache.drains.contains_key(&key) {
             return Some(Response::empty(422));
         }
-        self.order(ticket, key, drains::TAKEN_BACK)
+        self.store_drain(ticket, key, drains::TAKEN_BACK)
     }
 
-    /// Writes a drain, or that it is taken back, guarded by what this controller knows of it: of two operators at
-    /// once one is told to look again.
-    pub(super) fn order(&mut self, ticket: u64, key: String, data: Data) -> Option<Response> {
+    /// Whether what is to be drained exists.
+    fn is_known(&self, request: &ops::DrainOrder) -> bool {
+        let platform = &self.settings.platform;
+        match request.kind {
+            ops::DrainKind::Zone => platform.params.zones.contains(&request.name),
+            ops::DrainKind::Controller => {
+                let peers = platform.others.iter().map(|peer| &peer.host_name);
+                std::iter::once(&platform.host_name)
+                    .chain(peers)
+                    .any(|controller| controller.as_str() == request.name)
+            }
+            ops::DrainKind::Machine => {
+                self.state.cache.machines.contains_key(&MachineId::new(&request.name))
+            }
+        }
+    }
+
+    /// Stores a drain, or that it is taken back, by compare-and-swap with what this controller knows of it: of two
+    /// operators at once, one is told of the conflict.
+    fn store_drain(&mut self, ticket: u64, key: String, data: Data) -> Option<Response> {
         if !self.state.cache.loaded {
             return Some(Response::later(503));
         }
-        let rev = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let revision = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
+        let guards = vec![Precondition { key: key.clone(), rev: revision }];
         let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
         self.state.push(Item { rank: Rank::Awaited, origin: Origin::Operator(ticket), change });
         None
     }
 
-    pub(super) fn on_ordered(&mut self, ticket: u64, outcome: Outcome) {
+    pub(super) fn on_drain_outcome(&mut self, ticket: u64, outcome: Outcome) {
         let response = match outcome {
             Outcome::Committed => Response::empty(200),
             Outcome::Conflict => Response::empty(409),
             Outcome::Invalid => Response::empty(422),
             Outcome::Refused | Outcome::Unknown => Response::later(503),
         };
-        self.reply(ticket, response);
+        self.respond(ticket, response);
     }
 }
+
+fn is_well_formed(request: &ops::DrainOrder) -> bool {
+    [&request.author, &request.reason].iter().all(|text| text.len() <= NOTE_MAX)
+        && request.by_s.is_none_or(|by_s| (0.0..DRAIN_TIME_MAX_S).contains(&by_s))
+}
+
+fn json_response<T: Serialize>(content: &T) -> Response {
+    Response::with(200, serde_json::to_vec(content).unwrap_or_default())
+}
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,95 +1,40 @@
-//! What controllers say to each other, over the mesh or by way of the state service.
+//! Messages of peers, straight from them or by way of the store.
 
-use super::*;
-use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
+use super::Controller;
+use super::cancellations::{CancellationAck, JobPlacements};
+use super::peer_table::PeerStatusView;
+use crate::constants::FORMAT_HEARTBEAT;
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId};
 use crate::leadership::delegation::{FollowerStatus, GrantId, GrantedMachines};
+use crate::peers::mesh::{PeerExtra, PeerMessage};
 use crate::peers::message_route::MessageRoute;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::Instant;
 
-/// Pause between messages that go by way of the store to a controller out of reach.
-pub const RELAY_EVERY: Duration = Duration::from_secs(3);
+/// Count. Cancellations of the recent past in one extension of a lease.
+const EXTENSION_CANCELLATIONS_MAX: usize = 1000;
 
-impl Controller {
-    /// A later leader than the store told of so far, which spoke for itself a moment ago.
-    pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
-        let (token, node) = self.leads.as_ref()?;
-        let near =
-            |view: &PeerView| now.saturating_duration_since(view.heard) < PEER_UNREACHABLE_AFTER;
-        (*token > self.state.cache.token.0 && self.peers.get(node).is_some_and(near))
-            .then_some(node)
-    }
+/// A peer's status message.
+struct PeerStatus {
+    from: ControllerId,
+    seq: u64,
+    leading: Option<FencingToken>,
+    store_lost: bool,
+    acknowledged: GrantId,
+    uptime: Duration,
+    answered_for_leader: Vec<(MachineId, u64)>,
+    last_worker_heartbeat: Option<Instant>,
+    capabilities: PeerExtra,
+}
 
-    /// Users of another controller ask to cancel these jobs. Nobody has any use for them from here on
-    /// (PROTOCOL), so the promise costs nothing even if the cancellation never comes.
-    pub(super) fn on_cancelling(
+impl Controller {
+    pub(super) fn on_peer_message(
         &mut self,
-        (from, seq): (ControllerId, u64),
-        jobs: Vec<JobId>,
-        direct: bool,
+        message: PeerMessage,
+        route: MessageRoute,
         now: Instant,
     ) {
-        self.api.acknowledged_cancellations.acknowledge(&jobs);
-        let acts = self.may_act(now);
-        let placed = self.scheduler.as_ref().filter(|_| acts).map(|scheduler| {
-            let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.state.cache)).collect();
-            (scheduler.leader_rev(), zones)
-        });
-        let me = self.settings.platform.host_name.clone();
-        let under = self.heartbeat.revision();
-        self.send(&from, PeerMessage::Promised { from: me, seq, under, jobs, placed }, direct);
-    }
-
-    pub(super) fn send(&mut self, to: &ControllerId, message: PeerMessage, direct: bool) {
-        if direct {
-            self.out.push(Effect::Mesh(to.clone(), message));
-        } else {
-            self.relay(to, &message);
-        }
-    }
-
-    /// Asks other controllers for promises, over the mesh or, where that is cut, by way of the store.
-    pub(super) fn ask_promises(&mut self, now: Instant) {
-        let mut by_peer: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
-        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
-        for (peer, job) in std::mem::take(&mut self.api.ack_requests) {
-            jobs.insert(job.clone());
-            by_peer.entry(peer).or_default().push(job);
-        }
-        if self.may_act(now)
-            && let Some(scheduler) = &self.scheduler
-        {
-            // The leader need not ask itself where their tasks are.
-            self.mesh_seq += 1;
-            self.api.cancellation_acks.record_request(self.mesh_seq, now);
-            for id in &jobs {
-                let zones = scheduler.zones_of(id, &self.state.cache);
-                self.api.cancellation_acks.record_zones(
-                    scheduler.leader_rev(),
-                    self.mesh_seq,
-                    id,
-                    zones,
-                );
-            }
-            self.look_at_promises(now);
-        }
-        for (peer, jobs) in by_peer {
-            if !self.state.cache.heartbeats.contains_key(&peer) {
-                // Nothing reaches it that it would understand for sure.
-                continue;
-            }
-            let heard = self.peers.get(&peer).map(|view| view.heard);
-            let near =
-                heard.is_some_and(|at| now.saturating_duration_since(at) < PEER_UNREACHABLE_AFTER);
-            let from = self.settings.platform.host_name.clone();
-            self.mesh_seq += 1;
-            let seq = self.mesh_seq;
-            self.api.cancellation_acks.record_request(seq, now);
-            self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, near);
-        }
-    }
-
-    /// A message of another controller, straight from it (`direct`) or by way of the store.
-    pub(super) fn on_mesh(&mut self, message: PeerMessage, direct: bool, now: Instant) {
-        let route = if direct { MessageRoute::Direct } else { MessageRoute::Store };
         match message {
             PeerMessage::PeerStatus {
                 from,
@@ -102,198 +47,168 @@
                 worker_ms,
                 extra,
             } => {
-                let heard = worker_ms.and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
-                self.worker_elsewhere = self.worker_elsewhere.max(heard);
-                if direct {
-                    self.peers.insert(
-                        from.clone(),
-                        PeerView {
-                            heard: now,
-                            state_lost,
-                            up: Duration::from_millis(up_ms),
-                            extra,
-                        },
-                    );
-                }
-                if let Some(token) = leading
-                    && self.leads.as_ref().is_none_or(|(newest, _)| *newest < token)
-                {
-                    self.leads = Some((token, from.clone()));
-                }
-                if self.may_act(now)
-                    && let Some(scheduler) = &mut self.scheduler
-                {
-                    let up = Duration::from_millis(up_ms);
-                    let status = FollowerStatus {
-                        acknowledged: ack.into(),
-                        uptime: up,
-                        answered_for_leader: &answered_for_leader,
-                        route,
-                    };
-                    scheduler.delegations.record_status(&from, &status, now);
-                    if let Some(grant) = scheduler.grant(&from, seq, now) {
-                        if direct {
-                            self.out.push(Effect::Mesh(from.clone(), grant));
-                        } else {
-                            self.relay(&from, &grant);
-                        }
-                    }
-                }
-                if let Some(token) = leading
-                    && direct
-                    && self.pledge(token, &from, now)
-                {
-                    let cancelled = self.api.cancelled.iter().map(|(id, _)| id.clone());
-                    let pledge = PeerMessage::Pledge {
-                        from: self.settings.platform.host_name.clone(),
-                        seq,
-                        token,
-                        cancelled: cancelled.take(1000).collect(),
-                    };
-                    self.out.push(Effect::Mesh(from, pledge));
-                }
+                let status = PeerStatus {
+                    from,
+                    seq,
+                    leading,
+                    store_lost: state_lost,
+                    acknowledged: ack.into(),
+                    uptime: Duration::from_millis(up_ms),
+                    answered_for_leader,
+                    last_worker_heartbeat: worker_ms
+                        .and_then(|ms| now.checked_sub(Duration::from_millis(ms))),
+                    capabilities: extra,
+                };
+                self.on_peer_status(&status, route, now);
             }
             PeerMessage::Pledge { from, seq, token, cancelled } => {
-                let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
-                let ours = self.election.token() == Some(token);
-                if let (Some(asked), true) = (asked, ours) {
-                    self.api.acknowledged_cancellations.acknowledge(&cancelled);
-                    self.election.record_extension(&from, asked);
-                }
+                self.on_lease_extension(&from, seq, token, &cancelled);
             }
             PeerMessage::Grant { seq, token, number, barred, lent } => {
-                if !direct {
-                    self.sharing.heard_by_store(token, now);
-                }
-                let asked = self.asked.iter().find(|(s, _)| *s == seq).map(|(_, at)| *at);
-                if let Some(asked) = asked {
-                    let id = GrantId { token, number };
-                    let machines = GrantedMachines { revoked: barred, delegated: lent };
-                    self.delegated_lease.record_grant(id, machines, route, asked, now);
-                }
+                let machines = GrantedMachines { revoked: barred, delegated: lent };
+                self.on_lease_grant(seq, GrantId { token, number }, machines, route, now);
             }
             PeerMessage::Cancelling { from, seq, jobs } => {
-                self.on_cancelling((from, seq), jobs, direct, now);
+                self.on_cancellation_request(&from, seq, jobs, route, now);
             }
             PeerMessage::Promised { from, seq, under, jobs, placed } => {
-                self.api.cancellation_acks.record_ack(&from, seq, under, &jobs);
-                if let Some((leader, zones)) = placed {
-                    for (id, zones) in jobs.iter().zip(zones) {
-                        self.api.cancellation_acks.record_zones(leader, seq, id, zones);
-                    }
-                }
-                self.look_at_promises(now);
+                let placements =
+                    placed.map(|(leader_revision, zones)| JobPlacements { leader_revision, zones });
+                let ack = CancellationAck { from, seq, lease_revision: under, jobs, placements };
+                self.on_cancellation_ack(ack, now);
             }
+            PeerMessage::Running { token, counts } => self.on_running_tasks(token, counts),
             PeerMessage::Sharing { from, token, members } => {
-                self.on_sharing(from, token, members, now);
+                self.on_shard_assignment(from, token, members, now);
             }
             PeerMessage::Reports { from, token, batch, reports } => {
-                self.on_reports(&from, (token, batch), reports, now);
+                self.on_relayed_heartbeats(&from, token, batch, reports, now);
             }
             PeerMessage::Verdicts { token, batch, verdicts } => {
-                self.on_verdicts(token, batch, verdicts, now);
+                self.on_heartbeat_results(token, batch, verdicts, now);
             }
             PeerMessage::Deliver { from, token, commands } => {
-                self.on_deliver(&from, token, commands, now);
+                self.on_relayed_commands(&from, token, commands, now);
             }
-            PeerMessage::Delivered { token, results } => self.on_delivered(token, results, now),
-            PeerMessage::Running { token, counts } => {
-                if token >= self.state.cache.token.0 && self.scheduler.is_none() {
-                    self.api.running = counts.into_iter().collect();
-                }
+            PeerMessage::Delivered { token, results } => {
+                self.on_command_results(token, results, now);
             }
         }
     }
 
-    /// Whether we promise a leader that asks not to campaign. All controllers read heartbeats by then, or it
-    /// is not asked for its own.
-    pub(super) fn pledge(&mut self, token: FencingToken, to: &ControllerId, now: Instant) -> bool {
-        let cache = &self.state.cache;
-        let shown =
-            self.state.layout().format < FORMAT_HEARTBEAT || cache.heartbeats.contains_key(to);
-        self.election.extend_lease(token, cache, shown, now)
+    fn on_peer_status(&mut self, status: &PeerStatus, route: MessageRoute, now: Instant) {
+        self.peers.record_worker_heartbeat(status.last_worker_heartbeat);
+        if route == MessageRoute::Direct {
+            let view = PeerStatusView {
+                last_heard: now,
+                store_lost: status.store_lost,
+                uptime: status.uptime,
+                capabilities: status.capabilities,
+            };
+            self.peers.record_status(status.from.clone(), view);
+        }
+        if let Some(token) = status.leading {
+            self.peers.record_leader(&status.from, token);
+        }
+        if self.holds_leadership(now) {
+            self.grant_lease(status, route, now);
+        }
+        if let Some(token) = status.leading
+            && route == MessageRoute::Direct
+        {
+            self.extend_leader_lease(status, token, now);
+        }
     }
 
-    pub(super) fn look_at_promises(&mut self, now: Instant) {
-        for (ticket, response) in self.api.retry_cancellations(&mut self.state, now) {
-            self.reply(ticket, response);
+    /// Grants a follower its lease to answer workers for this leader.
+    fn grant_lease(&mut self, status: &PeerStatus, route: MessageRoute, now: Instant) {
+        let Some(scheduler) = &mut self.scheduler else { return };
+        let follower = FollowerStatus {
+            acknowledged: status.acknowledged,
+            uptime: status.uptime,
+            answered_for_leader: &status.answered_for_leader,
+            route,
+        };
+        scheduler.delegations.record_status(&status.from, &follower, now);
+        if let Some(grant) = scheduler.grant(&status.from, status.seq, now) {
+            self.send(&status.from, grant, route);
         }
     }
 
-    /// A follower that does not hear its leader asks for a grant by way of the store.
-    pub(super) fn relay_status(&mut self, beat: &PeerMessage, now: Instant) {
-        let Some((leader, _)) = &self.state.cache.leader else { return };
-        let leader = leader.node.clone();
-        let heard = self.peers.get(&leader).map_or(self.started, |peer| peer.heard);
-        if leader == self.settings.platform.host_name
-            || now < self.relay_at
-            || now.saturating_duration_since(heard) < PEER_UNREACHABLE_AFTER
-            || self.state.lost(now)
-        {
+    /// Extends the leader's lease, if this controller knows that it still stands.
+    fn extend_leader_lease(&mut self, status: &PeerStatus, token: FencingToken, now: Instant) {
+        let cache = &self.state.cache;
+        // Before all controllers keep leases, a leader isn't asked for its own.
+        let has_controller_lease = self.state.layout().format < FORMAT_HEARTBEAT
+            || cache.heartbeats.contains_key(&status.from);
+        if !self.election.extend_lease(token, cache, has_controller_lease, now) {
             return;
         }
-        self.relay_at = now + RELAY_EVERY;
-        self.relay(&leader, beat);
+        let cancelled = self.api.cancelled.iter().map(|(id, _)| id.clone());
+        let extension = PeerMessage::Pledge {
+            from: self.name().clone(),
+            seq: status.seq,
+            token,
+            cancelled: cancelled.take(EXTENSION_CANCELLATIONS_MAX).collect(),
+        };
+        self.send_to_peer(status.from.clone(), extension);
     }
 
-    pub(super) fn relay(&mut self, to: &ControllerId, message: &PeerMessage) {
-        let Some(text) = mesh::to_text(message) else { return };
-        let layout = self.state.layout();
-        let key = format!("{RELAY_PREFIX}{}/{to}", self.settings.platform.host_name);
-        let busy = |state: &StoreClient, n| state.has_item(&Origin::Relay(to.clone(), n));
-        let mut values = vec![(key.clone(), text)];
-        if !layout.fits(&values[0].1) {
-            if !layout.second() || busy(&self.state, 1) {
-                // Production knows whole messages only.
-                return;
-            }
-            // A number of its own: pieces of two grants under one would be put together, and a bar
-            // be acknowledged that is not in the list.
-            self.mesh_seq += 1;
-            let pieces = mesh::in_pieces(&values[0].1, self.mesh_seq, layout.value_max);
-            values = (0..).map(|n| format!("{key}/{n}")).zip(pieces).collect();
-        } else if busy(&self.state, 0) {
-            return;
+    /// A peer extends this leader's lease, and says what it told its users to be cancelled.
+    fn on_lease_extension(
+        &mut self,
+        from: &ControllerId,
+        seq: u64,
+        token: FencingToken,
+        cancelled: &[JobId],
+    ) {
+        let Some(requested_at) = self.peer_requests.sent_at(seq) else { return };
+        if self.election.token() == Some(token) {
+            self.api.acknowledged_cancellations.acknowledge(cancelled);
+            self.election.record_extension(from, requested_at);
         }
-        let whole = values.len() == 1;
-        for (n, some) in values.chunks(layout.txn_ops).enumerate() {
-            let rev = |key: &String| self.state.cache.relays.get(key).copied().unwrap_or_default();
-            let guard =
-                |(key, _): &(String, String)| Precondition { key: key.clone(), rev: rev(key) };
-            let guards = some.iter().map(guard).collect();
-            let write = |(key, text): &(String, String)| Write::Put {
-                key: key.clone(),
-                data: Data::Text(text.clone()),
-                hold: None,
-            };
-            let change = jobs::Change { guards, writes: some.iter().map(write).collect() };
-            let origin = Origin::Relay(to.clone(), if whole { 0 } else { n + 1 });
-            self.state.push(Item { rank: Rank::Awaited, origin, change });
+    }
+
+    /// The leader grants this follower a lease to answer workers.
+    fn on_lease_grant(
+        &mut self,
+        seq: u64,
+        id: GrantId,
+        machines: GrantedMachines,
+        route: MessageRoute,
+        now: Instant,
+    ) {
+        if route == MessageRoute::Store {
+            self.sharding.record_store_contact(id.token, now);
+        }
+        if let Some(requested_at) = self.peer_requests.sent_at(seq) {
+            self.delegated_lease.record_grant(id, machines, route, requested_at, now);
         }
     }
 
-    /// Takes messages in that came by way of the store.
-    pub(super) fn take_relayed(&mut self, now: Instant) {
-        let me = self.settings.platform.host_name.clone();
-        for (rest, text) in std::mem::take(&mut self.state.cache.relayed) {
-            let Some((from, to)) = rest.split_once('/') else { continue };
-            let (to, piece) = to.split_once('/').map_or((to, None), |(to, n)| (to, Some(n)));
-            if to != me.as_str() {
-                continue;
-            }
-            let whole = match piece {
-                Some(_) => self.pieces.entry(ControllerId::new(from)).or_default().take(&text),
-                None => Some(text),
-            };
-            if let Some(message) = whole.and_then(|text| mesh::from_text(&text)) {
-                self.on_mesh(message, false, now);
-            }
+    fn on_running_tasks(&mut self, token: FencingToken, counts: Vec<(JobId, u32)>) {
+        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+            self.api.running = counts.into_iter().collect::<BTreeMap<_, _>>();
+        }
+    }
+
+    /// A later leader than the store has shown, which was heard a moment ago.
+    pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
+        self.peers.later_leader(self.state.cache.token.0, now)
+    }
+
+    pub(super) fn send(&mut self, to: &ControllerId, message: PeerMessage, route: MessageRoute) {
+        match route {
+            MessageRoute::Direct => self.send_to_peer(to.clone(), message),
+            MessageRoute::Store => self.send_by_store(to, &message),
         }
     }
 
     pub(super) fn broadcast(&mut self, message: &PeerMessage) {
-        for peer in &self.settings.platform.others {
-            self.out.push(Effect::Mesh(peer.host_name.clone(), message.clone()));
+        let peers: Vec<ControllerId> =
+            self.settings.platform.others.iter().map(|peer| peer.host_name.clone()).collect();
+        for peer in peers {
+            self.send_to_peer(peer, message.clone());
         }
     }
 }
--- /dev/null
+++ b/src/controller/relayed_commands.rs
@@ -0,0 +1,88 @@
+//! Calls to workers that a leader has its peers make.
+
+use super::{Controller, Effect};
+use crate::ids::{ControllerId, FencingToken};
+use crate::peers::mesh::PeerMessage;
+use crate::workers::command_delivery::{Delivery, DeliveryResult};
+use tokio::time::Instant;
+
+/// Count. Calls that peers may be making for a leader.
+const RELAYED_CALLS_IN_FLIGHT_MAX: usize = 4000;
+
+impl Controller {
+    /// Sends the leader's calls to workers: by the controller that takes the worker's heartbeats, or straight to the
+    /// worker.
+    pub(super) fn send_worker_calls(&mut self, now: Instant) {
+        let Some(scheduler) = &mut self.scheduler else { return };
+        let token = scheduler.token;
+        let calls: Vec<_> = scheduler.direct.drain(..).collect();
+        for (machine, address, call) in calls {
+            let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
+            let has_room = self.sharding.deliveries.under_way() < RELAYED_CALLS_IN_FLIGHT_MAX;
+            let relay =
+                relay.filter(|name| has_room && self.takes_part_in_sharding(name, now)).cloned();
+            match relay {
+                Some(peer) => {
+                    self.sharding.deliveries.push(&peer, (machine, address), call, now);
+                }
+                None => self.out.push(Effect::CallWorker { machine, address, call }),
+            }
+        }
+        let me = self.name().clone();
+        for (to, commands) in self.sharding.deliveries.take_frames() {
+            self.send_to_peer(to, PeerMessage::Deliver { from: me.clone(), token, commands });
+        }
+    }
+
+    /// A leader has this controller call workers.
+    pub(super) fn on_relayed_commands(
+        &mut self,
+        from: &ControllerId,
+        token: FencingToken,
+        commands: Vec<Delivery>,
+        now: Instant,
+    ) {
+        let is_leader = self.scheduler.is_some() && self.holds_leadership(now);
+        if token < self.state.cache.token.0 || is_leader {
+            return;
+        }
+        for delivery in commands {
+            if !self.sharding.forwarded.begin(from, token, &delivery) {
+                continue;
+            }
+            let machine = delivery.machine.clone();
+            let address = delivery.address;
+            let call = delivery.into_direct(token);
+            self.out.push(Effect::CallWorker { machine, address, call });
+        }
+    }
+
+    /// The results of calls that a peer made for this leader, by their numbers.
+    pub(super) fn on_command_results(
+        &mut self,
+        token: FencingToken,
+        results: Vec<(u64, DeliveryResult)>,
+        now: Instant,
+    ) {
+        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token != token) {
+            return;
+        }
+        for (number, result) in results {
+            if let Some((machine, sent, result)) =
+                self.sharding.deliveries.on_result(number, result)
+            {
+                self.on_worker_response(&machine, sent.as_ref(), result, now);
+            }
+        }
+    }
+
+    /// Sends the results of calls that are due, and gives up calls that are overdue.
+    pub(super) fn advance_relayed_commands(&mut self, now: Instant) {
+        for (to, token, results) in self.sharding.forwarded.take_results(now) {
+            self.send_to_peer(to, PeerMessage::Delivered { token, results });
+        }
+        for (machine, sent, result) in self.sharding.deliveries.take_overdue(now) {
+            self.on_worker_response(&machine, sent.as_ref(), result, now);
+        }
+    }
+}
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -1,382 +1,150 @@
-//! Reports shared out among the controllers: who takes whose, and what passes between them and the leader.
-//!
-//! The leader permits it for a short term at a time where its own sockets or processor would not do, and tells who
-//! the members are. Members pass reports on ([`crate::peers::heartbeat_relay`]) and send commands for it ([`crate::workers::command_delivery`]).
+//! Heartbeats that pass through a follower to the leader, and the results that come back.
 
+use super::Controller;
 use super::worker_heartbeats::redirect;
-use super::*;
-use crate::admission::Load;
-use crate::peers::heartbeat_relay::{HeartbeatRelay, RelayedHeartbeat, Verdict};
-use crate::peers::heartbeat_relay::{RELAY_RESUMES_WITHIN, RELAY_TERM};
-use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
-use crate::peers::mesh::MESH_PROTOCOL;
-use crate::peers::mesh::PeerExtra;
-use crate::settings::ShardHeartbeats;
-use crate::workers::command_delivery::{Deliveries, Delivery, DeliveryResult, ForwardedCommands};
-
-/// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the key
-/// outlives its leader by less ([`LEADER_LEASE_TTL`], and its end is told within a follow).
-pub const LEADER_APART_AFTER: Duration = Duration::from_millis(4500);
+use crate::http::Response;
+use crate::ids::{ControllerId, FencingToken};
+use crate::peers::heartbeat_relay::{RELAY_TERM, RelayedHeartbeat, Verdict};
+use crate::peers::mesh::PeerMessage;
+use crate::store::STATE_LOST;
+use crate::wire::{self, Heartbeat};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the
+/// key outlives its leader by less.
+const LEADER_CUT_OFF_AFTER: Duration = Duration::from_millis(4500);
 /// For so long after its last message by way of the store a leader counts as alive though it is not heard otherwise.
-pub const LEADER_BY_STORE_FOR: Duration = Duration::from_millis(5000);
-/// How much longer a leader waits for workers before it gives up for want of them, if others passed their reports on:
-/// those notice that they can't reach it and send workers to it, by way of the store in some seconds.
-pub const SHARED_PATIENCE: Duration = Duration::from_millis(4000);
-/// A controller counts as one that can take reports for this long after it was last heard.
-pub const MEMBER_KNOWN_FOR: Duration = Duration::from_secs(120);
-/// A member that was not heard for this long takes no reports.
-pub const MEMBER_FRESH: Duration = Duration::from_millis(1600);
-/// Count. Commands under way by other controllers at the most.
-pub const DELIVERIES_MOST: usize = 4000;
-
-/// All that this controller knows of shared reports, in whatever role.
-pub(super) struct Sharing {
-    pub(super) relay: HeartbeatRelay,
-    pub(super) deliveries: Deliveries,
-    pub(super) forwarded: ForwardedCommands,
-    /// As the leader: whether reports are shared, and by whom.
-    load: Load,
-    members: Membership,
-    /// Whether the leader takes some itself, since the others have little room.
-    leader_helps: bool,
-    redirects: Redirects,
-    /// As the leader: when others last passed reports on, as far as it permitted that.
-    shared_at: Option<Instant>,
-    /// The leader that sent a message by way of the store last, and when.
-    by_store: Option<(FencingToken, Instant)>,
-}
-
-impl Sharing {
-    pub(super) fn new(first: u64, settings: &Settings) -> Sharing {
-        Sharing {
-            relay: HeartbeatRelay::new(first),
-            deliveries: Deliveries::new(first),
-            forwarded: ForwardedCommands::new(),
-            load: Load::new(settings),
-            members: Membership::default(),
-            leader_helps: false,
-            redirects: Redirects::default(),
-            shared_at: None,
-            by_store: None,
-        }
-    }
-
-    /// A new leadership begins here.
-    pub(super) fn lead(&mut self) {
-        self.forwarded.clear();
-        self.deliveries.clear();
-    }
-
-    /// Whether other controllers take reports for this leader.
-    pub(super) fn is_shared(&self) -> bool {
-        !self.members.0.is_empty()
-    }
-
-    /// A leader sent something by way of the store: it lives, and does not reach this controller otherwise.
-    pub(super) fn heard_by_store(&mut self, token: FencingToken, now: Instant) {
-        self.by_store = Some((token, now));
-    }
-
-    /// How much longer than usual a leader waits for workers to report to it.
-    pub(super) fn patience(&self, now: Instant) -> Duration {
-        let lately = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUMES_WITHIN;
-        if self.shared_at.is_some_and(lately) { SHARED_PATIENCE } else { Duration::ZERO }
-    }
-
-    pub(super) fn next_due(&self) -> Option<Instant> {
-        let dues = [self.relay.next_due(), self.deliveries.next_due(), self.forwarded.next_due()];
-        dues.into_iter().flatten().min()
-    }
-}
+const STORE_CONTACT_LASTS: Duration = Duration::from_millis(5000);
+/// Count. Relayed heartbeats that are remembered for each public socket.
+const REMEMBERED_PER_SOCKET: usize = 2;
 
 impl Controller {
-    /// What this controller tells of itself beside its status.
-    pub(super) fn peer_extra(&self) -> PeerExtra {
-        if self.settings.operator.hold_format {
-            return PeerExtra::default();
-        }
-        let public = self.sockets.public.max(1);
-        let room = (public.saturating_sub(self.open) * 1000 / public) as u16;
-        PeerExtra { protocol: MESH_PROTOCOL, room }
-    }
-
-    /// Whether a peer understands messages about shared reports, and was heard a moment ago.
-    fn shares(&self, name: &ControllerId, now: Instant) -> bool {
-        let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < MEMBER_FRESH;
-        let known = self.peers.get(name);
-        known.is_some_and(|view| view.extra.protocol >= MESH_PROTOCOL && fresh(view))
-    }
-
-    /// Whether this controller may share reports out at all.
-    fn may_share(&self) -> bool {
-        let operator = &self.settings.operator;
-        !operator.hold_format && operator.share_reports != ShardHeartbeats::Never
-    }
-
-    /// How many other controllers could take reports, those included that are away for a moment.
-    pub(super) fn sharers(&self, now: Instant) -> usize {
-        if !self.may_share() {
-            return 0;
-        }
-        let lately = |at: Instant| now.saturating_duration_since(at) < MEMBER_KNOWN_FOR;
-        let able = |view: &&PeerView| view.extra.protocol >= MESH_PROTOCOL && lately(view.heard);
-        self.peers.values().filter(able).count()
-    }
-
-    /// The leader looks whether reports are to be shared, and tells the others.
-    pub(super) fn tell_sharing(&mut self, now: Instant) {
-        self.sharing.redirects.tidy(now);
-        let Some(scheduler) = self.scheduler.as_ref().filter(|_| self.may_act(now)) else { return };
-        let (token, machines) = (scheduler.token, scheduler.machines.len());
-        let was = self.sharing.is_shared();
-        let wanted = self.sharing.load.look(machines) && self.may_share();
-        self.sharing.members =
-            if wanted { self.find_members(machines, now) } else { Membership::default() };
-        let on = self.sharing.is_shared();
-        if on {
-            self.sharing.shared_at = Some(now);
-        }
-        if was != on {
-            tracing::info!(on, machines, "reports are shared out");
-        }
-        if !was && !on {
-            return;
-        }
-        let (from, members) = (self.settings.platform.host_name.clone(), &self.sharing.members);
-        let message = PeerMessage::Sharing { from, token, members: members.clone() };
-        for peer in self.settings.platform.others.iter().map(|peer| &peer.host_name) {
-            if self.shares(peer, now) {
-                self.out.push(Effect::Mesh(peer.clone(), message.clone()));
-            }
-        }
-    }
-
-    /// Who takes reports.
-    pub(super) fn find_members(&mut self, machines: usize, now: Instant) -> Membership {
-        let platform = &self.settings.platform;
-        let drained = |name: &ControllerId| self.state.cache.is_controller_drained(name);
-        let candidates = platform.others.iter().filter_map(|peer| {
-            let view = self.peers.get(&peer.host_name)?;
-            let (name, zone) = (peer.host_name.clone(), peer.location.clone());
-            // Whether it has the store is nothing to it: what it passes back is the leader's word. In an outage
-            // every worker was once sent to the leader, since nobody had the store.
-            let serves = self.shares(&name, now) && !drained(&name);
-            Some(Candidate { name, zone, room: view.extra.room, serves })
-        });
-        let candidates: Vec<Candidate> = candidates.collect();
-        let leader = LeaderView {
-            name: platform.host_name.clone(),
-            zone: platform.location.clone(),
-            workers: machines,
-            each: self.sockets.machines,
-            helps: self.sharing.leader_helps,
-        };
-        let (members, helps) = membership::choose(&candidates, &leader);
-        self.sharing.leader_helps = helps;
-        members
-    }
-
-    /// The controller to which a worker is to be sent from here.
-    pub(super) fn other_owner(&mut self, report: &Heartbeat, now: Instant) -> Option<ControllerId> {
-        let me = &self.settings.platform.host_name;
-        let members = match &self.scheduler {
-            Some(_) => &self.sharing.members,
-            None => self.sharing.relay.members(self.state.cache.token.0, now)?,
-        };
-        let owner = members.owner(&report.machine, &report.zone)?;
-        if owner == me || !self.shares(owner, now) {
-            return None;
-        }
-        let owner = owner.clone();
-        self.sharing.redirects.try_send(&report.machine, now).then_some(owner)
-    }
-
-    /// A controller that does not lead takes a report: it passes it on if the leader permits that, or answers as one
+    /// A controller that doesn't lead takes a heartbeat: it relays it if the leader allows that, or responds as one
     /// that can't.
-    pub(super) fn share_report(
+    pub(super) fn respond_as_follower(
         &mut self,
         ticket: u64,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
         let newest = self.state.cache.token.0;
-        if self.sharing.relay.members(newest, now).is_some() {
-            if let Some(other) = self.other_owner(&report, now) {
-                return Some(redirect(&other));
+        if self.sharding.relay.members(newest, now).is_some() {
+            if let Some(owner) = self.other_owner(&heartbeat, now) {
+                return Some(redirect(&owner));
             }
-            return self.hold_or_answer(ticket, report, now);
+            return self.relay_heartbeat(ticket, heartbeat, now);
         }
-        // The leader starts nothing on a worker that it does not hear: who can reach it goes there, as far as it has
-        // sockets, and who comes back is kept alive here.
-        if let Some(leader) = self.leader_apart(now)
-            && self.sharing.redirects.try_send(&report.machine, now)
+        // The leader starts nothing on a worker that it doesn't hear from: who can reach it goes there, as far as it
+        // has sockets, and who comes back is kept alive here.
+        if let Some(leader) = self.cut_off_leader(now)
+            && self.sharding.redirects.try_send(&heartbeat.machine, now)
         {
             return Some(redirect(&leader));
         }
-        if let Some(orders) = self.answer_for_leader(&report, now) {
-            return Some(Response::with(200, wire::encode(&orders)));
+        if let Some(commands) = self.answer_for_leader(&heartbeat, now) {
+            return Some(Response::with(200, wire::encode(&commands)));
         }
         // The leader has changed, or its last message was lost: its next comes within a second.
-        if self.sharing.relay.may_resume(now) && self.scheduler.is_none() {
-            return self.hold_or_answer(ticket, report, now);
+        if self.sharding.relay.may_resume(now) && self.scheduler.is_none() {
+            return self.relay_heartbeat(ticket, heartbeat, now);
         }
-        Some(self.answer_without_leader(&report, now))
+        Some(self.respond_without_leader(&heartbeat, now))
     }
 
-    /// Holds a report to pass it on; one that is too large is answered as if it could not be passed on.
-    fn hold_or_answer(&mut self, ticket: u64, report: Heartbeat, now: Instant) -> Option<Response> {
-        let large = self.sharing.relay.hold(ticket, report, now)?;
-        Some(self.answer_without_leader(&large, now))
+    /// Holds a heartbeat to relay it. One that is too large is responded to as if it could not be relayed.
+    fn relay_heartbeat(
+        &mut self,
+        ticket: u64,
+        heartbeat: Heartbeat,
+        now: Instant,
+    ) -> Option<Response> {
+        let too_large = self.sharding.relay.hold(ticket, heartbeat, now)?;
+        Some(self.respond_without_leader(&too_large, now))
     }
 
-    /// The leader to which reports were passed on, where it is cut off from this controller and not from the store.
-    fn leader_apart(&self, now: Instant) -> Option<ControllerId> {
+    /// The leader to which heartbeats were relayed, where it is cut off from this controller and not from the store.
+    fn cut_off_leader(&self, now: Instant) -> Option<ControllerId> {
         let (leader, _) = self.state.cache.leader.as_ref()?;
-        let lapsed = self.sharing.relay.lapsed(leader.token, now)?;
-        let silence = match self.peers.get(&leader.node) {
-            Some(view) => now.saturating_duration_since(view.heard).min(lapsed),
+        let lapsed = self.sharding.relay.lapsed(leader.token, now)?;
+        let silence = match self.peers.last_heard(&leader.node) {
+            Some(at) => now.saturating_duration_since(at).min(lapsed),
             None => lapsed,
         };
-        let lives = self.sharing.by_store.is_some_and(|(token, at)| {
-            token == leader.token && now.saturating_duration_since(at) < LEADER_BY_STORE_FOR
-        });
-        let apart = silence >= if lives { RELAY_TERM } else { LEADER_APART_AFTER };
-        let synced = self.state.synced_at;
-        let fresh = synced.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
-        let alive = fresh && !self.state.lost(now);
-        (apart && alive).then(|| leader.node.clone())
+        let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_LASTS, now);
+        let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_CUT_OFF_AFTER };
+        let synced_at = self.state.synced_at;
+        let is_synced = synced_at.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
+        (is_cut_off && is_synced && !self.state.lost(now)).then(|| leader.node.clone())
     }
 
-    pub(super) fn on_sharing(
-        &mut self,
-        from: ControllerId,
-        token: FencingToken,
-        members: Membership,
-        now: Instant,
-    ) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
-            self.sharing.relay.on_term(token, from, members, now);
-        }
-    }
-
-    /// A batch of reports for this leader.
-    pub(super) fn on_reports(
+    /// A batch of relayed heartbeats for this leader.
+    pub(super) fn on_relayed_heartbeats(
         &mut self,
         from: &ControllerId,
-        (token, batch): (FencingToken, u64),
-        reports: Vec<RelayedHeartbeat>,
+        token: FencingToken,
+        batch: u64,
+        heartbeats: Vec<RelayedHeartbeat>,
         now: Instant,
     ) {
-        if !self.may_act(now) {
+        if !self.holds_leadership(now) {
             return;
         }
         let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token == token) else {
             return;
         };
-        match scheduler.on_relayed(from, reports, &self.state.cache, now) {
+        match scheduler.on_relayed(from, heartbeats, &self.state.cache, now) {
             Some(verdicts) => {
-                let message = PeerMessage::Verdicts { token, batch, verdicts };
-                self.out.push(Effect::Mesh(from.clone(), message));
+                self.send_to_peer(from.clone(), PeerMessage::Verdicts { token, batch, verdicts });
             }
             None => {
-                tracing::info!(%from, "a worker has seen a higher token");
-                self.step_down(now);
+                tracing::info!(controller = %from, "a worker has seen a higher fencing token");
+                self.resign(now);
             }
         }
     }
 
-    pub(super) fn on_verdicts(
+    /// The leader's results for a batch, by the heartbeats' places in it.
+    pub(super) fn on_heartbeat_results(
         &mut self,
         token: FencingToken,
         batch: u64,
-        verdicts: Vec<(u32, Verdict)>,
-        now: Instant,
-    ) {
-        for (ticket, orders) in self.sharing.relay.on_answers(token, batch, verdicts, now) {
-            self.reply(ticket, Response::with(200, wire::encode(&orders)));
-        }
-    }
-
-    /// A leader has this controller send commands.
-    pub(super) fn on_deliver(
-        &mut self,
-        from: &ControllerId,
-        token: FencingToken,
-        commands: Vec<Delivery>,
-        now: Instant,
-    ) {
-        if token < self.state.cache.token.0 || self.scheduler.is_some() && self.may_act(now) {
-            return;
-        }
-        for delivery in commands {
-            if !self.sharing.forwarded.begin(from, token, &delivery) {
-                continue;
-            }
-            let (machine, address) = (delivery.machine.clone(), delivery.address);
-            self.out.push(Effect::DirectCall(machine, address, delivery.into_direct(token)));
-        }
-    }
-
-    pub(super) fn on_delivered(
-        &mut self,
-        token: FencingToken,
-        results: Vec<(u64, DeliveryResult)>,
+        results: Vec<(u32, Verdict)>,
         now: Instant,
     ) {
-        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token != token) {
-            return;
-        }
-        for (number, result) in results {
-            if let Some((machine, sent, result)) = self.sharing.deliveries.on_result(number, result)
-            {
-                self.on_direct(&machine, sent.as_ref(), result, now);
-            }
+        for (ticket, commands) in self.sharding.relay.on_answers(token, batch, results, now) {
+            self.respond(ticket, Response::with(200, wire::encode(&commands)));
         }
     }
 
-    /// The leader's calls: by the controller that takes the worker's reports, or straight to the worker.
-    pub(super) fn send_calls(&mut self, now: Instant) {
-        let Some(scheduler) = &mut self.scheduler else { return };
-        let calls: Vec<_> = scheduler.direct.drain(..).collect();
-        for (machine, address, direct) in calls {
-            let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
-            let relay = relay.filter(|_| self.sharing.deliveries.under_way() < DELIVERIES_MOST);
-            match relay.filter(|name| self.shares(name, now)).cloned() {
-                Some(by) => self.sharing.deliveries.push(&by, (machine, address), direct, now),
-                None => self.out.push(Effect::DirectCall(machine, address, direct)),
-            }
-        }
-        let Some(token) = self.scheduler.as_ref().map(|scheduler| scheduler.token) else { return };
-        let me = self.settings.platform.host_name.clone();
-        for (to, commands) in self.sharing.deliveries.take_frames() {
-            let message = PeerMessage::Deliver { from: me.clone(), token, commands };
-            self.out.push(Effect::Mesh(to, message));
+    /// Sends what is due of relayed heartbeats and commands, and gives up what is overdue.
+    pub(super) fn advance_sharding(&mut self, now: Instant) {
+        self.send_heartbeat_batches(now);
+        for overdue in self.sharding.relay.take_overdue(now) {
+            let response = if self.holds_leadership(now) && self.scheduler.is_some() {
+                self.respond_as_leader(&overdue.report, now)
+            } else {
+                self.respond_without_leader(&overdue.report, now)
+            };
+            self.respond(overdue.ticket, response);
         }
+        self.sharding.relay.forget_beyond(self.limits.sockets.public * REMEMBERED_PER_SOCKET);
+        self.advance_relayed_commands(now);
     }
 
-    /// Sends what is due and gives up what is overdue.
-    pub(super) fn pump_sharing(&mut self, now: Instant) {
-        let from = self.settings.platform.host_name.clone();
-        for batch in self.sharing.relay.take_batches(self.state.cache.token.0, now) {
-            let (token, reports) = (batch.token, batch.reports);
-            let message =
-                PeerMessage::Reports { from: from.clone(), token, batch: batch.number, reports };
-            self.out.push(Effect::Mesh(batch.leader, message));
-        }
-        for overdue in self.sharing.relay.take_overdue(now) {
-            let response = if self.may_act(now) && self.scheduler.is_some() {
-                self.on_report_as_leader(&overdue.report, now)
-            } else {
-                self.answer_without_leader(&overdue.report, now)
+    fn send_heartbeat_batches(&mut self, now: Instant) {
+        let from = self.name().clone();
+        for batch in self.sharding.relay.take_batches(self.state.cache.token.0, now) {
+            let message = PeerMessage::Reports {
+                from: from.clone(),
+                token: batch.token,
+                batch: batch.number,
+                reports: batch.reports,
             };
-            self.reply(overdue.ticket, response);
-        }
-        self.sharing.relay.forget_beyond(self.sockets.public * 2);
-        for (to, token, results) in self.sharing.forwarded.take_results(now) {
-            self.out.push(Effect::Mesh(to, PeerMessage::Delivered { token, results }));
-        }
-        for (machine, sent, result) in self.sharing.deliveries.take_overdue(now) {
-            self.on_direct(&machine, sent.as_ref(), result, now);
+            self.send_to_peer(batch.leader, message);
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -0,0 +1,173 @@
+//! Who relays heartbeats, and whose relayed heartbeats are responded to.
+
+use crate::clock::WallClock;
+use crate::controller::Controller;
+use crate::controller::peer_table::PeerStatusView;
+use crate::controller::sharding::MEMBER_UNREACHABLE_AFTER;
+use crate::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
+use crate::peers::heartbeat_relay::RelayedHeartbeat;
+use crate::peers::membership::{Member, Membership};
+use crate::peers::mesh::{MESH_PROTOCOL, PeerExtra};
+use crate::scheduler::Scheduler;
+use crate::settings::Settings;
+use crate::wire::{Heartbeat, TaskState, TaskStatus};
+use crate::workers::command_delivery::Delivery;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A controller with four peers.
+fn controller(now: Instant) -> Controller {
+    controller_that("always", now)
+}
+
+fn controller_that(shares: &str, now: Instant) -> Controller {
+    let other = |n: u16| {
+        let port = 10 + n;
+        format!(r#"{{"host_name":"m-{n}","location":"a","peer_addr":"127.0.0.1:{port}"}}"#)
+    };
+    let others: Vec<String> = (0..4).map(other).collect();
+    let text = format!(
+        r#"{{"host_name":"n","location":"a","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
+        "others":[{}],"external":{{"cloud":"127.0.0.1:8","state":"127.0.0.1:9"}},
+        "params":{{"zones":["a","b"],"teams":[{{"name":"t","cpus_max":8.0}}],
+        "workers":{{"report_s":2.0,"lease_s":14.0,"cancel_s":32.0}},
+        "state":{{"rps":150.0,"write_rps":60.0,"value_kb":16.0,"txn_ops":12}},
+        "cloud":{{"rps":5.0,"list_lag_s":3.0}},"resources":{{"max_sockets":700}}}}}}"#,
+        others.join(",")
+    );
+    let settings =
+        Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
+    let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
+    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    controller
+}
+
+fn heartbeat(tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
+        machine: MachineId::new("i-1"),
+        address: "127.0.0.1:9000".into(),
+        flavor: "f".into(),
+        zone: "a".into(),
+        spot: false,
+        agent_epoch: 1,
+        seq: 1,
+        token: FencingToken(1),
+        notice_s: None,
+        tasks,
+    }
+}
+
+fn name(n: u16) -> ControllerId {
+    ControllerId::new(&format!("m-{n}"))
+}
+
+fn record_peer(
+    controller: &mut Controller,
+    n: u16,
+    last_heard: Instant,
+    store_lost: bool,
+    protocol: u8,
+) {
+    let capabilities = PeerExtra { protocol, room: 900 };
+    let uptime = Duration::from_secs(60);
+    let view = PeerStatusView { last_heard, store_lost, uptime, capabilities };
+    controller.peers.record_status(name(n), view);
+}
+
+/// A peer that is heard and understands relayed heartbeats takes some, also without the store: in an outage nobody has
+/// it, and all workers would be sent to the leader.
+#[test]
+fn members_are_reachable_and_capable_also_in_an_outage() {
+    let start = Instant::now();
+    let now = start + MEMBER_UNREACHABLE_AFTER * 2;
+    let mut controller = controller(start);
+    record_peer(&mut controller, 0, now, false, MESH_PROTOCOL);
+    record_peer(&mut controller, 1, now, true, MESH_PROTOCOL);
+    record_peer(&mut controller, 2, start, false, MESH_PROTOCOL);
+    record_peer(&mut controller, 3, now, false, 0);
+    let members = controller.choose_members(5, now);
+    let names: Vec<&ControllerId> = members.0.iter().map(|member| &member.name).collect();
+    assert_eq!(names, [&name(0), &name(1)]);
+    // A peer that is away for a moment counts among those that could hold workers; one that doesn't understand relayed
+    // heartbeats does not.
+    assert_eq!(controller.count_sharding_peers(now), 3);
+}
+
+/// Machines are rented up to what all controllers but one can hold, and where heartbeats are not sharded, up to what
+/// one can.
+#[test]
+fn the_machine_limit_grows_with_the_controllers_that_hold_workers() {
+    let now = Instant::now();
+    let limit = |shares: &str| {
+        let mut controller = controller_that(shares, now);
+        (0..3).for_each(|n| record_peer(&mut controller, n, now, false, MESH_PROTOCOL));
+        record_peer(&mut controller, 3, now, false, 0);
+        controller.update_limits(now);
+        controller.limits.machine_limit.current()
+    };
+    assert_eq!(limit("auto"), limit("never") * 3);
+}
+
+/// A leader whose lease has expired responds to no relayed heartbeat: its commands would reach workers that a successor
+/// takes for its own. Nor does it announce members.
+#[test]
+fn without_leadership_no_relayed_heartbeat_is_responded_to() {
+    let now = Instant::now();
+    let mut controller = controller(now);
+    let (settings, wall) = (controller.settings.clone(), WallClock { at: now, ms: 5 });
+    let cache = &controller.state.cache;
+    controller.scheduler =
+        Some(Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, now));
+    record_peer(&mut controller, 0, now, false, MESH_PROTOCOL);
+    assert!(!controller.holds_leadership(now));
+    let heartbeats = vec![RelayedHeartbeat::Full(heartbeat(Vec::new()).into())];
+    controller.on_relayed_heartbeats(&name(0), FencingToken(1), 7, heartbeats, now);
+    assert!(controller.out.is_empty(), "{:?}", controller.out);
+    assert!(controller.scheduler.as_ref().is_some_and(|scheduler| scheduler.reports == 0));
+    controller.announce_shards(now);
+    assert!(controller.out.is_empty(), "{:?}", controller.out);
+}
+
+/// A relayed command of a leader that has a successor is not carried out.
+#[test]
+fn a_relayed_command_of_an_earlier_leader_is_ignored() {
+    let now = Instant::now();
+    let mut controller = controller(now);
+    controller.state.cache.token = (FencingToken(5), Revision(3));
+    let command = |number: u64| Delivery {
+        number,
+        machine: MachineId::new("i-1"),
+        address: "127.0.0.1:9000".parse().unwrap(),
+        agent_epoch: Some(1),
+        orders: Vec::new(),
+    };
+    controller.on_relayed_commands(&name(0), FencingToken(4), vec![command(1)], now);
+    assert!(controller.out.is_empty());
+    controller.on_relayed_commands(&name(0), FencingToken(5), vec![command(2), command(2)], now);
+    assert_eq!(controller.out.len(), 1);
+}
+
+/// A heartbeat too large to be relayed is responded to at once, also while a new leader is waited for: held and not
+/// sent it would leave its worker without a response.
+#[test]
+fn a_heartbeat_too_large_to_be_relayed_is_responded_to() {
+    let now = Instant::now();
+    let mut controller = controller(now);
+    let member = Member { name: name(0), zone: "a".into(), weight: 1000 };
+    let members = Membership(vec![member]);
+    controller.sharding.relay.on_term(FencingToken(1), name(0), members, now);
+    let task = |index: u32| TaskStatus {
+        task: TaskId { job: JobId::new("wk-1"), index },
+        attempt: Attempt(1),
+        state: TaskState::Running,
+        why: None,
+        saved: None,
+    };
+    let large = heartbeat((0..1000).map(task).collect());
+    let small = Heartbeat { tasks: Vec::new(), ..large.clone() };
+    for at in [now, now + MEMBER_UNREACHABLE_AFTER * 2] {
+        assert!(controller.respond_as_follower(20, large.clone(), at).is_some());
+        assert!(controller.respond_as_follower(21, small.clone(), at).is_none());
+    }
+}
--- /dev/null
+++ b/src/controller/store_events.rs
@@ -0,0 +1,72 @@
+//! What the store's client reports.
+
+use super::Controller;
+use super::leader::TAKEOVER_TICKET;
+use super::ticks::PROBE_TICKET;
+use crate::http::Response;
+use crate::leadership::election::ElectionStep;
+use crate::store::{Origin, Outcome, StoreEvent};
+use tokio::time::Instant;
+
+impl Controller {
+    pub(super) fn on_store_event(&mut self, event: StoreEvent, now: Instant) {
+        match event {
+            StoreEvent::Loaded => {
+                tracing::info!(jobs = self.state.cache.jobs.all.len(), "store cache loaded");
+            }
+            StoreEvent::Changed(ids) => {
+                if let Some(scheduler) = &mut self.scheduler {
+                    scheduler.on_jobs(&ids, &self.state.cache, now);
+                }
+            }
+            StoreEvent::Synced(TAKEOVER_TICKET) => self.take_over(now),
+            StoreEvent::Synced(PROBE_TICKET) => self.is_probing_store = false,
+            StoreEvent::Synced(ticket) => {
+                let response = self.api.on_synced(ticket, &mut self.state, now);
+                self.respond_if_ready(ticket, response);
+            }
+            StoreEvent::Outcome(origin, outcome) => self.on_outcome(origin, outcome, now),
+            StoreEvent::ControllerLease(request, sent_at, response) => {
+                self.controller_lease.on_response(&request, sent_at, &response, now);
+            }
+            StoreEvent::Election(request, sent_at, response) => {
+                let cache = &self.state.cache;
+                let step = self.election.on_response(&request, sent_at, &response, cache, now);
+                self.on_election_step(step, now);
+            }
+        }
+    }
+
+    fn on_outcome(&mut self, origin: Origin, outcome: Outcome, now: Instant) {
+        match origin {
+            Origin::Operator(ticket) => self.on_drain_outcome(ticket, outcome),
+            Origin::User(ticket) => {
+                let response = self.api.on_outcome(ticket, outcome, &mut self.state, now);
+                self.respond_if_ready(ticket, response);
+            }
+            origin => {
+                if outcome != Outcome::Committed {
+                    tracing::debug!(?origin, ?outcome, "commit failed");
+                }
+                if let Some(scheduler) = &mut self.scheduler {
+                    scheduler.on_outcome(&origin, outcome, &mut self.state);
+                }
+            }
+        }
+    }
+
+    fn on_election_step(&mut self, step: ElectionStep, now: Instant) {
+        for request in step.requests {
+            self.state.election(request, now);
+        }
+        if let Some(event) = step.event {
+            self.on_election_event(event, now);
+        }
+    }
+
+    fn respond_if_ready(&mut self, ticket: u64, response: Option<Response>) {
+        if let Some(response) = response {
+            self.respond(ticket, response);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/store_relay.rs
@@ -0,0 +1,108 @@
+//! Messages to peers by way of the store, where the connection is cut.
+
+use super::Controller;
+use crate::ids::ControllerId;
+use crate::jobs;
+use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
+use crate::peers::mesh::{self, PeerMessage};
+use crate::peers::message_route::MessageRoute;
+use crate::store::{Item, Origin, RELAY_PREFIX, Rank};
+use crate::wire::{Data, Precondition, Write};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Pause between two status messages by way of the store.
+const STORE_RELAY_INTERVAL: Duration = Duration::from_secs(3);
+/// The part number of a message that is written whole. Chunks are written in parts from 1 on.
+const WHOLE_MESSAGE: usize = 0;
+/// The part number of the first chunks of a message.
+const FIRST_CHUNKS: usize = 1;
+
+/// A key at the store and the text that is written there.
+struct RelayedText {
+    key: String,
+    text: String,
+}
+
+impl Controller {
+    /// A follower that doesn't hear its leader sends it the status by way of the store, to ask for a grant.
+    pub(super) fn relay_status(&mut self, status: &PeerMessage, now: Instant) {
+        let Some((leader, _)) = &self.state.cache.leader else { return };
+        let leader = leader.node.clone();
+        let last_heard = self.peers.last_heard(&leader).unwrap_or(self.started_at);
+        if leader == *self.name()
+            || now < self.schedule.store_relay_at
+            || now.saturating_duration_since(last_heard) < PEER_UNREACHABLE_AFTER
+            || self.state.lost(now)
+        {
+            return;
+        }
+        self.schedule.store_relay_at = now + STORE_RELAY_INTERVAL;
+        self.send_by_store(&leader, status);
+    }
+
+    /// Writes a message for a peer, in chunks if it is too large for one value.
+    pub(super) fn send_by_store(&mut self, to: &ControllerId, message: &PeerMessage) {
+        let Some(text) = mesh::to_text(message) else { return };
+        let layout = self.state.layout();
+        let key = format!("{RELAY_PREFIX}{}/{to}", self.name());
+        let is_pending = |part| self.state.has_item(&Origin::Relay(to.clone(), part));
+        if layout.fits(&text) {
+            if !is_pending(WHOLE_MESSAGE) {
+                self.write_relayed_texts(to, WHOLE_MESSAGE, &[RelayedText { key, text }]);
+            }
+            return;
+        }
+        // Older versions know whole messages only.
+        if !layout.second() || is_pending(FIRST_CHUNKS) {
+            return;
+        }
+        // A number of its own: chunks of two grants under one would be put together, and a revocation be acknowledged
+        // that is not in the list.
+        let seq = self.peer_requests.next_seq();
+        let chunks = mesh::in_pieces(&text, seq, layout.value_max).into_iter().enumerate();
+        let texts: Vec<RelayedText> =
+            chunks.map(|(n, text)| RelayedText { key: format!("{key}/{n}"), text }).collect();
+        for (n, texts) in texts.chunks(layout.txn_ops).enumerate() {
+            self.write_relayed_texts(to, FIRST_CHUNKS + n, texts);
+        }
+    }
+
+    fn write_relayed_texts(&mut self, to: &ControllerId, part: usize, texts: &[RelayedText]) {
+        let relays = &self.state.cache.relays;
+        let guard = |text: &RelayedText| Precondition {
+            key: text.key.clone(),
+            rev: relays.get(&text.key).copied().unwrap_or_default(),
+        };
+        let write = |text: &RelayedText| Write::Put {
+            key: text.key.clone(),
+            data: Data::Text(text.text.clone()),
+            hold: None,
+        };
+        let change = jobs::Change {
+            guards: texts.iter().map(guard).collect(),
+            writes: texts.iter().map(write).collect(),
+        };
+        let origin = Origin::Relay(to.clone(), part);
+        self.state.push(Item { rank: Rank::Awaited, origin, change });
+    }
+
+    /// Takes in messages that came by way of the store.
+    pub(super) fn receive_relayed_messages(&mut self, now: Instant) {
+        for (path, text) in std::mem::take(&mut self.state.cache.relayed) {
+            let Some((from, to)) = path.split_once('/') else { continue };
+            let (to, is_chunk) = to.split_once('/').map_or((to, false), |(to, _)| (to, true));
+            if to != self.name().as_str() {
+                continue;
+            }
+            let whole = if is_chunk {
+                self.chunks.entry(ControllerId::new(from)).or_default().take(&text)
+            } else {
+                Some(text)
+            };
+            if let Some(message) = whole.and_then(|text| mesh::from_text(&text)) {
+                self.on_peer_message(message, MessageRoute::Store, now);
+            }
+        }
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,83 +1,102 @@
-use super::*;
-use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
-use crate::leadership::delegation::{GrantId, GrantedMachines};
+use super::peer_table::PeerStatusView;
+use super::ticks::WORKER_CALLS_BEHIND;
+use super::{Controller, Effect};
+use crate::clock::WallClock;
+use crate::constants::LATE;
+use crate::http::{Method, Request};
+use crate::ids::{ControllerId, FencingToken, MachineId, Revision};
+use crate::leadership::delegation::{GrantId, GrantedMachines, PEER_UNREACHABLE_AFTER};
+use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
 use crate::peers::message_route::MessageRoute;
+use crate::scheduler::Scheduler;
 use crate::store::records::{FORMAT, VersionRecord};
+use crate::store::{StoreRequest, StoreResponse};
+use crate::wire::{Heartbeat, RangeResponse, Write};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+use troutspindle_protocol::ops;
 
-/// Two grants relayed in pieces within one beat once had one number: the second's number would
-/// have come with the first's list of barred machines, and been acknowledged.
+/// Lets the controller read a store without keys.
+fn read_empty_store(controller: &mut Controller, now: Instant) {
+    controller.state.poll(now);
+    let (id, _) = controller.state.calls.pop_front().unwrap();
+    let page = RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
+    controller.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+}
+
+/// Two grants in chunks within one status interval under one number: the second's number would come with the
+/// first's list of revoked machines, and be acknowledged.
 #[test]
-fn pieces_of_two_relayed_messages_are_never_put_together() {
+fn chunks_of_two_messages_by_way_of_the_store_are_never_put_together() {
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let now = Instant::now();
-    let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+    let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
+    read_empty_store(&mut controller, now);
     let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
-    node.state.cache.versions.insert(ControllerId::new("n"), version);
+    controller.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
         let barred = names.collect();
         PeerMessage::Grant { seq: 9, token: FencingToken(41), number, barred, lent: vec![] }
     };
-    let (mut pieces, mut got) = (Pieces::default(), Vec::new());
+    let (mut chunks, mut received) = (Pieces::default(), Vec::new());
     for number in 1..3 {
-        node.relay(&ControllerId::new("m"), &grant(number));
-        node.state.poll(now);
-        for (id, call) in node.state.calls.drain(..).collect::<Vec<_>>() {
+        controller.send_by_store(&ControllerId::new("m"), &grant(number));
+        controller.state.poll(now);
+        for (id, call) in controller.state.calls.drain(..).collect::<Vec<_>>() {
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
-                got.extend(pieces.take(data.as_text().unwrap()));
+                received.extend(chunks.take(data.as_text().unwrap()));
             }
-            node.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
+            controller.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
-        node.state.events.clear();
+        controller.state.events.clear();
     }
-    let whole: Vec<_> = got.iter().map(|text| mesh::from_text(text)).collect();
+    let whole: Vec<_> = received.iter().map(|text| mesh::from_text(text)).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
 }
 
-/// A leader whose sockets are workers' leaves users to others, but only to such as are surely there.
+/// A leader whose sockets are workers' sheds users, but only to peers that are there for certain.
 #[test]
-fn a_crowded_leader_leaves_users_to_others_that_are_there() {
+fn a_leader_sheds_users_to_peers_that_are_there() {
     let now = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
-    let up = |crowded: bool, peers: &[(bool, u64)]| {
-        let mut node = Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
-        node.state.poll(now);
-        let (id, _) = node.state.calls.pop_front().unwrap();
-        let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-        node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
-        node.crowded = crowded;
-        for (n, (state_lost, up_s)) in peers.iter().enumerate() {
-            let up = Duration::from_secs(*up_s);
-            let view =
-                PeerView { heard: now, state_lost: *state_lost, up, extra: PeerExtra::default() };
-            node.peers.insert(ControllerId::new(&format!("m-{n}")), view);
+    let ready = |sheds_users: bool, peers: &[(bool, u64)]| {
+        let mut controller =
+            Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
+        read_empty_store(&mut controller, now);
+        controller.limits.sheds_users = sheds_users;
+        for (n, (store_lost, uptime_s)) in peers.iter().enumerate() {
+            let view = PeerStatusView {
+                last_heard: now,
+                store_lost: *store_lost,
+                uptime: Duration::from_secs(*uptime_s),
+                capabilities: PeerExtra::default(),
+            };
+            controller.peers.record_status(ControllerId::new(&format!("m-{n}")), view);
         }
-        node.is_up(now)
+        controller.is_ready(now)
     };
     let there = (false, 100);
-    assert!(up(false, &[there, there]));
-    assert!(!up(true, &[there, there]));
-    assert!(up(true, &[there]), "one might go");
-    assert!(up(true, &[there, (false, 1)]), "one has just started");
-    assert!(up(true, &[there, (true, 100)]), "one has lost the store");
+    assert!(ready(false, &[there, there]));
+    assert!(!ready(true, &[there, there]));
+    assert!(ready(true, &[there]), "one might go");
+    assert!(ready(true, &[there, (false, 1)]), "one has just started");
+    assert!(ready(true, &[there, (true, 100)]), "one has lost the store");
 }
 
-/// Thousands of machines that came up at once, each start a call of its own, cost a leader its lease.
+/// Thousands of machines that come up at once, each start a call of its own, would cost a leader its lease.
 #[test]
-fn a_leader_of_many_machines_that_is_behind_calls_few_of_them() {
+fn a_leader_of_many_machines_that_falls_behind_calls_few_of_them() {
     let now = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
-    let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
-    let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
-        let cache = &node.state.cache;
+    let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
+    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    let max_calls = |controller: &mut Controller, machines: u32, falls_behind: bool| {
+        let cache = &controller.state.cache;
         let token = FencingToken(1);
         let mut scheduler = Scheduler::new(token, Revision(2), settings.clone(), cache, wall, now);
         for n in 0..machines {
@@ -95,32 +114,33 @@
             };
             scheduler.on_report(&report, cache, now);
         }
-        scheduler.pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
-        node.scheduler = Some(scheduler);
-        node.look_at_limits(now);
-        node.scheduler.as_ref().map_or(0, |scheduler| scheduler.most_direct)
+        scheduler.pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
+        controller.scheduler = Some(scheduler);
+        controller.update_limits(now);
+        controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.most_direct)
     };
-    let many = node.ceiling.most() * 3 / 4;
-    assert_eq!(most_direct(&mut node, many, true), DIRECT_BEHIND);
-    assert!(most_direct(&mut node, many, false) > DIRECT_BEHIND);
-    assert!(most_direct(&mut node, 9, true) > DIRECT_BEHIND);
+    let many = controller.limits.machine_limit.current() * 3 / 4;
+    assert_eq!(max_calls(&mut controller, many, true), WORKER_CALLS_BEHIND);
+    assert!(max_calls(&mut controller, many, false) > WORKER_CALLS_BEHIND);
+    assert!(max_calls(&mut controller, 9, true) > WORKER_CALLS_BEHIND);
 }
 
 /// Users find no path there, whatever they show; whoever has the key and asks the wrong controller is
-/// sent on.
+/// redirected.
 #[test]
-fn operators_paths_are_shut_without_their_key() {
+fn operators_paths_are_hidden_without_their_key() {
     let teams = r#"[{"name":"t","cpus_max":8.0}]"#;
     let now = Instant::now();
     let ask = |own: &str, method: Method, shown: &str| {
         let mut settings = crate::settings::plain(teams);
         settings.operator.operator_key = crate::settings::Secret(own.into());
-        let mut node =
+        let mut controller =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
         let body = serde_json::to_vec(&ops::Question { key: shown.into() }).unwrap();
-        node.on_http(1, Request { method, target: ops::AT_RISK_PATH.into(), body }, now);
-        match node.out.pop() {
-            Some(Effect::Reply(1, response)) => response.status,
+        let request = Request { method, target: ops::AT_RISK_PATH.into(), body };
+        controller.on_request(1, &request, now);
+        match controller.out.pop() {
+            Some(Effect::Respond { ticket: 1, response }) => response.status,
             other => panic!("{other:?}"),
         }
     };
@@ -132,15 +152,16 @@
     assert_eq!(ask(key, Method::Post, key), 421);
 }
 
-/// An order is answered once it is written; of two operators at once one is told to look again, and what
-/// there is not is not drained.
+/// A drain is responded to once it is committed; of two operators at once one is told of the conflict, and what
+/// doesn't exist is not drained.
 #[test]
-fn an_operators_order_is_answered_when_it_is_kept() {
+fn a_drain_is_responded_to_once_it_is_committed() {
     let key = "a key of some length";
     let now = Instant::now();
     let mut settings = crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#);
     settings.operator.operator_key = crate::settings::Secret(key.into());
-    let mut node = Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
+    let mut controller =
+        Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
     let drain = |name: &str| ops::DrainOrder {
         key: key.into(),
         kind: ops::DrainKind::Zone,
@@ -149,29 +170,26 @@
         author: "x".into(),
         reason: String::new(),
     };
-    let send = |node: &mut Controller, ticket: u64, path: &str, body: Vec<u8>| {
+    let send = |controller: &mut Controller, ticket: u64, path: &str, body: Vec<u8>| {
         let request = Request { method: Method::Post, target: path.into(), body };
-        node.on_http(ticket, request, now);
+        controller.on_request(ticket, &request, now);
     };
     let body = |order: &ops::DrainOrder| serde_json::to_vec(order).unwrap();
-    let told = |node: &mut Controller| -> Vec<(u64, u16)> {
-        let replies = node.out.drain(..).filter_map(|effect| match effect {
-            Effect::Reply(ticket, response) => Some((ticket, response.status)),
+    let responses = |controller: &mut Controller| -> Vec<(u64, u16)> {
+        let replies = controller.out.drain(..).filter_map(|effect| match effect {
+            Effect::Respond { ticket, response } => Some((ticket, response.status)),
             _ => None,
         });
         replies.collect()
     };
-    send(&mut node, 1, ops::DRAIN_PATH, body(&drain("a")));
-    assert_eq!(told(&mut node), [(1, 503)], "nothing is known of the store yet");
-    node.state.poll(now);
-    let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), now);
-    send(&mut node, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
+    send(&mut controller, 1, ops::DRAIN_PATH, body(&drain("a")));
+    assert_eq!(responses(&mut controller), [(1, 503)], "nothing is known of the store yet");
+    read_empty_store(&mut controller, now);
+    send(&mut controller, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
     let undrain = ops::DrainName { key: key.into(), kind: ops::DrainKind::Zone, name: "a".into() };
     let undrain = serde_json::to_vec(&undrain).unwrap();
-    send(&mut node, 3, ops::UNDRAIN_PATH, undrain.clone());
-    assert_eq!(told(&mut node), [(2, 422), (3, 422)]);
+    send(&mut controller, 3, ops::UNDRAIN_PATH, undrain.clone());
+    assert_eq!(responses(&mut controller), [(2, 422), (3, 422)]);
     let mut guarded = Vec::new();
     for (ticket, path, order, reply, status) in [
         (4, ops::DRAIN_PATH, body(&drain("a")), None, 409),
@@ -179,46 +197,42 @@
         (6, ops::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
         (7, ops::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
     ] {
-        send(&mut node, ticket, path, order);
-        assert_eq!(told(&mut node), [], "not before it is kept");
-        node.state.poll(now);
-        let calls: Vec<_> = node.state.calls.drain(..).collect();
+        send(&mut controller, ticket, path, order);
+        assert_eq!(responses(&mut controller), [], "not before it is committed");
+        controller.state.poll(now);
+        let calls: Vec<_> = controller.state.calls.drain(..).collect();
         let commit = calls.into_iter().find_map(|(id, call)| match call {
             StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
         });
         let (id, txn) = commit.unwrap();
-        // The key stays when an order is taken back: one without an answer that is carried out late, with the
-        // guard of the first one, finds it changed.
+        // The key stays when a drain is taken back: an earlier transaction that is applied late finds it changed.
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
         guarded.push(txn.guards[0].rev);
         let reply = match reply {
             Some(rev) => StoreResponse::Committed(rev),
             None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
         };
-        node.state.on_reply(id, reply, now);
-        while let Some(event) = node.state.events.pop_front() {
-            node.on_state(event, now);
+        controller.state.on_reply(id, reply, now);
+        while let Some(event) = controller.state.events.pop_front() {
+            controller.on_store_event(event, now);
         }
-        assert_eq!(told(&mut node), [(ticket, status)]);
+        assert_eq!(responses(&mut controller), [(ticket, status)]);
     }
     assert_eq!(guarded, [Revision(0), Revision(0), Revision(7), Revision(9)]);
-    assert_eq!(node.state.cache.drains.len(), 1);
+    assert_eq!(controller.state.cache.drains.len(), 1);
 }
 
-/// A leader that lost its right, and has acknowledged a successor's grant, keeps to the successor's bars: that one
-/// reckons the lease of a machine that it barred from what is acknowledged. It once went on answering all of its own.
+/// A leader that lost leadership and has acknowledged a successor's grant keeps to the successor's revocations: that
+/// one reckons the lease of a machine that it revoked from what is acknowledged.
 #[test]
-fn a_leader_that_knows_of_its_successor_answers_as_those_do_to_whom_that_one_gave_grants() {
+fn a_leader_that_knows_of_its_successor_answers_as_its_follower() {
     let start = Instant::now();
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: start, ms: 5 };
-    let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.poll(start);
-    let (id, _) = node.state.calls.pop_front().unwrap();
-    let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    node.state.on_reply(id, StoreResponse::RangeResponse(page), start);
-    node.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
+    read_empty_store(&mut controller, start);
+    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
@@ -231,24 +245,24 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    let cache = &node.state.cache;
+    let cache = &controller.state.cache;
     let mut scheduler = Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, start);
     for name in ["i-1", "i-2"] {
         scheduler.on_report(&report(name), cache, start);
     }
-    node.scheduler = Some(scheduler);
+    controller.scheduler = Some(scheduler);
     // Nobody is heard, and what is known of the store is new.
     let now = start + PEER_UNREACHABLE_AFTER * 2;
-    node.state.synced_at = Some(now);
-    let token = |node: &mut Controller, name: &str| {
-        node.answer_for_leader(&report(name), now).map(|o| o.token)
+    controller.state.synced_at = Some(now);
+    let token = |controller: &mut Controller, name: &str| {
+        controller.answer_for_leader(&report(name), now).map(|o| o.token)
     };
-    assert_eq!(token(&mut node, "i-1"), Some(FencingToken(1)));
+    assert_eq!(token(&mut controller, "i-1"), Some(FencingToken(1)));
     let barred = vec![MachineId::new("i-1")];
     let id = GrantId { token: FencingToken(2), number: 1 };
     let machines = GrantedMachines { revoked: barred, delegated: vec![] };
-    node.delegated_lease.record_grant(id, machines, MessageRoute::Direct, start, start);
-    assert_eq!(node.delegated_lease.acknowledged(), id);
-    assert_eq!(token(&mut node, "i-1"), None);
-    assert_eq!(token(&mut node, "i-2"), Some(FencingToken(2)));
+    controller.delegated_lease.record_grant(id, machines, MessageRoute::Direct, start, start);
+    assert_eq!(controller.delegated_lease.acknowledged(), id);
+    assert_eq!(token(&mut controller, "i-1"), None);
+    assert_eq!(token(&mut controller, "i-2"), Some(FencingToken(2)));
 }
--- /dev/null
+++ b/src/controller/ticks.rs
@@ -0,0 +1,205 @@
+//! What a controller does as time passes.
+
+use super::{Controller, age_ms};
+use crate::admission::OutgoingSockets;
+use crate::leadership::delegation::GrantId;
+use crate::peers::mesh::PeerMessage;
+use crate::scheduler::Scheduler;
+use crate::store::STATE_LOST;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Longest pause between two ticks.
+pub const TICK_MAX: Duration = Duration::from_millis(200);
+/// Shortest pause between two ticks.
+pub(super) const TICK_MIN: Duration = Duration::from_millis(10);
+/// Pause between two status messages to each peer.
+pub const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two lines of metrics in the log.
+pub(super) const METRICS_INTERVAL: Duration = Duration::from_secs(5);
+/// Pause between the leader's messages of how many tasks run.
+const RUNNING_TASKS_INTERVAL: Duration = STATUS_INTERVAL.saturating_mul(2);
+/// Count. Jobs in one such message.
+const RUNNING_TASKS_JOBS_MAX: usize = 1500;
+/// Without news of the store for so long this controller asks whether it still responds.
+const PROBE_STORE_AFTER: Duration = Duration::from_nanos(STATE_LOST.as_nanos() as u64 / 3);
+/// Ticket of the sync that shows whether the store still responds.
+pub(super) const PROBE_TICKET: u64 = 1;
+/// Count. Calls to workers in flight at the most while a leader of many machines falls behind. A call costs several
+/// times what a response to a heartbeat does, which carries the same commands some seconds later.
+pub(super) const WORKER_CALLS_BEHIND: usize = 16;
+/// Count. Calls to workers that a leader may have in flight beyond its own sockets where peers make them.
+const RELAYED_CALLS_MAX: usize = 1000;
+
+/// When what is done at intervals is due next.
+#[derive(Debug)]
+pub(super) struct Schedule {
+    /// When the next tick is expected.
+    tick_at: Instant,
+    status_at: Instant,
+    metrics_at: Instant,
+    running_tasks_at: Instant,
+    pub(super) scheduler_at: Instant,
+    /// The next message by way of the store.
+    pub(super) store_relay_at: Instant,
+}
+
+impl Schedule {
+    /// All is due at once.
+    pub(super) fn new(now: Instant) -> Schedule {
+        Schedule {
+            tick_at: now,
+            status_at: now,
+            metrics_at: now,
+            running_tasks_at: now,
+            scheduler_at: now,
+            store_relay_at: now,
+        }
+    }
+}
+
+impl Controller {
+    /// When the next tick is due. Waking costs more than most of what is done then, so an idle controller wakes
+    /// seldom.
+    pub fn next_tick(&mut self, now: Instant) -> Instant {
+        let scheduler = self.scheduler.as_ref().and_then(Scheduler::next_due);
+        let scheduler = scheduler.map(|at| at.max(self.schedule.scheduler_at));
+        let store = self.state.next_due().into_iter();
+        let due = store.chain(scheduler).chain(self.sharding.next_due()).min();
+        let tick_at = due.map_or(now + TICK_MAX, |at| at.clamp(now + TICK_MIN, now + TICK_MAX));
+        self.schedule.tick_at = tick_at;
+        tick_at
+    }
+
+    pub(super) fn on_tick(&mut self, now: Instant) {
+        self.update_limits(now);
+        if now >= self.schedule.status_at {
+            self.schedule.status_at = now + STATUS_INTERVAL;
+            self.send_status(now);
+        }
+        self.probe_store(now);
+        self.log_cluster_format();
+        if !self.settings.operator.hold_format {
+            self.state.tell_version();
+        }
+        for (ticket, response) in self.api.tick(&self.state, now) {
+            self.respond(ticket, response);
+        }
+        self.retry_cancellations(now);
+        if now >= self.schedule.metrics_at {
+            self.schedule.metrics_at = now + METRICS_INTERVAL;
+            self.log_metrics(now);
+        }
+        self.send_running_tasks(now);
+        self.resign_if_cut_off(now);
+        self.resign_if_drained(now);
+    }
+
+    /// Tells each peer how this controller is, and asks the leader for a grant or peers for an extension.
+    fn send_status(&mut self, now: Instant) {
+        let GrantId { token, number } = self.delegated_lease.acknowledged();
+        let status = PeerMessage::PeerStatus {
+            from: self.name().clone(),
+            seq: self.peer_requests.next_status(now),
+            leading: self.scheduler.as_ref().and(self.election.token()),
+            state_lost: self.state.lost(now),
+            ack: (token, number),
+            up_ms: age_ms(self.started_at, now),
+            answered_for_leader: self.delegated_lease.answered_for_leader(now),
+            worker_ms: self.last_worker_heartbeat.map(|at| age_ms(at, now)),
+            extra: self.capabilities(),
+        };
+        self.broadcast(&status);
+        self.relay_status(&status, now);
+        self.announce_shards(now);
+    }
+
+    fn probe_store(&mut self, now: Instant) {
+        let is_quiet = |at: Instant| now.saturating_duration_since(at) > PROBE_STORE_AFTER;
+        if !self.is_probing_store && self.state.synced_at.is_none_or(is_quiet) {
+            self.is_probing_store = true;
+            self.state.sync(PROBE_TICKET);
+        }
+    }
+
+    fn log_cluster_format(&mut self) {
+        let format = self.state.layout().format;
+        if self.logged_format != Some(format) && self.state.cache.loaded {
+            tracing::info!(format, "cluster version");
+            self.logged_format = Some(format);
+        }
+    }
+
+    /// The leader tells peers how many tasks of each job run, for their responses to users.
+    fn send_running_tasks(&mut self, now: Instant) {
+        let Some(scheduler) = &self.scheduler else { return };
+        if now < self.schedule.running_tasks_at {
+            return;
+        }
+        self.schedule.running_tasks_at = now + RUNNING_TASKS_INTERVAL;
+        let running = scheduler.running();
+        let jobs = running.iter().take(RUNNING_TASKS_JOBS_MAX);
+        let counts = jobs.map(|(id, tasks)| (id.clone(), *tasks)).collect();
+        let token = scheduler.token;
+        self.api.running = running;
+        self.broadcast(&PeerMessage::Running { token, counts });
+    }
+
+    /// Records how late this process is, and adapts what the scheduler may use.
+    pub(super) fn update_limits(&mut self, now: Instant) {
+        let lateness = now.saturating_duration_since(self.schedule.tick_at);
+        self.limits.load.record_lateness(lateness);
+        // With one of them away, those that are left still hold all workers.
+        let controllers = u32::try_from(self.count_sharding_peers(now)).unwrap_or(u32::MAX);
+        self.limits.machine_limit.set_controllers(controllers.max(1));
+        let outgoing = self.limits.sockets.outgoing(self.limits.open_connections);
+        let machines = self.update_scheduler_limits(outgoing, lateness, now);
+        self.limits.observe(machines, lateness, now);
+    }
+
+    /// Tells the scheduler what it may use, and returns how many machines it knows.
+    fn update_scheduler_limits(
+        &mut self,
+        outgoing: OutgoingSockets,
+        lateness: Duration,
+        now: Instant,
+    ) -> usize {
+        let Some(scheduler) = &mut self.scheduler else { return 0 };
+        let machine_limit = &self.limits.machine_limit;
+        scheduler.pace(lateness, now);
+        scheduler.most_machines = machine_limit.current();
+        let machines = scheduler.machines.len();
+        let is_sharded = self.sharding.is_sharded();
+        let calls = outgoing.worker_calls + if is_sharded { RELAYED_CALLS_MAX } else { 0 };
+        let falls_behind =
+            !is_sharded && scheduler.is_behind(now) && machine_limit.is_large_fleet(machines);
+        scheduler.most_direct = if falls_behind { calls.min(WORKER_CALLS_BEHIND) } else { calls };
+        machines
+    }
+
+    fn log_metrics(&mut self, now: Instant) {
+        let latency = &self.api.latency_ms;
+        tracing::info!(
+            queue = self.state.waiting(),
+            rejected = self.api.refused,
+            p50_ms = latency.value_at_quantile(0.5),
+            p99_ms = latency.value_at_quantile(0.99),
+            store_lost = self.state.lost(now),
+            revision = %self.state.cache.rev,
+            "request metrics"
+        );
+        let load = std::mem::take(&mut self.limits.load);
+        tracing::info!(
+            events = load.events(),
+            mean_us = load.mean_us(),
+            busy = load.busy_share(METRICS_INTERVAL),
+            max_lateness_ms = load.max_lateness().as_millis() as u64,
+            machine_limit = self.limits.machine_limit.current(),
+            "load metrics"
+        );
+        self.api.latency_ms.reset();
+        if let Some(scheduler) = &self.scheduler {
+            scheduler.log_counts(&self.state.cache, now);
+        }
+    }
+}
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,6 +1,6 @@
 use super::{Election, ElectionEvent, LEADER_LEASE_TTL, LEASE_EXTENSION, LEASE_SAFETY_MARGIN};
 use crate::constants::STATE_RETRY;
-use crate::controller::TICK_MOST;
+use crate::controller::TICK_MAX;
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LeaderRecord, StoreRequest, StoreResponse};
 use std::time::Duration;
@@ -74,14 +74,14 @@
     assert!(follower.extend_lease(token, &cache, true, now + LEASE_EXTENSION));
     cache.leader = None;
     let expiry = now + LEASE_EXTENSION * 2;
-    assert!(follower.next_request(&cache, false, expiry - TICK_MOST).is_none());
+    assert!(follower.next_request(&cache, false, expiry - TICK_MAX).is_none());
     // A leader whose key is seen to be gone gets no further extension.
     assert!(!follower.extend_lease(token, &cache, true, now + LEASE_EXTENSION));
-    assert!(follower.next_request(&cache, false, expiry + TICK_MOST).is_some());
+    assert!(follower.next_request(&cache, false, expiry + TICK_MAX).is_some());
     // With a candidacy under way it gets none either.
-    assert!(!follower.extend_lease(token, &cache, true, expiry + TICK_MOST));
+    assert!(!follower.extend_lease(token, &cache, true, expiry + TICK_MAX));
     let mut restarted = Election::new(ControllerId::new("c"), 2, 0, now);
-    assert!(restarted.next_request(&cache, false, now + LEASE_EXTENSION - TICK_MOST).is_none());
+    assert!(restarted.next_request(&cache, false, now + LEASE_EXTENSION - TICK_MAX).is_none());
 }
 
 #[test]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,10 @@
+//! The program: see [`troutspindle::cli`].
+
 #![forbid(unsafe_code)]
 
-fn main() -> std::process::ExitCode {
-    troutspindle::cli::Cli::run()
+use std::process::ExitCode;
+use troutspindle::cli::Cli;
+
+fn main() -> ExitCode {
+    Cli::run()
 }
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::controller::MESH_EVERY;
+use crate::controller::STATUS_INTERVAL;
 
 fn beat(seq: u64) -> PeerMessage {
     PeerMessage::Running { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
@@ -65,7 +65,7 @@
         }
         for seq in 0..5 {
             let _ = tx.try_send(beat(seq));
-            sleep(MESH_EVERY).await;
+            sleep(STATUS_INTERVAL).await;
         }
     }
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::admission::MACHINE_BYTES;
-use crate::controller::TICK_MOST;
+use crate::controller::TICK_MAX;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
 use crate::wire::{JobSpec, TaskStatus};
@@ -303,10 +303,10 @@
         let until = bench.now + late * 3;
         while bench.now < until {
             // Behind a cut nobody is heard, until it ends.
-            if open || bench.now + TICK_MOST * 2 >= until {
+            if open || bench.now + TICK_MAX * 2 >= until {
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
-            bench.pass(TICK_MOST);
+            bench.pass(TICK_MAX);
             for (id, _, direct) in std::mem::take(&mut bench.scheduler.direct) {
                 let sent = match direct {
                     DirectCall::Do(orders) => Some(orders),
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -717,7 +717,7 @@
     world.floor = floor;
     for node in 0..NODES {
         world.nodes[node] =
-            Controller::new(settings(NODES, node, false, floor), seed * 10, world.wall());
+            Controller::new(settings(NODES, node, false, floor), seed * 10, world.wall()).ok();
     }
     world.capacity = [2, 0];
     let services: Vec<u64> = (100..125).collect();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: faults are named, the example file equals the defaults.
 
-use troutspindle::admission::read_together;
+use troutspindle::admission::max_unhandled_requests;
 use troutspindle::settings::{Operator, Settings};
 
 const PLATFORM: &str = r#"{
@@ -86,7 +86,8 @@
     assert!(fault(r#""memory_mb": -1, "max_sockets": 700"#).contains("params.resources.memory_mb"));
     assert!(fault(r#""cpu": 0.1, "max_sockets": 0"#).contains("params.resources.max_sockets"));
     assert!(fault(r#""cpu": 0.1"#).contains("max_sockets"));
-    let together = |text: &str| read_together(&resources(text).unwrap().platform.params.resources);
+    let together =
+        |text: &str| max_unhandled_requests(&resources(text).unwrap().platform.params.resources);
     let whole = together(r#""max_sockets": 700"#);
     assert_eq!(whole, together(r#""cpu": 0.0, "max_sockets": 700"#));
     assert_eq!(whole, together(r#""cpu": 1.0, "max_sockets": 700"#));
