--- a/src/admission.rs
+++ b/src/admission.rs
@@ -12,7 +12,7 @@
 
 pub use budget::{REQUEST_COST, max_unhandled_requests};
 pub use load_estimator::LoadEstimator;
-pub use machine_limit::MachineLimit;
+pub use machine_limit::{MACHINE_BYTES, MachineLimit};
 pub use queue::{AdmissionQueue, Dequeued, RequestClass};
 pub use retry_after::retry_after_s;
 pub use sharding::ShardingPolicy;
--- a/src/admission/machine_limit.rs
+++ b/src/admission/machine_limit.rs
@@ -8,7 +8,7 @@
 /// Share of the platform's memory limit that what is known of machines may take up.
 const MACHINE_MEMORY_SHARE: f64 = 0.5;
 /// Bytes. What a leader holds for a machine: its tasks, its connection and its part of the jobs.
-const MACHINE_BYTES: f64 = 12_000.0;
+pub const MACHINE_BYTES: f64 = 12_000.0;
 /// Pause between two adjustments: longer than a failover keeps a leader busy.
 const ADJUSTMENT_INTERVAL: Duration = Duration::from_secs(15);
 /// Share of the machines that resources allow up to which lateness is no reason to rent fewer.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -153,9 +153,9 @@
         self.stalls.record_event(now);
         match event {
             Event::Request { ticket, request } => self.on_request(ticket, &request, now),
-            Event::StoreResponse { id, response } => self.state.on_reply(id, response, now),
+            Event::StoreResponse { id, response } => self.state.on_response(id, response, now),
             Event::CloudResponse { id, result } => {
-                for event in self.cloud.on_reply(id, result, now) {
+                for event in self.cloud.on_response(id, result, now) {
                     self.on_cloud_event(event, now);
                 }
             }
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -50,7 +50,7 @@
         }
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
-            if !self.state.cache.heartbeats.contains_key(&peer) {
+            if !self.state.cache.controller_leases.contains_key(&peer) {
                 // It has no lease, so nothing reaches it that it would understand for certain.
                 continue;
             }
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -70,7 +70,7 @@
     fn is_finished_or_cancelling(&self, task: &TaskStatus) -> bool {
         let job = &task.task.job;
         let is_finished =
-            |id| self.state.cache.jobs.get(id).is_some_and(|job| job.over().is_some());
+            |id| self.state.cache.jobs.get(id).is_some_and(|job| job.final_state().is_some());
         self.api.acknowledged_cancellations.contains(job) || is_finished(job)
     }
 
@@ -78,7 +78,7 @@
     fn delegated_token(&mut self, machine: &MachineId, now: Instant) -> Option<FencingToken> {
         let newest = self.state.cache.token.0;
         let is_alone = !self.peers.is_any_reachable(now)
-            || self.state.lost(now) && self.later_leader(now).is_none();
+            || self.state.is_unavailable(now) && self.later_leader(now).is_none();
         // Whoever holds a later leader's grant keeps to it, and to its revocations, though it led itself.
         let latest = newest.max(self.delegated_lease.acknowledged().token);
         match &mut self.scheduler {
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -52,9 +52,9 @@
         }
         self.keep_controller_lease(now);
         self.advance_cancellations(now);
-        let store_lost = self.state.lost(now);
+        let store_lost = self.state.is_unavailable(now);
         if let Some(request) = self.election.next_request(&self.state.cache, store_lost, now) {
-            self.state.election(request, now);
+            self.state.send_election_request(request, now);
         }
     }
 
@@ -68,7 +68,7 @@
         }
         self.api.cancellation_acks.set_own_lease(&self.controller_lease);
         if let Some(request) = self.controller_lease.next_request(cache, now) {
-            self.state.heartbeat(request, now);
+            self.state.send_lease_request(request, now);
         }
     }
 
@@ -94,7 +94,7 @@
         self.scheduler = None;
         self.state.set_leading(false, now);
         if let Some(request) = self.election.resign(now) {
-            self.state.election(request, now);
+            self.state.send_election_request(request, now);
         }
     }
 
@@ -105,7 +105,7 @@
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.flavors.0.is_empty() {
+        if self.state.cache.machine_types.0.is_empty() {
             // Without machine types nothing can be placed; they come from the cloud soon.
             self.state.sync_soon(TAKEOVER_TICKET);
             return;
@@ -152,7 +152,7 @@
         let redirected_by = scheduler.last_report + REDIRECT_TIME_MAX;
         let is_missing_workers =
             self.peers.last_worker_heartbeat().is_some_and(|at| at > redirected_by);
-        if !is_missing_workers || silence <= patience || self.state.lost(now) {
+        if !is_missing_workers || silence <= patience || self.state.is_unavailable(now) {
             return;
         }
         let known = scheduler.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -4,11 +4,10 @@
 use crate::drains::{self, DrainRecord};
 use crate::http::Response;
 use crate::ids::MachineId;
-use crate::jobs;
 use crate::scheduler::Scheduler;
 use crate::store::records;
-use crate::store::{Item, Origin, Outcome, Rank};
-use crate::wire::{Data, Precondition, Write};
+use crate::store::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use subtle::ConstantTimeEq;
@@ -86,7 +85,7 @@
             reason: request.reason,
         };
         let key = drains::key(record.kind, &record.name);
-        self.store_drain(ticket, key, records::data(&record))
+        self.store_drain(ticket, key, records::to_value(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
@@ -119,23 +118,28 @@
 
     /// Stores a drain, or that it is taken back, by compare-and-swap with what this controller knows of it: of two
     /// operators at once, one is told of the conflict.
-    fn store_drain(&mut self, ticket: u64, key: String, data: Data) -> Option<Response> {
+    fn store_drain(&mut self, ticket: u64, key: String, data: StoreValue) -> Option<Response> {
         if !self.state.cache.loaded {
             return Some(Response::later(503));
         }
         let revision = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
         let guards = vec![Precondition { key: key.clone(), rev: revision }];
-        let change = jobs::Change { guards, writes: vec![Write::Put { key, data, hold: None }] };
-        self.state.push(Item { rank: Rank::Awaited, origin: Origin::Operator(ticket), change });
+        let transaction =
+            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+        self.state.enqueue(PendingWrite {
+            priority: WritePriority::Blocking,
+            origin: WriteOrigin::Operator(ticket),
+            transaction,
+        });
         None
     }
 
-    pub(super) fn on_drain_outcome(&mut self, ticket: u64, outcome: Outcome) {
+    pub(super) fn on_drain_outcome(&mut self, ticket: u64, outcome: WriteOutcome) {
         let response = match outcome {
-            Outcome::Committed => Response::empty(200),
-            Outcome::Conflict => Response::empty(409),
-            Outcome::Invalid => Response::empty(422),
-            Outcome::Refused | Outcome::Unknown => Response::later(503),
+            WriteOutcome::Committed => Response::empty(200),
+            WriteOutcome::Conflict => Response::empty(409),
+            WriteOutcome::Invalid => Response::empty(422),
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Response::later(503),
         };
         self.respond(ticket, response);
     }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -140,7 +140,7 @@
         let cache = &self.state.cache;
         // Before all controllers keep leases, a leader isn't asked for its own.
         let has_controller_lease = self.state.layout().format < FORMAT_HEARTBEAT
-            || cache.heartbeats.contains_key(&status.from);
+            || cache.controller_leases.contains_key(&status.from);
         if !self.election.extend_lease(token, cache, has_controller_lease, now) {
             return;
         }
--- a/src/controller/readiness.rs
+++ b/src/controller/readiness.rs
@@ -15,7 +15,8 @@
     /// Whether requests can be taken. A controller that alone has lost the store is not ready, so that users go where
     /// they are served.
     pub(super) fn is_ready(&self, now: Instant) -> bool {
-        let is_cut_off = self.state.lost(now) && self.peers.views().any(|peer| peer.has_store(now));
+        let is_cut_off =
+            self.state.is_unavailable(now) && self.peers.views().any(|peer| peer.has_store(now));
         let leaves_users = self.defers_to_peers(now) || self.sheds_users(now);
         self.state.cache.loaded && !is_cut_off && !leaves_users
     }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -75,7 +75,7 @@
         let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_CUT_OFF_AFTER };
         let synced_at = self.state.synced_at;
         let is_synced = synced_at.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
-        (is_cut_off && is_synced && !self.state.lost(now)).then(|| leader.node.clone())
+        (is_cut_off && is_synced && !self.state.is_unavailable(now)).then(|| leader.node.clone())
     }
 
     /// A batch of relayed heartbeats for this leader.
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -39,7 +39,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
     controller
 }
 
--- a/src/controller/store_events.rs
+++ b/src/controller/store_events.rs
@@ -5,7 +5,7 @@
 use super::ticks::PROBE_TICKET;
 use crate::http::Response;
 use crate::leadership::election::ElectionStep;
-use crate::store::{Origin, Outcome, StoreEvent};
+use crate::store::{StoreEvent, WriteOrigin, WriteOutcome};
 use tokio::time::Instant;
 
 impl Controller {
@@ -14,7 +14,7 @@
             StoreEvent::Loaded => {
                 tracing::info!(jobs = self.state.cache.jobs.all.len(), "store cache loaded");
             }
-            StoreEvent::Changed(ids) => {
+            StoreEvent::JobsChanged(ids) => {
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.on_jobs(&ids, &self.state.cache, now);
                 }
@@ -37,15 +37,15 @@
         }
     }
 
-    fn on_outcome(&mut self, origin: Origin, outcome: Outcome, now: Instant) {
+    fn on_outcome(&mut self, origin: WriteOrigin, outcome: WriteOutcome, now: Instant) {
         match origin {
-            Origin::Operator(ticket) => self.on_drain_outcome(ticket, outcome),
-            Origin::User(ticket) => {
+            WriteOrigin::Operator(ticket) => self.on_drain_outcome(ticket, outcome),
+            WriteOrigin::User(ticket) => {
                 let response = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 self.respond_if_ready(ticket, response);
             }
             origin => {
-                if outcome != Outcome::Committed {
+                if outcome != WriteOutcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
                 if let Some(scheduler) = &mut self.scheduler {
@@ -57,7 +57,7 @@
 
     fn on_election_step(&mut self, step: ElectionStep, now: Instant) {
         for request in step.requests {
-            self.state.election(request, now);
+            self.state.send_election_request(request, now);
         }
         if let Some(event) = step.event {
             self.on_election_event(event, now);
--- a/src/controller/store_relay.rs
+++ b/src/controller/store_relay.rs
@@ -2,12 +2,11 @@
 
 use super::Controller;
 use crate::ids::ControllerId;
-use crate::jobs;
 use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
 use crate::peers::mesh::{self, PeerMessage};
 use crate::peers::message_route::MessageRoute;
-use crate::store::{Item, Origin, RELAY_PREFIX, Rank};
-use crate::wire::{Data, Precondition, Write};
+use crate::store::{PendingWrite, RELAY_PREFIX, WriteOrigin, WritePriority};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -33,7 +32,7 @@
         if leader == *self.name()
             || now < self.schedule.store_relay_at
             || now.saturating_duration_since(last_heard) < PEER_UNREACHABLE_AFTER
-            || self.state.lost(now)
+            || self.state.is_unavailable(now)
         {
             return;
         }
@@ -46,7 +45,7 @@
         let Some(text) = mesh::to_text(message) else { return };
         let layout = self.state.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.name());
-        let is_pending = |part| self.state.has_item(&Origin::Relay(to.clone(), part));
+        let is_pending = |part| self.state.is_pending(&WriteOrigin::Relay(to.clone(), part));
         if layout.fits(&text) {
             if !is_pending(WHOLE_MESSAGE) {
                 self.write_relayed_texts(to, WHOLE_MESSAGE, &[RelayedText { key, text }]);
@@ -76,15 +75,15 @@
         };
         let write = |text: &RelayedText| Write::Put {
             key: text.key.clone(),
-            data: Data::Text(text.text.clone()),
+            data: StoreValue::Text(text.text.clone()),
             hold: None,
         };
-        let change = jobs::Change {
+        let transaction = Transaction {
             guards: texts.iter().map(guard).collect(),
             writes: texts.iter().map(write).collect(),
         };
-        let origin = Origin::Relay(to.clone(), part);
-        self.state.push(Item { rank: Rank::Awaited, origin, change });
+        let origin = WriteOrigin::Relay(to.clone(), part);
+        self.state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
     }
 
     /// Takes in messages that came by way of the store.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -22,7 +22,7 @@
     controller.state.poll(now);
     let (id, _) = controller.state.calls.pop_front().unwrap();
     let page = RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    controller.state.on_reply(id, StoreResponse::RangeResponse(page), now);
+    controller.state.on_response(id, StoreResponse::Range(page), now);
 }
 
 /// Two grants in chunks within one status interval under one number: the second's number would come with the
@@ -50,7 +50,7 @@
                 let Write::Put { data, .. } = write else { panic!() };
                 received.extend(chunks.take(data.as_text().unwrap()));
             }
-            controller.state.on_reply(id, StoreResponse::Committed(Revision(1 + number)), now);
+            controller.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
         controller.state.events.clear();
     }
@@ -94,7 +94,7 @@
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
-    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
     let max_calls = |controller: &mut Controller, machines: u32, falls_behind: bool| {
         let cache = &controller.state.cache;
         let token = FencingToken(1);
@@ -213,7 +213,7 @@
             Some(rev) => StoreResponse::Committed(rev),
             None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
         };
-        controller.state.on_reply(id, reply, now);
+        controller.state.on_response(id, reply, now);
         while let Some(event) = controller.state.events.pop_front() {
             controller.on_store_event(event, now);
         }
@@ -232,7 +232,7 @@
     let wall = WallClock { at: start, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
     read_empty_store(&mut controller, start);
-    controller.state.cache.flavors.0 = vec![crate::settings::plain_flavor()];
+    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -80,7 +80,7 @@
         self.probe_store(now);
         self.log_cluster_format();
         if !self.settings.operator.hold_format {
-            self.state.tell_version();
+            self.state.publish_version();
         }
         for (ticket, response) in self.api.tick(&self.state, now) {
             self.respond(ticket, response);
@@ -102,7 +102,7 @@
             from: self.name().clone(),
             seq: self.peer_requests.next_status(now),
             leading: self.scheduler.as_ref().and(self.election.token()),
-            state_lost: self.state.lost(now),
+            state_lost: self.state.is_unavailable(now),
             ack: (token, number),
             up_ms: age_ms(self.started_at, now),
             answered_for_leader: self.delegated_lease.answered_for_leader(now),
@@ -180,11 +180,11 @@
     fn log_metrics(&mut self, now: Instant) {
         let latency = &self.api.latency_ms;
         tracing::info!(
-            queue = self.state.waiting(),
+            queue = self.state.queue_length(),
             rejected = self.api.refused,
             p50_ms = latency.value_at_quantile(0.5),
             p99_ms = latency.value_at_quantile(0.99),
-            store_lost = self.state.lost(now),
+            store_lost = self.state.is_unavailable(now),
             revision = %self.state.cache.rev,
             "request metrics"
         );
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -118,7 +118,7 @@
             return;
         }
         for peer in &self.peers {
-            let revision = cache.heartbeats.get(peer).copied();
+            let revision = cache.controller_leases.get(peer).copied();
             let format = cache.versions.get(peer).map_or(0, |(version, _)| version.format);
             match self.observed.get_mut(peer) {
                 Some(observed) if observed.revision == revision => {}
--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -54,11 +54,11 @@
     /// What a request of the controller does here.
     fn execute(&mut self, request: &StoreRequest, now: Instant) -> StoreResponse {
         match request {
-            StoreRequest::NewLease(life) => {
+            StoreRequest::GrantLease(life) => {
                 self.lease_expiries.push(now + *life);
-                StoreResponse::Lease(LeaseId(self.lease_expiries.len() as u64 - 1))
+                StoreResponse::LeaseGranted(LeaseId(self.lease_expiries.len() as u64 - 1))
             }
-            StoreRequest::Touch(lease) if self.lease_expiries[lease.0 as usize] > now => {
+            StoreRequest::KeepAlive(lease) if self.lease_expiries[lease.0 as usize] > now => {
                 self.lease_expiries[lease.0 as usize] = now + CONTROLLER_LEASE_TTL;
                 StoreResponse::Done
             }
@@ -77,8 +77,8 @@
     /// What a cache that has read the store shows.
     fn show(&self, cache: &mut Cache, controller: &ControllerId) {
         match self.key {
-            Some(key) => cache.heartbeats.insert(controller.clone(), Revision(key.revision)),
-            None => cache.heartbeats.remove(controller),
+            Some(key) => cache.controller_leases.insert(controller.clone(), Revision(key.revision)),
+            None => cache.controller_leases.remove(controller),
         };
         let version = (VERSION, Revision(self.version_revision));
         cache.versions.insert(controller.clone(), version);
@@ -182,9 +182,9 @@
         let mut cache = Cache::new(16);
         cache.loaded = true;
         cache.versions.insert(name.clone(), (VERSION, Revision(1)));
-        let spec = std::sync::Arc::new(crate::jobs::plain_spec("wk-1", 2));
-        let record = records::data(&records::Record::live(1, Some(spec)));
-        cache.jobs.put_job(job.clone(), &record, Revision(2));
+        let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
+        let record = records::to_value(&records::JobRecord::live(1, Some(spec)));
+        cache.jobs.apply_record(job.clone(), &record, Revision(2));
         Day {
             store: Store { revision: 1, version_revision: 1, ..Store::default() },
             follower: Follower::started(&name, start),
@@ -352,7 +352,7 @@
     let mut cache = Cache::new(16);
     cache.versions.insert(name.clone(), (VERSION, Revision(1)));
     let mut lease = ControllerLease::new(name, now);
-    for response in [StoreResponse::Lease(LeaseId(1)), StoreResponse::Committed(revision)] {
+    for response in [StoreResponse::LeaseGranted(LeaseId(1)), StoreResponse::Committed(revision)] {
         let request = lease.next_request(&cache, now).unwrap();
         lease.on_response(&request, now, &response, now);
     }
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -8,8 +8,8 @@
 use crate::constants::{DELEGATION_TERM, DRIFT, STATE_RETRY};
 use crate::ids::{ControllerId, LeaseId, Revision};
 use crate::store::records;
-use crate::store::{Cache, HEARTBEAT_PREFIX, StoreRequest, StoreResponse};
-use crate::wire::{Data, Precondition, Transaction, Write};
+use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -20,7 +20,7 @@
 
 /// The key at the store that lasts as long as the controller's lease.
 pub fn controller_lease_key(controller: &ControllerId) -> String {
-    format!("{HEARTBEAT_PREFIX}{controller}")
+    format!("{CONTROLLER_LEASE_PREFIX}{controller}")
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,11 +75,11 @@
             return None;
         }
         let request = match self.state {
-            LeaseState::Absent => StoreRequest::NewLease(CONTROLLER_LEASE_TTL),
+            LeaseState::Absent => StoreRequest::GrantLease(CONTROLLER_LEASE_TTL),
             LeaseState::Granted { lease, .. } => {
                 StoreRequest::Commit(self.key_transaction(lease, cache)?)
             }
-            LeaseState::Held { lease, .. } => StoreRequest::Touch(lease),
+            LeaseState::Held { lease, .. } => StoreRequest::KeepAlive(lease),
         };
         self.in_flight = true;
         Some(request)
@@ -89,7 +89,7 @@
     /// so its revision tells an absence of the lease from a later one.
     fn key_transaction(&self, lease: LeaseId, cache: &Cache) -> Option<Transaction> {
         let (version, version_revision) = cache.versions.get(&self.me)?;
-        let lease_revision = cache.heartbeats.get(&self.me).copied().unwrap_or_default();
+        let lease_revision = cache.controller_leases.get(&self.me).copied().unwrap_or_default();
         let version_key = records::version_key(&self.me);
         let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
         Some(Transaction {
@@ -98,8 +98,8 @@
                 Precondition { key: version_key.clone(), rev: *version_revision },
             ],
             writes: vec![
-                put(&self.key, Data::Bool(true), Some(lease)),
-                put(&version_key, records::data(version), None),
+                put(&self.key, StoreValue::Bool(true), Some(lease)),
+                put(&version_key, records::to_value(version), None),
             ],
         })
     }
@@ -115,7 +115,11 @@
         self.in_flight = false;
         self.due = now + STATE_RETRY * 2;
         match (self.state, request, response) {
-            (LeaseState::Absent, StoreRequest::NewLease(_), StoreResponse::Lease(lease)) => {
+            (
+                LeaseState::Absent,
+                StoreRequest::GrantLease(_),
+                StoreResponse::LeaseGranted(lease),
+            ) => {
                 self.state = LeaseState::Granted { lease: *lease, requested_at: sent_at };
                 self.due = now;
             }
@@ -133,11 +137,11 @@
             (LeaseState::Granted { .. }, StoreRequest::Commit(_), _) => {
                 self.state = LeaseState::Absent;
             }
-            (LeaseState::Held { .. }, StoreRequest::Touch(_), StoreResponse::Done) => {
+            (LeaseState::Held { .. }, StoreRequest::KeepAlive(_), StoreResponse::Done) => {
                 self.renewed_at = self.renewed_at.max(sent_at);
                 self.due = sent_at + CONTROLLER_LEASE_RENEWAL_INTERVAL;
             }
-            (LeaseState::Held { .. }, StoreRequest::Touch(_), StoreResponse::Gone) => {
+            (LeaseState::Held { .. }, StoreRequest::KeepAlive(_), StoreResponse::Gone) => {
                 self.state = LeaseState::Absent;
                 self.due = now;
             }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use crate::constants::{DRIFT, STATE_RETRY};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
-use crate::wire::{Data, Precondition, Transaction, Write};
+use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -201,7 +201,7 @@
         self.role = Role::Follower;
         self.candidacy_at = now + RESIGNATION_BACKOFF;
         self.extended_until.clear();
-        Some(StoreRequest::DropLease(lease))
+        Some(StoreRequest::RevokeLease(lease))
     }
 
     /// Leaves candidacy to peers for a while, since this controller is drained.
@@ -221,10 +221,10 @@
         match self.role {
             Role::Follower => self.next_candidacy(cache, store_lost, now),
             Role::RevokingLease { lease } => {
-                self.is_renewal_due(now).then_some(StoreRequest::DropLease(lease))
+                self.is_renewal_due(now).then_some(StoreRequest::RevokeLease(lease))
             }
             Role::Leader { lease, .. } => {
-                self.is_renewal_due(now).then_some(StoreRequest::Touch(lease))
+                self.is_renewal_due(now).then_some(StoreRequest::KeepAlive(lease))
             }
             Role::RequestingLease | Role::Candidate { .. } => None,
         }
@@ -245,7 +245,7 @@
             return None;
         }
         self.role = Role::RequestingLease;
-        Some(StoreRequest::NewLease(LEADER_LEASE_TTL))
+        Some(StoreRequest::GrantLease(LEADER_LEASE_TTL))
     }
 
     fn is_renewal_due(&mut self, now: Instant) -> bool {
@@ -279,19 +279,19 @@
         now: Instant,
     ) -> ElectionStep {
         match (self.role.clone(), request) {
-            (Role::RequestingLease, StoreRequest::NewLease(_)) => {
+            (Role::RequestingLease, StoreRequest::GrantLease(_)) => {
                 self.on_lease_response(sent_at, response, cache, now)
             }
             (Role::Candidate { lease, requested_at, token }, StoreRequest::Commit(_)) => {
                 self.on_candidacy_outcome(lease, requested_at, token, response, now)
             }
-            (Role::RevokingLease { lease }, StoreRequest::DropLease(dropped))
+            (Role::RevokingLease { lease }, StoreRequest::RevokeLease(dropped))
                 if lease == *dropped =>
             {
                 self.on_revocation_response(response, now);
                 ElectionStep::default()
             }
-            (Role::Leader { lease, .. }, StoreRequest::Touch(renewed)) if lease == *renewed => {
+            (Role::Leader { lease, .. }, StoreRequest::KeepAlive(renewed)) if lease == *renewed => {
                 self.on_renewal_response(sent_at, response, now)
             }
             _ => ElectionStep::default(),
@@ -305,14 +305,14 @@
         cache: &Cache,
         now: Instant,
     ) -> ElectionStep {
-        let StoreResponse::Lease(lease) = response else {
+        let StoreResponse::LeaseGranted(lease) = response else {
             self.return_to_follower(now);
             return ElectionStep::default();
         };
         // Since the request a leader may have been found, or its lease been extended.
         if cache.leader.is_some() || now < self.withhold_candidacy_until {
             self.return_to_follower(now);
-            return ElectionStep::request(StoreRequest::DropLease(*lease));
+            return ElectionStep::request(StoreRequest::RevokeLease(*lease));
         }
         let (last_token, token_revision) = cache.token;
         let token = FencingToken(last_token.0 + 1);
@@ -345,7 +345,7 @@
             }
             _ => {
                 self.return_to_follower(now);
-                ElectionStep::request(StoreRequest::DropLease(lease))
+                ElectionStep::request(StoreRequest::RevokeLease(lease))
             }
         }
     }
@@ -392,15 +392,19 @@
         lease: LeaseId,
     ) -> Transaction {
         let record = LeaderRecord { node: self.me.clone(), token };
-        let put = |key: &str, data: Data, hold| Write::Put { key: key.into(), data, hold };
+        let put = |key: &str, data: StoreValue, hold| Write::Put { key: key.into(), data, hold };
         Transaction {
             guards: vec![
                 Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
                 Precondition { key: TOKEN_KEY.into(), rev: token_revision },
             ],
             writes: vec![
-                put(LEADER_KEY, Data::serialized(&record).unwrap_or(Data::Null), Some(lease)),
-                put(TOKEN_KEY, Data::from(token.0), None),
+                put(
+                    LEADER_KEY,
+                    StoreValue::serialized(&record).unwrap_or(StoreValue::Null),
+                    Some(lease),
+                ),
+                put(TOKEN_KEY, StoreValue::from(token.0), None),
             ],
         }
     }
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -32,7 +32,7 @@
 /// Lets a follower become a candidate, and returns its transaction.
 fn become_candidate(election: &mut Election, cache: &Cache, now: Instant) -> StoreRequest {
     let request = election.next_request(cache, false, now).unwrap();
-    let response = StoreResponse::Lease(LeaseId(7));
+    let response = StoreResponse::LeaseGranted(LeaseId(7));
     election.on_response(&request, now, &response, cache, now).requests.remove(0)
 }
 
@@ -102,7 +102,7 @@
     let (mut election, commit) = candidate_without_peers(&cache, now);
     election.on_response(&commit, now, &StoreResponse::Unknown, &cache, now);
     let request = election.next_request(&cache, false, now).unwrap();
-    assert!(matches!(request, StoreRequest::DropLease(LeaseId(7))));
+    assert!(matches!(request, StoreRequest::RevokeLease(LeaseId(7))));
     election.on_response(&request, now, &StoreResponse::Done, &cache, now);
     assert!(election.next_request(&cache, false, now).is_none());
     assert!(election.next_request(&cache, false, now + STATE_RETRY * 2).is_some());
