--- a/src/controller.rs
+++ b/src/controller.rs
@@ -39,7 +39,7 @@
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::Election;
-use crate::peers::mesh::{PeerMessage, Pieces};
+use crate::peers::mesh::{ChunkAssembler, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
@@ -71,7 +71,7 @@
     delegated_lease: DelegatedLease,
     controller_lease: ControllerLease,
     /// Messages by way of the store of which some chunks have come.
-    chunks: HashMap<ControllerId, Pieces>,
+    chunks: HashMap<ControllerId, ChunkAssembler>,
     sharding: HeartbeatSharding,
     limits: ResourceLimits,
     stalls: StallDetector,
--- a/src/controller/actor/outgoing_calls.rs
+++ b/src/controller/actor/outgoing_calls.rs
@@ -55,7 +55,7 @@
     pub(super) fn set_max_idle(&mut self, max_idle: usize) {
         if max_idle != self.max_idle {
             self.max_idle = max_idle;
-            self.client.keep_most(max_idle);
+            self.client.set_max_idle(max_idle);
         }
     }
 
--- a/src/controller/actor/peer_links.rs
+++ b/src/controller/actor/peer_links.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::ticks::METRICS_INTERVAL;
 use crate::ids::ControllerId;
-use crate::peers::mesh::{self, PeerMessage, Written};
+use crate::peers::mesh::{self, PeerMessage, TrafficCounters};
 use crate::settings::Peer;
 use foldhash::HashMap;
 use tokio::sync::{mpsc, watch};
@@ -15,8 +15,8 @@
 /// One connection to each peer.
 pub(super) struct PeerLinks {
     senders: HashMap<ControllerId, mpsc::Sender<PeerMessage>>,
-    traffic: Vec<watch::Receiver<Written>>,
-    logged: Written,
+    traffic: Vec<watch::Receiver<TrafficCounters>>,
+    logged: TrafficCounters,
     logged_at: Instant,
 }
 
@@ -26,12 +26,12 @@
         let mut links = PeerLinks {
             senders: HashMap::default(),
             traffic: Vec::new(),
-            logged: Written::default(),
+            logged: TrafficCounters::default(),
             logged_at: now,
         };
         for peer in peers {
             let (sender, messages) = mpsc::channel(PEER_QUEUE_CAPACITY);
-            let (counted, traffic) = watch::channel(Written::default());
+            let (counted, traffic) = watch::channel(TrafficCounters::default());
             background.spawn(mesh::dial(peer.peer_addr, messages, counted));
             links.traffic.push(traffic);
             links.senders.insert(peer.host_name.clone(), sender);
@@ -52,7 +52,7 @@
         if elapsed < METRICS_INTERVAL {
             return;
         }
-        let mut total = Written::default();
+        let mut total = TrafficCounters::default();
         for traffic in &self.traffic {
             let written = *traffic.borrow();
             total.frames += written.frames;
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -59,7 +59,7 @@
             let seq = self.peer_requests.next_seq();
             self.api.cancellation_acks.record_request(seq, now);
             let from = self.name().clone();
-            self.send(&peer, PeerMessage::Cancelling { from, seq, jobs }, route);
+            self.send(&peer, PeerMessage::CancellationRequest { from, seq, jobs }, route);
         }
     }
 
@@ -97,7 +97,7 @@
         });
         let me = self.name().clone();
         let under = self.controller_lease.revision();
-        self.send(from, PeerMessage::Promised { from: me, seq, under, jobs, placed }, route);
+        self.send(from, PeerMessage::CancellationAck { from: me, seq, under, jobs, placed }, route);
     }
 
     /// A peer acknowledges cancellations.
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use subtle::ConstantTimeEq;
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 /// Bytes. A text in an operator's request.
 const NOTE_MAX: usize = 200;
@@ -46,7 +46,7 @@
         now: Instant,
         query: impl Fn(&Scheduler) -> T,
     ) -> Response {
-        if self.authorize(body, |question: &ops::Question| &question.key).is_none() {
+        if self.authorize(body, |question: &operator_api::OperatorQuery| &question.key).is_none() {
             return Response::empty(404);
         }
         match &self.scheduler {
@@ -56,7 +56,7 @@
     }
 
     pub(super) fn on_list_drains(&self, body: &[u8], now: Instant) -> Response {
-        if self.authorize(body, |question: &ops::Question| &question.key).is_none() {
+        if self.authorize(body, |question: &operator_api::OperatorQuery| &question.key).is_none() {
             return Response::empty(404);
         }
         let cache = &self.state.cache;
@@ -69,7 +69,9 @@
 
     /// Any controller stores a drain; the response comes when it is committed.
     pub(super) fn on_drain(&mut self, ticket: u64, body: &[u8], now: Instant) -> Option<Response> {
-        let Some(request) = self.authorize(body, |request: &ops::DrainOrder| &request.key) else {
+        let Some(request) =
+            self.authorize(body, |request: &operator_api::DrainRequest| &request.key)
+        else {
             return Some(Response::empty(404));
         };
         if !self.is_known(&request) || !is_well_formed(&request) {
@@ -89,7 +91,9 @@
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
-        let Some(request) = self.authorize(body, |request: &ops::DrainName| &request.key) else {
+        let Some(request) =
+            self.authorize(body, |request: &operator_api::UndrainRequest| &request.key)
+        else {
             return Some(Response::empty(404));
         };
         let key = drains::key(request.kind, &request.name);
@@ -100,17 +104,17 @@
     }
 
     /// Whether what is to be drained exists.
-    fn is_known(&self, request: &ops::DrainOrder) -> bool {
+    fn is_known(&self, request: &operator_api::DrainRequest) -> bool {
         let platform = &self.settings.platform;
         match request.kind {
-            ops::DrainKind::Zone => platform.params.zones.contains(&request.name),
-            ops::DrainKind::Controller => {
+            operator_api::DrainKind::Zone => platform.params.zones.contains(&request.name),
+            operator_api::DrainKind::Controller => {
                 let peers = platform.others.iter().map(|peer| &peer.host_name);
                 std::iter::once(&platform.host_name)
                     .chain(peers)
                     .any(|controller| controller.as_str() == request.name)
             }
-            ops::DrainKind::Machine => {
+            operator_api::DrainKind::Machine => {
                 self.state.cache.machines.contains_key(&MachineId::new(&request.name))
             }
         }
@@ -145,7 +149,7 @@
     }
 }
 
-fn is_well_formed(request: &ops::DrainOrder) -> bool {
+fn is_well_formed(request: &operator_api::DrainRequest) -> bool {
     [&request.author, &request.reason].iter().all(|text| text.len() <= NOTE_MAX)
         && request.by_s.is_none_or(|by_s| (0.0..DRAIN_TIME_MAX_S).contains(&by_s))
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -6,7 +6,7 @@
 use crate::constants::FORMAT_HEARTBEAT;
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId};
 use crate::leadership::delegation::{FollowerStatus, GrantId, GrantedMachines};
-use crate::peers::mesh::{PeerExtra, PeerMessage};
+use crate::peers::mesh::{PeerCapabilities, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     uptime: Duration,
     answered_for_leader: Vec<(MachineId, u64)>,
     last_worker_heartbeat: Option<Instant>,
-    capabilities: PeerExtra,
+    capabilities: PeerCapabilities,
 }
 
 impl Controller {
@@ -61,36 +61,36 @@
                 };
                 self.on_peer_status(&status, route, now);
             }
-            PeerMessage::Pledge { from, seq, token, cancelled } => {
+            PeerMessage::LeaseExtension { from, seq, token, cancelled } => {
                 self.on_lease_extension(&from, seq, token, &cancelled);
             }
-            PeerMessage::Grant { seq, token, number, barred, lent } => {
-                let machines = GrantedMachines { revoked: barred, delegated: lent };
+            PeerMessage::LeaseGrant { seq, token, number, revoked, delegated } => {
+                let machines = GrantedMachines { revoked, delegated };
                 self.on_lease_grant(seq, GrantId { token, number }, machines, route, now);
             }
-            PeerMessage::Cancelling { from, seq, jobs } => {
+            PeerMessage::CancellationRequest { from, seq, jobs } => {
                 self.on_cancellation_request(&from, seq, jobs, route, now);
             }
-            PeerMessage::Promised { from, seq, under, jobs, placed } => {
+            PeerMessage::CancellationAck { from, seq, under, jobs, placed } => {
                 let placements =
                     placed.map(|(leader_revision, zones)| JobPlacements { leader_revision, zones });
                 let ack = CancellationAck { from, seq, lease_revision: under, jobs, placements };
                 self.on_cancellation_ack(ack, now);
             }
-            PeerMessage::Running { token, counts } => self.on_running_tasks(token, counts),
-            PeerMessage::Sharing { from, token, members } => {
+            PeerMessage::RunningTasks { token, counts } => self.on_running_tasks(token, counts),
+            PeerMessage::ShardAssignment { from, token, members } => {
                 self.on_shard_assignment(from, token, members, now);
             }
-            PeerMessage::Reports { from, token, batch, reports } => {
-                self.on_relayed_heartbeats(&from, token, batch, reports, now);
+            PeerMessage::RelayedHeartbeats { from, token, batch, heartbeats } => {
+                self.on_relayed_heartbeats(&from, token, batch, heartbeats, now);
             }
-            PeerMessage::Verdicts { token, batch, verdicts } => {
-                self.on_heartbeat_results(token, batch, verdicts, now);
+            PeerMessage::HeartbeatResults { token, batch, results } => {
+                self.on_heartbeat_results(token, batch, results, now);
             }
-            PeerMessage::Deliver { from, token, commands } => {
+            PeerMessage::RelayedCommands { from, token, commands } => {
                 self.on_relayed_commands(&from, token, commands, now);
             }
-            PeerMessage::Delivered { token, results } => {
+            PeerMessage::CommandResults { token, results } => {
                 self.on_command_results(token, results, now);
             }
         }
@@ -145,7 +145,7 @@
             return;
         }
         let cancelled = self.api.cancelled.iter().map(|(id, _)| id.clone());
-        let extension = PeerMessage::Pledge {
+        let extension = PeerMessage::LeaseExtension {
             from: self.name().clone(),
             seq: status.seq,
             token,
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{ControllerId, FencingToken};
 use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
-use crate::peers::mesh::PeerExtra;
+use crate::peers::mesh::PeerCapabilities;
 use crate::store::STATE_LOST;
 use foldhash::HashMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     pub(super) last_heard: Instant,
     pub(super) store_lost: bool,
     pub(super) uptime: Duration,
-    pub(super) capabilities: PeerExtra,
+    pub(super) capabilities: PeerCapabilities,
 }
 
 impl PeerStatusView {
--- a/src/controller/relayed_commands.rs
+++ b/src/controller/relayed_commands.rs
@@ -30,7 +30,10 @@
         }
         let me = self.name().clone();
         for (to, commands) in self.sharding.deliveries.take_frames() {
-            self.send_to_peer(to, PeerMessage::Deliver { from: me.clone(), token, commands });
+            self.send_to_peer(
+                to,
+                PeerMessage::RelayedCommands { from: me.clone(), token, commands },
+            );
         }
     }
 
@@ -79,7 +82,7 @@
     /// Sends the results of calls that are due, and gives up calls that are overdue.
     pub(super) fn advance_relayed_commands(&mut self, now: Instant) {
         for (to, token, results) in self.sharding.forwarded.take_results(now) {
-            self.send_to_peer(to, PeerMessage::Delivered { token, results });
+            self.send_to_peer(to, PeerMessage::CommandResults { token, results });
         }
         for (machine, sent, result) in self.sharding.deliveries.take_overdue(now) {
             self.on_worker_response(&machine, sent.as_ref(), result, now);
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -4,7 +4,9 @@
 use super::worker_heartbeats::redirect;
 use crate::http::Response;
 use crate::ids::{ControllerId, FencingToken};
-use crate::peers::heartbeat_relay::{RELAY_TERM, RelayedHeartbeat, Verdict};
+use crate::peers::heartbeat_relay::{
+    HeartbeatResult, OversizedHeartbeat, RELAY_TERM, RelayedHeartbeat,
+};
 use crate::peers::mesh::PeerMessage;
 use crate::store::STATE_LOST;
 use crate::wire::{self, Heartbeat};
@@ -38,7 +40,7 @@
         // The leader starts nothing on a worker that it doesn't hear from: who can reach it goes there, as far as it
         // has sockets, and who comes back is kept alive here.
         if let Some(leader) = self.cut_off_leader(now)
-            && self.sharding.redirects.try_send(&heartbeat.machine, now)
+            && self.sharding.redirects.try_redirect(&heartbeat.machine, now)
         {
             return Some(redirect(&leader));
         }
@@ -59,14 +61,15 @@
         heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let too_large = self.sharding.relay.hold(ticket, heartbeat, now)?;
-        Some(self.respond_without_leader(&too_large, now))
+        let oversized = self.sharding.relay.accept(ticket, heartbeat, now);
+        let OversizedHeartbeat(heartbeat) = oversized.err()?;
+        Some(self.respond_without_leader(&heartbeat, now))
     }
 
     /// The leader to which heartbeats were relayed, where it is cut off from this controller and not from the store.
     fn cut_off_leader(&self, now: Instant) -> Option<ControllerId> {
         let (leader, _) = self.state.cache.leader.as_ref()?;
-        let lapsed = self.sharding.relay.lapsed(leader.token, now)?;
+        let lapsed = self.sharding.relay.time_since_assignment(leader.token, now)?;
         let silence = match self.peers.last_heard(&leader.node) {
             Some(at) => now.saturating_duration_since(at).min(lapsed),
             None => lapsed,
@@ -94,8 +97,11 @@
             return;
         };
         match scheduler.on_relayed(from, heartbeats, &self.state.cache, now) {
-            Some(verdicts) => {
-                self.send_to_peer(from.clone(), PeerMessage::Verdicts { token, batch, verdicts });
+            Some(results) => {
+                self.send_to_peer(
+                    from.clone(),
+                    PeerMessage::HeartbeatResults { token, batch, results },
+                );
             }
             None => {
                 tracing::info!(controller = %from, "a worker has seen a higher fencing token");
@@ -109,11 +115,11 @@
         &mut self,
         token: FencingToken,
         batch: u64,
-        results: Vec<(u32, Verdict)>,
+        results: Vec<(u32, HeartbeatResult)>,
         now: Instant,
     ) {
-        for (ticket, commands) in self.sharding.relay.on_answers(token, batch, results, now) {
-            self.respond(ticket, Response::with(200, wire::encode(&commands)));
+        for reply in self.sharding.relay.on_results(token, batch, results, now) {
+            self.respond(reply.ticket, Response::with(200, wire::encode(&reply.commands)));
         }
     }
 
@@ -122,24 +128,24 @@
         self.send_heartbeat_batches(now);
         for overdue in self.sharding.relay.take_overdue(now) {
             let response = if self.holds_leadership(now) && self.scheduler.is_some() {
-                self.respond_as_leader(&overdue.report, now)
+                self.respond_as_leader(&overdue.heartbeat, now)
             } else {
-                self.respond_without_leader(&overdue.report, now)
+                self.respond_without_leader(&overdue.heartbeat, now)
             };
             self.respond(overdue.ticket, response);
         }
-        self.sharding.relay.forget_beyond(self.limits.sockets.public * REMEMBERED_PER_SOCKET);
+        self.sharding.relay.evict_beyond(self.limits.sockets.public * REMEMBERED_PER_SOCKET);
         self.advance_relayed_commands(now);
     }
 
     fn send_heartbeat_batches(&mut self, now: Instant) {
         let from = self.name().clone();
         for batch in self.sharding.relay.take_batches(self.state.cache.token.0, now) {
-            let message = PeerMessage::Reports {
+            let message = PeerMessage::RelayedHeartbeats {
                 from: from.clone(),
                 token: batch.token,
                 batch: batch.number,
-                reports: batch.reports,
+                heartbeats: batch.heartbeats,
             };
             self.send_to_peer(batch.leader, message);
         }
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::peers::heartbeat_relay::RelayedHeartbeat;
 use crate::peers::membership::{Member, Membership};
-use crate::peers::mesh::{MESH_PROTOCOL, PeerExtra};
+use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
 use crate::wire::{Heartbeat, TaskState, TaskStatus};
@@ -69,7 +69,7 @@
     store_lost: bool,
     protocol: u8,
 ) {
-    let capabilities = PeerExtra { protocol, room: 900 };
+    let capabilities = PeerCapabilities { protocol, free_sockets_permille: 900 };
     let uptime = Duration::from_secs(60);
     let view = PeerStatusView { last_heard, store_lost, uptime, capabilities };
     controller.peers.record_status(name(n), view);
@@ -87,7 +87,7 @@
     record_peer(&mut controller, 2, start, false, MESH_PROTOCOL);
     record_peer(&mut controller, 3, now, false, 0);
     let members = controller.choose_members(5, now);
-    let names: Vec<&ControllerId> = members.0.iter().map(|member| &member.name).collect();
+    let names: Vec<&ControllerId> = members.members().iter().map(|member| &member.name).collect();
     assert_eq!(names, [&name(0), &name(1)]);
     // A peer that is away for a moment counts among those that could hold workers; one that doesn't understand relayed
     // heartbeats does not.
@@ -155,8 +155,8 @@
     let now = Instant::now();
     let mut controller = controller(now);
     let member = Member { name: name(0), zone: "a".into(), weight: 1000 };
-    let members = Membership(vec![member]);
-    controller.sharding.relay.on_term(FencingToken(1), name(0), members, now);
+    let members = Membership::new(vec![member]);
+    controller.sharding.relay.on_assignment(FencingToken(1), name(0), members, now);
     let task = |index: u32| TaskStatus {
         task: TaskId { job: JobId::new("wk-1"), index },
         attempt: Attempt(1),
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -4,8 +4,10 @@
 use crate::admission::ShardingPolicy;
 use crate::ids::{ControllerId, FencingToken};
 use crate::peers::heartbeat_relay::{HeartbeatRelay, RELAY_RESUMES_WITHIN};
-use crate::peers::membership::{self, Candidate, LeaderView, Membership, Redirects};
-use crate::peers::mesh::{MESH_PROTOCOL, PeerExtra, PeerMessage};
+use crate::peers::membership::{
+    LeaderLoad, MemberCandidate, Membership, Redirects, choose_members,
+};
+use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities, PeerMessage};
 use crate::settings::{Settings, ShardHeartbeats};
 use crate::wire::Heartbeat;
 use crate::workers::command_delivery::{Deliveries, ForwardedCommands};
@@ -70,7 +72,7 @@
 
     /// Whether peers take heartbeats for this leader.
     pub(super) fn is_sharded(&self) -> bool {
-        !self.members.0.is_empty()
+        !self.members.is_empty()
     }
 
     /// A leader sent something by way of the store: it lives, and doesn't reach this controller otherwise.
@@ -104,13 +106,14 @@
 
 impl Controller {
     /// What this controller tells peers of itself beside its status.
-    pub(super) fn capabilities(&self) -> PeerExtra {
+    pub(super) fn capabilities(&self) -> PeerCapabilities {
         if self.settings.operator.hold_format {
-            return PeerExtra::default();
+            return PeerCapabilities::default();
         }
         let public = self.limits.sockets.public.max(1);
         let free = public.saturating_sub(self.limits.open_connections);
-        PeerExtra { protocol: MESH_PROTOCOL, room: (free * ALL_SOCKETS / public) as u16 }
+        let free_sockets_permille = (free * ALL_SOCKETS / public) as u16;
+        PeerCapabilities { protocol: MESH_PROTOCOL, free_sockets_permille }
     }
 
     /// Whether a peer understands messages of sharded heartbeats, and was heard a moment ago.
@@ -140,7 +143,7 @@
 
     /// The leader decides whether heartbeats are sharded, and tells its peers.
     pub(super) fn announce_shards(&mut self, now: Instant) {
-        self.sharding.redirects.tidy(now);
+        self.sharding.redirects.expire(now);
         if !self.holds_leadership(now) {
             return;
         }
@@ -165,7 +168,7 @@
     fn send_members(&mut self, token: FencingToken, now: Instant) {
         let from = self.name().clone();
         let members = self.sharding.members.clone();
-        let message = PeerMessage::Sharing { from, token, members };
+        let message = PeerMessage::ShardAssignment { from, token, members };
         let settings = self.settings.clone();
         for peer in &settings.platform.others {
             if self.takes_part_in_sharding(&peer.host_name, now) {
@@ -181,22 +184,23 @@
             let view = self.peers.get(&peer.host_name)?;
             let name = peer.host_name.clone();
             // Whether it has the store doesn't matter, since what it passes back is the leader's word.
-            let serves = self.takes_part_in_sharding(&name, now)
+            let is_available = self.takes_part_in_sharding(&name, now)
                 && !self.state.cache.is_controller_drained(&name);
             let zone = peer.location.clone();
-            Some(Candidate { name, zone, room: view.capabilities.room, serves })
+            let free_sockets_permille = view.capabilities.free_sockets_permille;
+            Some(MemberCandidate { name, zone, free_sockets_permille, is_available })
         });
-        let candidates: Vec<Candidate> = candidates.collect();
-        let leader = LeaderView {
+        let candidates: Vec<MemberCandidate> = candidates.collect();
+        let leader = LeaderLoad {
             name: platform.host_name.clone(),
             zone: platform.location.clone(),
             workers: machines,
-            each: self.limits.sockets.max_machines,
-            helps: self.sharding.leader_takes_part,
+            workers_per_controller: self.limits.sockets.max_machines,
+            is_member: self.sharding.leader_takes_part,
         };
-        let (members, leader_takes_part) = membership::choose(&candidates, &leader);
-        self.sharding.leader_takes_part = leader_takes_part;
-        members
+        let choice = choose_members(&candidates, &leader);
+        self.sharding.leader_takes_part = choice.includes_leader;
+        choice.membership
     }
 
     /// The other controller that a worker is to be redirected to.
@@ -214,7 +218,7 @@
             return None;
         }
         let owner = owner.clone();
-        self.sharding.redirects.try_send(&heartbeat.machine, now).then_some(owner)
+        self.sharding.redirects.try_redirect(&heartbeat.machine, now).then_some(owner)
     }
 
     /// A leader announces who takes heartbeats.
@@ -226,7 +230,7 @@
         now: Instant,
     ) {
         if token >= self.state.cache.token.0 && self.scheduler.is_none() {
-            self.sharding.relay.on_term(token, from, members, now);
+            self.sharding.relay.on_assignment(token, from, members, now);
         }
     }
 }
--- a/src/controller/store_relay.rs
+++ b/src/controller/store_relay.rs
@@ -42,7 +42,7 @@
 
     /// Writes a message for a peer, in chunks if it is too large for one value.
     pub(super) fn send_by_store(&mut self, to: &ControllerId, message: &PeerMessage) {
-        let Some(text) = mesh::to_text(message) else { return };
+        let Ok(text) = mesh::encode_text(message) else { return };
         let layout = self.state.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.name());
         let is_pending = |part| self.state.is_pending(&WriteOrigin::Relay(to.clone(), part));
@@ -59,7 +59,7 @@
         // A number of its own: chunks of two grants under one would be put together, and a revocation be acknowledged
         // that is not in the list.
         let seq = self.peer_requests.next_seq();
-        let chunks = mesh::in_pieces(&text, seq, layout.value_max).into_iter().enumerate();
+        let chunks = mesh::split_into_chunks(&text, seq, layout.value_max).into_iter().enumerate();
         let texts: Vec<RelayedText> =
             chunks.map(|(n, text)| RelayedText { key: format!("{key}/{n}"), text }).collect();
         for (n, texts) in texts.chunks(layout.txn_ops).enumerate() {
@@ -95,11 +95,11 @@
                 continue;
             }
             let whole = if is_chunk {
-                self.chunks.entry(ControllerId::new(from)).or_default().take(&text)
+                self.chunks.entry(ControllerId::new(from)).or_default().push(&text)
             } else {
                 Some(text)
             };
-            if let Some(message) = whole.and_then(|text| mesh::from_text(&text)) {
+            if let Some(message) = whole.and_then(|text| mesh::decode_text(&text).ok()) {
                 self.on_peer_message(message, MessageRoute::Store, now);
             }
         }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -6,7 +6,7 @@
 use crate::http::{Method, Request};
 use crate::ids::{ControllerId, FencingToken, MachineId, Revision};
 use crate::leadership::delegation::{GrantId, GrantedMachines, PEER_UNREACHABLE_AFTER};
-use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
+use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
 use crate::store::records::{FORMAT, VersionRecord};
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 /// Lets the controller read a store without keys.
 fn read_empty_store(controller: &mut Controller, now: Instant) {
@@ -37,10 +37,16 @@
     controller.state.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
-        let barred = names.collect();
-        PeerMessage::Grant { seq: 9, token: FencingToken(41), number, barred, lent: vec![] }
+        let revoked = names.collect();
+        PeerMessage::LeaseGrant {
+            seq: 9,
+            token: FencingToken(41),
+            number,
+            revoked,
+            delegated: vec![],
+        }
     };
-    let (mut chunks, mut received) = (Pieces::default(), Vec::new());
+    let (mut chunks, mut received) = (ChunkAssembler::default(), Vec::new());
     for number in 1..3 {
         controller.send_by_store(&ControllerId::new("m"), &grant(number));
         controller.state.poll(now);
@@ -48,13 +54,13 @@
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
-                received.extend(chunks.take(data.as_text().unwrap()));
+                received.extend(chunks.push(data.as_text().unwrap()));
             }
             controller.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
         controller.state.events.clear();
     }
-    let whole: Vec<_> = received.iter().map(|text| mesh::from_text(text)).collect();
+    let whole: Vec<_> = received.iter().map(|text| mesh::decode_text(text).ok()).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
 }
 
@@ -73,7 +79,7 @@
                 last_heard: now,
                 store_lost: *store_lost,
                 uptime: Duration::from_secs(*uptime_s),
-                capabilities: PeerExtra::default(),
+                capabilities: PeerCapabilities::default(),
             };
             controller.peers.record_status(ControllerId::new(&format!("m-{n}")), view);
         }
@@ -136,8 +142,8 @@
         settings.operator.operator_key = crate::settings::Secret(own.into());
         let mut controller =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
-        let body = serde_json::to_vec(&ops::Question { key: shown.into() }).unwrap();
-        let request = Request { method, target: ops::AT_RISK_PATH.into(), body };
+        let body = serde_json::to_vec(&operator_api::OperatorQuery { key: shown.into() }).unwrap();
+        let request = Request { method, target: operator_api::AT_RISK_PATH.into(), body };
         controller.on_request(1, &request, now);
         match controller.out.pop() {
             Some(Effect::Respond { ticket: 1, response }) => response.status,
@@ -162,9 +168,9 @@
     settings.operator.operator_key = crate::settings::Secret(key.into());
     let mut controller =
         Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
-    let drain = |name: &str| ops::DrainOrder {
+    let drain = |name: &str| operator_api::DrainRequest {
         key: key.into(),
-        kind: ops::DrainKind::Zone,
+        kind: operator_api::DrainKind::Zone,
         name: name.into(),
         by_s: Some(60.0),
         author: "x".into(),
@@ -174,7 +180,7 @@
         let request = Request { method: Method::Post, target: path.into(), body };
         controller.on_request(ticket, &request, now);
     };
-    let body = |order: &ops::DrainOrder| serde_json::to_vec(order).unwrap();
+    let body = |order: &operator_api::DrainRequest| serde_json::to_vec(order).unwrap();
     let responses = |controller: &mut Controller| -> Vec<(u64, u16)> {
         let replies = controller.out.drain(..).filter_map(|effect| match effect {
             Effect::Respond { ticket, response } => Some((ticket, response.status)),
@@ -182,20 +188,24 @@
         });
         replies.collect()
     };
-    send(&mut controller, 1, ops::DRAIN_PATH, body(&drain("a")));
+    send(&mut controller, 1, operator_api::DRAIN_PATH, body(&drain("a")));
     assert_eq!(responses(&mut controller), [(1, 503)], "nothing is known of the store yet");
     read_empty_store(&mut controller, now);
-    send(&mut controller, 2, ops::DRAIN_PATH, body(&drain("nowhere")));
-    let undrain = ops::DrainName { key: key.into(), kind: ops::DrainKind::Zone, name: "a".into() };
+    send(&mut controller, 2, operator_api::DRAIN_PATH, body(&drain("nowhere")));
+    let undrain = operator_api::UndrainRequest {
+        key: key.into(),
+        kind: operator_api::DrainKind::Zone,
+        name: "a".into(),
+    };
     let undrain = serde_json::to_vec(&undrain).unwrap();
-    send(&mut controller, 3, ops::UNDRAIN_PATH, undrain.clone());
+    send(&mut controller, 3, operator_api::UNDRAIN_PATH, undrain.clone());
     assert_eq!(responses(&mut controller), [(2, 422), (3, 422)]);
     let mut guarded = Vec::new();
     for (ticket, path, order, reply, status) in [
-        (4, ops::DRAIN_PATH, body(&drain("a")), None, 409),
-        (5, ops::DRAIN_PATH, body(&drain("a")), Some(Revision(7)), 200),
-        (6, ops::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
-        (7, ops::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
+        (4, operator_api::DRAIN_PATH, body(&drain("a")), None, 409),
+        (5, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(7)), 200),
+        (6, operator_api::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
+        (7, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
     ] {
         send(&mut controller, ticket, path, order);
         assert_eq!(responses(&mut controller), [], "not before it is committed");
@@ -258,9 +268,9 @@
         controller.answer_for_leader(&report(name), now).map(|o| o.token)
     };
     assert_eq!(token(&mut controller, "i-1"), Some(FencingToken(1)));
-    let barred = vec![MachineId::new("i-1")];
+    let revoked = vec![MachineId::new("i-1")];
     let id = GrantId { token: FencingToken(2), number: 1 };
-    let machines = GrantedMachines { revoked: barred, delegated: vec![] };
+    let machines = GrantedMachines { revoked: revoked, delegated: vec![] };
     controller.delegated_lease.record_grant(id, machines, MessageRoute::Direct, start, start);
     assert_eq!(controller.delegated_lease.acknowledged(), id);
     assert_eq!(token(&mut controller, "i-1"), None);
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -142,7 +142,7 @@
         let counts = jobs.map(|(id, tasks)| (id.clone(), *tasks)).collect();
         let token = scheduler.token;
         self.api.running = running;
-        self.broadcast(&PeerMessage::Running { token, counts });
+        self.broadcast(&PeerMessage::RunningTasks { token, counts });
     }
 
     /// Records how late this process is, and adapts what the scheduler may use.
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -246,12 +246,12 @@
     ) -> Option<PeerMessage> {
         let follower = self.followers.get_mut(to)?;
         follower.valid_until = now + DELEGATION_TERM.mul_f64(1.0 + DRIFT);
-        Some(PeerMessage::Grant {
+        Some(PeerMessage::LeaseGrant {
             seq,
             token: self.token,
             number: self.last_number,
-            barred: machines.revoked,
-            lent: machines.delegated,
+            revoked: machines.revoked,
+            delegated: machines.delegated,
         })
     }
 
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -111,7 +111,7 @@
                     revoked: revoked_since.map(|_| machine()).into_iter().collect(),
                     delegated: vec![machine()],
                 };
-                let Some(PeerMessage::Grant { token, number, barred, lent, .. }) =
+                let Some(PeerMessage::LeaseGrant { token, number, revoked, delegated, .. }) =
                     delegations.grant(&peer, 0, machines, now)
                 else {
                     panic!()
@@ -121,7 +121,7 @@
                         due: delay(random),
                         requested_at: status.sent_at,
                         id: GrantId { token, number },
-                        machines: GrantedMachines { revoked: barred, delegated: lent },
+                        machines: GrantedMachines { revoked, delegated },
                     });
                 }
             }
