--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -270,7 +270,7 @@
     assert_eq!(token(&mut controller, "i-1"), Some(FencingToken(1)));
     let revoked = vec![MachineId::new("i-1")];
     let id = GrantId { token: FencingToken(2), number: 1 };
-    let machines = GrantedMachines { revoked: revoked, delegated: vec![] };
+    let machines = GrantedMachines { revoked, delegated: vec![] };
     controller.delegated_lease.record_grant(id, machines, MessageRoute::Direct, start, start);
     assert_eq!(controller.delegated_lease.acknowledged(), id);
     assert_eq!(token(&mut controller, "i-1"), None);
