--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -8,9 +8,10 @@
 use troutspindle::cloud::{CloudClient, CloudEvent, MachinePool};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
+use troutspindle::schema::encoding;
+use troutspindle::schema::records::JobRecord;
 use troutspindle::settings::Settings;
-use troutspindle::store::StoreClient;
-use troutspindle::store::records::{self, JobRecord};
+use troutspindle::store::{StoreClient, Versioned};
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -51,7 +52,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (
+        state.cache.machine_types = Versioned::new(
             vec![MachineType {
                 name: "f".into(),
                 cpus: 16.0,
@@ -82,8 +83,14 @@
         leader.pass();
         for n in 0..full {
             let id = MachineId::new(&format!("i-{n:06}"));
-            let running =
-                leader.scheduler.machines.get_mut(&id).map(|m| m.orders()).into_iter().flatten();
+            let running = leader
+                .scheduler
+                .fleet
+                .machines
+                .get_mut(&id)
+                .map(|m| m.commands_for_answer())
+                .into_iter()
+                .flatten();
             let show = |order: WorkerCommand| match order {
                 WorkerCommand::Start { task, attempt } => Some(TaskStatus {
                     task,
@@ -131,7 +138,7 @@
             depends_on: None,
         };
         with(&mut spec);
-        let record = records::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
+        let record = encoding::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
         self.state.cache.jobs.apply_record(id.clone(), &record, Revision(self.rev));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
@@ -150,9 +157,9 @@
             tasks,
         };
         self.scheduler.on_report(&report, &self.state.cache, self.now);
-        if let Some(machine) = self.scheduler.machines.get_mut(&report.machine) {
+        if let Some(machine) = self.scheduler.fleet.machines.get_mut(&report.machine) {
             machine.recorded = true;
-            assert_eq!(machine.life, MachineState::Up);
+            assert_eq!(machine.state, MachineState::Up);
         }
     }
 
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -71,7 +71,7 @@
         match effect {
             Effect::Respond { ticket, response } => trace.response(at_ms, node, *ticket, response),
             Effect::CallStore { request: call, .. } => {
-                trace.request("state", at_ms, node, &call.request().0)
+                trace.request("state", at_ms, node, &call.to_http().request)
             }
             Effect::CallCloud { request: call, .. } => {
                 trace.request("cloud", at_ms, node, &call.request())
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -34,8 +34,8 @@
 use crate::api::Api;
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent};
-use crate::http::{CallError, Response};
-use crate::ids::{ControllerId, MachineId};
+use crate::http::Response;
+use crate::ids::ControllerId;
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::Election;
@@ -43,8 +43,8 @@
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
-use crate::store::StoreClient;
-use crate::wire::{CommandBatch, Heartbeat};
+use crate::store::{OutgoingRequest, StoreClient};
+use crate::workers::command_delivery::CompletedCall;
 use foldhash::HashMap;
 use limits::ResourceLimits;
 use peer_requests::PeerRequests;
@@ -60,7 +60,7 @@
 pub struct Controller {
     settings: Arc<Settings>,
     /// The client of the store, with the cache of its keys.
-    pub state: StoreClient,
+    pub store: StoreClient,
     election: Election,
     cloud: CloudClient,
     /// The leader's scheduler; none in a follower.
@@ -101,9 +101,9 @@
         let names = std::iter::once(platform.host_name.clone()).chain(others).collect();
         // Responses to an earlier incarnation of this process match no message of this one.
         let first_number = seed >> 2;
-        let api = Api::new(settings.clone(), wall).ok_or(ControllerError::LatencyHistogram)?;
+        let api = Api::new(settings.clone(), wall).map_err(ControllerError::LatencyHistogram)?;
         Ok(Controller {
-            state: StoreClient::new(platform.params.state.kept(), names, seed, now),
+            store: StoreClient::new(platform.params.state.kept(), names, seed, now),
             election: Election::new(platform.host_name.clone(), platform.others.len(), seed, now),
             cloud: CloudClient::new(platform.params.cloud.rps, now),
             scheduler: None,
@@ -131,7 +131,7 @@
     pub fn set_wall_clock(&mut self, wall: WallClock) {
         self.api.wall = wall;
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.wall = wall;
+            scheduler.set_wall_clock(wall);
         }
     }
 
@@ -139,7 +139,7 @@
     pub fn record_handling_time(&mut self, took: Duration, now: Instant) {
         self.limits.load.record_event(took);
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.took(took, now);
+            scheduler.record_event_duration(took, now);
         }
     }
 
@@ -153,7 +153,7 @@
         self.stalls.record_event(now);
         match event {
             Event::Request { ticket, request } => self.on_request(ticket, &request, now),
-            Event::StoreResponse { id, response } => self.state.on_response(id, response, now),
+            Event::StoreResponse { id, response } => self.store.on_response(id, response, now),
             Event::CloudResponse { id, result } => {
                 for event in self.cloud.on_response(id, result, now) {
                     self.on_cloud_event(event, now);
@@ -161,7 +161,7 @@
             }
             Event::WorkerResponse { machine, sent, result } => {
                 if !self.sharding.forwarded.end(&machine, sent.as_ref(), &result, now) {
-                    self.on_worker_response(&machine, sent.as_ref(), result, now);
+                    self.on_worker_response(CompletedCall { machine, commands: sent, result }, now);
                 }
             }
             Event::PeerMessage(message) => {
@@ -175,7 +175,7 @@
     /// Lets the cores act on what has happened until nothing more follows.
     fn advance(&mut self, now: Instant) {
         loop {
-            while let Some(event) = self.state.events.pop_front() {
+            while let Some(event) = self.store.next_event() {
                 self.on_store_event(event, now);
             }
             self.receive_relayed_messages(now);
@@ -186,10 +186,10 @@
                 self.advance_scheduler(now);
             }
             self.advance_sharding(now);
-            self.state.poll(now);
+            self.store.poll(now);
             self.cloud.poll(leads && self.scheduler.is_some(), now);
             self.collect_calls();
-            if self.state.events.is_empty() {
+            if !self.store.has_events() {
                 return;
             }
         }
@@ -197,8 +197,9 @@
 
     /// Takes over what the clients of store and cloud want sent.
     fn collect_calls(&mut self) {
-        let store = self.state.calls.drain(..);
-        self.out.extend(store.map(|(id, request)| Effect::CallStore { id, request }));
+        while let Some(OutgoingRequest { id, request }) = self.store.next_request() {
+            self.out.push(Effect::CallStore { id, request });
+        }
         let cloud = self.cloud.out.drain(..);
         self.out.extend(cloud.map(|(id, request)| Effect::CallCloud { id, request }));
     }
@@ -208,23 +209,18 @@
             self.on_machine_types(found.clone());
         }
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.on_cloud(event, &self.state.cache, now);
+            scheduler.on_cloud(event, &self.store.cache, now);
         }
     }
 
     /// The end of a call to a worker, made here or by a peer.
-    fn on_worker_response(
-        &mut self,
-        machine: &MachineId,
-        sent: Option<&CommandBatch>,
-        result: Result<Heartbeat, CallError>,
-        now: Instant,
-    ) {
+    fn on_worker_response(&mut self, call: CompletedCall, now: Instant) {
+        let CompletedCall { machine, commands, result } = call;
         let Some(scheduler) = &mut self.scheduler else { return };
-        if sent.is_some_and(|commands| commands.token != scheduler.token) {
+        if commands.as_ref().is_some_and(|commands| commands.token != scheduler.token()) {
             return;
         }
-        if !scheduler.on_direct(machine, sent, result, &self.state.cache, now) {
+        if !scheduler.on_direct(&machine, commands.as_ref(), result, &self.store.cache, now) {
             tracing::info!(%machine, "a worker has seen a higher fencing token");
             self.resign(now);
         }
--- a/src/controller/actor/outgoing_calls.rs
+++ b/src/controller/actor/outgoing_calls.rs
@@ -5,7 +5,7 @@
 use crate::http::{CallError, Client, Method, Request};
 use crate::ids::MachineId;
 use crate::settings::External;
-use crate::store::StoreRequest;
+use crate::store::{StoreRequest, TimedRequest};
 use crate::wire::{self, CommandBatch, Heartbeat};
 use crate::workers::command_delivery::{DirectCall, WORKER_TIMEOUT};
 use std::net::SocketAddr;
@@ -62,9 +62,9 @@
     pub(super) fn call_store(&mut self, id: u64, call: StoreRequest, now: Instant) {
         let (client, address) = (self.client.clone(), self.store_address);
         self.store.spawn(async move {
-            let (request, timeout) = call.request();
+            let TimedRequest { request, timeout } = call.to_http();
             let result = client.call(address, request, now + timeout).await;
-            Event::StoreResponse { id, response: call.reply(result) }
+            Event::StoreResponse { id, response: call.response(result) }
         });
     }
 
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -1,6 +1,7 @@
 //! Acknowledgements of cancellations among controllers.
 
 use super::Controller;
+use crate::api::Answer;
 use crate::ids::{ControllerId, JobId, Revision};
 use crate::peers::mesh::PeerMessage;
 use crate::peers::message_route::MessageRoute;
@@ -36,7 +37,7 @@
         }
         let acknowledged = self.api.acknowledged_cancellations.take_unreported();
         if let Some(scheduler) = self.scheduler.as_mut().filter(|_| !acknowledged.is_empty()) {
-            scheduler.on_cancellation_acknowledged(&acknowledged, &self.state.cache);
+            scheduler.on_cancellation_acknowledged(&acknowledged, &self.store.cache);
         }
     }
 
@@ -50,7 +51,7 @@
         }
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
-            if !self.state.cache.controller_leases.contains_key(&peer) {
+            if !self.store.cache.controller_leases.contains_key(&peer) {
                 // It has no lease, so nothing reaches it that it would understand for certain.
                 continue;
             }
@@ -73,8 +74,8 @@
         let acks = &mut self.api.cancellation_acks;
         acks.record_request(seq, now);
         for id in jobs {
-            let zones = scheduler.zones_of(id, &self.state.cache);
-            acks.record_zones(scheduler.leader_rev(), seq, id, zones);
+            let zones = scheduler.zones_of(id, &self.store.cache);
+            acks.record_zones(scheduler.leader_revision(), seq, id, zones);
         }
         self.retry_cancellations(now);
     }
@@ -92,8 +93,8 @@
         self.api.acknowledged_cancellations.acknowledge(&jobs);
         let holds_leadership = self.holds_leadership(now);
         let placed = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
-            let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.state.cache)).collect();
-            (scheduler.leader_rev(), zones)
+            let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.store.cache)).collect();
+            (scheduler.leader_revision(), zones)
         });
         let me = self.name().clone();
         let under = self.controller_lease.revision();
@@ -115,7 +116,7 @@
 
     /// Looks again at cancellations that wait for acknowledgements.
     pub(super) fn retry_cancellations(&mut self, now: Instant) {
-        for (ticket, response) in self.api.retry_cancellations(&mut self.state, now) {
+        for Answer { ticket, response } in self.api.retry_cancellations(&mut self.store, now) {
             self.respond(ticket, response);
         }
     }
--- a/src/controller/error.rs
+++ b/src/controller/error.rs
@@ -14,8 +14,8 @@
         source: std::io::Error,
     },
     /// The histogram of response times can't be created.
-    #[error("the bounds of the latency histogram are invalid")]
-    LatencyHistogram,
+    #[error("cannot create the latency histogram: {0}")]
+    LatencyHistogram(#[source] hdrhistogram::CreationError),
     /// The runtime can't be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -5,6 +5,7 @@
 use crate::constants::FORMAT_HEARTBEAT;
 use crate::leadership::election::{ElectionEvent, LeadershipLoss};
 use crate::scheduler::Scheduler;
+use crate::store::Versioned;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -28,7 +29,7 @@
     /// while that stands; without the lease it needs recent news.
     pub(super) fn holds_leadership(&self, now: Instant) -> bool {
         let knows_cancellations =
-            self.controller_lease.knows_cancellations(self.state.synced_at) || self.has_news(now);
+            self.controller_lease.knows_cancellations(self.store.synced_at) || self.has_news(now);
         self.election.holds_leadership(knows_cancellations, now)
     }
 
@@ -46,29 +47,29 @@
 
     /// Keeps this controller's own lease, and takes part in the election.
     pub(super) fn advance_leadership(&mut self, now: Instant) {
-        if let Some(ElectionEvent::Lost(reason)) = self.election.detect_successor(&self.state.cache)
+        if let Some(ElectionEvent::Lost(reason)) = self.election.detect_successor(&self.store.cache)
         {
             self.on_leadership_lost(reason, now);
         }
         self.keep_controller_lease(now);
         self.advance_cancellations(now);
-        let store_lost = self.state.is_unavailable(now);
-        if let Some(request) = self.election.next_request(&self.state.cache, store_lost, now) {
-            self.state.send_election_request(request, now);
+        let store_lost = self.store.is_unavailable(now);
+        if let Some(request) = self.election.next_request(&self.store.cache, store_lost, now) {
+            self.store.send_election_request(request, now);
         }
     }
 
     /// Keeps this controller's lease at the store, once all controllers know what it means.
     fn keep_controller_lease(&mut self, now: Instant) {
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         self.api.cancellation_acks.observe(cache, now);
         self.api.acknowledged_cancellations.forget_finished(cache);
-        if self.state.layout().format < FORMAT_HEARTBEAT || !cache.loaded {
+        if self.store.layout().format < FORMAT_HEARTBEAT || !cache.loaded {
             return;
         }
         self.api.cancellation_acks.set_own_lease(&self.controller_lease);
         if let Some(request) = self.controller_lease.next_request(cache, now) {
-            self.state.send_lease_request(request, now);
+            self.store.send_lease_request(request, now);
         }
     }
 
@@ -76,8 +77,8 @@
         match event {
             ElectionEvent::Won(token) => {
                 tracing::info!(fencing_token = %token, "elected as leader");
-                self.state.set_leading(true, now);
-                self.state.sync_soon(TAKEOVER_TICKET);
+                self.store.set_leading(true, now);
+                self.store.sync_soon(TAKEOVER_TICKET);
             }
             ElectionEvent::Lost(reason) => self.on_leadership_lost(reason, now),
         }
@@ -86,35 +87,38 @@
     pub(super) fn on_leadership_lost(&mut self, reason: LeadershipLoss, now: Instant) {
         tracing::info!(%reason, "leadership lost");
         self.scheduler = None;
-        self.state.set_leading(false, now);
+        self.store.set_leading(false, now);
     }
 
     /// Gives up leadership.
     pub(super) fn resign(&mut self, now: Instant) {
         self.scheduler = None;
-        self.state.set_leading(false, now);
+        self.store.set_leading(false, now);
         if let Some(request) = self.election.resign(now) {
-            self.state.send_election_request(request, now);
+            self.store.send_election_request(request, now);
         }
     }
 
     /// The cache now holds everything that any predecessor committed: the new leader begins to schedule.
     pub(super) fn take_over(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
-        let Some((leader, leader_revision)) = &self.state.cache.leader else { return };
+        let Some(Versioned { value: leader, revision: leader_revision }) = &self.store.cache.leader
+        else {
+            return;
+        };
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.machine_types.0.is_empty() {
+        if self.store.cache.machine_types.value.is_empty() {
             // Without machine types nothing can be placed; they come from the cloud soon.
-            self.state.sync_soon(TAKEOVER_TICKET);
+            self.store.sync_soon(TAKEOVER_TICKET);
             return;
         }
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         let (settings, wall) = (self.settings.clone(), self.api.wall);
         let mut scheduler = Scheduler::new(token, *leader_revision, settings, cache, wall, now);
         scheduler.on_cancellation_acknowledged(&self.api.acknowledged_cancellations.all(), cache);
-        let machines = scheduler.machines.len();
+        let machines = scheduler.machine_count();
         tracing::info!(fencing_token = %token, machines, "leading");
         self.cloud.lead(token, now);
         self.scheduler = Some(scheduler);
@@ -130,7 +134,7 @@
         }
         let Some(scheduler) = &mut self.scheduler else { return };
         self.schedule.scheduler_at = now + SCHEDULER_INTERVAL;
-        scheduler.tick(&mut self.state, &mut self.cloud, now);
+        scheduler.tick(&mut self.store, &mut self.cloud, now);
         self.send_worker_calls(now);
     }
 
@@ -139,9 +143,9 @@
     /// lease expired.
     pub(super) fn resign_if_cut_off(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
-        let silent_since = scheduler.last_report.max(self.stalls.resumed_at());
+        let silent_since = scheduler.last_heartbeat().max(self.stalls.resumed_at());
         let silence = now.saturating_duration_since(silent_since);
-        let patience = if scheduler.reports > 0 {
+        let patience = if scheduler.heartbeats() > 0 {
             let usual = RESIGN_AFTER_SILENCE.max(self.settings.report_every() / 2);
             usual + self.sharding.extra_patience(now)
         } else {
@@ -149,13 +153,14 @@
             RESIGN_AFTER_SILENCE + WORKER_FAILOVER_TIME
         };
         // A worker that reaches a peer is redirected here at once.
-        let redirected_by = scheduler.last_report + REDIRECT_TIME_MAX;
+        let redirected_by = scheduler.last_heartbeat() + REDIRECT_TIME_MAX;
         let is_missing_workers =
             self.peers.last_worker_heartbeat().is_some_and(|at| at > redirected_by);
-        if !is_missing_workers || silence <= patience || self.state.is_unavailable(now) {
+        if !is_missing_workers || silence <= patience || self.store.is_unavailable(now) {
             return;
         }
-        let known = scheduler.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
+        let known =
+            scheduler.fleet.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
         let machines = known.count();
         if machines >= MIN_MACHINES_TO_RESIGN {
             tracing::info!(machines, "workers reach peers and not this leader, resigning");
--- a/src/controller/limits.rs
+++ b/src/controller/limits.rs
@@ -1,7 +1,7 @@
 //! How much this controller can take now.
 
 use crate::admission::{LoadEstimator, MachineLimit, SocketBudget};
-use crate::constants::LATE;
+use crate::scheduler::planning_clock::LATE;
 use crate::settings::Resources;
 use tokio::time::Instant;
 
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -5,7 +5,7 @@
 use crate::http::Response;
 use crate::ids::MachineId;
 use crate::scheduler::Scheduler;
-use crate::store::records;
+use crate::schema::{encoding, keys};
 use crate::store::{PendingWrite, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use serde::Serialize;
@@ -31,7 +31,7 @@
 
     pub(super) fn on_at_risk(&self, body: &[u8], now: Instant) -> Response {
         self.respond_from_scheduler(body, now, |scheduler| {
-            scheduler.at_risk(&self.state.cache, now)
+            scheduler.at_risk(&self.store.cache, now)
         })
     }
 
@@ -59,7 +59,7 @@
         if self.authorize(body, |question: &operator_api::OperatorQuery| &question.key).is_none() {
             return Response::empty(404);
         }
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         let found = match &self.scheduler {
             Some(scheduler) if self.holds_leadership(now) => scheduler.drains(cache, now),
             _ => crate::scheduler::drains::list(cache, self.api.wall, now),
@@ -86,8 +86,8 @@
             author: request.author,
             reason: request.reason,
         };
-        let key = drains::key(record.kind, &record.name);
-        self.store_drain(ticket, key, records::to_value(&record))
+        let key = keys::drain_key(record.kind, &record.name);
+        self.store_drain(ticket, key, encoding::to_value(&record))
     }
 
     pub(super) fn on_undrain(&mut self, ticket: u64, body: &[u8]) -> Option<Response> {
@@ -96,8 +96,8 @@
         else {
             return Some(Response::empty(404));
         };
-        let key = drains::key(request.kind, &request.name);
-        if !self.state.cache.drains.contains_key(&key) {
+        let key = keys::drain_key(request.kind, &request.name);
+        if !self.store.cache.drains.contains_key(&key) {
             return Some(Response::empty(422));
         }
         self.store_drain(ticket, key, drains::TAKEN_BACK)
@@ -115,7 +115,7 @@
                     .any(|controller| controller.as_str() == request.name)
             }
             operator_api::DrainKind::Machine => {
-                self.state.cache.machines.contains_key(&MachineId::new(&request.name))
+                self.store.cache.machines.contains_key(&MachineId::new(&request.name))
             }
         }
     }
@@ -123,14 +123,14 @@
     /// Stores a drain, or that it is taken back, by compare-and-swap with what this controller knows of it: of two
     /// operators at once, one is told of the conflict.
     fn store_drain(&mut self, ticket: u64, key: String, data: StoreValue) -> Option<Response> {
-        if !self.state.cache.loaded {
+        if !self.store.cache.loaded {
             return Some(Response::later(503));
         }
-        let revision = self.state.cache.drain_keys.get(&key).copied().unwrap_or_default();
-        let guards = vec![Precondition { key: key.clone(), rev: revision }];
+        let revision = self.store.cache.drain_keys.get(&key).copied().unwrap_or_default();
+        let preconditions = vec![Precondition { key: key.clone(), rev: revision }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
-        self.state.enqueue(PendingWrite {
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
+        self.store.enqueue(PendingWrite {
             priority: WritePriority::Blocking,
             origin: WriteOrigin::Operator(ticket),
             transaction,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -137,9 +137,9 @@
 
     /// Extends the leader's lease, if this controller knows that it still stands.
     fn extend_leader_lease(&mut self, status: &PeerStatus, token: FencingToken, now: Instant) {
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         // Before all controllers keep leases, a leader isn't asked for its own.
-        let has_controller_lease = self.state.layout().format < FORMAT_HEARTBEAT
+        let has_controller_lease = self.store.layout().format < FORMAT_HEARTBEAT
             || cache.controller_leases.contains_key(&status.from);
         if !self.election.extend_lease(token, cache, has_controller_lease, now) {
             return;
@@ -187,14 +187,14 @@
     }
 
     fn on_running_tasks(&mut self, token: FencingToken, counts: Vec<(JobId, u32)>) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+        if token >= self.store.cache.token.value && self.scheduler.is_none() {
             self.api.running = counts.into_iter().collect::<BTreeMap<_, _>>();
         }
     }
 
     /// A later leader than the store has shown, which was heard a moment ago.
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
-        self.peers.later_leader(self.state.cache.token.0, now)
+        self.peers.later_leader(self.store.cache.token.value, now)
     }
 
     pub(super) fn send(&mut self, to: &ControllerId, message: PeerMessage, route: MessageRoute) {
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -3,7 +3,7 @@
 use crate::ids::{ControllerId, FencingToken};
 use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
 use crate::peers::mesh::PeerCapabilities;
-use crate::store::STATE_LOST;
+use crate::store::STORE_UNAVAILABLE_AFTER;
 use foldhash::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -28,7 +28,7 @@
 
     /// Whether it can serve users: it is there and has the store.
     pub(super) fn has_store(&self, now: Instant) -> bool {
-        self.is_heard_within(STATE_LOST, now) && !self.store_lost
+        self.is_heard_within(STORE_UNAVAILABLE_AFTER, now) && !self.store_lost
     }
 }
 
--- a/src/controller/readiness.rs
+++ b/src/controller/readiness.rs
@@ -16,9 +16,9 @@
     /// they are served.
     pub(super) fn is_ready(&self, now: Instant) -> bool {
         let is_cut_off =
-            self.state.is_unavailable(now) && self.peers.views().any(|peer| peer.has_store(now));
+            self.store.is_unavailable(now) && self.peers.views().any(|peer| peer.has_store(now));
         let leaves_users = self.defers_to_peers(now) || self.sheds_users(now);
-        self.state.cache.loaded && !is_cut_off && !leaves_users
+        self.store.cache.loaded && !is_cut_off && !leaves_users
     }
 
     /// A leader whose sockets are mostly workers' leaves users to its peers, if enough of them have been there for a
@@ -33,7 +33,7 @@
     /// Whether an operator has this controller drained and a peer that is not drained has the store: then the peer
     /// leads and users go there. The last controller that can serve goes on, drained or not.
     pub(super) fn defers_to_peers(&self, now: Instant) -> bool {
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         let is_drained = |name: &ControllerId| cache.is_controller_drained(name);
         !cache.drains.is_empty()
             && is_drained(self.name())
--- a/src/controller/relayed_commands.rs
+++ b/src/controller/relayed_commands.rs
@@ -3,7 +3,8 @@
 use super::{Controller, Effect};
 use crate::ids::{ControllerId, FencingToken};
 use crate::peers::mesh::PeerMessage;
-use crate::workers::command_delivery::{Delivery, DeliveryResult};
+use crate::scheduler::direct_calls::OutgoingCall;
+use crate::workers::command_delivery::{CommandResultFrame, Delivery, DeliveryResult};
 use tokio::time::Instant;
 
 /// Count. Calls that peers may be making for a leader.
@@ -14,26 +15,24 @@
     /// worker.
     pub(super) fn send_worker_calls(&mut self, now: Instant) {
         let Some(scheduler) = &mut self.scheduler else { return };
-        let token = scheduler.token;
-        let calls: Vec<_> = scheduler.direct.drain(..).collect();
-        for (machine, address, call) in calls {
+        let token = scheduler.token();
+        let calls = scheduler.take_direct_calls();
+        for OutgoingCall { machine, address, call } in calls {
             let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
-            let has_room = self.sharding.deliveries.under_way() < RELAYED_CALLS_IN_FLIGHT_MAX;
+            let has_room = self.sharding.deliveries.in_flight() < RELAYED_CALLS_IN_FLIGHT_MAX;
             let relay =
                 relay.filter(|name| has_room && self.takes_part_in_sharding(name, now)).cloned();
             match relay {
                 Some(peer) => {
-                    self.sharding.deliveries.push(&peer, (machine, address), call, now);
+                    self.sharding.deliveries.push(&peer, machine, address, call, now);
                 }
                 None => self.out.push(Effect::CallWorker { machine, address, call }),
             }
         }
         let me = self.name().clone();
-        for (to, commands) in self.sharding.deliveries.take_frames() {
-            self.send_to_peer(
-                to,
-                PeerMessage::RelayedCommands { from: me.clone(), token, commands },
-            );
+        for frame in self.sharding.deliveries.take_frames() {
+            let (from, commands) = (me.clone(), frame.deliveries);
+            self.send_to_peer(frame.to, PeerMessage::RelayedCommands { from, token, commands });
         }
     }
 
@@ -46,7 +45,7 @@
         now: Instant,
     ) {
         let is_leader = self.scheduler.is_some() && self.holds_leadership(now);
-        if token < self.state.cache.token.0 || is_leader {
+        if token < self.store.cache.token.value || is_leader {
             return;
         }
         for delivery in commands {
@@ -55,7 +54,7 @@
             }
             let machine = delivery.machine.clone();
             let address = delivery.address;
-            let call = delivery.into_direct(token);
+            let call = delivery.into_direct_call(token);
             self.out.push(Effect::CallWorker { machine, address, call });
         }
     }
@@ -67,25 +66,23 @@
         results: Vec<(u64, DeliveryResult)>,
         now: Instant,
     ) {
-        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token != token) {
+        if self.scheduler.as_ref().is_none_or(|scheduler| scheduler.token() != token) {
             return;
         }
         for (number, result) in results {
-            if let Some((machine, sent, result)) =
-                self.sharding.deliveries.on_result(number, result)
-            {
-                self.on_worker_response(&machine, sent.as_ref(), result, now);
+            if let Some(call) = self.sharding.deliveries.on_result(number, result) {
+                self.on_worker_response(call, now);
             }
         }
     }
 
     /// Sends the results of calls that are due, and gives up calls that are overdue.
     pub(super) fn advance_relayed_commands(&mut self, now: Instant) {
-        for (to, token, results) in self.sharding.forwarded.take_results(now) {
+        for CommandResultFrame { to, token, results } in self.sharding.forwarded.take_results(now) {
             self.send_to_peer(to, PeerMessage::CommandResults { token, results });
         }
-        for (machine, sent, result) in self.sharding.deliveries.take_overdue(now) {
-            self.on_worker_response(&machine, sent.as_ref(), result, now);
+        for call in self.sharding.deliveries.take_overdue(now) {
+            self.on_worker_response(call, now);
         }
     }
 }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -8,7 +8,7 @@
     HeartbeatResult, OversizedHeartbeat, RELAY_TERM, RelayedHeartbeat,
 };
 use crate::peers::mesh::PeerMessage;
-use crate::store::STATE_LOST;
+use crate::store::STORE_UNAVAILABLE_AFTER;
 use crate::wire::{self, Heartbeat};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -30,7 +30,7 @@
         heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let newest = self.state.cache.token.0;
+        let newest = self.store.cache.token.value;
         if self.sharding.relay.members(newest, now).is_some() {
             if let Some(owner) = self.other_owner(&heartbeat, now) {
                 return Some(redirect(&owner));
@@ -68,17 +68,19 @@
 
     /// The leader to which heartbeats were relayed, where it is cut off from this controller and not from the store.
     fn cut_off_leader(&self, now: Instant) -> Option<ControllerId> {
-        let (leader, _) = self.state.cache.leader.as_ref()?;
+        let leader = &self.store.cache.leader.as_ref()?.value;
         let lapsed = self.sharding.relay.time_since_assignment(leader.token, now)?;
-        let silence = match self.peers.last_heard(&leader.node) {
+        let silence = match self.peers.last_heard(&leader.controller) {
             Some(at) => now.saturating_duration_since(at).min(lapsed),
             None => lapsed,
         };
         let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_LASTS, now);
         let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_CUT_OFF_AFTER };
-        let synced_at = self.state.synced_at;
-        let is_synced = synced_at.is_some_and(|at| now.saturating_duration_since(at) < STATE_LOST);
-        (is_cut_off && is_synced && !self.state.is_unavailable(now)).then(|| leader.node.clone())
+        let synced_at = self.store.synced_at;
+        let is_synced =
+            synced_at.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
+        (is_cut_off && is_synced && !self.store.is_unavailable(now))
+            .then(|| leader.controller.clone())
     }
 
     /// A batch of relayed heartbeats for this leader.
@@ -93,10 +95,10 @@
         if !self.holds_leadership(now) {
             return;
         }
-        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token == token) else {
+        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
             return;
         };
-        match scheduler.on_relayed(from, heartbeats, &self.state.cache, now) {
+        match scheduler.on_relayed(from, heartbeats, &self.store.cache, now) {
             Some(results) => {
                 self.send_to_peer(
                     from.clone(),
@@ -140,7 +142,7 @@
 
     fn send_heartbeat_batches(&mut self, now: Instant) {
         let from = self.name().clone();
-        for batch in self.sharding.relay.take_batches(self.state.cache.token.0, now) {
+        for batch in self.sharding.relay.take_batches(self.store.cache.token.value, now) {
             let message = PeerMessage::RelayedHeartbeats {
                 from: from.clone(),
                 token: batch.token,
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -10,6 +10,7 @@
 use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities};
 use crate::scheduler::Scheduler;
 use crate::settings::Settings;
+use crate::store::Versioned;
 use crate::wire::{Heartbeat, TaskState, TaskStatus};
 use crate::workers::command_delivery::Delivery;
 use std::sync::Arc;
@@ -39,7 +40,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     controller
 }
 
@@ -116,7 +117,7 @@
     let now = Instant::now();
     let mut controller = controller(now);
     let (settings, wall) = (controller.settings.clone(), WallClock { at: now, ms: 5 });
-    let cache = &controller.state.cache;
+    let cache = &controller.store.cache;
     controller.scheduler =
         Some(Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, now));
     record_peer(&mut controller, 0, now, false, MESH_PROTOCOL);
@@ -124,7 +125,7 @@
     let heartbeats = vec![RelayedHeartbeat::Full(heartbeat(Vec::new()).into())];
     controller.on_relayed_heartbeats(&name(0), FencingToken(1), 7, heartbeats, now);
     assert!(controller.out.is_empty(), "{:?}", controller.out);
-    assert!(controller.scheduler.as_ref().is_some_and(|scheduler| scheduler.reports == 0));
+    assert!(controller.scheduler.as_ref().is_some_and(|scheduler| scheduler.heartbeats() == 0));
     controller.announce_shards(now);
     assert!(controller.out.is_empty(), "{:?}", controller.out);
 }
@@ -134,13 +135,13 @@
 fn a_relayed_command_of_an_earlier_leader_is_ignored() {
     let now = Instant::now();
     let mut controller = controller(now);
-    controller.state.cache.token = (FencingToken(5), Revision(3));
+    controller.store.cache.token = Versioned::new(FencingToken(5), Revision(3));
     let command = |number: u64| Delivery {
         number,
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".parse().unwrap(),
         agent_epoch: Some(1),
-        orders: Vec::new(),
+        commands: Vec::new(),
     };
     controller.on_relayed_commands(&name(0), FencingToken(4), vec![command(1)], now);
     assert!(controller.out.is_empty());
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -10,7 +10,7 @@
 use crate::peers::mesh::{MESH_PROTOCOL, PeerCapabilities, PeerMessage};
 use crate::settings::{Settings, ShardHeartbeats};
 use crate::wire::Heartbeat;
-use crate::workers::command_delivery::{Deliveries, ForwardedCommands};
+use crate::workers::command_delivery::{ForwardedCalls, PendingDeliveries};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -34,8 +34,8 @@
 /// What this controller knows of sharded heartbeats, in whatever role.
 pub(super) struct HeartbeatSharding {
     pub(super) relay: HeartbeatRelay,
-    pub(super) deliveries: Deliveries,
-    pub(super) forwarded: ForwardedCommands,
+    pub(super) deliveries: PendingDeliveries,
+    pub(super) forwarded: ForwardedCalls,
     pub(super) redirects: Redirects,
     policy: ShardingPolicy,
     /// As the leader: who takes heartbeats; nobody else if it is empty.
@@ -53,8 +53,8 @@
     pub(super) fn new(first_number: u64, settings: &Settings) -> HeartbeatSharding {
         HeartbeatSharding {
             relay: HeartbeatRelay::new(first_number),
-            deliveries: Deliveries::new(first_number),
-            forwarded: ForwardedCommands::new(),
+            deliveries: PendingDeliveries::new(first_number),
+            forwarded: ForwardedCalls::new(),
             redirects: Redirects::default(),
             policy: ShardingPolicy::new(settings),
             members: Membership::default(),
@@ -148,7 +148,7 @@
             return;
         }
         let Some(scheduler) = &self.scheduler else { return };
-        let (token, machines) = (scheduler.token, scheduler.machines.len());
+        let (token, machines) = (scheduler.token(), scheduler.machine_count());
         let was_sharded = self.sharding.is_sharded();
         let is_wanted = self.sharding.policy.update(machines) && self.may_shard();
         self.sharding.members =
@@ -185,7 +185,7 @@
             let name = peer.host_name.clone();
             // Whether it has the store doesn't matter, since what it passes back is the leader's word.
             let is_available = self.takes_part_in_sharding(&name, now)
-                && !self.state.cache.is_controller_drained(&name);
+                && !self.store.cache.is_controller_drained(&name);
             let zone = peer.location.clone();
             let free_sockets_permille = view.capabilities.free_sockets_permille;
             Some(MemberCandidate { name, zone, free_sockets_permille, is_available })
@@ -211,7 +211,7 @@
     ) -> Option<ControllerId> {
         let members = match &self.scheduler {
             Some(_) => &self.sharding.members,
-            None => self.sharding.relay.members(self.state.cache.token.0, now)?,
+            None => self.sharding.relay.members(self.store.cache.token.value, now)?,
         };
         let owner = members.owner(&heartbeat.machine, &heartbeat.zone)?;
         if owner == self.name() || !self.takes_part_in_sharding(owner, now) {
@@ -229,7 +229,7 @@
         members: Membership,
         now: Instant,
     ) {
-        if token >= self.state.cache.token.0 && self.scheduler.is_none() {
+        if token >= self.store.cache.token.value && self.scheduler.is_none() {
             self.sharding.relay.on_assignment(token, from, members, now);
         }
     }
--- a/src/controller/store_events.rs
+++ b/src/controller/store_events.rs
@@ -12,25 +12,25 @@
     pub(super) fn on_store_event(&mut self, event: StoreEvent, now: Instant) {
         match event {
             StoreEvent::Loaded => {
-                tracing::info!(jobs = self.state.cache.jobs.all.len(), "store cache loaded");
+                tracing::info!(jobs = self.store.cache.jobs.all.len(), "store cache loaded");
             }
             StoreEvent::JobsChanged(ids) => {
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.on_jobs(&ids, &self.state.cache, now);
+                    scheduler.on_jobs(&ids, &self.store.cache, now);
                 }
             }
             StoreEvent::Synced(TAKEOVER_TICKET) => self.take_over(now),
             StoreEvent::Synced(PROBE_TICKET) => self.is_probing_store = false,
             StoreEvent::Synced(ticket) => {
-                let response = self.api.on_synced(ticket, &mut self.state, now);
+                let response = self.api.on_synced(ticket, &mut self.store, now);
                 self.respond_if_ready(ticket, response);
             }
-            StoreEvent::Outcome(origin, outcome) => self.on_outcome(origin, outcome, now),
-            StoreEvent::ControllerLease(request, sent_at, response) => {
+            StoreEvent::WriteSettled(origin, outcome) => self.on_outcome(origin, outcome, now),
+            StoreEvent::ControllerLease { request, sent_at, response } => {
                 self.controller_lease.on_response(&request, sent_at, &response, now);
             }
-            StoreEvent::Election(request, sent_at, response) => {
-                let cache = &self.state.cache;
+            StoreEvent::Election { request, sent_at, response } => {
+                let cache = &self.store.cache;
                 let step = self.election.on_response(&request, sent_at, &response, cache, now);
                 self.on_election_step(step, now);
             }
@@ -41,7 +41,7 @@
         match origin {
             WriteOrigin::Operator(ticket) => self.on_drain_outcome(ticket, outcome),
             WriteOrigin::User(ticket) => {
-                let response = self.api.on_outcome(ticket, outcome, &mut self.state, now);
+                let response = self.api.on_outcome(ticket, outcome, &mut self.store, now);
                 self.respond_if_ready(ticket, response);
             }
             origin => {
@@ -49,7 +49,7 @@
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
                 if let Some(scheduler) = &mut self.scheduler {
-                    scheduler.on_outcome(&origin, outcome, &mut self.state);
+                    scheduler.on_outcome(&origin, outcome, &mut self.store);
                 }
             }
         }
@@ -57,7 +57,7 @@
 
     fn on_election_step(&mut self, step: ElectionStep, now: Instant) {
         for request in step.requests {
-            self.state.send_election_request(request, now);
+            self.store.send_election_request(request, now);
         }
         if let Some(event) = step.event {
             self.on_election_event(event, now);
--- a/src/controller/store_relay.rs
+++ b/src/controller/store_relay.rs
@@ -5,7 +5,7 @@
 use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
 use crate::peers::mesh::{self, PeerMessage};
 use crate::peers::message_route::MessageRoute;
-use crate::store::{PendingWrite, RELAY_PREFIX, WriteOrigin, WritePriority};
+use crate::store::{PendingWrite, RELAY_PREFIX, RelayedMessage, WriteOrigin, WritePriority};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,13 +26,13 @@
 impl Controller {
     /// A follower that doesn't hear its leader sends it the status by way of the store, to ask for a grant.
     pub(super) fn relay_status(&mut self, status: &PeerMessage, now: Instant) {
-        let Some((leader, _)) = &self.state.cache.leader else { return };
-        let leader = leader.node.clone();
+        let Some(leader) = &self.store.cache.leader else { return };
+        let leader = leader.value.controller.clone();
         let last_heard = self.peers.last_heard(&leader).unwrap_or(self.started_at);
         if leader == *self.name()
             || now < self.schedule.store_relay_at
             || now.saturating_duration_since(last_heard) < PEER_UNREACHABLE_AFTER
-            || self.state.is_unavailable(now)
+            || self.store.is_unavailable(now)
         {
             return;
         }
@@ -43,9 +43,9 @@
     /// Writes a message for a peer, in chunks if it is too large for one value.
     pub(super) fn send_by_store(&mut self, to: &ControllerId, message: &PeerMessage) {
         let Ok(text) = mesh::encode_text(message) else { return };
-        let layout = self.state.layout();
+        let layout = self.store.layout();
         let key = format!("{RELAY_PREFIX}{}/{to}", self.name());
-        let is_pending = |part| self.state.is_pending(&WriteOrigin::Relay(to.clone(), part));
+        let is_pending = |part| self.store.is_pending(&WriteOrigin::Relay(to.clone(), part));
         if layout.fits(&text) {
             if !is_pending(WHOLE_MESSAGE) {
                 self.write_relayed_texts(to, WHOLE_MESSAGE, &[RelayedText { key, text }]);
@@ -53,7 +53,7 @@
             return;
         }
         // Older versions know whole messages only.
-        if !layout.second() || is_pending(FIRST_CHUNKS) {
+        if !layout.is_second() || is_pending(FIRST_CHUNKS) {
             return;
         }
         // A number of its own: chunks of two grants under one would be put together, and a revocation be acknowledged
@@ -62,13 +62,13 @@
         let chunks = mesh::split_into_chunks(&text, seq, layout.value_max).into_iter().enumerate();
         let texts: Vec<RelayedText> =
             chunks.map(|(n, text)| RelayedText { key: format!("{key}/{n}"), text }).collect();
-        for (n, texts) in texts.chunks(layout.txn_ops).enumerate() {
+        for (n, texts) in texts.chunks(layout.max_operations).enumerate() {
             self.write_relayed_texts(to, FIRST_CHUNKS + n, texts);
         }
     }
 
     fn write_relayed_texts(&mut self, to: &ControllerId, part: usize, texts: &[RelayedText]) {
-        let relays = &self.state.cache.relays;
+        let relays = &self.store.cache.relays;
         let guard = |text: &RelayedText| Precondition {
             key: text.key.clone(),
             rev: relays.get(&text.key).copied().unwrap_or_default(),
@@ -76,20 +76,20 @@
         let write = |text: &RelayedText| Write::Put {
             key: text.key.clone(),
             data: StoreValue::Text(text.text.clone()),
-            hold: None,
+            lease: None,
         };
         let transaction = Transaction {
-            guards: texts.iter().map(guard).collect(),
+            preconditions: texts.iter().map(guard).collect(),
             writes: texts.iter().map(write).collect(),
         };
         let origin = WriteOrigin::Relay(to.clone(), part);
-        self.state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
+        self.store.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
     }
 
     /// Takes in messages that came by way of the store.
     pub(super) fn receive_relayed_messages(&mut self, now: Instant) {
-        for (path, text) in std::mem::take(&mut self.state.cache.relayed) {
-            let Some((from, to)) = path.split_once('/') else { continue };
+        for RelayedMessage { route, text } in std::mem::take(&mut self.store.cache.relayed) {
+            let Some((from, to)) = route.split_once('/') else { continue };
             let (to, is_chunk) = to.split_once('/').map_or((to, false), |(to, _)| (to, true));
             if to != self.name().as_str() {
                 continue;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -2,15 +2,15 @@
 use super::ticks::WORKER_CALLS_BEHIND;
 use super::{Controller, Effect};
 use crate::clock::WallClock;
-use crate::constants::LATE;
 use crate::http::{Method, Request};
 use crate::ids::{ControllerId, FencingToken, MachineId, Revision};
 use crate::leadership::delegation::{GrantId, GrantedMachines, PEER_UNREACHABLE_AFTER};
 use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
-use crate::store::records::{FORMAT, VersionRecord};
-use crate::store::{StoreRequest, StoreResponse};
+use crate::scheduler::planning_clock::LATE;
+use crate::schema::records::{FORMAT, VersionRecord};
+use crate::store::{OutgoingRequest, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Heartbeat, RangeResponse, Write};
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,10 +19,10 @@
 
 /// Lets the controller read a store without keys.
 fn read_empty_store(controller: &mut Controller, now: Instant) {
-    controller.state.poll(now);
-    let (id, _) = controller.state.calls.pop_front().unwrap();
+    controller.store.poll(now);
+    let id = controller.store.next_request().unwrap().id;
     let page = RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
-    controller.state.on_response(id, StoreResponse::Range(page), now);
+    controller.store.on_response(id, StoreResponse::Range(page), now);
 }
 
 /// Two grants in chunks within one status interval under one number: the second's number would come with the
@@ -33,8 +33,9 @@
     let now = Instant::now();
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     read_empty_store(&mut controller, now);
-    let version = (VersionRecord { format: FORMAT, chunk: 16_384 }, Revision(1));
-    controller.state.cache.versions.insert(ControllerId::new("n"), version);
+    let version =
+        Versioned::new(VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 }, Revision(1));
+    controller.store.cache.versions.insert(ControllerId::new("n"), version);
     let grant = |number: u64| {
         let names = (0..2000).map(|n| MachineId::new(&format!("i-{:06}", n * number)));
         let revoked = names.collect();
@@ -49,16 +50,16 @@
     let (mut chunks, mut received) = (ChunkAssembler::default(), Vec::new());
     for number in 1..3 {
         controller.send_by_store(&ControllerId::new("m"), &grant(number));
-        controller.state.poll(now);
-        for (id, call) in controller.state.calls.drain(..).collect::<Vec<_>>() {
+        controller.store.poll(now);
+        while let Some(OutgoingRequest { id, request: call }) = controller.store.next_request() {
             let StoreRequest::Commit(txn) = call else { continue };
             for write in &txn.writes {
                 let Write::Put { data, .. } = write else { panic!() };
                 received.extend(chunks.push(data.as_text().unwrap()));
             }
-            controller.state.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
+            controller.store.on_response(id, StoreResponse::Committed(Revision(1 + number)), now);
         }
-        controller.state.events.clear();
+        while controller.store.next_event().is_some() {}
     }
     let whole: Vec<_> = received.iter().map(|text| mesh::decode_text(text).ok()).collect();
     assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
@@ -100,9 +101,9 @@
     let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
-    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let max_calls = |controller: &mut Controller, machines: u32, falls_behind: bool| {
-        let cache = &controller.state.cache;
+        let cache = &controller.store.cache;
         let token = FencingToken(1);
         let mut scheduler = Scheduler::new(token, Revision(2), settings.clone(), cache, wall, now);
         for n in 0..machines {
@@ -120,10 +121,10 @@
             };
             scheduler.on_report(&report, cache, now);
         }
-        scheduler.pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
+        scheduler.adjust_pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
         controller.scheduler = Some(scheduler);
         controller.update_limits(now);
-        controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.most_direct)
+        controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
     };
     let many = controller.limits.machine_limit.current() * 3 / 4;
     assert_eq!(max_calls(&mut controller, many, true), WORKER_CALLS_BEHIND);
@@ -209,28 +210,28 @@
     ] {
         send(&mut controller, ticket, path, order);
         assert_eq!(responses(&mut controller), [], "not before it is committed");
-        controller.state.poll(now);
-        let calls: Vec<_> = controller.state.calls.drain(..).collect();
-        let commit = calls.into_iter().find_map(|(id, call)| match call {
+        controller.store.poll(now);
+        let calls: Vec<_> = std::iter::from_fn(|| controller.store.next_request()).collect();
+        let commit = calls.into_iter().find_map(|OutgoingRequest { id, request }| match request {
             StoreRequest::Commit(txn) => Some((id, txn)),
             _ => None,
         });
         let (id, txn) = commit.unwrap();
         // The key stays when a drain is taken back: an earlier transaction that is applied late finds it changed.
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
-        guarded.push(txn.guards[0].rev);
+        guarded.push(txn.preconditions[0].rev);
         let reply = match reply {
             Some(rev) => StoreResponse::Committed(rev),
-            None => StoreResponse::Conflict(vec![txn.guards[0].key.clone()]),
+            None => StoreResponse::Conflict(vec![txn.preconditions[0].key.clone()]),
         };
-        controller.state.on_response(id, reply, now);
-        while let Some(event) = controller.state.events.pop_front() {
+        controller.store.on_response(id, reply, now);
+        while let Some(event) = controller.store.next_event() {
             controller.on_store_event(event, now);
         }
         assert_eq!(responses(&mut controller), [(ticket, status)]);
     }
     assert_eq!(guarded, [Revision(0), Revision(0), Revision(7), Revision(9)]);
-    assert_eq!(controller.state.cache.drains.len(), 1);
+    assert_eq!(controller.store.cache.drains.len(), 1);
 }
 
 /// A leader that lost leadership and has acknowledged a successor's grant keeps to the successor's revocations: that
@@ -242,7 +243,7 @@
     let wall = WallClock { at: start, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
     read_empty_store(&mut controller, start);
-    controller.state.cache.machine_types.0 = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
@@ -255,7 +256,7 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    let cache = &controller.state.cache;
+    let cache = &controller.store.cache;
     let mut scheduler = Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, start);
     for name in ["i-1", "i-2"] {
         scheduler.on_report(&report(name), cache, start);
@@ -263,7 +264,7 @@
     controller.scheduler = Some(scheduler);
     // Nobody is heard, and what is known of the store is new.
     let now = start + PEER_UNREACHABLE_AFTER * 2;
-    controller.state.synced_at = Some(now);
+    controller.store.synced_at = Some(now);
     let token = |controller: &mut Controller, name: &str| {
         controller.answer_for_leader(&report(name), now).map(|o| o.token)
     };
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -2,10 +2,11 @@
 
 use super::{Controller, age_ms};
 use crate::admission::OutgoingSockets;
+use crate::api::Answer;
 use crate::leadership::delegation::GrantId;
 use crate::peers::mesh::PeerMessage;
 use crate::scheduler::Scheduler;
-use crate::store::STATE_LOST;
+use crate::store::STORE_UNAVAILABLE_AFTER;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -22,7 +23,8 @@
 /// Count. Jobs in one such message.
 const RUNNING_TASKS_JOBS_MAX: usize = 1500;
 /// Without news of the store for so long this controller asks whether it still responds.
-const PROBE_STORE_AFTER: Duration = Duration::from_nanos(STATE_LOST.as_nanos() as u64 / 3);
+const PROBE_STORE_AFTER: Duration =
+    Duration::from_nanos(STORE_UNAVAILABLE_AFTER.as_nanos() as u64 / 3);
 /// Ticket of the sync that shows whether the store still responds.
 pub(super) const PROBE_TICKET: u64 = 1;
 /// Count. Calls to workers in flight at the most while a leader of many machines falls behind. A call costs several
@@ -64,7 +66,7 @@
     pub fn next_tick(&mut self, now: Instant) -> Instant {
         let scheduler = self.scheduler.as_ref().and_then(Scheduler::next_due);
         let scheduler = scheduler.map(|at| at.max(self.schedule.scheduler_at));
-        let store = self.state.next_due().into_iter();
+        let store = self.store.next_due().into_iter();
         let due = store.chain(scheduler).chain(self.sharding.next_due()).min();
         let tick_at = due.map_or(now + TICK_MAX, |at| at.clamp(now + TICK_MIN, now + TICK_MAX));
         self.schedule.tick_at = tick_at;
@@ -80,9 +82,9 @@
         self.probe_store(now);
         self.log_cluster_format();
         if !self.settings.operator.hold_format {
-            self.state.publish_version();
+            self.store.publish_version();
         }
-        for (ticket, response) in self.api.tick(&self.state, now) {
+        for Answer { ticket, response } in self.api.tick(&self.store, now) {
             self.respond(ticket, response);
         }
         self.retry_cancellations(now);
@@ -102,7 +104,7 @@
             from: self.name().clone(),
             seq: self.peer_requests.next_status(now),
             leading: self.scheduler.as_ref().and(self.election.token()),
-            state_lost: self.state.is_unavailable(now),
+            state_lost: self.store.is_unavailable(now),
             ack: (token, number),
             up_ms: age_ms(self.started_at, now),
             answered_for_leader: self.delegated_lease.answered_for_leader(now),
@@ -116,15 +118,15 @@
 
     fn probe_store(&mut self, now: Instant) {
         let is_quiet = |at: Instant| now.saturating_duration_since(at) > PROBE_STORE_AFTER;
-        if !self.is_probing_store && self.state.synced_at.is_none_or(is_quiet) {
+        if !self.is_probing_store && self.store.synced_at.is_none_or(is_quiet) {
             self.is_probing_store = true;
-            self.state.sync(PROBE_TICKET);
+            self.store.sync(PROBE_TICKET);
         }
     }
 
     fn log_cluster_format(&mut self) {
-        let format = self.state.layout().format;
-        if self.logged_format != Some(format) && self.state.cache.loaded {
+        let format = self.store.layout().format;
+        if self.logged_format != Some(format) && self.store.cache.loaded {
             tracing::info!(format, "cluster version");
             self.logged_format = Some(format);
         }
@@ -140,7 +142,7 @@
         let running = scheduler.running();
         let jobs = running.iter().take(RUNNING_TASKS_JOBS_MAX);
         let counts = jobs.map(|(id, tasks)| (id.clone(), *tasks)).collect();
-        let token = scheduler.token;
+        let token = scheduler.token();
         self.api.running = running;
         self.broadcast(&PeerMessage::RunningTasks { token, counts });
     }
@@ -166,26 +168,27 @@
     ) -> usize {
         let Some(scheduler) = &mut self.scheduler else { return 0 };
         let machine_limit = &self.limits.machine_limit;
-        scheduler.pace(lateness, now);
-        scheduler.most_machines = machine_limit.current();
-        let machines = scheduler.machines.len();
+        scheduler.adjust_pace(lateness, now);
+        scheduler.set_max_machines(machine_limit.current());
+        let machines = scheduler.machine_count();
         let is_sharded = self.sharding.is_sharded();
         let calls = outgoing.worker_calls + if is_sharded { RELAYED_CALLS_MAX } else { 0 };
         let falls_behind =
             !is_sharded && scheduler.is_behind(now) && machine_limit.is_large_fleet(machines);
-        scheduler.most_direct = if falls_behind { calls.min(WORKER_CALLS_BEHIND) } else { calls };
+        let max_calls = if falls_behind { calls.min(WORKER_CALLS_BEHIND) } else { calls };
+        scheduler.set_max_direct_calls(max_calls);
         machines
     }
 
     fn log_metrics(&mut self, now: Instant) {
         let latency = &self.api.latency_ms;
         tracing::info!(
-            queue = self.state.queue_length(),
+            queue = self.store.queue_length(),
             rejected = self.api.refused,
             p50_ms = latency.value_at_quantile(0.5),
             p99_ms = latency.value_at_quantile(0.99),
-            store_lost = self.state.is_unavailable(now),
-            revision = %self.state.cache.rev,
+            store_lost = self.store.is_unavailable(now),
+            revision = %self.store.cache.rev,
             "request metrics"
         );
         let load = std::mem::take(&mut self.limits.load);
@@ -199,7 +202,7 @@
         );
         self.api.latency_ms.reset();
         if let Some(scheduler) = &self.scheduler {
-            scheduler.log_counts(&self.state.cache, now);
+            scheduler.log_counts(&self.store.cache, now);
         }
     }
 }
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -11,7 +11,7 @@
 use crate::leadership::controller_lease::{
     CONTROLLER_LEASE_TTL, ControllerLease, controller_lease_key,
 };
-use crate::store::records;
+use crate::schema::keys;
 use crate::store::{Cache, LEADER_KEY};
 use crate::wire::Precondition;
 use foldhash::HashMap;
@@ -119,7 +119,7 @@
         }
         for peer in &self.peers {
             let revision = cache.controller_leases.get(peer).copied();
-            let format = cache.versions.get(peer).map_or(0, |(version, _)| version.format);
+            let format = cache.versions.get(peer).map_or(0, |version| version.value.format);
             match self.observed.get_mut(peer) {
                 Some(observed) if observed.revision == revision => {}
                 Some(observed) => *observed = ObservedLease { revision, since: now },
@@ -223,8 +223,8 @@
 
     /// Where the leader that the cache shows says that the job may have tasks.
     fn current_zones(&self, id: &JobId, cache: &Cache) -> Option<&JobZones> {
-        let (_, leader_revision) = cache.leader.as_ref()?;
-        self.job_zones.get(id).filter(|zones| zones.leader_revision == *leader_revision)
+        let leader_revision = cache.leader.as_ref()?.revision;
+        self.job_zones.get(id).filter(|zones| zones.leader_revision == leader_revision)
     }
 
     fn lease_revision(&self, peer: &ControllerId) -> Option<Revision> {
@@ -242,8 +242,8 @@
         if lease_revision.is_none() {
             // A transaction that is applied late must not take a later absence for this one: a lease in between has
             // written the version key, which never goes away.
-            let version = cache.versions.get(peer).map(|(_, revision)| *revision);
-            revisions.insert(records::version_key(peer), version.unwrap_or_default());
+            let version = cache.versions.get(peer).map(|version| version.revision);
+            revisions.insert(keys::version_key(peer), version.unwrap_or_default());
         }
     }
 
--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -3,8 +3,9 @@
 use crate::leadership::controller_lease::{
     CONTROLLER_LEASE_TTL, ControllerLease, controller_lease_key,
 };
-use crate::store::records::{self, FORMAT, VersionRecord};
-use crate::store::{Cache, StoreRequest, StoreResponse};
+use crate::schema::records::{self, FORMAT, VersionRecord};
+use crate::schema::{encoding, keys};
+use crate::store::{Cache, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Precondition, Write};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,7 +15,7 @@
 const LEASE_S: f64 = 14.0;
 const CANCEL_S: f64 = 32.0;
 
-const VERSION: VersionRecord = VersionRecord { format: FORMAT, chunk: 16 };
+const VERSION: VersionRecord = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
 
 /// The lease key as the store holds it.
 #[derive(Clone, Copy)]
@@ -44,7 +45,7 @@
     }
 
     fn fulfils(&self, preconditions: &[Precondition]) -> bool {
-        let version_key = records::version_key(&ControllerId::new("f"));
+        let version_key = keys::version_key(&ControllerId::new("f"));
         let revision = |key: &str| {
             if key == version_key { Revision(self.version_revision) } else { self.key_revision() }
         };
@@ -62,8 +63,10 @@
                 self.lease_expiries[lease.0 as usize] = now + CONTROLLER_LEASE_TTL;
                 StoreResponse::Done
             }
-            StoreRequest::Commit(transaction) if self.fulfils(&transaction.guards) => {
-                let Write::Put { hold: Some(lease), .. } = &transaction.writes[0] else { panic!() };
+            StoreRequest::Commit(transaction) if self.fulfils(&transaction.preconditions) => {
+                let Write::Put { lease: Some(lease), .. } = &transaction.writes[0] else {
+                    panic!()
+                };
                 self.revision += 1;
                 self.key = Some(LeaseKey { revision: self.revision, lease: *lease });
                 self.version_revision = self.revision;
@@ -80,7 +83,7 @@
             Some(key) => cache.controller_leases.insert(controller.clone(), Revision(key.revision)),
             None => cache.controller_leases.remove(controller),
         };
-        let version = (VERSION, Revision(self.version_revision));
+        let version = Versioned::new(VERSION, Revision(self.version_revision));
         cache.versions.insert(controller.clone(), version);
     }
 }
@@ -181,9 +184,9 @@
         let (name, job) = (ControllerId::new("f"), JobId::new("wk-1"));
         let mut cache = Cache::new(16);
         cache.loaded = true;
-        cache.versions.insert(name.clone(), (VERSION, Revision(1)));
+        cache.versions.insert(name.clone(), Versioned::new(VERSION, Revision(1)));
         let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
-        let record = records::to_value(&records::JobRecord::live(1, Some(spec)));
+        let record = encoding::to_value(&records::JobRecord::live(1, Some(spec)));
         cache.jobs.apply_record(job.clone(), &record, Revision(2));
         Day {
             store: Store { revision: 1, version_revision: 1, ..Store::default() },
@@ -328,14 +331,13 @@
     let now = Instant::now();
     let mut cache = Cache::new(16);
     cache.loaded = true;
-    cache.versions.insert(peer.clone(), (VERSION, Revision(5)));
+    cache.versions.insert(peer.clone(), Versioned::new(VERSION, Revision(5)));
     let mut acks = CancellationAcks::new(vec![peer.clone()], LEASE_S, CANCEL_S);
     acks.set_own_lease(&held_lease(&me, Revision(7), now));
     acks.observe(&cache, now);
     let later = now + Duration::from_secs(60);
     let preconditions = acks.preconditions(&id, &cache, |_| None, later).unwrap();
-    let keys =
-        [controller_lease_key(&me), controller_lease_key(&peer), records::version_key(&peer)];
+    let keys = [controller_lease_key(&me), controller_lease_key(&peer), keys::version_key(&peer)];
     let holds = |revisions: [u64; 3]| {
         let revision =
             |key: &String| keys.iter().position(|known| known == key).map(|at| revisions[at]);
@@ -350,7 +352,7 @@
 /// A controller's lease whose key was written at that revision.
 fn held_lease(name: &ControllerId, revision: Revision, now: Instant) -> ControllerLease {
     let mut cache = Cache::new(16);
-    cache.versions.insert(name.clone(), (VERSION, Revision(1)));
+    cache.versions.insert(name.clone(), Versioned::new(VERSION, Revision(1)));
     let mut lease = ControllerLease::new(name, now);
     for response in [StoreResponse::LeaseGranted(LeaseId(1)), StoreResponse::Committed(revision)] {
         let request = lease.next_request(&cache, now).unwrap();
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -5,10 +5,10 @@
 //! cancellation is committed only under preconditions on these keys: see
 //! [`cancellation_acks`](crate::leadership::cancellation_acks).
 
-use crate::constants::{DELEGATION_TERM, DRIFT, STATE_RETRY};
+use crate::constants::{DELEGATION_TERM, DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, LeaseId, Revision};
-use crate::store::records;
-use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::schema::{encoding, keys};
+use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -88,18 +88,19 @@
     /// Writes the key under the lease, and this controller's version record anew. The version key never goes away,
     /// so its revision tells an absence of the lease from a later one.
     fn key_transaction(&self, lease: LeaseId, cache: &Cache) -> Option<Transaction> {
-        let (version, version_revision) = cache.versions.get(&self.me)?;
+        let Versioned { value: version, revision: version_revision } =
+            cache.versions.get(&self.me)?;
         let lease_revision = cache.controller_leases.get(&self.me).copied().unwrap_or_default();
-        let version_key = records::version_key(&self.me);
-        let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
+        let version_key = keys::version_key(&self.me);
+        let put = |key: &str, data, lease| Write::Put { key: key.into(), data, lease };
         Some(Transaction {
-            guards: vec![
+            preconditions: vec![
                 Precondition { key: self.key.clone(), rev: lease_revision },
                 Precondition { key: version_key.clone(), rev: *version_revision },
             ],
             writes: vec![
                 put(&self.key, StoreValue::Bool(true), Some(lease)),
-                put(&version_key, records::to_value(version), None),
+                put(&version_key, encoding::to_value(version), None),
             ],
         })
     }
@@ -113,7 +114,7 @@
         now: Instant,
     ) {
         self.in_flight = false;
-        self.due = now + STATE_RETRY * 2;
+        self.due = now + RETRY_PAUSE * 2;
         match (self.state, request, response) {
             (
                 LeaseState::Absent,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -5,9 +5,11 @@
 //! may go on leading as long as every other controller extends the lease, that is, promises to withhold its own
 //! candidacy for [`LEASE_EXTENSION`].
 
-use crate::constants::{DRIFT, STATE_RETRY};
+use crate::constants::{DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
-use crate::store::{Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY};
+use crate::store::{
+    Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
+};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::{HashMap, HashMapExt};
 use rand::rngs::StdRng;
@@ -178,9 +180,9 @@
             return false;
         }
         // A leader with a newer token than the cache's has read all that the cache shows.
-        let is_current = token > cache.token.0
+        let is_current = token > cache.token.value
             || (has_controller_lease
-                && cache.leader.as_ref().is_some_and(|(leader, _)| leader.token == token));
+                && cache.leader.as_ref().is_some_and(|leader| leader.value.token == token));
         if is_current {
             self.withhold_candidacy_until =
                 self.withhold_candidacy_until.max(now + LEASE_EXTENSION);
@@ -256,13 +258,13 @@
 
     fn return_to_follower(&mut self, now: Instant) {
         self.role = Role::Follower;
-        self.candidacy_at = now + STATE_RETRY;
+        self.candidacy_at = now + RETRY_PAUSE;
     }
 
     /// Whether the cache shows that another controller was elected since.
     pub fn detect_successor(&mut self, cache: &Cache) -> Option<ElectionEvent> {
         let token = self.token()?;
-        (cache.token.0 > token).then(|| {
+        (cache.token.value > token).then(|| {
             self.role = Role::Follower;
             self.extended_until.clear();
             ElectionEvent::Lost(LeadershipLoss::Superseded)
@@ -314,7 +316,7 @@
             self.return_to_follower(now);
             return ElectionStep::request(StoreRequest::RevokeLease(*lease));
         }
-        let (last_token, token_revision) = cache.token;
+        let Versioned { value: last_token, revision: token_revision } = cache.token;
         let token = FencingToken(last_token.0 + 1);
         self.role = Role::Candidate { lease: *lease, requested_at, token };
         ElectionStep::request(StoreRequest::Commit(self.candidacy(token, token_revision, *lease)))
@@ -354,7 +356,7 @@
         self.renewal_in_flight = false;
         match response {
             StoreResponse::Done | StoreResponse::Gone => self.return_to_follower(now),
-            _ => self.renew_at = now + STATE_RETRY,
+            _ => self.renew_at = now + RETRY_PAUSE,
         }
     }
 
@@ -377,7 +379,7 @@
                 ElectionStep::event(ElectionEvent::Lost(LeadershipLoss::LeaseExpired))
             }
             _ => {
-                self.renew_at = now + STATE_RETRY;
+                self.renew_at = now + RETRY_PAUSE;
                 ElectionStep::default()
             }
         }
@@ -391,10 +393,10 @@
         token_revision: Revision,
         lease: LeaseId,
     ) -> Transaction {
-        let record = LeaderRecord { node: self.me.clone(), token };
-        let put = |key: &str, data: StoreValue, hold| Write::Put { key: key.into(), data, hold };
+        let record = LeaderRecord { controller: self.me.clone(), token };
+        let put = |key: &str, data: StoreValue, lease| Write::Put { key: key.into(), data, lease };
         Transaction {
-            guards: vec![
+            preconditions: vec![
                 Precondition { key: LEADER_KEY.into(), rev: Revision(0) },
                 Precondition { key: TOKEN_KEY.into(), rev: token_revision },
             ],
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -1,8 +1,8 @@
 use super::{Election, ElectionEvent, LEADER_LEASE_TTL, LEASE_EXTENSION, LEASE_SAFETY_MARGIN};
-use crate::constants::STATE_RETRY;
+use crate::constants::RETRY_PAUSE;
 use crate::controller::TICK_MAX;
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
-use crate::store::{Cache, LeaderRecord, StoreRequest, StoreResponse};
+use crate::store::{Cache, LeaderRecord, StoreRequest, StoreResponse, Versioned};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -11,9 +11,9 @@
 }
 
 fn set_leader(cache: &mut Cache, token: FencingToken) {
-    let record = LeaderRecord { node: ControllerId::new("a"), token };
-    cache.leader = Some((record, Revision(3)));
-    cache.token = (token, Revision(3));
+    let record = LeaderRecord { controller: ControllerId::new("a"), token };
+    cache.leader = Some(Versioned::new(record, Revision(3)));
+    cache.token = Versioned::new(token, Revision(3));
 }
 
 /// A controller of three that has been elected.
@@ -105,7 +105,7 @@
     assert!(matches!(request, StoreRequest::RevokeLease(LeaseId(7))));
     election.on_response(&request, now, &StoreResponse::Done, &cache, now);
     assert!(election.next_request(&cache, false, now).is_none());
-    assert!(election.next_request(&cache, false, now + STATE_RETRY * 2).is_some());
+    assert!(election.next_request(&cache, false, now + RETRY_PAUSE * 2).is_some());
 }
 
 /// An extension says that the leader knows of every cancellation. Each way in which a peer can't know that: it
--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -1,6 +1,6 @@
 //! Large messages on their way by the key-value store: chunks that each fit a stored value.
 
-use crate::store::records;
+use crate::schema::encoding;
 use std::collections::BTreeMap;
 
 /// Bytes. What stands before the text of a chunk at the most.
@@ -9,7 +9,7 @@
 /// Splits a message's text into chunks of at most `value_max` bytes each: `<seq>.<count>.<index>:<text>`.
 pub fn split_into_chunks(text: &str, seq: u64, value_max: usize) -> Vec<String> {
     let size = value_max.saturating_sub(CHUNK_HEADER_BYTES).max(1);
-    let chunks = records::split_text(text, size);
+    let chunks = encoding::split_text(text, size);
     let count = chunks.len();
     let numbered = chunks.into_iter().enumerate();
     numbered.map(|(index, chunk)| format!("{seq}.{count}.{index}:{chunk}")).collect()
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -3,9 +3,24 @@
 //! of descriptions whose submission was never finished. A take-over loses nothing: what is left is
 //! found again in the store.
 
-use super::*;
+use crate::ids::JobId;
+use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
+use crate::scheduler::Scheduler;
+use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
+use crate::wire::{Precondition, Transaction, Write};
+use foldhash::{HashMap, HashMapExt};
+use std::time::Duration;
+use tokio::time::Instant;
 
-pub(super) struct Tidy {
+/// Count. Writes of tidying up in one transaction: few, so that they hold up nothing.
+const TIDY_WRITES: usize = 4;
+/// Pause between two such transactions.
+const TIDY_EVERY: Duration = Duration::from_millis(1000);
+/// A submission of many parts that was not finished within this time is given up, and its parts are
+/// removed: users repeat a submission for a minute.
+const ORPHAN_AFTER: Duration = Duration::from_secs(180);
+
+pub(super) struct GarbageCollector {
     at: Instant,
     /// Keys of the transaction under way.
     keys: Vec<String>,
@@ -13,38 +28,43 @@
     orphans: HashMap<JobId, Instant>,
 }
 
-impl Tidy {
-    pub fn new(now: Instant) -> Tidy {
-        Tidy { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
+impl GarbageCollector {
+    pub fn new(now: Instant) -> GarbageCollector {
+        GarbageCollector { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
     }
 }
 
 impl Scheduler {
     pub(super) fn tidy_up(&mut self, state: &mut StoreClient, now: Instant) {
-        if now < self.tidy.at || state.is_pending(&WriteOrigin::GarbageCollection) {
+        if now < self.garbage_collector.at || state.is_pending(&WriteOrigin::GarbageCollection) {
             return;
         }
-        self.tidy.at = now + TIDY_EVERY;
-        let most = TIDY_WRITES.min(state.layout().txn_ops);
+        self.garbage_collector.at = now + TIDY_EVERY;
+        let most = TIDY_WRITES.min(state.layout().max_operations);
         let mut writes = state.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
-        for (id, key, rev) in state.cache.jobs.orphaned_spec_chunks() {
-            let since = self.tidy.orphans.get(id).copied().unwrap_or(now);
-            waiting.insert(id.clone(), since);
+        for OrphanedSpecChunk { job, key, revision } in state.cache.jobs.orphaned_spec_chunks() {
+            let since = self.garbage_collector.orphans.get(&job).copied().unwrap_or(now);
+            waiting.insert(job, since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
-                writes.push((Write::Delete { key }, rev));
+                writes.push(GarbageWrite { write: Write::Delete { key }, revision });
             }
         }
-        self.tidy.orphans = waiting;
+        self.garbage_collector.orphans = waiting;
         if writes.is_empty() {
             return;
         }
-        let guard =
-            |(write, rev): &(Write, Revision)| Precondition { key: write.key().into(), rev: *rev };
-        let guards = std::iter::once(self.leader_guard()).chain(writes.iter().map(guard)).collect();
-        self.tidy.keys = writes.iter().map(|(write, _)| write.key().to_owned()).collect();
-        let writes = writes.into_iter().map(|(write, _)| write).collect();
-        let transaction = Transaction { guards, writes };
+        let precondition = |garbage: &GarbageWrite| Precondition {
+            key: garbage.write.key().into(),
+            rev: garbage.revision,
+        };
+        let preconditions = std::iter::once(self.term.precondition())
+            .chain(writes.iter().map(precondition))
+            .collect();
+        self.garbage_collector.keys =
+            writes.iter().map(|garbage| garbage.write.key().to_owned()).collect();
+        let writes = writes.into_iter().map(|garbage| garbage.write).collect();
+        let transaction = Transaction { preconditions, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::GarbageCollection,
@@ -55,7 +75,7 @@
     pub(super) fn tidied(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
-            self.tidy.keys.iter().for_each(|key| state.cache.jobs.forget_garbage(key));
+            self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_garbage(key));
         }
     }
 }
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -3,10 +3,15 @@
 //! Each is taken in and answered as if the worker had sent it here, at the time at which it arrives here. Nothing
 //! about a worker is decided anywhere else.
 
-use super::*;
+use crate::ids::{ControllerId, MachineId};
 use crate::peers::heartbeat_relay::{
     HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
+use crate::scheduler::Scheduler;
+use crate::store::Cache;
+use crate::wire::Heartbeat;
+use crate::workers::machine::{Machine, Relayer};
+use tokio::time::Instant;
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
@@ -23,8 +28,8 @@
                 RelayedHeartbeat::Full(report) => {
                     let report = Heartbeat::from(report);
                     let orders = self.on_report(&report, cache, now)?.orders;
-                    if let Some(machine) = self.machines.get_mut(&report.machine) {
-                        machine.relayed_by = Some((from.clone(), now));
+                    if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+                        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
                     HeartbeatResult::Accepted(
                         orders.into_iter().map(RelayedCommand::from).collect(),
@@ -47,26 +52,30 @@
         now: Instant,
     ) -> HeartbeatResult {
         let id = &unchanged.machine;
-        let (token, quiet) = (self.token, self.settings.report_every() * 2);
-        let known = |machine: &mut Machine| machine.hear_same(unchanged, token, now);
-        let Some(machine) = self.machines.get_mut(id) else { return HeartbeatResult::ResendInFull };
-        let was_silent = machine.silent_for(now) > quiet;
+        let (token, quiet) = (self.term.token, self.settings.report_every() * 2);
+        let known =
+            |machine: &mut Machine| machine.record_unchanged_heartbeat(unchanged, token, now);
+        let Some(machine) = self.fleet.machines.get_mut(id) else {
+            return HeartbeatResult::ResendInFull;
+        };
+        let was_silent = machine.time_since_heartbeat(now) > quiet;
         if !known(machine) {
             return HeartbeatResult::ResendInFull;
         }
         // Nothing was placed on it meanwhile.
-        self.plan_wanted |= was_silent;
-        machine.relayed_by = Some((from.clone(), now));
-        self.zone_heard[machine.zone] = Some(now);
-        self.last_report = now;
-        self.reports += 1;
+        self.planning_clock.pass_requested |= was_silent;
+        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
+        self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
+        self.statistics.last_heartbeat = now;
+        self.statistics.heartbeats += 1;
         let orders = self.orders_in_answer(id, now).unwrap_or_default();
         HeartbeatResult::Accepted(orders.into_iter().map(RelayedCommand::from).collect())
     }
 
     /// The controller that takes a worker's reports, if it passed one on lately.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
-        let (name, at) = self.machines.get(id)?.relayed_by.as_ref()?;
-        (now.saturating_duration_since(*at) < self.late_after()).then_some(name)
+        let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
+        let is_recent = now.saturating_duration_since(relayer.at) < self.late_after();
+        is_recent.then_some(&relayer.controller)
     }
 }
