--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -120,7 +120,7 @@
         scheduler.on_cancellation_acknowledged(&self.api.acknowledged_cancellations.all(), cache);
         let machines = scheduler.machine_count();
         tracing::info!(fencing_token = %token, machines, "leading");
-        self.cloud.lead(token, now);
+        self.cloud.begin_leadership(token, now);
         self.scheduler = Some(scheduler);
         self.sharding.begin_leadership();
         // The peers hold heartbeats back until they hear of it.
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -130,7 +130,7 @@
             let zones = info.zones.iter().filter_map(|name| self.fleet.zone(name));
             zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
         });
-        cloud.is_out()
+        cloud.is_unavailable()
             || kinds.all(|kind| {
                 silent[kind.zone] || self.autoscaler.capacity_backoff.contains_key(&kind)
             })
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,6 +1,6 @@
 //! What jobs ask of placement, and what could be rented for them.
 
-use crate::cloud::MachinePool;
+use crate::cloud::{MachinePool, PendingRental};
 use crate::constants::HIRE_MAX;
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
@@ -224,7 +224,7 @@
     pub(super) fn offers(
         &self,
         sizes: &[Amount],
-        pending: &[(MachinePool, u32)],
+        pending: &[PendingRental],
         now: Instant,
     ) -> Vec<(MachinePool, MachineTypeOffer)> {
         let mut offers = Vec::new();
@@ -237,7 +237,7 @@
                 for spot in [true, false] {
                     let kind = MachinePool { flavor, zone, spot };
                     let scarce = self.autoscaler.capacity_backoff.get(&kind);
-                    let asked = pending.iter().any(|(other, _)| *other == kind);
+                    let asked = pending.iter().any(|rental| rental.pool == kind);
                     if scarce.is_some_and(|backoff| backoff.not_before > now || asked) {
                         continue;
                     }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -3,7 +3,7 @@
 //! Owns the order of service and what a team may still use. It is the only place that starts a task. Where an ask goes
 //! `placement` decides; it changes no machine's life and writes nothing.
 
-use crate::cloud::{CloudClient, MachinePool};
+use crate::cloud::{CloudClient, MachinePool, PendingRental};
 use crate::ids::{Amount, JobId, MachineId, TaskId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement;
@@ -287,10 +287,10 @@
         // No room is kept, and nothing rented, where all is to leave.
         silent.iter_mut().zip(self.drained_zones()).for_each(|(shut, drained)| *shut |= drained);
         let (mut bins, mut names) = self.bins(&sizes, &survey, now);
-        let pending = cloud.pending();
+        let pending = cloud.pending_rentals();
         let may_rent = now >= self.term.started_at + HIRE_SETTLE
             && (self.fleet.listed_once || now >= self.term.started_at + HIRE_SETTLE * 4);
-        let coming_up: u32 = pending.iter().map(|(_, count)| count).sum();
+        let coming_up: u32 = pending.iter().map(|rental| rental.count).sum();
         let held = u32::try_from(self.fleet.machines.len()).unwrap_or(u32::MAX);
         let rents_left =
             self.autoscaler.max_machines.saturating_sub(held.saturating_add(coming_up));
@@ -356,7 +356,7 @@
         self.coming_asks(&mut asks, coming, cache, &sizes);
         self.warm_asks(&mut asks, &sizes, (&survey, &silent), params.teams.len());
 
-        for (kind, count) in &pending {
+        for PendingRental { pool: kind, count } in &pending {
             for _ in 0..*count {
                 bins.push(Bin {
                     index: u64::MAX,
@@ -424,7 +424,7 @@
             if *count > 0 {
                 let (kind, _) = &kinds[n];
                 let flavor = self.fleet.machine_types[kind.flavor].name.clone();
-                cloud.hire(*kind, &flavor, &params.zones[kind.zone], *count, now);
+                cloud.scale_out(*kind, &flavor, &params.zones[kind.zone], *count, now);
             }
         }
         if wake.is_some() || !plan.short.is_empty() || !plan.booked.is_empty() {
