--- /dev/null
+++ b/src/scheduler/tests/fixture.rs
@@ -0,0 +1,149 @@
+//! A leader without peers, and the cores that it works with.
+
+use crate::clock::WallClock;
+use crate::cloud::CloudClient;
+use crate::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
+use crate::jobs;
+use crate::scheduler::Scheduler;
+use crate::settings::plain_flavor as flavor;
+use crate::store::{MachineRecord, StoreClient, Versioned};
+use crate::wire::{Heartbeat, JobKind, JobSpec, TaskState, TaskStatus, WorkerCommand, Write};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A leader without peers, and the cores that it works with.
+pub(super) struct TestLeader {
+    pub(super) scheduler: Scheduler,
+    pub(super) state: StoreClient,
+    pub(super) cloud: CloudClient,
+    pub(super) now: Instant,
+    pub(super) seq: u64,
+}
+
+impl TestLeader {
+    pub(super) fn new() -> TestLeader {
+        let teams = r#"[{"name":"t","cpus":4000.0,"cpus_max":8000.0}]"#;
+        let settings = Arc::new(crate::settings::plain(teams));
+        let now = Instant::now();
+        let limits = settings.platform.params.state.kept();
+        let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
+        state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
+        let wall = WallClock { at: now, ms: 0 };
+        let scheduler =
+            Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
+        let mut cloud = CloudClient::new(5.0, now);
+        cloud.lead(FencingToken(1), now);
+        TestLeader { scheduler, state, cloud, now, seq: 0 }
+    }
+
+    pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
+        let spec = JobSpec {
+            shape,
+            cpus: 4.0,
+            ram_gb: 4.0,
+            spot: shape == JobKind::Array,
+            ..jobs::fixtures::job_spec(id, tasks)
+        };
+        let layout = self.state.layout();
+        let jobs::Acceptance::JobRecord(transaction) =
+            jobs::accept(&Arc::new(spec), 1, &layout, &self.state.cache.jobs)
+        else {
+            panic!()
+        };
+        let [Write::Put { data, .. }] = &transaction.writes[..] else { panic!() };
+        self.state.cache.jobs.apply_record(JobId::new(id), data, Revision(5));
+        self.scheduler.on_jobs(&[JobId::new(id)], &self.state.cache, self.now);
+        JobId::new(id)
+    }
+
+    /// A report of the machine with these tasks; gives the answer's orders.
+    pub(super) fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
+        self.seq += 1;
+        let report = Heartbeat {
+            machine: MachineId::new(machine),
+            address: "127.0.0.1:9000".into(),
+            flavor: "f".into(),
+            zone: "a".into(),
+            spot: false,
+            agent_epoch: 1,
+            seq: self.seq,
+            token: FencingToken(1),
+            notice_s: None,
+            tasks,
+        };
+        let orders = self.scheduler.on_report(&report, &self.state.cache, self.now).unwrap();
+        for machine in self.scheduler.fleet.machines.values_mut() {
+            machine.recorded = true;
+        }
+        orders.orders
+    }
+
+    pub(super) fn pass(&mut self, time: Duration) {
+        self.now += time;
+        self.scheduler.tick(&mut self.state, &mut self.cloud, self.now);
+    }
+}
+
+/// What the worker shows of tasks that it was told to start.
+pub(super) fn task_statuses(orders: &[WorkerCommand], state: TaskState) -> Vec<TaskStatus> {
+    let show = |order: &WorkerCommand| match order {
+        WorkerCommand::Start { task, attempt } => Some(TaskStatus {
+            task: task.clone(),
+            attempt: *attempt,
+            state,
+            why: (state == TaskState::Exited).then(|| "halted".into()),
+            saved: None,
+        }),
+        _ => None,
+    };
+    orders.iter().filter_map(show).collect()
+}
+
+/// What the worker shows of tasks that it was told to start and that all failed.
+pub(super) fn failed_statuses(orders: &[WorkerCommand]) -> Vec<TaskStatus> {
+    let mut tasks = task_statuses(orders, TaskState::Exited);
+    tasks.iter_mut().for_each(|task| task.why = Some("error".into()));
+    tasks
+}
+
+/// A new leader of a job with so many tasks, and of two machines with records that it has not heard.
+pub(super) fn after_failover(tasks: u64) -> (TestLeader, JobId) {
+    let mut bench = TestLeader::new();
+    for name in ["i-1", "i-2"] {
+        let record = MachineRecord {
+            address: "127.0.0.1:9000".into(),
+            machine_type: "f".into(),
+            zone: "a".into(),
+            spot: false,
+        };
+        bench
+            .state
+            .cache
+            .machines
+            .insert(MachineId::new(name), Versioned::new(record, Revision(3)));
+    }
+    let job = bench.job("wk-1", JobKind::Array, tasks);
+    bench.lead_anew();
+    (bench, job)
+}
+
+impl TestLeader {
+    pub(super) fn lead_anew(&mut self) {
+        let settings = self.scheduler.settings.clone();
+        let wall = WallClock { at: self.now, ms: 1_000_000 };
+        let cache = &self.state.cache;
+        self.scheduler =
+            Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, self.now);
+    }
+}
+
+pub(super) fn running_status(job: &JobId, attempt: u64) -> TaskStatus {
+    TaskStatus {
+        task: TaskId { job: job.clone(), index: 0 },
+        attempt: Attempt(attempt),
+        state: TaskState::Running,
+        why: None,
+        saved: None,
+    }
+}
