--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -33,7 +33,7 @@
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
         let mut cloud = CloudClient::new(5.0, now);
-        cloud.lead(FencingToken(1), now);
+        cloud.begin_leadership(FencingToken(1), now);
         TestLeader { scheduler, state, cloud, now, seq: 0 }
     }
 
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -19,7 +19,7 @@
     for _ in 0..20 {
         bench.pass(PLAN_EVERY * 5);
     }
-    let asked: u32 = bench.cloud.pending().iter().map(|(_, count)| count).sum();
+    let asked: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
     assert_eq!(asked, 3);
     assert!(bench.scheduler.statistics.waiting_by_cause["controllers hold no more machines"] > 300);
     bench.scheduler.direct_calls.max_in_flight = 2;
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -25,7 +25,7 @@
     let rented = names.iter().map(|name| MachineId::new(name)).collect();
     let kind = MachinePool { flavor: 0, zone: 1, spot: true };
     bench.pass(PLAN_EVERY);
-    let hired = CloudEvent::Hired(kind, rented);
+    let hired = CloudEvent::MachinesRented(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
     let booting = |bench: &TestLeader| {
         bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
