--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// The core with a state service that does all it is told and knows what is given.
+/// The API with a store that executes every request and holds what it is given.
 struct TestApi {
     api: Api,
     state: StoreClient,
@@ -38,8 +38,8 @@
 }
 
 impl TestApi {
-    /// Two controllers, of which `told` say that they read the newest format.
-    fn new(told: usize) -> TestApi {
+    /// Two controllers, of which `upgraded` say that they read the newest format.
+    fn new(upgraded: usize) -> TestApi {
         let now = Instant::now();
         let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
         let names = ["n-0", "n-1"].map(ControllerId::new).to_vec();
@@ -50,10 +50,10 @@
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
         let flavors = encoding::to_value(&vec![crate::settings::plain_flavor()]);
         let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
-        let told = names.iter().take(told);
-        let told = told.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
+        let versions = names.iter().take(upgraded);
+        let versions = versions.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
         let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
-        rows.extend(told);
+        rows.extend(versions);
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
         state.on_response(id, StoreResponse::Range(page), now);
         let api = Api::new(settings, WallClock { at: now, ms: 5 }).unwrap();
@@ -73,8 +73,8 @@
                     StoreRequest::Watch { wait, .. } if !wait.is_zero() => {
                         StoreResponse::Unavailable
                     }
-                    StoreRequest::Commit(txn) => {
-                        assert!(txn.writes.len() <= 12);
+                    StoreRequest::Commit(transaction) => {
+                        assert!(transaction.writes.len() <= 12);
                         self.rev += 1;
                         StoreResponse::Committed(Revision(self.rev))
                     }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Plays the state service: each change gets the next revision if its guards hold.
+/// Stands for the key-value store: each transaction gets the next revision if its preconditions hold.
 #[derive(Default)]
 struct Store {
     rev: u64,
@@ -95,8 +95,8 @@
         let transaction = done.transaction;
         rev += 1;
         apply(&mut jobs, &transaction, rev);
-        let over = jobs.get(&id).unwrap().final_state();
-        assert_eq!(over.is_some(), nth >= 39, "{nth}");
+        let state = jobs.get(&id).unwrap().final_state();
+        assert_eq!(state.is_some(), nth >= 39, "{nth}");
     }
     assert_eq!(
         jobs.get(&id).unwrap().final_state(),
@@ -467,9 +467,9 @@
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
             apply(&mut jobs, &end, 2);
-            let over = jobs.all.values().filter(|job| job.is_finished()).count();
+            let finished = jobs.all.values().filter(|job| job.is_finished()).count();
             let all = if layers == 999 { 4996 } else { 5000 };
-            assert_eq!((over, jobs.take_changed().len()), (all, all));
+            assert_eq!((finished, jobs.take_changed().len()), (all, all));
         }
     }
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -44,8 +44,8 @@
 fn commit(client: &mut StoreClient, now: Instant) -> (u64, Transaction) {
     client.poll(now);
     while let Some(OutgoingRequest { id, request }) = client.next_request() {
-        if let StoreRequest::Commit(txn) = request {
-            return (id, txn);
+        if let StoreRequest::Commit(transaction) = request {
+            return (id, transaction);
         }
     }
     panic!("no commit was sent")
@@ -67,12 +67,12 @@
     for (ticket, key) in [(1, "t/x/1"), (2, "t/x/2"), (3, "t/x/3")] {
         client.enqueue(write(ticket, key));
     }
-    let (id, txn) = commit(&mut client, now);
-    assert_eq!(txn.writes.len(), 3);
+    let (id, transaction) = commit(&mut client, now);
+    assert_eq!(transaction.writes.len(), 3);
     client.on_response(id, StoreResponse::Conflict(vec!["t/x/2".into()]), now);
     assert_eq!(outcomes(&mut client), [(WriteOrigin::User(2), WriteOutcome::Conflict)]);
-    let (id, txn) = commit(&mut client, now);
-    assert_eq!(txn.writes.len(), 2);
+    let (id, transaction) = commit(&mut client, now);
+    assert_eq!(transaction.writes.len(), 2);
     client.on_response(id, StoreResponse::Committed(Revision(9)), now);
     assert_eq!(outcomes(&mut client).len(), 2);
 }
@@ -86,13 +86,13 @@
     }
     let (id, _) = commit(&mut client, now);
     client.on_response(id, StoreResponse::Invalid, now);
-    let (id, txn) = commit(&mut client, now);
-    assert_eq!(txn.writes.len(), 1);
+    let (id, transaction) = commit(&mut client, now);
+    assert_eq!(transaction.writes.len(), 1);
     client.on_response(id, StoreResponse::Invalid, now);
     assert_eq!(outcomes(&mut client), [(WriteOrigin::User(0), WriteOutcome::Invalid)]);
     let later = now + RETRY_PAUSE * 2;
-    let (id, txn) = commit(&mut client, later);
-    assert_eq!(txn.writes.len(), 1);
+    let (id, transaction) = commit(&mut client, later);
+    assert_eq!(transaction.writes.len(), 1);
     client.on_response(id, StoreResponse::Committed(Revision(9)), later);
     assert_eq!(outcomes(&mut client), [(WriteOrigin::User(1), WriteOutcome::Committed)]);
 }
@@ -109,11 +109,11 @@
         if client.queue_length() == 0 {
             break;
         }
-        let (id, txn) = commit(&mut client, now);
-        assert!(txn.writes.len() <= 4);
-        let keys: HashSet<_> = txn.writes.iter().map(|w| w.key().to_owned()).collect();
-        assert_eq!(keys.len(), txn.writes.len());
-        seen += txn.writes.len();
+        let (id, transaction) = commit(&mut client, now);
+        assert!(transaction.writes.len() <= 4);
+        let keys: HashSet<_> = transaction.writes.iter().map(|w| w.key().to_owned()).collect();
+        assert_eq!(keys.len(), transaction.writes.len());
+        seen += transaction.writes.len();
         client.on_response(id, StoreResponse::Committed(Revision(10 + rev)), now);
     }
     assert_eq!(seen, 9);
@@ -133,17 +133,17 @@
             .push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
         client.enqueue(write);
     }
-    let seen = |txn: &Transaction| -> Vec<Revision> {
-        txn.preconditions.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
+    let seen = |transaction: &Transaction| -> Vec<Revision> {
+        transaction.preconditions.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
     };
-    let (id, txn) = commit(&mut client, now);
-    assert_eq!((txn.writes.len(), seen(&txn)), (2, vec![Revision(3)]));
+    let (id, transaction) = commit(&mut client, now);
+    assert_eq!((transaction.writes.len(), seen(&transaction)), (2, vec![Revision(3)]));
     client.on_response(id, StoreResponse::Committed(Revision(9)), now);
-    let (id, txn) = commit(&mut client, now);
-    assert_eq!((txn.writes.len(), seen(&txn)), (1, vec![Revision(4)]));
+    let (id, transaction) = commit(&mut client, now);
+    assert_eq!((transaction.writes.len(), seen(&transaction)), (1, vec![Revision(4)]));
     client.on_response(id, StoreResponse::Conflict(vec!["t/a/p/m".into()]), now);
-    let told = outcomes(&mut client);
-    assert_eq!(told.last(), Some(&(WriteOrigin::User(2), WriteOutcome::Conflict)));
+    let outcomes = outcomes(&mut client);
+    assert_eq!(outcomes.last(), Some(&(WriteOrigin::User(2), WriteOutcome::Conflict)));
 }
 
 /// Machine types are kept in one value or in one each; either way none is ever forgotten.
@@ -182,9 +182,9 @@
         StoreResponse::Watch(wire::WatchResponse { rev: Revision(7), events: vec![] }),
         now,
     );
-    let told: Vec<u64> = std::iter::from_fn(|| client.next_event())
+    let synced: Vec<u64> = std::iter::from_fn(|| client.next_event())
         .filter_map(|e| if let StoreEvent::Synced(t) = e { Some(t) } else { None })
         .collect();
-    assert_eq!(told, [1]);
+    assert_eq!(synced, [1]);
     assert_eq!(client.cache.rev, Revision(7));
 }
