--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -3,7 +3,7 @@
 //! Owns a machine's life and its index, and which kinds refuse. It decides when a machine is given up; what ran there is
 //! told on as facts. It rents nothing by itself: the planner says how many.
 
-use crate::cloud::{CloudClient, CloudEvent, MachinePool};
+use crate::cloud::{CloudClient, CloudEvent, MachineListing, MachinePool};
 use crate::constants::HIRE_MAX;
 use crate::ids::MachineId;
 use crate::scheduler::Scheduler;
@@ -75,7 +75,7 @@
                 // What counts as heavy follows from the largest type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
-            CloudEvent::Hired(kind, machines) => {
+            CloudEvent::MachinesRented(kind, machines) => {
                 self.fair_share.cloud_told();
                 if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&kind) {
                     backoff.max_request *= CAPACITY_GROWTH;
@@ -89,7 +89,7 @@
                 let zone = &self.settings.platform.params.zones[kind.zone];
                 tracing::info!(count = machines.len(), %zone, spot = kind.spot, "rented");
             }
-            CloudEvent::Refused(kind) => {
+            CloudEvent::CapacityExhausted(kind) => {
                 self.fair_share.cloud_told();
                 let zone = &self.settings.platform.params.zones[kind.zone];
                 tracing::info!(%zone, spot = kind.spot, "rental refused");
@@ -99,23 +99,18 @@
                 };
                 self.autoscaler.capacity_backoff.insert(kind, backoff);
             }
-            CloudEvent::Deleted(machines) => {
+            CloudEvent::MachinesReturned(machines) => {
                 for id in machines {
                     self.fleet.terminated.insert(id.clone());
                     self.gone(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::ListedMachine(listed, asked) => self.on_list(listed, asked, cache, now),
+            CloudEvent::Listed(listing) => self.on_list(listing, cache, now),
         }
     }
 
-    pub(super) fn on_list(
-        &mut self,
-        listed: Vec<crate::wire::ListedMachine>,
-        asked: Instant,
-        cache: &Cache,
-        now: Instant,
-    ) {
+    pub(super) fn on_list(&mut self, listing: MachineListing, cache: &Cache, now: Instant) {
+        let MachineListing { machines: listed, requested_at: asked } = listing;
         self.fleet.listed_once = true;
         let mut present = HashSet::new();
         for row in listed {
@@ -289,7 +284,7 @@
                 machine.idle_since = None;
             }
             if machine.state == MachineState::Returning {
-                cloud.delete(&machine.id, now);
+                cloud.scale_in(&machine.id, now);
             }
         }
         for (id, fact) in facts {
