--- a/crates/simulation/src/extra_requests.rs
+++ b/crates/simulation/src/extra_requests.rs
@@ -106,7 +106,7 @@
         }
         let request = self.build_extra_request(&asked);
         let ticket = self.ticket(node, Ticket::ExtraRequest(asked));
-        self.deliver(node, Event::Http(ticket, request));
+        self.deliver(node, Event::Request { ticket, request });
     }
 
     fn build_extra_request(&self, asked: &ExtraRequest) -> Request {
--- a/crates/simulation/src/store_service.rs
+++ b/crates/simulation/src/store_service.rs
@@ -18,12 +18,15 @@
     pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
         let refuses = self.store.out || self.refused == Some(node);
         let reply = if refuses { StoreResponse::Unavailable } else { self.commit(txn) };
-        self.at(self.now_ms + 3, SimEvent::Controller(node, incarnation, Event::State(id, reply)));
+        self.at(
+            self.now_ms + 3,
+            SimEvent::Controller(node, incarnation, Event::StoreResponse { id, response: reply }),
+        );
     }
 
     pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
         if self.is_isolated(node) || self.isolated == Some(node) {
-            let gives_up = Event::State(id, StoreResponse::Unknown);
+            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
             if matches!(call, StoreRequest::Commit(_)) {
                 // Held back, and applied when the cut ends.
                 self.held.push(SimEvent::State(node, incarnation, id, call));
@@ -39,7 +42,7 @@
             let StoreRequest::Commit(txn) = call else { return };
             let later = self.now_ms + self.random.random_range(2000..12_000);
             self.at(later, SimEvent::DelayedCommit(txn));
-            let gives_up = Event::State(id, StoreResponse::Unknown);
+            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
             return self.at(self.now_ms + 1500, SimEvent::Controller(node, incarnation, gives_up));
         }
         let reply = if self.store.out || self.refused == Some(node) {
@@ -104,7 +107,8 @@
                         CommitDelivery::Usual => self.commit(txn),
                         CommitDelivery::ResponseLost => {
                             self.commit(txn);
-                            let gives_up = Event::State(id, StoreResponse::Unknown);
+                            let gives_up =
+                                Event::StoreResponse { id, response: StoreResponse::Unknown };
                             return self.at(
                                 self.now_ms + 1500,
                                 SimEvent::Controller(node, incarnation, gives_up),
@@ -123,7 +127,11 @@
         // Now and then an answer gets lost after the deed.
         let lost = self.random.random_range(0..200) == 0;
         let reply = if lost { StoreResponse::Unknown } else { reply };
-        self.schedule_soon(SimEvent::Controller(node, incarnation, Event::State(id, reply)));
+        self.schedule_soon(SimEvent::Controller(
+            node,
+            incarnation,
+            Event::StoreResponse { id, response: reply },
+        ));
     }
 
     /// What a node of the old version makes of a value: it has to be able to read it, and drops the
@@ -182,7 +190,11 @@
             .collect();
         for (node, incarnation, id, after, _) in ready {
             let reply = StoreResponse::Watch(self.news_for(node, after));
-            self.schedule_soon(SimEvent::Controller(node, incarnation, Event::State(id, reply)));
+            self.schedule_soon(SimEvent::Controller(
+                node,
+                incarnation,
+                Event::StoreResponse { id, response: reply },
+            ));
         }
     }
 
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -4,16 +4,16 @@
 use crate::http::Response;
 use crate::ids::{ControllerId, JobId};
 use crate::jobs;
-use crate::leadership::controller_lease::Missing;
+use crate::leadership::cancellation_acks::CancellationBlocked;
 use crate::store::StoreClient;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// How long a cancellation waits for controllers that are in reach, some milliseconds as a rule;
 /// beyond it the user is told to come back.
-const PROMISE_WAIT: Duration = Duration::from_millis(800);
+const ACK_WAIT: Duration = Duration::from_millis(800);
 /// Pause before a controller that has not answered is asked again.
-const PROMISE_AGAIN: Duration = Duration::from_millis(300);
+const ACK_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Api {
     /// Commits the end of a live job, once all controllers that have to know acknowledged it.
@@ -28,12 +28,12 @@
         let job = store.cache.jobs.get(id)?;
         let mut transaction = jobs::cancel(id, job, self.wall.ms(now), &store.layout())?;
         let zone_of = |peer: &ControllerId| self.zone_of(peer);
-        match self.promises.preconditions(id, &store.cache, zone_of, now) {
+        match self.cancellation_acks.preconditions(id, &store.cache, zone_of, now) {
             Ok(preconditions) => transaction.preconditions.extend(preconditions),
-            Err(missing) => return self.await_promises(ticket, id.clone(), missing, now),
+            Err(missing) => return self.await_acks(ticket, id.clone(), missing, now),
         }
         // Should it be applied late, this controller may be the one cut off by then.
-        self.given.promise(std::slice::from_ref(id));
+        self.acknowledged_cancellations.acknowledge(std::slice::from_ref(id));
         self.commit(ticket, transaction, is_fresh, store);
         None
     }
@@ -45,31 +45,32 @@
 
     /// A cancellation that can't be committed yet: asks the controllers that it takes, or tells the
     /// user at once to come back.
-    fn await_promises(
+    fn await_acks(
         &mut self,
         ticket: u64,
         id: JobId,
-        missing: Missing,
+        missing: CancellationBlocked,
         now: Instant,
     ) -> Option<Response> {
         let peers = match &missing {
-            Missing::CancellationAcks(peers) => peers.clone(),
+            CancellationBlocked::AwaitingAcks(peers) => peers.clone(),
             // The leader may know that the job has nothing where that one is.
-            Missing::Time => {
+            CancellationBlocked::InQuarantine => {
                 let others = &self.settings.platform.others;
                 others.iter().map(|other| other.host_name.clone()).collect()
             }
         };
         for peer in peers {
             let key = (peer.clone(), id.clone());
-            if self.asked.get(&key).is_none_or(|at| now >= *at + PROMISE_AGAIN) {
+            if self.asked.get(&key).is_none_or(|at| now >= *at + ACK_REQUEST_INTERVAL) {
                 self.asked.insert(key, now);
-                self.asks.push((peer, id.clone()));
+                self.ack_requests.push((peer, id.clone()));
             }
         }
         let pending = self.pending.get_mut(&ticket)?;
-        let until = *pending.promises_until.get_or_insert(now + PROMISE_WAIT);
-        let hopeless = missing == Missing::Time && self.promises.knows_place(&id);
+        let until = *pending.acks_deadline.get_or_insert(now + ACK_WAIT);
+        let hopeless =
+            missing == CancellationBlocked::InQuarantine && self.cancellation_acks.knows_zones(&id);
         if now < until && !hopeless {
             return None;
         }
@@ -78,8 +79,8 @@
     }
 
     /// Decides again on cancellations that wait for other controllers.
-    pub fn on_promised(&mut self, store: &mut StoreClient, now: Instant) -> Vec<Answer> {
-        let waiting = self.pending.iter().filter(|(_, pending)| pending.promises_until.is_some());
+    pub fn retry_cancellations(&mut self, store: &mut StoreClient, now: Instant) -> Vec<Answer> {
+        let waiting = self.pending.iter().filter(|(_, pending)| pending.acks_deadline.is_some());
         let waiting: Vec<u64> = waiting.map(|(ticket, _)| *ticket).collect();
         let mut answers = Vec::new();
         for ticket in waiting {
@@ -95,7 +96,7 @@
     /// Forgets whom it asked a while ago, and cancellations that every task has heard of by now.
     pub(super) fn forget_old_cancellations(&mut self, now: Instant) {
         let keep_s = self.settings.platform.params.workers.cancel_s * 2.0;
-        self.asked.retain(|_, at| now < *at + PROMISE_AGAIN);
+        self.asked.retain(|_, at| now < *at + ACK_REQUEST_INTERVAL);
         self.cancelled.retain(|(_, at)| now.saturating_duration_since(*at).as_secs_f64() < keep_s);
     }
 }
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -1,6 +1,7 @@
 //! Which other controllers may answer heartbeats on this leader's behalf.
 
 use crate::ids::{ControllerId, FencingToken, MachineId};
+use crate::leadership::delegation::GrantedMachines;
 use crate::peers::mesh::PeerMessage;
 use crate::scheduler::Scheduler;
 use crate::workers::machine::MachineState;
@@ -22,24 +23,24 @@
 
     /// A grant for another controller: it may answer for all machines that we hear.
     pub fn grant(&mut self, to: &ControllerId, seq: u64, now: Instant) -> Option<PeerMessage> {
-        self.delegations.number += 1;
+        let number = self.delegations.next_number();
         // Late enough for a worker to find a controller that hears it, and soon enough for the bar
         // to be acknowledged before its lease is over.
         let quiet = self.settings.worker_lease() * 3 / 4;
         let survey = self.fleet_summary(now);
         let cut_off = self.recently_unreachable_zones(&survey, now);
-        let (mut revoked, mut delegated) = (Vec::new(), Vec::new());
+        let mut granted = GrantedMachines::default();
         let every = self.settings.report_every();
         for machine in self.fleet.machines.values_mut() {
-            let told = self.delegations.told(&machine.id);
+            let told = self.delegations.last_answered(&machine.id);
             let answered_for_leader =
                 told.is_some_and(|at| now.saturating_duration_since(at) < quiet);
             let dead = machine.time_since_heartbeat(now) > quiet
                 && !cut_off[machine.zone]
                 && !answered_for_leader;
             if dead || (machine.time_since_heartbeat(now) > every && machine.must_lose_lease()) {
-                machine.revoked_since.get_or_insert(self.delegations.number);
-                revoked.push(machine.id.clone());
+                machine.revoked_since.get_or_insert(number);
+                granted.revoked.push(machine.id.clone());
                 continue;
             }
             machine.revoked_since = None;
@@ -48,9 +49,9 @@
                 && machine.time_since_heartbeat(now) >= every * 3 / 2;
             if machine.delegated {
                 self.direct_calls.dirty_machines.insert(machine.id.clone());
-                delegated.push(machine.id.clone());
+                granted.delegated.push(machine.id.clone());
             }
         }
-        self.delegations.give(to, seq, (revoked, delegated), now)
+        self.delegations.grant(to, seq, granted, now)
     }
 }
