--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -156,7 +156,7 @@
             notice_s: None,
             tasks,
         };
-        self.scheduler.on_report(&report, &self.state.cache, self.now);
+        self.scheduler.on_heartbeat(&report, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.fleet.machines.get_mut(&report.machine) {
             machine.recorded = true;
             assert_eq!(machine.state, MachineState::Up);
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -282,7 +282,7 @@
         let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
             return;
         };
-        match scheduler.on_relayed(from, reports, &self.state.cache, now) {
+        match scheduler.on_relayed_heartbeats(from, reports, &self.state.cache, now) {
             Some(results) => {
                 let message = PeerMessage::HeartbeatResults { token, batch, results };
                 self.out.push(Effect::Mesh(from.clone(), message));
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -103,7 +103,7 @@
                 notice_s: None,
                 tasks: Vec::new(),
             };
-            scheduler.on_report(&report, cache, now);
+            scheduler.on_heartbeat(&report, cache, now);
         }
         scheduler.adjust_pace(if behind { LATE * 2 } else { Duration::ZERO }, now);
         node.scheduler = Some(scheduler);
@@ -248,7 +248,7 @@
     let cache = &node.state.cache;
     let mut scheduler = Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, start);
     for name in ["i-1", "i-2"] {
-        scheduler.on_report(&report(name), cache, start);
+        scheduler.on_heartbeat(&report(name), cache, start);
     }
     node.scheduler = Some(scheduler);
     // Nobody is heard, and what is known of the store is new.
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -25,7 +25,7 @@
             return redirect(&other);
         }
         let Some(scheduler) = &mut self.scheduler else { return Response::later(503) };
-        match scheduler.on_report(report, &self.state.cache, now) {
+        match scheduler.on_heartbeat(report, &self.state.cache, now) {
             Some(orders) => Response::with(200, wire::encode(&orders)),
             None => {
                 tracing::info!(machine = %report.machine, "a worker has seen a higher token");
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -28,6 +28,7 @@
 mod statistics;
 mod status;
 mod task_attempt;
+mod task_exit;
 mod term;
 mod unreachable;
 
@@ -161,7 +162,7 @@
                 scheduler.jobs.progress.insert(id.clone(), progress);
             }
         }
-        scheduler.find_leftover(cache, now);
+        scheduler.find_orphaned_tasks(cache, now);
         scheduler
     }
 
@@ -257,11 +258,11 @@
     fn watch(&mut self, state: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         self.direct_calls.all_dirty = true;
         self.watch_machines(&state.cache, cloud, now);
-        self.store_gone(state);
+        self.delete_machine_records(state);
         self.read_drains(&state.cache);
-        self.tidy_up(state, now);
+        self.collect_garbage(state, now);
         self.store_estimates(state, now);
-        self.warn_of_late(&state.cache, now);
+        self.warn_of_late_jobs(&state.cache, now);
     }
 
     fn plan_if_useful(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -166,7 +166,7 @@
         self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
         tracing::info!(machine = %id, how, tasks = machine.attempts.len(), "machine is gone");
         for fact in machine.terminate_attempts() {
-            self.on_fact(id, fact, cache, now);
+            self.on_task_event(id, fact, cache, now);
         }
     }
 
@@ -198,9 +198,9 @@
         let lease = self.settings.worker_lease();
         let survey = self.fleet_summary(now);
         let cut_off = self.recently_unreachable_zones(&survey, now);
-        self.weigh_failures(&survey, cache, now);
+        self.attribute_failures(&survey, cache, now);
         if survey.status_unanswered {
-            self.give_up_lost(&cut_off, cache, now);
+            self.terminate_unreachable(&cut_off, cache, now);
         }
         let overtaken = survey.overtaken();
         let idle_return = Duration::from_secs_f64(self.settings.operator.idle_return_s);
@@ -288,7 +288,7 @@
             }
         }
         for (id, fact) in facts {
-            self.on_fact(&id, fact, cache, now);
+            self.on_task_event(&id, fact, cache, now);
         }
     }
 }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -53,7 +53,7 @@
     }
 
     /// Finds out what jobs inherit, if any that counts has changed.
-    pub(super) fn carry_back(&mut self, live: &[(&JobId, &LiveJob)]) {
+    pub(super) fn inherit_priorities(&mut self, live: &[(&JobId, &LiveJob)]) {
         if !std::mem::take(&mut self.dependencies.stale) {
             return;
         }
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -41,7 +41,7 @@
 }
 
 /// A task that could leave, and what it needs elsewhere.
-struct Leaver {
+struct Evacuation {
     key: TaskAttempt,
     machine: MachineId,
     grace_s: f64,
@@ -77,7 +77,7 @@
     }
 
     /// One round of moves and stops. `bins` are the machines that may take tasks: none that is drained.
-    pub(super) fn move_off(
+    pub(super) fn evacuate_drained(
         &mut self,
         bins: &[Bin],
         names: &[Option<MachineId>],
@@ -88,9 +88,9 @@
             return;
         }
         self.drains.at = Some(now + DRAIN_EVERY);
-        let mut leavers = self.replicas_that_leave(bins, names, cache, now);
-        leavers.extend(self.out_of_time(cache, now));
-        for Leaver { key, machine, grace_s } in leavers {
+        let mut evacuations = self.tasks_to_move(bins, names, cache, now);
+        evacuations.extend(self.tasks_to_stop(cache, now));
+        for Evacuation { key, machine, grace_s } in evacuations {
             let Some(machine) = self.fleet.machines.get_mut(&machine) else { continue };
             tracing::info!(machine = %machine.id, task = %key.0, grace_s, "leaves what is drained");
             machine.request_stop(&key, StopRequest { grace_s, reason: MOVED });
@@ -100,15 +100,15 @@
 
     /// Replicas of services, one of each at a time and none while another is down, and tasks that save; as
     /// many as find room elsewhere.
-    fn replicas_that_leave(
+    fn tasks_to_move(
         &self,
         bins: &[Bin],
         names: &[Option<MachineId>],
         cache: &Cache,
         now: Instant,
-    ) -> Vec<Leaver> {
+    ) -> Vec<Evacuation> {
         let mut free: Vec<Amount> = bins.iter().map(|bin| bin.free).collect();
-        let mut leavers = Vec::new();
+        let mut evacuations = Vec::new();
         let (mut here, mut all, mut hurry_s) = (0u64, 0u64, f64::INFINITY);
         for machine in self.fleet.machines.values().filter(|m| m.state == MachineState::Up) {
             let tasks = machine.attempts.values().filter(|e| e.state == TaskState::Running);
@@ -124,7 +124,7 @@
         let hurried = here as f64 * DRAIN_EVERY.as_secs_f64() / (hurry_s / 2.0).max(1.0);
         let most = gentle.max(hurried).ceil() as usize;
         for (id, work) in &self.jobs.progress {
-            if leavers.len() >= most {
+            if evacuations.len() >= most {
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
@@ -152,13 +152,13 @@
                 };
                 free[target] = free[target].minus(&live.need);
                 let grace_s = if saves { live.spec.save_s } else { 0.0 };
-                leavers.push(Leaver { key, machine: machine.id.clone(), grace_s });
-                if service || leavers.len() >= most {
+                evacuations.push(Evacuation { key, machine: machine.id.clone(), grace_s });
+                if service || evacuations.len() >= most {
                     break;
                 }
             }
         }
-        leavers
+        evacuations
     }
 
     /// A machine that would take the task in place of where it is, one with its image before others.
@@ -199,8 +199,8 @@
 
     /// Tasks of arrays and gangs whose time on what is drained is up; those that save are told early enough.
     /// Replicas that have no other place run on: nobody gains by stopping them.
-    fn out_of_time(&self, cache: &Cache, now: Instant) -> Vec<Leaver> {
-        let mut leavers = Vec::new();
+    fn tasks_to_stop(&self, cache: &Cache, now: Instant) -> Vec<Evacuation> {
+        let mut evacuations = Vec::new();
         for machine in self.fleet.machines.values().filter(|m| m.state == MachineState::Up) {
             let Some(left_s) = self.drain_left_s(machine, now) else { continue };
             for (key, entry) in &machine.attempts {
@@ -213,11 +213,11 @@
                 let early_s = if save_s > 0.0 { save_s + DRAIN_MARGIN_S } else { 0.0 };
                 if spec.shape != JobKind::Service && left_s <= early_s {
                     let machine = machine.id.clone();
-                    leavers.push(Leaver { key: key.clone(), machine, grace_s: save_s });
+                    evacuations.push(Evacuation { key: key.clone(), machine, grace_s: save_s });
                 }
             }
         }
-        leavers
+        evacuations
     }
 
     /// What is drained, and what is left there.
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -35,7 +35,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn tidy_up(&mut self, state: &mut StoreClient, now: Instant) {
+    pub(super) fn collect_garbage(&mut self, state: &mut StoreClient, now: Instant) {
         if now < self.garbage_collector.at || state.is_pending(&WriteOrigin::GarbageCollection) {
             return;
         }
@@ -72,7 +72,7 @@
         });
     }
 
-    pub(super) fn tidied(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
+    pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
             self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_garbage(key));
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -50,7 +50,7 @@
 impl Scheduler {
     /// At the take-over: jobs that ended so lately that something of them may run. Versions before this one don't
     /// say when; of theirs those count that ended after any that surely ended long ago.
-    pub(super) fn find_leftover(&mut self, cache: &Cache, now: Instant) {
+    pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
         let within = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
             + DELEGATION_TERM
@@ -70,7 +70,7 @@
     }
 
     /// A job is over, or about to be, of which a predecessor may have started what no report has shown.
-    pub(super) fn leave_over(&mut self, work: &JobProgress, job: &Job) {
+    pub(super) fn count_orphaned_tasks(&mut self, work: &JobProgress, job: &Job) {
         let placed = work.placed.len() as u64;
         let (team, amount) = match &job.body {
             _ if !work.predates_leadership => return,
@@ -86,7 +86,7 @@
 
     /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
     /// report may run a second time.
-    pub(super) fn second_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
+    pub(super) fn duplicate_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
         let runs = |(index, placed): (&u32, &Placement)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -83,7 +83,7 @@
                     self.jobs.cancelling.remove(id);
                     if let Some(work) = self.jobs.progress.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
-                        self.leave_over(&work, job);
+                        self.count_orphaned_tasks(&work, job);
                     }
                     self.stop_all(id);
                     self.jobs.machines.forget(id);
@@ -104,7 +104,7 @@
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
                 self.jobs.cancelling.insert(id.clone());
                 if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
-                    self.leave_over(&work, job);
+                    self.count_orphaned_tasks(&work, job);
                 }
                 self.stop_all(id);
             }
@@ -139,10 +139,10 @@
         state: &mut StoreClient,
     ) {
         if *origin == WriteOrigin::GarbageCollection {
-            return self.tidied(outcome, state);
+            return self.on_garbage_collected(outcome, state);
         }
         if let WriteOrigin::RuntimeEstimates(bucket) = origin {
-            return self.estimates_told(*bucket, outcome);
+            return self.on_estimates_written(*bucket, outcome);
         }
         if let (WriteOrigin::MachineAdded(id), WriteOutcome::Committed) = (origin, outcome)
             && let Some(machine) = self.fleet.machines.get_mut(id)
@@ -192,7 +192,7 @@
     }
 
     /// Removes the records of machines that are surely gone.
-    pub(super) fn store_gone(&self, state: &mut StoreClient) {
+    pub(super) fn delete_machine_records(&self, state: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
         let mut ours = self.fleet.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
@@ -262,7 +262,7 @@
             }
             let tasks: Vec<u32> = work.completing.iter().copied().collect();
             let second = job.live().filter(|live| !goes_on(live));
-            let second = second.map_or(0, |live| self.second_runs(id, work, live));
+            let second = second.map_or(0, |live| self.duplicate_runs(id, work, live));
             let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
                 continue;
             };
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -259,7 +259,7 @@
         let mut live: Vec<(&JobId, &LiveJob)> =
             self.jobs.progress.keys().filter_map(known).collect();
         self.estimate_all(&live, now);
-        self.carry_back(&live);
+        self.inherit_priorities(&live);
         let coming = self.coming(&live, now);
         // What waits for other jobs starts nothing and holds no part of a limit or guarantee.
         live.retain(|(_, job)| job.is_ready());
@@ -381,7 +381,7 @@
             self.consolidate(&bins, &names, cache, now);
         }
         if unsure.is_empty() {
-            self.move_off(&bins, &names, cache, now);
+            self.evacuate_drained(&bins, &names, cache, now);
         }
         let total = bins.len();
         let heavy_cap = ((total as f64 * settings.operator.heavy_cap) as usize).max(1);
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,14 +3,15 @@
 //! Owns the way from a report's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
-use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST, RETRY_MOST};
+use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
 use crate::scheduler::fleet::FleetSummary;
-use crate::scheduler::job_progress::{DuplicateAttempt, Placement, RetryBackoff};
-use crate::scheduler::preemption::{MOVED, PREEMPTED};
+use crate::scheduler::job_progress::{DuplicateAttempt, Placement};
+use crate::scheduler::runtime_prediction::ObservedRun;
 use crate::scheduler::task_attempt::TaskAttempt;
+use crate::scheduler::task_exit::TaskExit;
 use crate::store::Cache;
 use crate::wire::{CommandBatch, Heartbeat, JobKind, Priority, TaskState, WorkerCommand};
 use crate::workers::machine::{
@@ -25,7 +26,7 @@
 
 impl Scheduler {
     /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
-    pub fn on_report(
+    pub fn on_heartbeat(
         &mut self,
         report: &Heartbeat,
         cache: &Cache,
@@ -47,10 +48,10 @@
             tracing::info!(machine = %report.machine, "a machine reports that was not known");
             self.fleet.add_machine(&report.machine, kind, now);
         }
-        if !self.take_report(report, cache, now) {
+        if !self.apply_heartbeat(report, cache, now) {
             return None;
         }
-        let orders = self.orders_in_answer(&report.machine, now)?;
+        let orders = self.commands_in_answer(&report.machine, now)?;
         Some(self.answer(orders))
     }
 
@@ -73,7 +74,7 @@
         match report {
             Ok(report) if report.machine == *id => {
                 machine.next_direct_at = now + Duration::from_millis(20);
-                self.take_report(&report, cache, now)
+                self.apply_heartbeat(&report, cache, now)
             }
             _ => {
                 if machine.probe_zone_reachable {
@@ -86,7 +87,7 @@
     }
 
     /// The orders of an answer that is about to be sent, which renews the worker's lease.
-    pub(super) fn orders_in_answer(
+    pub(super) fn commands_in_answer(
         &mut self,
         id: &MachineId,
         now: Instant,
@@ -109,7 +110,12 @@
     }
 
     /// False: the worker has seen a higher token than ours.
-    pub(super) fn take_report(&mut self, report: &Heartbeat, cache: &Cache, now: Instant) -> bool {
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        report: &Heartbeat,
+        cache: &Cache,
+        now: Instant,
+    ) -> bool {
         let Some(machine) = self.fleet.machines.get_mut(&report.machine) else { return true };
         if let Ok(address) = report.address.parse() {
             machine.address = Some(address);
@@ -142,14 +148,14 @@
             || had_notice != machine.reclaim_at.is_some();
         let id = report.machine.clone();
         for fact in facts {
-            self.on_fact(&id, fact, cache, now);
+            self.on_task_event(&id, fact, cache, now);
         }
-        self.drain_if_recalled(&id, cache, now);
+        self.evacuate_reclaimed(&id, cache, now);
         self.planning_clock.pass_requested |= news;
         true
     }
 
-    pub(super) fn on_fact(
+    pub(super) fn on_task_event(
         &mut self,
         machine: &MachineId,
         fact: TaskEvent,
@@ -163,12 +169,14 @@
             TaskEvent::Found(task, attempt) => self.adopt(machine, task, attempt, cache),
             TaskEvent::Vanished(task, attempt, ran) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
-                self.learn_end(&task, machine, live, (ran, false, false));
+                let run = ObservedRun { duration: ran, done: false, saved: false };
+                self.learn_end(&task, machine, live, &run);
                 tracing::info!(%machine, %task, %attempt, "task is gone with its machine's session");
                 self.release(&task, attempt, now);
             }
             TaskEvent::Exited { task, attempt, why, saved } => {
-                self.on_exit(machine, task, attempt, &why, saved, cache, now);
+                let exit = TaskExit { machine: machine.clone(), task, attempt, why, saved };
+                self.on_exit(&exit, cache, now);
             }
         }
     }
@@ -281,94 +289,11 @@
         self.planning_clock.pass_requested = true;
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn on_exit(
-        &mut self,
-        id: &MachineId,
-        task: TaskId,
-        attempt: Attempt,
-        why: &str,
-        saved: bool,
-        cache: &Cache,
-        now: Instant,
-    ) {
-        if let Some(machine) = self.fleet.machines.get_mut(id)
-            && let Some(entry) = machine.attempts.get(&(task.clone(), attempt))
-            && entry.urgency < Priority::Low
-        {
-            machine.vacated_at = Some(now);
-        }
-        let live = self.live(cache, &task.job);
-        let done = why == "done" && live.is_some_and(|l| l.spec.shape != JobKind::Service);
-        let entry =
-            self.fleet.machines.get(id).and_then(|m| m.attempts.get(&(task.clone(), attempt)));
-        let began = entry.and_then(|entry| entry.observed_start);
-        let ran = began.map(|at| now.saturating_duration_since(at));
-        if (done && live.is_some_and(|live| !self.is_completing(&task, live))) || why == "halted" {
-            self.learn_end(&task, id, live, (ran, done, saved));
-        }
-        if let (true, Some(live)) = (done, live) {
-            // The machine keeps the exit until the completion is committed.
-            if !live.is_completed(task.index) {
-                let work = self.jobs.progress.entry(task.job.clone()).or_default();
-                work.completing.insert(task.index);
-                self.jobs.completing.insert(task.job.clone());
-                self.record_success(&task.job, now);
-                return;
-            }
-        }
-        if why != "halted" && why != "done" {
-            tracing::info!(machine = %id, %task, %attempt, why, saved, "task ended");
-        } else {
-            tracing::debug!(machine = %id, %task, %attempt, why, saved, "task ended");
-        }
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let index = task.index;
-        let mut made_way = false;
-        if let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) {
-            entry.exit_handled = true;
-            made_way = entry.stopped_for(PREEMPTED);
-            if entry.stopped_for(MOVED) || entry.stopped_for(PREEMPTED) {
-                // Somebody waits: a service for its replica, or urgent work for this room.
-                self.planning_clock.next_pass = now;
-            }
-        }
-        if live.is_some() && !done {
-            let work = self.jobs.progress.entry(task.job.clone()).or_default();
-            work.preemptions += u32::from(made_way);
-            let failures = work.retries.get(&index).map_or(0, |retry| retry.failures);
-            let pause = match why {
-                "halted" => Duration::ZERO,
-                "no_room" | "in_use" => RETRY_FIRST,
-                _ => RETRY_MOST.min(RETRY_FIRST * 2u32.pow(failures.min(6))),
-            };
-            if why == "error" {
-                machine.failed_jobs.insert(task.job.clone());
-                let before = work.failures.is_job_faulty();
-                work.failures.record_failure(id, now);
-                if work.failures.is_job_faulty() && !before {
-                    let machines = work.failures.failed_machines().len();
-                    tracing::info!(job = %task.job, machines, "fails everywhere, tried now and then");
-                }
-            }
-            let failures = if why == "halted" { failures } else { failures + 1 };
-            work.retries.insert(index, RetryBackoff { not_before: now + pause, failures });
-        }
-        self.release(&task, attempt, now);
-    }
-
-    /// Its completion was reported before.
-    pub(super) fn is_completing(&self, task: &TaskId, live: &LiveJob) -> bool {
-        let work = self.jobs.progress.get(&task.job);
-        live.is_completed(task.index)
-            || work.is_some_and(|work| work.completing.contains(&task.index))
-    }
-
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
     pub(super) fn record_success(&mut self, id: &JobId, now: Instant) {
         let Some(work) = self.jobs.progress.get_mut(id) else { return };
         if work.failures.record_success() {
-            tracing::info!(job = %id, "does well after all");
+            tracing::info!(job = %id, "job no longer suspected");
             work.reset_backoffs(now);
             self.planning_clock.pass_requested = true;
         }
@@ -376,7 +301,12 @@
 
     /// Looks whether jobs that failed have tasks by now that ran for a while, and which machines
     /// failed jobs that do well elsewhere. A job that is done did, one cancelled tells nothing.
-    pub(super) fn weigh_failures(&mut self, survey: &FleetSummary, cache: &Cache, now: Instant) {
+    pub(super) fn attribute_failures(
+        &mut self,
+        survey: &FleetSummary,
+        cache: &Cache,
+        now: Instant,
+    ) {
         let ran = |placed: &Placement, job: &JobId, index: u32| {
             let machine = self.fleet.machines.get(&placed.machine)?;
             let key = (TaskId { job: job.clone(), index }, placed.attempt);
@@ -408,7 +338,7 @@
     }
 
     /// A spot machine that will be taken: what can save does, what cannot finish moves.
-    pub(super) fn drain_if_recalled(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
+    pub(super) fn evacuate_reclaimed(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let known_rest = self.settings.operator.estimates.drain;
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let Some(at) = machine.reclaim_at else { return };
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -15,7 +15,7 @@
 
 impl Scheduler {
     /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
-    pub fn on_relayed(
+    pub fn on_relayed_heartbeats(
         &mut self,
         from: &ControllerId,
         reports: Vec<RelayedHeartbeat>,
@@ -27,7 +27,7 @@
             let result = match relayed {
                 RelayedHeartbeat::Full(report) => {
                     let report = Heartbeat::from(report);
-                    let orders = self.on_report(&report, cache, now)?.orders;
+                    let orders = self.on_heartbeat(&report, cache, now)?.orders;
                     if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
                         machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
@@ -68,7 +68,7 @@
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
-        let orders = self.orders_in_answer(id, now).unwrap_or_default();
+        let orders = self.commands_in_answer(id, now).unwrap_or_default();
         HeartbeatResult::Accepted(orders.into_iter().map(RelayedCommand::from).collect())
     }
 
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -39,6 +39,17 @@
 /// Count. Tasks that must have ended before a job of which nothing else is known is warned of.
 const WARN_TASKS: u32 = 3;
 
+/// The run of one attempt, as far as it was seen.
+#[derive(Debug)]
+pub(super) struct ObservedRun {
+    /// How long it ran; not known if its start was not seen.
+    pub(super) duration: Option<Duration>,
+    /// Whether it ran to its end.
+    pub(super) done: bool,
+    /// Whether it saved its progress.
+    pub(super) saved: bool,
+}
+
 /// What was seen of a job's run under this leader.
 #[derive(Debug)]
 struct Seen {
@@ -137,7 +148,7 @@
         task: &TaskId,
         machine: &MachineId,
         live: Option<&LiveJob>,
-        (ran, done, saved): (Option<Duration>, bool, bool),
+        run: &ObservedRun,
     ) {
         let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
         // A faulty machine shows nothing about its tasks.
@@ -145,12 +156,12 @@
         if !self.learns() || self.fleet.machines.get(machine).is_some_and(faulty) {
             return;
         }
-        let Some(run_s) = ran.map(|ran| ran.as_secs_f64()) else { return };
+        let Some(run_s) = run.duration.map(|ran| ran.as_secs_f64()) else { return };
         let work = self.jobs.progress.get(&task.job);
         let first = work.is_none_or(|work| !work.retries.contains_key(&task.index));
         let seen = self.runtime_predictor.seen(&task.job, live);
         let before_s = seen.saved_s.get(&task.index).copied();
-        match (done, before_s) {
+        match (run.done, before_s) {
             // It had run to its end before, and the machine only gave the result again.
             (true, None) if !first && run_s < RESULT_AGAIN_S => {}
             (true, before_s) => seen.shown.ended(run_s + before_s.unwrap_or(0.0)),
@@ -159,7 +170,7 @@
                 seen.shown.cut(all_s);
                 // Only what was saved is not run again.
                 let every_s = live.spec.checkpoint_s;
-                if saved {
+                if run.saved {
                     seen.saved_s.insert(task.index, all_s);
                 } else if every_s > 0.0 {
                     let kept_s = before_s.unwrap_or(0.0) + (run_s / every_s).floor() * every_s;
@@ -270,7 +281,7 @@
     }
 
     /// Looks at a few jobs with a due time, in turn, and warns of those that will probably miss it.
-    pub(super) fn warn_of_late(&mut self, cache: &Cache, now: Instant) {
+    pub(super) fn warn_of_late_jobs(&mut self, cache: &Cache, now: Instant) {
         if !self.settings.operator.estimates.warn {
             return;
         }
@@ -292,11 +303,11 @@
                 self.jobs.progress.range(last.clone()..).nth(1).map(|(id, _)| id.clone());
         }
         for id in ids {
-            self.look_whether_late(&id, cache, now);
+            self.check_lateness(&id, cache, now);
         }
     }
 
-    fn look_whether_late(&mut self, id: &JobId, cache: &Cache, now: Instant) {
+    fn check_lateness(&mut self, id: &JobId, cache: &Cache, now: Instant) {
         let Some(live) = self.live(cache, id).filter(|live| live.is_ready()) else { return };
         let Some(due_ms) = self.due_ms(&live.spec, live.accepted_ms) else { return };
         let Some(estimate) = self.estimate(id, live, now) else { return };
@@ -356,7 +367,7 @@
         });
     }
 
-    pub(super) fn estimates_told(&mut self, bucket: u8, outcome: WriteOutcome) {
+    pub(super) fn on_estimates_written(&mut self, bucket: u8, outcome: WriteOutcome) {
         let told = match outcome {
             WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
             WriteOutcome::NotExecuted | WriteOutcome::Unknown => Told::Unsure,
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -72,7 +72,7 @@
             notice_s: None,
             tasks,
         };
-        let orders = self.scheduler.on_report(&report, &self.state.cache, self.now).unwrap();
+        let orders = self.scheduler.on_heartbeat(&report, &self.state.cache, self.now).unwrap();
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -38,7 +38,7 @@
     /// lease would cost more: replicas that are down until then, and after a take-over every older
     /// job, of which something may run there. What is cut off with its zone is waited for, and
     /// nobody is given up by a process that falls behind itself.
-    pub(super) fn give_up_lost(&mut self, cut_off: &[bool], cache: &Cache, now: Instant) {
+    pub(super) fn terminate_unreachable(&mut self, cut_off: &[bool], cache: &Cache, now: Instant) {
         if self.start_pacer.is_behind(now) {
             return;
         }
