--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -50,7 +50,7 @@
         );
         let settings = Arc::new(Settings::parse(&text, Some("floor: 0.7")).expect("settings"));
         let now = Instant::now();
-        let limits = settings.platform.params.state.kept();
+        let limits = settings.platform.params.state.effective();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.machine_types = Versioned::new(
             vec![MachineType {
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -203,7 +203,7 @@
 impl Load {
     pub fn new(settings: &Settings) -> Load {
         let resources = &settings.platform.params.resources;
-        let report_every = settings.report_every();
+        let report_every = settings.heartbeat_interval();
         Load {
             machines_by_sockets: f64::from(Sockets::new(resources).machines),
             machines_by_processor: resources.fits(report_every, REQUEST_COST),
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -41,14 +41,15 @@
     /// Two controllers, of which `told` say that they read the newest format.
     fn new(told: usize) -> TestApi {
         let now = Instant::now();
-        let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+        let settings =
+            Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
         let names = ["n-0", "n-1"].map(ControllerId::new).to_vec();
-        let limits = settings.platform.params.state.kept();
+        let limits = settings.platform.params.state.effective();
         let mut state = StoreClient::new(limits, names.clone(), 1, now);
         state.poll(now);
         let id = state.next_request().unwrap().id;
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
-        let flavors = encoding::to_value(&vec![crate::settings::plain_flavor()]);
+        let flavors = encoding::to_value(&vec![crate::settings::fixtures::machine_type()]);
         let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
         let told = names.iter().take(told);
         let told = told.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
@@ -180,8 +181,8 @@
 #[test]
 fn a_team_without_a_limit_may_run_whatever_fits_a_machine() {
     let teams = r#"[{"name":"t","cpus":2.0,"cpus_max":8.0},{"name":"guest"}]"#;
-    let settings = crate::settings::plain(teams);
-    let flavors = [crate::settings::plain_flavor()];
+    let settings = crate::settings::fixtures::settings(teams);
+    let flavors = [crate::settings::fixtures::machine_type()];
     let judge = |team: &str, cpus: f64, tasks: u64| {
         let (team, shape) = (team.to_owned(), JobKind::Service);
         let spec = JobSpec { team, cpus, shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -75,7 +75,7 @@
         JobKind::Array => 1,
         JobKind::Service | JobKind::Gang => spec.tasks,
     };
-    if !request.times(tasks_at_once).fits(&team.most()) {
+    if !request.times(tasks_at_once).fits(&team.limit()) {
         return Err(Rejection::BeyondTeamLimit);
     }
     if spec.zone.as_ref().is_some_and(|zone| !params.zones.contains(zone)) {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -65,7 +65,7 @@
     println!("listen {}, mesh {}", p.listen, p.mesh_addr);
     println!("state service {}, cloud {}", p.external.state, p.external.cloud);
     println!("zones {}, teams {}", p.params.zones.join(" "), p.params.teams.len());
-    let kept = p.params.state.kept();
+    let kept = p.params.state.effective();
     println!(
         "state limits kept to: {} requests and {} changes a second, values of {} bytes, {} writes",
         kept.rps, kept.write_rps, kept.value_max, kept.txn_ops
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -148,7 +148,7 @@
         let others = p.others.iter().map(|peer| peer.host_name.clone());
         let names = std::iter::once(p.host_name.clone()).chain(others).collect();
         Some(Controller {
-            state: StoreClient::new(p.params.state.kept(), names, seed, now),
+            state: StoreClient::new(p.params.state.effective(), names, seed, now),
             election: Election::new(p.host_name.clone(), p.others.len(), seed, now),
             cloud: CloudClient::new(p.params.cloud.rps, now),
             scheduler: None,
@@ -469,7 +469,7 @@
         let Some(scheduler) = &self.scheduler else { return };
         let silence = now.saturating_duration_since(scheduler.last_heartbeat().max(self.woke));
         let patience = if scheduler.heartbeats() > 0 {
-            RESIGN_AFTER.max(self.settings.report_every() / 2) + self.sharing.patience(now)
+            RESIGN_AFTER.max(self.settings.heartbeat_interval() / 2) + self.sharing.patience(now)
         } else {
             RESIGN_AFTER + WORKER_GIVES_UP
         };
--- a/src/controller/relayed_heartbeats_tests.rs
+++ b/src/controller/relayed_heartbeats_tests.rs
@@ -29,7 +29,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     node
 }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -7,7 +7,8 @@
 /// have come with the first's list of barred machines, and been acknowledged.
 #[test]
 fn pieces_of_two_relayed_messages_are_never_put_together() {
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let now = Instant::now();
     let mut node = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     node.state.poll(now);
@@ -50,7 +51,8 @@
 #[test]
 fn a_crowded_leader_leaves_users_to_others_that_are_there() {
     let now = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let up = |crowded: bool, peers: &[(bool, u64)]| {
         let mut node = Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
         node.state.poll(now);
@@ -82,10 +84,11 @@
 #[test]
 fn a_leader_of_many_machines_that_is_behind_calls_few_of_them() {
     let now = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
-    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     let most_direct = |node: &mut Controller, machines: u32, behind: bool| {
         let cache = &node.state.cache;
         let token = FencingToken(1);
@@ -123,7 +126,7 @@
     let teams = r#"[{"name":"t","cpus_max":8.0}]"#;
     let now = Instant::now();
     let ask = |own: &str, method: Method, shown: &str| {
-        let mut settings = crate::settings::plain(teams);
+        let mut settings = crate::settings::fixtures::settings(teams);
         settings.operator.operator_key = crate::settings::Secret(own.into());
         let mut node =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
@@ -148,7 +151,7 @@
 fn an_operators_order_is_answered_when_it_is_kept() {
     let key = "a key of some length";
     let now = Instant::now();
-    let mut settings = crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#);
+    let mut settings = crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#);
     settings.operator.operator_key = crate::settings::Secret(key.into());
     let mut node = Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
     let drain = |name: &str| operator_api::DrainRequest {
@@ -225,14 +228,15 @@
 #[test]
 fn a_leader_that_knows_of_its_successor_answers_as_those_do_to_whom_that_one_gave_grants() {
     let start = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: start, ms: 5 };
     let mut node = Controller::new(settings.clone(), 1, wall).unwrap();
     node.state.poll(start);
     let id = node.state.next_request().unwrap().id;
     let page = wire::RangeResponse { rows: vec![], truncated: false, rev: Revision(1) };
     node.state.on_response(id, StoreResponse::Range(page), start);
-    node.state.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    node.state.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -319,7 +319,7 @@
     Arc::new(JobSpec {
         depends_on: Some(depends_on),
         urgency: urgencies[which % 3],
-        due_s: (which % 4 == 0).then_some(100.0 + (which * 7 % 50) as f64),
+        due_s: which.is_multiple_of(4).then_some(100.0 + (which * 7 % 50) as f64),
         expect_s: which as f64,
         ..fixtures::job_spec(id.as_str(), 1)
     })
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -279,7 +279,7 @@
         let rules = CallRules {
             token: self.term.token,
             late_after: self.late_after(),
-            heartbeat_interval: self.settings.report_every(),
+            heartbeat_interval: self.settings.heartbeat_interval(),
         };
         self.direct_calls.dispatch(&mut self.fleet, &rules, now);
     }
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -148,7 +148,7 @@
         // one before. So a missing machine is only suspected; its deletion gives the proof.
         let lag =
             Duration::from_secs_f64(self.settings.platform.params.cloud.list_lag_s * 2.0 + 1.0);
-        let quiet = self.settings.report_every() * 2;
+        let quiet = self.settings.heartbeat_interval() * 2;
         for machine in self.fleet.machines.values_mut() {
             if !present.contains(&machine.id)
                 && machine.state != MachineState::Returning
@@ -245,7 +245,7 @@
                 tracing::info!(machine = %machine.id, "faulty, given back");
                 machine.state = MachineState::Returning;
             }
-            let quiet = machine.time_since_heartbeat(now) > self.settings.report_every() * 2;
+            let quiet = machine.time_since_heartbeat(now) > self.settings.heartbeat_interval() * 2;
             if machine.state == MachineState::Up
                 && beyond
                 && quiet
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -37,8 +37,8 @@
     }
 
     /// Whether anybody looks at when it starts or ends.
-    pub(super) fn has_aim(&self, id: &JobId, job: &LiveJob) -> bool {
-        self.settings.has_aim(&job.spec.class)
+    pub(super) fn has_objective(&self, id: &JobId, job: &LiveJob) -> bool {
+        self.settings.has_objective(&job.spec.class)
             || self.dependencies.inherited.get(id).is_some_and(|carried| carried.due_ms.is_some())
     }
 
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -28,7 +28,7 @@
         let machines = self.fleet.machines.values().filter(usable);
         let free = machines.map(|m| self.fleet.capacity(m.flavor).minus(&m.used()).cpu).sum();
         let grower = |(id, job): &(&JobId, &LiveJob)| {
-            let elastic = self.settings.elastic(&job.spec.class)?;
+            let elastic = self.settings.elastic_class(&job.spec.class)?;
             let work = self.jobs.progress.get(*id).filter(|_| job.spec.shape == JobKind::Array)?;
             let width = work.placed.len() as u64;
             let (most, waiting) = (elastic.most, work.waiting(job));
@@ -49,7 +49,7 @@
         growth: &BTreeMap<JobId, u64>,
         most: &mut u64,
     ) -> bool {
-        let Some(elastic) = self.settings.elastic(&job.spec.class) else { return false };
+        let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return false };
         if job.spec.shape != JobKind::Array {
             return false;
         }
@@ -64,7 +64,7 @@
 
     /// Seconds that a task is spared beside others because its job would be narrower than its least.
     pub(super) fn least_width_s(&self, id: &JobId, job: &LiveJob) -> f64 {
-        let Some(elastic) = self.settings.elastic(&job.spec.class) else { return 0.0 };
+        let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
         let width = self.jobs.progress.get(id).map_or(0, |work| work.placed.len() as u64);
         if width <= elastic.least { LEAST_WIDTH_S } else { 0.0 }
     }
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -190,7 +190,7 @@
                 self.fair_share.services.insert(group);
                 continue;
             }
-            let within_s = self.settings.finish_within(&job.spec.class).unwrap_or(DONE_WITHIN_S);
+            let within_s = self.settings.finish_objective(&job.spec.class).unwrap_or(DONE_WITHIN_S);
             *late.entry(group).or_default() +=
                 (each * (held + waiting)) as f64 * run_s / (within_s * LATE_WITHIN);
             if !std::mem::replace(&mut work.counted_as_demand, true) {
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -9,7 +9,7 @@
     /// The token to answer a report with once our right to act has ended, as those answer to whom we
     /// gave grants. A successor reckons with such answers for a full term from its start.
     pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
-        let every = self.settings.report_every();
+        let every = self.settings.heartbeat_interval();
         let machine = self.fleet.machines.get_mut(id)?;
         // What is revoked since it was silent is none the less answered here: we reckon with our own answers.
         if machine.time_since_heartbeat(now) > every && machine.must_lose_lease() {
@@ -29,7 +29,7 @@
         let survey = self.fleet_summary(now);
         let cut_off = self.recently_unreachable_zones(&survey, now);
         let (mut revoked, mut delegated) = (Vec::new(), Vec::new());
-        let every = self.settings.report_every();
+        let every = self.settings.heartbeat_interval();
         for machine in self.fleet.machines.values_mut() {
             let told = self.delegations.told(&machine.id);
             let answered_for_leader =
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -36,7 +36,7 @@
         };
         let half = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
         let urgency = self.urgency(id, job);
-        let idle_time = urgency == Priority::Low && !self.has_aim(id, job);
+        let idle_time = urgency == Priority::Low && !self.has_objective(id, job);
         Some(PlacementRequest {
             team: *self.teams.get(&spec.team)?,
             urgency,
@@ -51,7 +51,7 @@
             image: self.fleet.image_ids.intern(&spec.image),
             avoid: Vec::new(),
             gang: spec.shape == JobKind::Gang,
-            within_s: self.settings.tightest_wait(&spec.class),
+            within_s: self.settings.tightest_start_objective(&spec.class),
             left_s: None,
             rents: if idle_time { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
         })
@@ -153,8 +153,8 @@
     ) -> Option<f64> {
         let known = self.jobs.progress.get(id)?.first_seen?;
         let waited = now.saturating_duration_since(known).as_secs_f64();
-        let guarantee = self.settings.guarantee_wait().filter(|_| !beyond);
-        let aims = self.settings.waits(&job.spec.class).chain(guarantee);
+        let guarantee = self.settings.guarantee_start_objective().filter(|_| !beyond);
+        let aims = self.settings.start_objectives(&job.spec.class).chain(guarantee);
         let due = self.due_left(id, job, now).filter(|left| *left > 0.0);
         let left = aims.map(|within_s| within_s - waited).filter(|left| *left > 0.0);
         left.chain(due).min_by(f64::total_cmp)
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -41,7 +41,7 @@
             && machine.recorded
             && machine.reclaim_at.is_none()
             && !machine.faulty
-            && machine.time_since_heartbeat(now) < self.settings.report_every() * 2
+            && machine.time_since_heartbeat(now) < self.settings.heartbeat_interval() * 2
             && !self.is_drained(machine)
     }
 
@@ -79,17 +79,17 @@
             let beyond = !claimed[team].fits(&params.teams[team].guarantee());
             let work = &self.jobs.progress[*id];
             let started = job.completed_count() + work.placed.len() as u64;
-            let turn = placement::copies(&params.teams[team].most(), &job.need);
+            let turn = placement::copies(&params.teams[team].limit(), &job.need);
             let waited =
                 work.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
             let (due, overdue) = self.due_aims(id, job, now);
-            let aims = settings.waits(&job.spec.class).count() + due;
-            let missed = settings.missed_waits(&job.spec.class, waited) + overdue;
+            let aims = settings.start_objectives(&job.spec.class).count() + due;
+            let missed = settings.missed_start_objectives(&job.spec.class, waited) + overdue;
             order.push(QueuedJob {
                 urgency: self.urgency(id, job),
                 fresh: job.spec.shape != JobKind::Service || work.retries.is_empty(),
                 beyond,
-                aimless: !self.has_aim(id, job),
+                aimless: !self.has_objective(id, job),
                 had_turn: started >= turn,
                 missed,
                 size: if missed > 0 && missed == aims { 0 } else { job.spec.tasks },
@@ -113,7 +113,7 @@
     ) -> (Vec<Bin>, Vec<Option<MachineId>>) {
         let settings = self.settings.clone();
         let threshold = settings.operator.heavy_threshold;
-        let quiet = settings.report_every() * 2 + Duration::from_secs(1);
+        let quiet = settings.heartbeat_interval() * 2 + Duration::from_secs(1);
         let mut bins = Vec::with_capacity(self.fleet.machines.len());
         let mut names = Vec::with_capacity(self.fleet.machines.len());
         let hold = Duration::from_secs_f64(settings.operator.hold_s);
@@ -277,7 +277,7 @@
             .teams
             .iter()
             .enumerate()
-            .map(|(t, team)| team.most().minus(&used[t]).minus(&hidden[t].least(&unsure_room)))
+            .map(|(t, team)| team.limit().minus(&used[t]).minus(&hidden[t].least(&unsure_room)))
             .collect();
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
         team_room.push(unlimited);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -141,7 +141,9 @@
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
         let Some(machine) = self.fleet.machines.get(machine) else { return false };
         let rate = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
-        let Some(within_s) = self.settings.tightest_wait(&live.spec.class) else { return false };
+        let Some(within_s) = self.settings.tightest_start_objective(&live.spec.class) else {
+            return false;
+        };
         live.spec.urgency == Priority::Production
             && rate > 0.0
             && live.spec.image_gb / rate > within_s * FETCH_SHARE
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -118,7 +118,7 @@
             let boot_s = now.saturating_duration_since(machine.rented).as_secs_f64();
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
-        let quiet = self.settings.report_every() * 2;
+        let quiet = self.settings.heartbeat_interval() * 2;
         let usable = |m: &Machine| {
             (m.state, m.confirmed, m.agent_epoch, m.time_since_heartbeat(now) > quiet)
         };
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -52,7 +52,7 @@
         now: Instant,
     ) -> HeartbeatResult {
         let id = &unchanged.machine;
-        let (token, quiet) = (self.term.token, self.settings.report_every() * 2);
+        let (token, quiet) = (self.term.token, self.settings.heartbeat_interval() * 2);
         let known =
             |machine: &mut Machine| machine.record_unchanged_heartbeat(unchanged, token, now);
         let Some(machine) = self.fleet.machines.get_mut(id) else {
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -202,7 +202,7 @@
     /// By when a job should be done, by its own due time or the aim of its class, in milliseconds.
     fn due_ms(&self, spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
         let due_s = spec.due_s.filter(|_| self.settings.has_deadline(&spec.class));
-        let due_s = due_s.into_iter().chain(self.settings.finish_within(&spec.class));
+        let due_s = due_s.into_iter().chain(self.settings.finish_objective(&spec.class));
         due_s.min_by(f64::total_cmp).map(|s| accepted_ms.saturating_add((s * 1000.0) as u64))
     }
 
@@ -308,7 +308,7 @@
         // What waits is taken to find room as its team's limit allows.
         let team =
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
-        let width = team.map_or(u64::MAX, |team| placement::copies(&team.most(), &live.need));
+        let width = team.map_or(u64::MAX, |team| placement::copies(&team.limit(), &live.need));
         let rest = remaining(&estimate.centre, &running, waiting, width);
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -75,7 +75,7 @@
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
         let mut free = Amount::default();
         for machine in self.fleet.machines.values() {
-            let silent = machine.time_since_heartbeat(now) > self.settings.report_every() * 3;
+            let silent = machine.time_since_heartbeat(now) > self.settings.heartbeat_interval() * 3;
             let name = format!(
                 "{}-{}-{}",
                 zones[machine.zone],
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -17,7 +17,7 @@
 use crate::scheduler::reconciliation::SUCCESS_AFTER_RUNNING;
 use crate::schema::{encoding, records};
 use crate::settings::Settings;
-use crate::settings::plain_flavor as flavor;
+use crate::settings::fixtures::machine_type as flavor;
 use crate::store::Versioned;
 use crate::store::{MachineRecord, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{Heartbeat, JobKind, Priority, StoreValue, TaskState, WorkerCommand, Write};
@@ -43,9 +43,9 @@
 impl Bench {
     fn new() -> Bench {
         let teams = r#"[{"name":"t","cpus":4000.0,"cpus_max":8000.0}]"#;
-        let settings = Arc::new(crate::settings::plain(teams));
+        let settings = Arc::new(crate::settings::fixtures::settings(teams));
         let now = Instant::now();
-        let limits = settings.platform.params.state.kept();
+        let limits = settings.platform.params.state.effective();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -25,12 +25,12 @@
 impl Scheduler {
     /// A worker whose report is later than its interval allows is asked whether it lives.
     pub(super) fn late_after(&self) -> Duration {
-        self.settings.report_every().mul_f64(REPORT_LATE) + REPORT_LATE_MORE
+        self.settings.heartbeat_interval().mul_f64(REPORT_LATE) + REPORT_LATE_MORE
     }
 
     /// What all machines together show now.
     pub(super) fn fleet_summary(&self, now: Instant) -> FleetSummary {
-        let quiet = self.settings.report_every() * 2 + Duration::from_secs(1);
+        let quiet = self.settings.heartbeat_interval() * 2 + Duration::from_secs(1);
         self.fleet.summary(quiet, now)
     }
 
@@ -119,7 +119,7 @@
                 self.fleet.zone_unreachable_at[zone] = Some(now);
             }
         }
-        let back = self.settings.report_every() * 4;
+        let back = self.settings.heartbeat_interval() * 4;
         self.fleet
             .zone_unreachable_at
             .iter()
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -5,7 +5,7 @@
 use crate::schema::encoding::to_value;
 use crate::schema::keys;
 use crate::schema::records::{FORMAT, Layout, VersionRecord};
-use crate::settings::KeptLimits;
+use crate::settings::EffectiveStoreLimits;
 use crate::store::cache::Cache;
 use crate::store::group_commit::{
     Batch, GroupCommit, PendingWrite, WriteOrigin, WriteOutcome, WritePriority,
@@ -77,7 +77,7 @@
 pub struct StoreClient {
     /// The store's content as far as it is known.
     pub cache: Cache,
-    limits: KeptLimits,
+    limits: EffectiveStoreLimits,
     /// All controllers, this one first.
     controllers: Vec<ControllerId>,
     /// All keys are being read.
@@ -103,9 +103,14 @@
 
 impl StoreClient {
     /// The names are those of all controllers, this one first.
-    pub fn new(limits: KeptLimits, names: Vec<ControllerId>, seed: u64, now: Instant) -> Self {
+    pub fn new(
+        limits: EffectiveStoreLimits,
+        names: Vec<ControllerId>,
+        seed: u64,
+        now: Instant,
+    ) -> Self {
         let mut client = StoreClient {
-            cache: Cache::new(limits.chunk),
+            cache: Cache::new(limits.legacy_chunk_tasks),
             limits,
             controllers: names,
             snapshot: Some(Snapshot::default()),
@@ -148,7 +153,7 @@
         let format = |name| self.cache.versions.get(name).map_or(0, |version| version.value.format);
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
         let limits = &self.limits;
-        let value_max = if format == 0 { limits.first_max } else { limits.value_max };
+        let value_max = if format == 0 { limits.legacy_value_max } else { limits.value_max };
         let legacy_chunk_tasks = self.cache.jobs.legacy_chunk_tasks();
         Layout { format, legacy_chunk_tasks, max_operations: limits.txn_ops, value_max }
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,7 +1,7 @@
 use crate::constants::RETRY_PAUSE;
 use crate::ids::{ControllerId, Revision};
 use crate::schema::encoding;
-use crate::settings::KeptLimits;
+use crate::settings::EffectiveStoreLimits;
 use crate::store::{
     Cache, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, StoreClient, StoreEvent, StoreRequest,
     StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
@@ -10,14 +10,14 @@
 use foldhash::HashSet;
 use tokio::time::Instant;
 
-fn limits(txn_ops: usize) -> KeptLimits {
-    KeptLimits {
+fn limits(txn_ops: usize) -> EffectiveStoreLimits {
+    EffectiveStoreLimits {
         rps: 100.0,
         write_rps: 100.0,
         txn_ops,
         value_max: 1800,
-        first_max: 14_000,
-        chunk: 16_384,
+        legacy_value_max: 14_000,
+        legacy_chunk_tasks: 16_384,
     }
 }
 
@@ -152,7 +152,7 @@
     let flavor = |name: &str, price: f64| MachineType {
         name: name.into(),
         price,
-        ..crate::settings::plain_flavor()
+        ..crate::settings::fixtures::machine_type()
     };
     let mut cache = Cache::new(16_384);
     let all = encoding::to_value(&vec![flavor("a", 1.0), flavor("b", 1.0)]);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings: faults are named, the example file equals the defaults.
 
 use troutspindle::admission::read_together;
-use troutspindle::settings::{Operator, Settings};
+use troutspindle::settings::{OperatorSettings, Settings};
 
 const PLATFORM: &str = r#"{
   "host_name": "n-0", "location": "a", "listen": "127.0.0.1:0", "mesh_addr": "127.0.0.1:0",
@@ -16,9 +16,9 @@
 #[test]
 fn the_example_of_operator_settings_holds_every_default() {
     let text = include_str!("../deploy/operator.example.yaml");
-    let example: Operator = serde_yaml_ng::from_str(text).unwrap();
-    assert_eq!(example, Operator::default());
-    let all = serde_yaml_ng::to_value(Operator::default()).unwrap();
+    let example: OperatorSettings = serde_yaml_ng::from_str(text).unwrap();
+    assert_eq!(example, OperatorSettings::default());
+    let all = serde_yaml_ng::to_value(OperatorSettings::default()).unwrap();
     for key in all.as_mapping().unwrap().keys() {
         let key = key.as_str().unwrap();
         assert!(text.lines().any(|line| line.starts_with(&format!("{key}:"))), "{key}");
@@ -58,13 +58,17 @@
         let all = format!(r#""txn_ops": 12, "next": {{{text}}}"#);
         Settings::parse(&PLATFORM.replace(r#""txn_ops": 12"#, &all), None)
     };
-    let limits = |settings: Settings| settings.platform.params.state.kept();
+    let limits = |settings: Settings| settings.platform.params.state.effective();
     let now = limits(Settings::parse(PLATFORM, None).unwrap());
     assert_eq!(limits(next(r#""later": 1"#).unwrap()), now);
     let kept = limits(next(r#""write_rps": 42.0, "value_kb": 2.0, "txn_ops": 40"#).unwrap());
     // The lesser of both in each dimension; where marks stand does not move.
     assert_eq!((kept.rps, kept.write_rps, kept.txn_ops), (150.0, 42.0, 12));
-    assert!(kept.value_max < 2048 && kept.first_max == now.value_max && kept.chunk == 16_384);
+    assert!(
+        kept.value_max < 2048
+            && kept.legacy_value_max == now.value_max
+            && kept.legacy_chunk_tasks == 16_384
+    );
     for (fault, name) in
         [(r#""txn_ops": 1"#, "next.txn_ops"), (r#""value_kb": 0.5"#, "next.value_kb")]
     {
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use troutspindle::ids::ControllerId;
 use troutspindle::settings::{
-    ElasticClass, Estimates, LogFormat, Operator, Secret, Settings, ShardHeartbeats,
+    ElasticClass, EstimateSettings, LogFormat, OperatorSettings, Secret, Settings, ShardHeartbeats,
 };
 
 const PLATFORM: &str = r#"{
@@ -108,16 +108,16 @@
         ("guarantee", None, Some(30.5)),
     ];
     assert_eq!(read.collect::<Vec<_>>(), expected);
-    assert_eq!(settings.tightest_wait("nightly"), Some(5.5));
-    assert_eq!(settings.finish_within("nightly"), Some(600.5));
+    assert_eq!(settings.tightest_start_objective("nightly"), Some(5.5));
+    assert_eq!(settings.finish_objective("nightly"), Some(600.5));
     assert!(settings.has_deadline("release") && !settings.has_deadline("nightly"));
-    assert_eq!(settings.guarantee_wait(), Some(30.5));
+    assert_eq!(settings.guarantee_start_objective(), Some(30.5));
     assert_eq!(settings.worker_lease(), Duration::from_millis(14_500));
 }
 
 #[test]
 fn every_key_of_the_operators_is_read() {
-    let estimates = Estimates {
+    let estimates = EstimateSettings {
         learn: true,
         warn: false,
         due: true,
@@ -125,7 +125,7 @@
         make_way: true,
         drain: false,
     };
-    let expected = Operator {
+    let expected = OperatorSettings {
         heavy_cap: 0.25,
         heavy_threshold: 0.75,
         hold_s: 1.5,
@@ -146,7 +146,7 @@
 /// Each switch alone, so that two of them can't change places.
 #[test]
 fn every_switch_of_the_estimates_has_its_own_key() {
-    type Switch = fn(&Estimates) -> bool;
+    type Switch = fn(&EstimateSettings) -> bool;
     let switches: [(&str, Switch); 6] = [
         ("learn", |estimates| estimates.learn),
         ("warn", |estimates| estimates.warn),
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -19,7 +19,7 @@
 use troutspindle::schema::records::{
     JobPhase, JobRecord, Layout, SpecChunks, TaskFootprint, VersionRecord,
 };
-use troutspindle::settings::KeptLimits;
+use troutspindle::settings::EffectiveStoreLimits;
 use troutspindle::store::{
     CONTROLLER_LEASE_PREFIX, Cache, ESTIMATES_PREFIX, LEADER_KEY, LeaderRecord, MACHINE_PREFIX,
     MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, MachineRecord, OutgoingRequest, PREFIX, RELAY_PREFIX,
@@ -279,13 +279,13 @@
 
 /// The state service's client when it has read these rows, under revisions from 1 on.
 fn loaded(rows: Vec<(String, StoreValue)>, now: Instant) -> StoreClient {
-    let limits = KeptLimits {
+    let limits = EffectiveStoreLimits {
         rps: 150.0,
         write_rps: 60.0,
         txn_ops: 12,
         value_max: 14_000,
-        first_max: 14_000,
-        chunk: 16_384,
+        legacy_value_max: 14_000,
+        legacy_chunk_tasks: 16_384,
     };
     let mut core = StoreClient::new(limits, vec![node()], 0, now);
     core.poll(now);
