--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -19,7 +19,7 @@
 impl World {
     pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
         if self.is_isolated(node) {
-            let gives_up = Event::Cloud(id, Err(CallError::Unknown));
+            let gives_up = Event::CloudResponse { id, result: Err(CallError::Unknown) };
             return self.at(self.now_ms + 4000, SimEvent::Controller(node, incarnation, gives_up));
         }
         if self.cloud_out {
@@ -28,7 +28,7 @@
             return self.schedule_soon(SimEvent::Controller(
                 node,
                 incarnation,
-                Event::Cloud(id, refusal),
+                Event::CloudResponse { id, result: refusal },
             ));
         }
         let rents = matches!(call, CloudRequest::ScaleOut(..));
@@ -101,11 +101,21 @@
         if rents && self.targeted_faults.quick_boots {
             // The machines are up and report before whoever rented them hears of them.
             let late = self.now_ms + self.random.random_range(300..3000);
-            return self
-                .at(late, SimEvent::Controller(node, incarnation, Event::Cloud(id, Ok(response))));
+            return self.at(
+                late,
+                SimEvent::Controller(
+                    node,
+                    incarnation,
+                    Event::CloudResponse { id, result: Ok(response) },
+                ),
+            );
         }
         let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
-        self.schedule_soon(SimEvent::Controller(node, incarnation, Event::Cloud(id, result)));
+        self.schedule_soon(SimEvent::Controller(
+            node,
+            incarnation,
+            Event::CloudResponse { id, result },
+        ));
     }
 
     pub fn rent(&mut self, zone: usize, spot: bool) -> MachineId {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -55,7 +55,7 @@
         for effect in effects {
             self.digest.effect(self.now_ms, node, &effect);
             match effect {
-                Effect::Reply(ticket, response) => match self.tickets[node].remove(&ticket) {
+                Effect::Respond { ticket, response } => match self.tickets[node].remove(&ticket) {
                     Some(Ticket::Heartbeat(machine, id))
                         if !self.is_cut_off(node, self.workers[&machine].zone) =>
                     {
@@ -79,16 +79,16 @@
                     }
                     _ => {}
                 },
-                Effect::State(id, call) => {
+                Effect::CallStore { id, request: call } => {
                     self.schedule_soon(SimEvent::State(node, incarnation, id, call))
                 }
-                Effect::Cloud(id, call) => {
+                Effect::CallCloud { id, request: call } => {
                     self.schedule_soon(SimEvent::Cloud(node, incarnation, id, call))
                 }
-                Effect::DirectCall(machine, _, direct) => {
+                Effect::CallWorker { machine, call: direct, .. } => {
                     self.schedule_soon(SimEvent::DirectCall(node, incarnation, machine, direct));
                 }
-                Effect::Mesh(peer, message) => self.mesh(node, &peer, message),
+                Effect::SendToPeer { to: peer, message } => self.mesh(node, &peer, message),
             }
         }
     }
@@ -110,7 +110,7 @@
             "production cannot read {message:?}"
         );
         let copy = self.count_relayed(&message);
-        let due = SimEvent::Controller(to, self.incarnation[to], Event::Mesh(message));
+        let due = SimEvent::Controller(to, self.incarnation[to], Event::PeerMessage(message));
         let isolated = [Some(from), Some(to)].contains(&self.isolated);
         if self.no_mesh
             || isolated
@@ -125,7 +125,7 @@
         } else {
             if let Some(copy) = copy {
                 let later = self.now_ms + self.random.random_range(500..9000);
-                let event = Event::Mesh(copy);
+                let event = Event::PeerMessage(copy);
                 self.at(later, SimEvent::Controller(to, self.incarnation[to], event));
             }
             self.schedule_soon(due);
--- a/src/api/routing.rs
+++ b/src/api/routing.rs
@@ -1,6 +1,6 @@
 //! Which operation a request asks for, by its method and path.
 
-use crate::admission::Need;
+use crate::admission::RequestClass;
 use crate::http::{Method, Request};
 use crate::ids::JobId;
 use troutspindle_protocol::operator_api;
@@ -68,11 +68,11 @@
 }
 
 /// How much a request is needed by whoever sent it, by its path alone.
-pub fn need(request: &Request) -> Need {
+pub fn request_class(request: &Request) -> RequestClass {
     match route(request) {
-        Route::Poll(_) => Need::Asks,
-        Route::Submit => Need::Submits,
-        _ => Need::Keeps,
+        Route::Poll(_) => RequestClass::Poll,
+        Route::Submit => RequestClass::Submission,
+        _ => RequestClass::Critical,
     }
 }
 
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -1,6 +1,6 @@
 use super::framing::{decode_body, encode_frame};
 use super::{MESH_PROTOCOL, PeerCapabilities, PeerMessage, decode_text, dial, encode_text, serve};
-use crate::controller::MESH_EVERY;
+use crate::controller::STATUS_INTERVAL;
 use crate::ids::{ControllerId, FencingToken, JobId};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -76,7 +76,7 @@
         }
         for seq in 0..5 {
             let _ = tx.try_send(beat(seq));
-            sleep(MESH_EVERY).await;
+            sleep(STATUS_INTERVAL).await;
         }
     }
 }
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -211,7 +211,11 @@
             // what it had.
             let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
             let beyond = machine.state == MachineState::Up
-                && machine.is_lease_expired(self.delegations.told(&machine.id), lease, now)
+                && machine.is_lease_expired(
+                    self.delegations.last_answered(&machine.id),
+                    lease,
+                    now,
+                )
                 && !cut_off[machine.zone];
             if machine.confirmed && machine.attempts.is_empty() {
                 // Nothing can be running there.
