--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -152,7 +152,11 @@
             DirectCall::Do(orders) => Some(orders.clone()),
             DirectCall::Status => None,
         };
-        let unknown = Event::DirectCall(id.clone(), sent.clone(), Err(CallError::Unknown));
+        let unknown = Event::WorkerResponse {
+            machine: id.clone(),
+            sent: sent.clone(),
+            result: Err(CallError::Unknown),
+        };
         if worker.gone || worker.up_at > self.now_ms {
             return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
@@ -191,7 +195,7 @@
         self.schedule_soon(SimEvent::Controller(
             node,
             incarnation,
-            Event::DirectCall(id, sent, Ok(report)),
+            Event::WorkerResponse { machine: id, sent, result: Ok(report) },
         ));
     }
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -174,11 +174,14 @@
         };
         for node in 0..count {
             let wall = world.wall();
-            world.nodes.push(Controller::new(
-                settings_with_sharding(count, node, old, world.floor, share),
-                seed * 10 + node as u64,
-                wall,
-            ));
+            world.nodes.push(
+                Controller::new(
+                    settings_with_sharding(count, node, old, world.floor, share),
+                    seed * 10 + node as u64,
+                    wall,
+                )
+                .ok(),
+            );
             world.at(1 + node as u64, SimEvent::Tick(node));
         }
         world.at(50, SimEvent::LeaseCheck);
@@ -311,7 +314,7 @@
                 }
                 let ticket = self.ticket(node, Ticket::Heartbeat(machine, id));
                 let request = Request { method: Method::Post, target: "/hello".into(), body };
-                self.deliver(node, Event::Http(ticket, request));
+                self.deliver(node, Event::Request { ticket, request });
             }
             SimEvent::HeartbeatResponse(machine, id, response) => {
                 self.on_heartbeat_response(machine, id, response)
@@ -332,7 +335,7 @@
                     ));
                 }
                 let ticket = self.ticket(node, Ticket::User(job, asked));
-                self.deliver(node, Event::Http(ticket, request));
+                self.deliver(node, Event::Request { ticket, request });
             }
             SimEvent::UserResponse(job, asked, response) => self.user_answer(job, asked, &response),
             SimEvent::ExtraRequest(node, asked) => self.deliver_extra_request(node, asked),
@@ -354,7 +357,8 @@
                     ),
                     seed,
                     self.wall(),
-                );
+                )
+                .ok();
             }
             SimEvent::LeaseCheck => {
                 self.end_leases();
--- a/src/api.rs
+++ b/src/api.rs
@@ -7,16 +7,16 @@
 mod submission;
 mod validation;
 
-pub use routing::{Route, need, route, valid_id};
+pub use routing::{Route, request_class, route, valid_id};
 
-use crate::admission::come_back_s;
+use crate::admission::retry_after_s;
 use crate::api::request::{PendingRequest, UserRequest};
 use crate::clock::WallClock;
 use crate::constants::{CHANGE_DEADLINE, USER_DEADLINE};
 use crate::http::Response;
 use crate::ids::{ControllerId, JobId};
 use crate::jobs::{FinalState, Job};
-use crate::leadership::controller_lease::{CancellationAcks, Given};
+use crate::leadership::cancellation_acks::{AcknowledgedCancellations, CancellationAcks};
 use crate::settings::Settings;
 use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{self, JobStatus, JobView, Transaction};
@@ -47,11 +47,11 @@
     /// Count of requests that were told to be sent again later.
     pub refused: u64,
     /// What other controllers have acknowledged.
-    pub promises: CancellationAcks,
+    pub cancellation_acks: CancellationAcks,
     /// Cancellations that this controller acknowledged, or is about to commit itself.
-    pub given: Given,
+    pub acknowledged_cancellations: AcknowledgedCancellations,
     /// Which controllers are to be asked to acknowledge the cancellation of which job.
-    pub asks: Vec<(ControllerId, JobId)>,
+    pub ack_requests: Vec<(ControllerId, JobId)>,
     /// When each was asked last.
     asked: HashMap<(ControllerId, JobId), Instant>,
 }
@@ -75,9 +75,9 @@
         let workers = &platform.params.workers;
         let peers = platform.others.iter().map(|peer| peer.host_name.clone()).collect();
         Ok(Api {
-            promises: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
-            given: Given::default(),
-            asks: Vec::new(),
+            cancellation_acks: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
+            acknowledged_cancellations: AcknowledgedCancellations::default(),
+            ack_requests: Vec::new(),
             asked: HashMap::new(),
             settings,
             wall,
@@ -287,7 +287,7 @@
 
     fn retry_later(&mut self) -> Response {
         self.refused += 1;
-        Response::later_in(503, come_back_s(self.pending.len(), self.refused))
+        Response::later_in(503, retry_after_s(self.pending.len(), self.refused))
     }
 
     fn finish_with_retry(&mut self, ticket: u64) -> Response {
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -2,12 +2,13 @@
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::cloud::{CloudEvent, MachinePool};
-use crate::controller::TICK_MOST;
+use crate::controller::TICK_MAX;
 use crate::ids::MachineId;
 use crate::scheduler::autoscaling::{BOOT_PATIENCE, BOOT_PATIENCE_MORE};
 use crate::scheduler::direct_calls::OutgoingCall;
 use crate::scheduler::planning_clock::PLAN_EVERY;
-use crate::settings::{Settings, plain_flavor as flavor};
+use crate::settings::Settings;
+use crate::settings::fixtures::machine_type as flavor;
 use crate::wire::{JobKind, TaskState};
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::machine::MachineState;
@@ -75,10 +76,10 @@
         let until = bench.now + late * 3;
         while bench.now < until {
             // Behind a cut nobody is heard, until it ends.
-            if open || bench.now + TICK_MOST * 2 >= until {
+            if open || bench.now + TICK_MAX * 2 >= until {
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
-            bench.pass(TICK_MOST);
+            bench.pass(TICK_MAX);
             for OutgoingCall { machine: id, call: direct, .. } in
                 bench.scheduler.take_direct_calls()
             {
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -106,7 +106,7 @@
         assert_eq!((stayed, world.running(0)), (2, 4), "seed {seed}");
         if !is_partitioned {
             let node = world.nodes[world.leader()].as_ref().unwrap();
-            let told = node.scheduler.as_ref().unwrap().drains(&node.state.cache, world.now());
+            let told = node.scheduler.as_ref().unwrap().drains(&node.store.cache, world.now());
             assert_eq!((told.drains[0].left, told.drains[0].stuck), (Some(2), Some(2)));
             assert_eq!(world.running(1), 4);
         }
