--- a/src/admission/sharding.rs
+++ b/src/admission/sharding.rs
@@ -25,7 +25,7 @@
     /// The policy of a deployment with these settings.
     pub fn new(settings: &Settings) -> ShardingPolicy {
         let resources = &settings.platform.params.resources;
-        let heartbeat_interval = settings.report_every();
+        let heartbeat_interval = settings.heartbeat_interval();
         ShardingPolicy {
             machines_by_sockets: f64::from(SocketBudget::new(resources).max_machines),
             machines_by_processor: resources.fits(heartbeat_interval, REQUEST_COST),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -66,7 +66,7 @@
     println!("listen {}, mesh {}", platform.listen, platform.mesh_addr);
     println!("state service {}, cloud {}", platform.external.state, platform.external.cloud);
     println!("zones {}, teams {}", platform.params.zones.join(" "), platform.params.teams.len());
-    let kept = platform.params.state.kept();
+    let kept = platform.params.state.effective();
     println!(
         "state limits kept to: {} requests and {} changes a second, values of {} bytes, {} writes",
         kept.rps, kept.write_rps, kept.value_max, kept.txn_ops
--- a/src/controller/actor/peer_links.rs
+++ b/src/controller/actor/peer_links.rs
@@ -3,7 +3,7 @@
 use crate::controller::ticks::METRICS_INTERVAL;
 use crate::ids::ControllerId;
 use crate::peers::mesh::{self, PeerMessage, TrafficCounters};
-use crate::settings::Peer;
+use crate::settings::PeerSettings;
 use foldhash::HashMap;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -22,7 +22,11 @@
 
 impl PeerLinks {
     /// Opens the connections, as tasks of `background`.
-    pub(super) fn start(peers: &[Peer], background: &mut JoinSet<()>, now: Instant) -> PeerLinks {
+    pub(super) fn start(
+        peers: &[PeerSettings],
+        background: &mut JoinSet<()>,
+        now: Instant,
+    ) -> PeerLinks {
         let mut links = PeerLinks {
             senders: HashMap::default(),
             traffic: Vec::new(),
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -40,7 +40,7 @@
     let settings =
         Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
-    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     controller
 }
 
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -37,8 +37,8 @@
     }
 
     /// Whether anybody looks at when it starts or ends.
-    pub(super) fn has_aim(&self, id: &JobId, job: &LiveJob) -> bool {
-        self.settings.has_aim(&job.spec.class)
+    pub(super) fn has_objective(&self, id: &JobId, job: &LiveJob) -> bool {
+        self.settings.has_objective(&job.spec.class)
             || self.dependencies.inherited.get(id).is_some_and(|carried| carried.due_ms.is_some())
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Finds out what jobs inherit, if any that counts has changed.
-    pub(super) fn carry_back(&mut self, live: &[(&JobId, &LiveJob)]) {
+    pub(super) fn inherit_priorities(&mut self, live: &[(&JobId, &LiveJob)]) {
         if !std::mem::take(&mut self.dependencies.stale) {
             return;
         }
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::scheduler::Scheduler;
-use crate::settings::plain_flavor as flavor;
+use crate::settings::fixtures::machine_type as flavor;
 use crate::store::{MachineRecord, StoreClient, Versioned};
 use crate::wire::{Heartbeat, JobKind, JobSpec, TaskState, TaskStatus, WorkerCommand, Write};
 use std::sync::Arc;
@@ -24,9 +24,9 @@
 impl TestLeader {
     pub(super) fn new() -> TestLeader {
         let teams = r#"[{"name":"t","cpus":4000.0,"cpus_max":8000.0}]"#;
-        let settings = Arc::new(crate::settings::plain(teams));
+        let settings = Arc::new(crate::settings::fixtures::settings(teams));
         let now = Instant::now();
-        let limits = settings.platform.params.state.kept();
+        let limits = settings.platform.params.state.effective();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
@@ -72,7 +72,7 @@
             notice_s: None,
             tasks,
         };
-        let orders = self.scheduler.on_report(&report, &self.state.cache, self.now).unwrap();
+        let orders = self.scheduler.on_heartbeat(&report, &self.state.cache, self.now).unwrap();
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
