--- a/src/placement/scale_out.rs
+++ b/src/placement/scale_out.rs
@@ -1,9 +1,11 @@
 //! Which machines to rent for tasks that find no room.
 
 use super::model::{Bin, MachineTypeOffer, PlacementRequest, ScaleOutPolicy, max_copies};
-use crate::constants::RENTS_FEW;
 use std::cmp::Ordering;
 
+/// The limit of machines is near when fewer rentals remain than one for this many machines.
+pub(super) const FLEET_PER_RENTAL_NEAR_LIMIT: usize = 8;
+
 /// What can be rented, and what is to be rented by this pass.
 pub(super) struct ScaleOut {
     offers: Vec<MachineTypeOffer>,
@@ -29,7 +31,7 @@
         if self.remaining == 0 {
             return None;
         }
-        let near_limit = (self.remaining as usize) < fleet_size / RENTS_FEW;
+        let near_limit = (self.remaining as usize) < fleet_size / FLEET_PER_RENTAL_NEAR_LIMIT;
         let choice = (0..self.offers.len())
             .filter(|&i| is_usable(&self.offers[i], request))
             .min_by(|&a, &b| compare(&self.offers[a], &self.offers[b], request, near_limit))?;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,9 +1,9 @@
+use super::scale_out::FLEET_PER_RENTAL_NEAR_LIMIT;
 use super::{
     Basket, Bin, BinIndex, Images, MachineTypeOffer, PlacementInput, PlacementRequest,
     PlannedStart, QueuedJob, RequestIndex, RequestTasks, ScaleOutPolicy, ZoneLimits, plan,
     sort_by_service_order,
 };
-use crate::constants::RENTS_FEW;
 use crate::ids::{Amount, MachineTypeId, TeamId, ZoneId};
 use crate::wire::Priority;
 use rand::rngs::StdRng;
@@ -282,7 +282,9 @@
     };
     let rented = |rental_limit: u32| {
         let input = PlacementInput {
-            bins: (0..RENTS_FEW as u64 * 3).map(|n| Bin { index: n, ..full.clone() }).collect(),
+            bins: (0..FLEET_PER_RENTAL_NEAR_LIMIT as u64 * 3)
+                .map(|n| Bin { index: n, ..full.clone() })
+                .collect(),
             requests: vec![request(200, 4.0)],
             team_headroom: vec![unlimited],
             offers: vec![small.clone(), large.clone()],
