--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -259,7 +259,7 @@
 
     fn plan_if_useful(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
         let clock = &self.planning_clock;
-        if now < clock.next_unconditional_pass && !self.waits_for_a_pass(cache) {
+        if now < clock.next_unconditional_pass && !self.has_pending_work(cache) {
             return;
         }
         self.planning_clock.next_unconditional_pass = now + PLAN_WHOLE;
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -1,22 +1,23 @@
-//! Machines that come and go: rentals, refusals, lists, and what silence and age say.
+//! Scaling out and in: answers of the cloud, and what can be rented.
 //!
-//! Owns a machine's life and its index, and which kinds refuse. It decides when a machine is given up; what ran there is
-//! told on as facts. It rents nothing by itself: the planner says how many.
+//! Owns [`Autoscaler`], and a machine's life together with the fleet. It rents nothing by itself:
+//! the planner decides how many machines.
 
-use crate::cloud::{CloudClient, CloudEvent, MachinePool};
-use crate::constants::{
-    BOOT_OVERDUE, BOOT_OVERDUE_MORE, BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_GROWTH,
-    CAPACITY_PROBE, CAPACITY_REST, HIRE_MAX, HIRE_SETTLE, LATE_TOGETHER,
-};
-use crate::ids::MachineId;
+mod machine_list;
+mod machine_watch;
+
+use crate::cloud::{CloudEvent, MachinePool};
+use crate::constants::{CAPACITY_GROWTH, CAPACITY_PROBE, CAPACITY_REST, HIRE_MAX};
+use crate::ids::{MachineId, MachineTypeId, ZoneId};
+use crate::placement::MachineTypeOffer;
 use crate::scheduler::Scheduler;
-use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::planning::FleetView;
 use crate::store::Cache;
 use crate::wire::MachineType;
-use crate::workers::machine::{Machine, MachineState};
+use crate::workers::machine::Machine;
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
-use std::time::Duration;
 use tokio::time::Instant;
+
 /// What bounds how many machines are rented.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
@@ -47,7 +48,29 @@
     pub(super) max_request: u32,
 }
 
+/// A pool with what can be rented of it.
+pub(super) struct PoolOffer {
+    /// The pool.
+    pub(super) pool: MachinePool,
+    /// The offer.
+    pub(super) offer: MachineTypeOffer,
+}
+
+/// How many machines are held in a zone.
+#[derive(Clone, Copy, Default)]
+struct MachineCount {
+    on_demand: u32,
+    spot: u32,
+}
+
+impl MachineCount {
+    fn of_kind(&mut self, spot: bool) -> &mut u32 {
+        if spot { &mut self.spot } else { &mut self.on_demand }
+    }
+}
+
 impl Scheduler {
+    /// Takes in what the cloud answered.
     pub fn on_cloud(&mut self, event: CloudEvent, cache: &Cache, now: Instant) {
         self.planning_clock.pass_requested = true;
         self.direct_calls.all_dirty = true;
@@ -57,223 +80,91 @@
                 // What counts as heavy follows from the largest type.
                 self.fleet.machines.values_mut().for_each(Machine::entries_changed);
             }
-            CloudEvent::Hired(kind, machines) => {
-                self.fair_share.cloud_told();
-                if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&kind) {
-                    backoff.max_request *= CAPACITY_GROWTH;
-                    if backoff.max_request > HIRE_MAX {
-                        self.autoscaler.capacity_backoff.remove(&kind);
-                    }
-                }
-                for id in &machines {
-                    self.fleet.add_machine(id, kind, now);
-                }
-                let zone = &self.settings.platform.params.zones[kind.zone];
-                tracing::info!(count = machines.len(), %zone, spot = kind.spot, "rented");
-            }
-            CloudEvent::Refused(kind) => {
-                self.fair_share.cloud_told();
-                let zone = &self.settings.platform.params.zones[kind.zone];
-                tracing::info!(%zone, spot = kind.spot, "rental refused");
-                let backoff = CapacityBackoff {
-                    not_before: now + CAPACITY_REST,
-                    max_request: CAPACITY_PROBE,
-                };
-                self.autoscaler.capacity_backoff.insert(kind, backoff);
-            }
+            CloudEvent::Hired(pool, machines) => self.on_rented(pool, &machines, now),
+            CloudEvent::Refused(pool) => self.on_refused(pool, now),
             CloudEvent::Deleted(machines) => {
                 for id in machines {
                     self.fleet.terminated.insert(id.clone());
-                    self.gone(&id, "returned", cache, now);
+                    self.remove_machine(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::ListedMachine(listed, asked) => self.on_list(listed, asked, cache, now),
+            CloudEvent::ListedMachine(listed, asked_at) => {
+                self.on_machine_list(listed, asked_at, cache, now);
+            }
         }
     }
 
-    pub(super) fn on_list(
-        &mut self,
-        listed: Vec<crate::wire::ListedMachine>,
-        asked: Instant,
-        cache: &Cache,
-        now: Instant,
-    ) {
-        self.fleet.listed_once = true;
-        let mut present = HashSet::new();
-        for row in listed {
-            if self.fleet.terminated.contains(&row.machine) {
-                continue;
-            }
-            present.insert(row.machine.clone());
-            if row.status == crate::wire::ListedMachineState::Failed {
-                self.gone(&row.machine, "failed", cache, now);
-                // It stays in the list until it is deleted.
-                self.autoscaler.reserved_machines.remove(&row.machine);
-                if let Some(kind) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
-                    let machine = self.fleet.add_machine(&row.machine, kind, now);
-                    machine.life = MachineState::Returning;
-                }
-                continue;
-            }
-            if !self.fleet.machines.contains_key(&row.machine) {
-                let Some(kind) = self.fleet.pool(&row.flavor, &row.zone, row.spot) else {
-                    continue;
-                };
-                self.fleet.add_machine(&row.machine, kind, now);
-            }
-            if let Some(machine) = self.fleet.machines.get_mut(&row.machine) {
-                // A new leader knows from here how long a machine has been paid for.
-                let age = Duration::from_secs_f64(row.age_s.clamp(0.0, 1e7));
-                let rented = now.checked_sub(age).unwrap_or(machine.rented);
-                machine.rented = machine.rented.min(rented);
-                if machine.address.is_none() {
-                    machine.address = row.address.as_deref().and_then(|a| a.parse().ok());
-                }
+    fn on_rented(&mut self, pool: MachinePool, machines: &[MachineId], now: Instant) {
+        self.fair_share.record_cloud_response();
+        if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&pool) {
+            backoff.max_request *= CAPACITY_GROWTH;
+            if backoff.max_request > HIRE_MAX {
+                self.autoscaler.capacity_backoff.remove(&pool);
             }
         }
-        // A machine once listed stays listed until it is gone, but a list may be older than the
-        // one before. So a missing machine is only suspected; its deletion gives the proof.
-        let lag =
-            Duration::from_secs_f64(self.settings.platform.params.cloud.list_lag_s * 2.0 + 1.0);
-        let quiet = self.settings.report_every() * 2;
-        for machine in self.fleet.machines.values_mut() {
-            if !present.contains(&machine.id)
-                && machine.life != MachineState::Returning
-                && machine.silent_for(asked) > quiet
-                && asked.saturating_duration_since(machine.rented) > lag
-            {
-                tracing::info!(machine = %machine.id, "silent and not listed");
-                machine.life = MachineState::Returning;
-            }
+        for id in machines {
+            self.fleet.add_machine(id, pool, now);
         }
+        let zone = self.fleet.zone_name(pool.zone);
+        tracing::info!(count = machines.len(), %zone, spot = pool.spot, "machines rented");
     }
 
-    pub(super) fn gone(&mut self, id: &MachineId, how: &'static str, cache: &Cache, now: Instant) {
-        let Some(mut machine) = self.fleet.remove_machine(id) else { return };
-        self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
-        tracing::info!(machine = %id, how, tasks = machine.entries.len(), "machine is gone");
-        for fact in machine.lose_all() {
-            self.on_fact(id, fact, cache, now);
-        }
-    }
-
-    /// From what age on work is not booked on a machine any more that is still booting. Where several
-    /// at once are overdue and none that was rented later is up, all come late, and renting as many
-    /// again would pay twice for the same wait.
-    pub(super) fn overdue(
-        &self,
-        survey: &FleetSummary,
-        now: Instant,
-    ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
-        let usual = |flavor: &MachineType| {
-            Duration::from_secs_f64(flavor.boot_s * BOOT_OVERDUE) + BOOT_OVERDUE_MORE
-        };
-        let overtaken = survey.overtaken();
-        let aged = move |machine: &Machine, flavor: &MachineType| {
-            now.saturating_duration_since(machine.rented) >= usual(flavor)
-        };
-        let late = self.fleet.machines.values().filter(|machine| {
-            machine.life == MachineState::Booting
-                && aged(machine, &self.fleet.machine_types[machine.flavor])
-                && !overtaken(machine)
-        });
-        let all_late = survey.booting && late.count() >= LATE_TOGETHER;
-        move |machine, flavor| aged(machine, flavor) && (!all_late || overtaken(machine))
+    fn on_refused(&mut self, pool: MachinePool, now: Instant) {
+        self.fair_share.record_cloud_response();
+        let zone = self.fleet.zone_name(pool.zone);
+        tracing::info!(%zone, spot = pool.spot, "rental refused");
+        let backoff =
+            CapacityBackoff { not_before: now + CAPACITY_REST, max_request: CAPACITY_PROBE };
+        self.autoscaler.capacity_backoff.insert(pool, backoff);
     }
 
-    pub(super) fn watch_machines(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
-        let lease = self.settings.worker_lease();
-        let survey = self.fleet_summary(now);
-        let cut_off = self.recently_unreachable_zones(&survey, now);
-        self.weigh_failures(&survey, cache, now);
-        if survey.status_unanswered {
-            self.give_up_lost(&cut_off, cache, now);
+    /// What can be rented now: pools that refused are left alone for a while, and asked for few
+    /// machines then, one request at a time.
+    pub(super) fn offers(&self, fleet: &FleetView, now: Instant) -> Vec<PoolOffer> {
+        let mut held = vec![MachineCount::default(); self.fleet.zone_count()];
+        for machine in self.fleet.machines.values() {
+            *held[machine.zone].of_kind(machine.spot) += 1;
         }
-        let overtaken = survey.overtaken();
-        let idle_return = Duration::from_secs_f64(self.settings.operator.idle_return_s);
-        let mut facts = Vec::new();
-        for machine in self.fleet.machines.values_mut() {
-            // A predecessor's right had ended when ours began, and what others may answer on
-            // our behalf is bounded: once the lease has surely run out, the worker has killed
-            // what it had.
-            let others = self.delegations.answered_until(&machine.id, machine.barred_since);
-            let beyond = machine.life == MachineState::Up
-                && machine.lease_over(self.delegations.told(&machine.id), lease, now)
-                && !cut_off[machine.zone];
-            if machine.confirmed && machine.entries.is_empty() {
-                // Nothing can be running there.
-            } else if machine.lease_over(others, lease, now) {
-                tracing::info!(machine = %machine.id, "silent machine's lease is over");
-                machine.confirmed = true;
-                machine.dead_below = self.term.latest_attempt();
-                facts.extend(machine.lose_all().into_iter().map(|fact| (machine.id.clone(), fact)));
-            } else if beyond {
-                // Another controller might still answer it. Its deletion proves that nothing
-                // runs there, unless a whole zone is cut off: that one is waited for.
-                tracing::info!(machine = %machine.id, "silent beyond its lease, given back");
-                machine.life = MachineState::Returning;
-            }
-            let flavor = &self.fleet.machine_types[machine.flavor];
-            let age = now.saturating_duration_since(machine.rented);
-            let mut patience =
-                Duration::from_secs_f64(flavor.boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
-            if !overtaken(machine) {
-                // Nor is any up that was rented later: they come late all together, and those
-                // that would replace it come no sooner.
-                patience *= 2;
-            }
-            if machine.life == MachineState::Booting && age > patience {
-                tracing::info!(machine = %machine.id, "never came up");
-                machine.life = MachineState::Returning;
-            }
-            if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
-                tracing::info!(machine = %machine.id, "faulty, given back");
-                machine.life = MachineState::Returning;
-            }
-            let quiet = machine.silent_for(now) > self.settings.report_every() * 2;
-            if machine.life == MachineState::Up
-                && beyond
-                && quiet
-                && machine.silent_for(now) > lease * 2
-            {
-                tracing::info!(machine = %machine.id, "silent for long, given back");
-                machine.life = MachineState::Returning;
-            }
-            // A silent machine is not idle: after a take-over that finds a zone cut off, its
-            // machines would all be given back.
-            if machine.life == MachineState::Up
-                && !quiet
-                && machine.is_empty()
-                && machine.recall_at.is_none()
-            {
-                let since = *machine.idle_since.get_or_insert(now);
-                let idle = now.saturating_duration_since(since);
-                // A machine costs a minute at the least.
-                let paid = age < Duration::from_secs(55);
-                // Idle time costs a spot machine that much less, and a boot costs its users the same.
-                let cheap = if machine.spot && flavor.spot_price > 0.0 {
-                    (flavor.price / flavor.spot_price).max(1.0)
-                } else {
-                    1.0
-                };
-                if machine.confirmed
-                    && idle > idle_return.mul_f64(cheap)
-                    && !paid
-                    && !self.autoscaler.reserved_machines.contains(&machine.id)
-                    && now > self.term.started_at + HIRE_SETTLE * 4
-                {
-                    tracing::info!(machine = %machine.id, "idle, given back");
-                    machine.life = MachineState::Returning;
+        let mut offers = Vec::new();
+        for (flavor, machine_type) in self.fleet.machine_types.iter().enumerate() {
+            let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
+            for zone in zones.filter(|zone| !fleet.closed_zones[*zone]) {
+                for spot in [true, false] {
+                    let pool = MachinePool { flavor, zone, spot };
+                    let Some(available) = self.available(&pool, fleet, now) else { continue };
+                    let held = *held[zone].of_kind(spot);
+                    let offer = offer(&pool, machine_type, fleet, available, held);
+                    offers.push(PoolOffer { pool, offer });
                 }
-            } else {
-                machine.idle_since = None;
-            }
-            if machine.life == MachineState::Returning {
-                cloud.delete(&machine.id, now);
             }
         }
-        for (id, fact) in facts {
-            self.on_fact(&id, fact, cache, now);
-        }
+        offers
+    }
+
+    /// How many machines may be requested of a pool; none while it is left alone.
+    fn available(&self, pool: &MachinePool, fleet: &FleetView, now: Instant) -> Option<u32> {
+        let Some(backoff) = self.autoscaler.capacity_backoff.get(pool) else {
+            return Some(HIRE_MAX);
+        };
+        let is_pending = fleet.rental.pending.iter().any(|rental| rental.pool == *pool);
+        (backoff.not_before <= now && !is_pending).then_some(backoff.max_request)
+    }
+}
+
+fn offer(
+    pool: &MachinePool,
+    machine_type: &MachineType,
+    fleet: &FleetView,
+    available: u32,
+    held: u32,
+) -> MachineTypeOffer {
+    MachineTypeOffer {
+        machine_type: MachineTypeId::new(pool.flavor),
+        zone: ZoneId::new(pool.zone),
+        spot: pool.spot,
+        price: if pool.spot { machine_type.spot_price } else { machine_type.price },
+        capacity: fleet.capacities[pool.flavor],
+        available,
+        held,
     }
 }
--- /dev/null
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -0,0 +1,216 @@
+//! What silence, age and idleness do to machines.
+//!
+//! Changes machines' lives; what ran on a machine whose lease has expired is reported as lost.
+
+use crate::cloud::CloudClient;
+use crate::constants::{
+    BOOT_OVERDUE, BOOT_OVERDUE_MORE, BOOT_PATIENCE, BOOT_PATIENCE_MORE, HIRE_SETTLE, LATE_TOGETHER,
+};
+use crate::leadership::delegation::Delegations;
+use crate::scheduler::Scheduler;
+use crate::scheduler::autoscaling::Autoscaler;
+use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::term::LeaderTerm;
+use crate::settings::Settings;
+use crate::store::Cache;
+use crate::wire::MachineType;
+use crate::workers::machine::{Machine, MachineState, TaskEvent};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A machine is billed for a minute at the least, so that it is kept for nearly that long.
+const MINIMUM_BILLED: Duration = Duration::from_secs(55);
+/// How many settling times a new leader waits before it returns idle machines.
+const IDLE_SETTLE_TIMES: u32 = 4;
+
+/// What machines are checked by.
+struct MachineWatch<'a> {
+    settings: &'a Settings,
+    delegations: &'a Delegations,
+    term: &'a LeaderTerm,
+    autoscaler: &'a Autoscaler,
+    machine_types: &'a [MachineType],
+    summary: &'a FleetSummary,
+    /// By zone: whether it is or was lately unreachable as a whole.
+    unreachable_zones: &'a [bool],
+    now: Instant,
+}
+
+impl MachineWatch<'_> {
+    /// Checks one machine and returns what is lost of its tasks.
+    fn check(&self, machine: &mut Machine) -> Vec<TaskEvent> {
+        let expired = self.is_beyond_any_lease(machine);
+        let lost = self.check_lease(machine, expired);
+        self.check_boot(machine);
+        if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
+            return_machine(machine, "machine is faulty, returning it");
+        }
+        self.check_silence(machine, expired);
+        self.check_idle(machine);
+        lost
+    }
+
+    /// Whether the lease of a machine has expired, whoever may have renewed it, and its zone is
+    /// reachable otherwise.
+    fn is_beyond_any_lease(&self, machine: &Machine) -> bool {
+        let answered = self.delegations.told(&machine.id);
+        machine.life == MachineState::Up
+            && machine.lease_over(answered, self.settings.worker_lease(), self.now)
+            && !self.unreachable_zones[machine.zone]
+    }
+
+    fn check_lease(&self, machine: &mut Machine, expired: bool) -> Vec<TaskEvent> {
+        if machine.confirmed && machine.entries.is_empty() {
+            // Nothing can be running there.
+            return Vec::new();
+        }
+        // A predecessor's right had ended when ours began, and what others may answer on our behalf
+        // is bounded: once the lease has surely expired, the worker has killed what it had.
+        let others = self.delegations.answered_until(&machine.id, machine.barred_since);
+        if machine.lease_over(others, self.settings.worker_lease(), self.now) {
+            tracing::info!(machine = %machine.id, "lease of silent machine has expired");
+            machine.confirmed = true;
+            machine.dead_below = self.term.latest_attempt();
+            return machine.lose_all();
+        }
+        if expired {
+            // Another controller might still answer it. Its deletion proves that nothing runs
+            // there, unless its whole zone is unreachable: that one is waited for.
+            return_machine(machine, "machine is silent beyond its lease, returning it");
+        }
+        Vec::new()
+    }
+
+    fn check_boot(&self, machine: &mut Machine) {
+        let machine_type = &self.machine_types[machine.flavor];
+        let mut patience =
+            Duration::from_secs_f64(machine_type.boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
+        if !self.summary.overtaken()(machine) {
+            // None that was rented later is up either: all come late, and those that would replace
+            // it come no sooner.
+            patience *= 2;
+        }
+        let age = self.now.saturating_duration_since(machine.rented);
+        if machine.life == MachineState::Booting && age > patience {
+            return_machine(machine, "machine did not boot in time, returning it");
+        }
+    }
+
+    fn check_silence(&self, machine: &mut Machine, expired: bool) {
+        if machine.life == MachineState::Up
+            && expired
+            && self.is_quiet(machine)
+            && machine.silent_for(self.now) > self.settings.worker_lease() * 2
+        {
+            return_machine(machine, "machine is silent for long, returning it");
+        }
+    }
+
+    fn is_quiet(&self, machine: &Machine) -> bool {
+        machine.silent_for(self.now) > self.settings.report_every() * 2
+    }
+
+    fn check_idle(&self, machine: &mut Machine) {
+        // A silent machine is not idle: after a failover that finds a zone unreachable, all its
+        // machines would be returned.
+        let idle = machine.life == MachineState::Up
+            && !self.is_quiet(machine)
+            && machine.is_empty()
+            && machine.recall_at.is_none();
+        if !idle {
+            machine.idle_since = None;
+            return;
+        }
+        let idle_since = *machine.idle_since.get_or_insert(self.now);
+        let idle_for = self.now.saturating_duration_since(idle_since);
+        let age = self.now.saturating_duration_since(machine.rented);
+        if machine.confirmed
+            && idle_for > self.idle_limit(machine)
+            && age >= MINIMUM_BILLED
+            && !self.autoscaler.reserved_machines.contains(&machine.id)
+            && self.now > self.term.started_at + HIRE_SETTLE * IDLE_SETTLE_TIMES
+        {
+            return_machine(machine, "machine is idle, returning it");
+        }
+    }
+
+    /// For how long a machine may be idle: idle time costs less on a spot machine, and a boot costs
+    /// its users the same.
+    fn idle_limit(&self, machine: &Machine) -> Duration {
+        let machine_type = &self.machine_types[machine.flavor];
+        let price_ratio = if machine.spot && machine_type.spot_price > 0.0 {
+            (machine_type.price / machine_type.spot_price).max(1.0)
+        } else {
+            1.0
+        };
+        Duration::from_secs_f64(self.settings.operator.idle_return_s).mul_f64(price_ratio)
+    }
+}
+
+fn return_machine(machine: &mut Machine, message: &'static str) {
+    tracing::info!(machine = %machine.id, "{message}");
+    machine.life = MachineState::Returning;
+}
+
+impl Scheduler {
+    /// From what age on nothing is booked any more on a machine that is still booting. Where
+    /// several are overdue at once and none that was rented later is up, all come late, and renting
+    /// as many again would pay twice for the same wait.
+    pub(in crate::scheduler) fn overdue(
+        &self,
+        summary: &FleetSummary,
+        now: Instant,
+    ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
+        let is_late = move |machine: &Machine, machine_type: &MachineType| {
+            let usual =
+                Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE) + BOOT_OVERDUE_MORE;
+            now.saturating_duration_since(machine.rented) >= usual
+        };
+        let overtaken = summary.overtaken();
+        let late = self.fleet.machines.values().filter(|machine| {
+            machine.life == MachineState::Booting
+                && is_late(machine, &self.fleet.machine_types[machine.flavor])
+                && !overtaken(machine)
+        });
+        let all_late = summary.booting && late.count() >= LATE_TOGETHER;
+        move |machine, machine_type| {
+            is_late(machine, machine_type) && (!all_late || overtaken(machine))
+        }
+    }
+
+    /// Checks all machines, and returns those that are faulty, lost or idle.
+    pub(in crate::scheduler) fn watch_machines(
+        &mut self,
+        cache: &Cache,
+        cloud: &mut CloudClient,
+        now: Instant,
+    ) {
+        let summary = self.fleet_summary(now);
+        let unreachable_zones = self.recently_unreachable_zones(&summary, now);
+        self.weigh_failures(&summary, cache, now);
+        if summary.status_unanswered {
+            self.give_up_lost(&unreachable_zones, cache, now);
+        }
+        let watch = MachineWatch {
+            settings: &self.settings,
+            delegations: &self.delegations,
+            term: &self.term,
+            autoscaler: &self.autoscaler,
+            machine_types: &self.fleet.machine_types,
+            summary: &summary,
+            unreachable_zones: &unreachable_zones,
+            now,
+        };
+        let mut events = Vec::new();
+        for machine in self.fleet.machines.values_mut() {
+            let lost = watch.check(machine);
+            events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
+            if machine.life == MachineState::Returning {
+                cloud.delete(&machine.id, now);
+            }
+        }
+        for (machine, event) in events {
+            self.on_fact(&machine, event, cache, now);
+        }
+    }
+}
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,10 +1,14 @@
-//! Moving work together, so that machines become empty and go back: the paper's consolidation.
+//! Consolidation: moving tasks together, so that machines become empty and are returned.
+//!
+//! Owns [`Consolidation`]; reads the jobs, the fleet and a pass's bins; stops the tasks that move,
+//! which the planner then starts elsewhere.
 
 use crate::constants::{EMPTIED_LOOKS, EMPTY_BELOW, MOVE_AFTER, MOVE_SHARE, SAVED_MOVE_SHARE};
-use crate::ids::{Amount, JobId, MachineId};
+use crate::ids::{Amount, JobId, MachineId, ZoneId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
 use crate::scheduler::Scheduler;
+use crate::scheduler::planning::MachineBins;
 use crate::scheduler::preemption::MOVED;
 use crate::scheduler::task_attempt::TaskAttempt;
 use crate::store::Cache;
@@ -14,7 +18,8 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
-/// When work is moved together.
+
+/// When tasks are moved together.
 #[derive(Debug)]
 pub(super) struct Consolidation {
     /// When the next round may begin.
@@ -28,186 +33,275 @@
     }
 }
 
-/// What a round may still move.
-struct Budget {
+/// How many tasks a round may still move.
+struct MoveBudget {
+    /// Replicas of services.
     replicas: f64,
-    savers: f64,
+    /// Tasks that save their progress.
+    checkpointing: f64,
 }
 
-/// Where a task would go, and what it needs there.
-type Target = (usize, Amount);
+/// A task that would move.
+struct TaskMove {
+    /// The position of the bin that it would move to.
+    target: usize,
+    resources: Amount,
+}
 
-/// A machine that can be emptied: where its tasks go, and how many of them are replicas.
-struct Emptied {
-    targets: Vec<Target>,
+/// A machine that can be emptied, and where its tasks would go.
+struct Evacuation {
+    machine: MachineId,
+    moves: Vec<TaskMove>,
+    /// How many of the tasks are replicas of services.
     replicas: usize,
 }
 
+/// What is free in a bin that tasks may move to.
+struct TargetRoom {
+    bin: usize,
+    free: Amount,
+}
+
+/// The tasks of a job that would move to a zone.
+#[derive(PartialEq, Eq, Hash)]
+struct MovedKey {
+    job: JobId,
+    zone: ZoneId,
+}
+
+/// A search for places for all tasks of a machine.
+struct EvacuationSearch<'a> {
+    machine: &'a Machine,
+    /// The position of the machine's bin.
+    source: usize,
+    bins: &'a [Bin],
+    ids: &'a [Option<MachineId>],
+    cache: &'a Cache,
+    moved: HashMap<MovedKey, u32>,
+}
+
 /// Whether a task of the job can be moved: a replica of a service, which is down for the moment
 /// between two commands, or a task that saves its progress when it is stopped.
-fn movable(job: &LiveJob) -> bool {
+fn is_movable(job: &LiveJob) -> bool {
     let saves = job.spec.shape == JobKind::Array && job.spec.checkpoint_s > 0.0;
     (job.spec.shape == JobKind::Service || saves) && job.spec.flavors.is_none()
 }
 
 impl Scheduler {
     /// Empties the least used machines whose tasks all fit on others that have their images. How
-    /// many moves are small beside what runs depends on how much does; one machine is emptied in
-    /// any case.
-    pub(super) fn consolidate(
-        &mut self,
-        bins: &[Bin],
-        names: &[Option<MachineId>],
+    /// many moves are few beside what runs depends on how much does; one machine is emptied in any
+    /// case.
+    pub(super) fn consolidate(&mut self, machines: &MachineBins, cache: &Cache, now: Instant) {
+        for evacuation in self.choose_evacuations(machines, cache, now) {
+            self.evacuate(&evacuation.machine, cache, now);
+        }
+    }
+
+    fn choose_evacuations(
+        &self,
+        machines: &MachineBins,
         cache: &Cache,
         now: Instant,
-    ) {
-        let mut order: Vec<usize> =
-            (0..bins.len()).filter(|&i| bins[i].ready && bins[i].basket.is_some()).collect();
-        let used =
-            |i: usize| self.fleet.capacity(bins[i].machine_type.index()).cpu - bins[i].free.cpu;
-        order.sort_by_key(|&i| (used(i), bins[i].spot, Reverse(bins[i].index)));
-        let mut budget = Budget { replicas: 0.0, savers: 0.0 };
-        for (id, work) in &self.jobs.progress {
-            let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
-            let placed = work.placed.len() as f64;
-            match job.spec.shape {
-                JobKind::Service => budget.replicas += placed * MOVE_SHARE,
-                _ if movable(job) => budget.savers += placed * SAVED_MOVE_SHARE,
-                _ => {}
-            }
-        }
-        let mut bins = bins.to_vec();
-        let mut first = true;
+    ) -> Vec<Evacuation> {
+        let mut budget = self.move_budget(cache);
+        let mut bins = machines.bins.clone();
         let mut receiving = HashSet::new();
-        for source in order.into_iter().take(EMPTIED_LOOKS) {
+        let mut chosen: Vec<Evacuation> = Vec::new();
+        for source in self.least_used_first(&bins).into_iter().take(EMPTIED_LOOKS) {
             if receiving.contains(&source) {
                 continue;
             }
-            let size = self.fleet.capacity(bins[source].machine_type.index());
-            let used = size.cpu - bins[source].free.cpu;
-            if used as f64 > size.cpu as f64 * EMPTY_BELOW {
-                return;
+            if !self.is_little_used(&bins[source]) {
+                break;
             }
-            let Some(id) = &names[source] else { continue };
-            let Some(emptied) = self.can_empty(id, source, &bins, names, cache, now) else {
-                continue;
-            };
-            let replicas = emptied.replicas as f64;
-            let savers = emptied.targets.len() as f64 - replicas;
-            if !first && (replicas > budget.replicas || savers > budget.savers) {
-                return;
+            let found = self.find_evacuation(source, &bins, &machines.ids, cache, now);
+            let Some(evacuation) = found else { continue };
+            let replicas = evacuation.replicas as f64;
+            let checkpointing = evacuation.moves.len() as f64 - replicas;
+            let within_budget =
+                replicas <= budget.replicas && checkpointing <= budget.checkpointing;
+            if !chosen.is_empty() && !within_budget {
+                break;
             }
-            first = false;
             budget.replicas -= replicas;
-            budget.savers -= savers;
-            for (target, need) in emptied.targets {
-                bins[target].free = bins[target].free.minus(&need);
-                receiving.insert(target);
+            budget.checkpointing -= checkpointing;
+            for TaskMove { target, resources } in &evacuation.moves {
+                bins[*target].free = bins[*target].free.minus(resources);
+                receiving.insert(*target);
             }
             // Nothing moves onto what was just emptied.
             bins[source].ready = false;
-            tracing::info!(machine = %id, replicas, savers, "emptied onto others");
-            self.empty(id, cache, now);
+            let machine = &evacuation.machine;
+            tracing::info!(%machine, replicas, checkpointing, "moving tasks to other machines");
+            chosen.push(evacuation);
         }
+        chosen
+    }
+
+    fn least_used_first(&self, bins: &[Bin]) -> Vec<usize> {
+        let is_candidate = |i: &usize| bins[*i].ready && bins[*i].basket.is_some();
+        let mut order: Vec<usize> = (0..bins.len()).filter(is_candidate).collect();
+        order.sort_by_key(|&i| (self.used_cpu(&bins[i]), bins[i].spot, Reverse(bins[i].index)));
+        order
+    }
+
+    fn used_cpu(&self, bin: &Bin) -> u64 {
+        self.fleet.capacity(bin.machine_type.index()).cpu - bin.free.cpu
+    }
+
+    fn is_little_used(&self, bin: &Bin) -> bool {
+        let capacity = self.fleet.capacity(bin.machine_type.index()).cpu;
+        self.used_cpu(bin) as f64 <= capacity as f64 * EMPTY_BELOW
+    }
+
+    fn move_budget(&self, cache: &Cache) -> MoveBudget {
+        let mut budget = MoveBudget { replicas: 0.0, checkpointing: 0.0 };
+        for (id, progress) in &self.jobs.progress {
+            let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
+            let placed = progress.placed.len() as f64;
+            match job.spec.shape {
+                JobKind::Service => budget.replicas += placed * MOVE_SHARE,
+                _ if is_movable(job) => budget.checkpointing += placed * SAVED_MOVE_SHARE,
+                _ => {}
+            }
+        }
+        budget
     }
 
     /// Whether a job may use a machine of this zone, type and kind.
-    pub(super) fn suits(&self, spec: &JobSpec, bin: &Bin) -> bool {
-        let zone = &self.settings.platform.params.zones[bin.zone.index()];
+    pub(super) fn allows_bin(&self, spec: &JobSpec, bin: &Bin) -> bool {
+        let zone = self.fleet.zone_name(bin.zone.index());
+        let machine_type = &self.fleet.machine_types[bin.machine_type.index()].name;
         (spec.spot || !bin.spot)
-            && spec.zone.as_ref().is_none_or(|name| name == zone)
-            && spec.flavors.as_ref().is_none_or(|f| {
-                f.contains(&self.fleet.machine_types[bin.machine_type.index()].name)
-            })
+            && spec.zone.as_ref().is_none_or(|required| required == zone)
+            && spec.flavors.as_ref().is_none_or(|types| types.contains(machine_type))
     }
 
-    fn empty(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
+    fn evacuate(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         machine.emptied_at = Some(now);
-        let running =
+        let is_running =
             |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
-        let keys: Vec<_> = machine.entries.iter().filter(running).map(|(k, _)| k.clone()).collect();
-        for key in keys {
-            let job = cache.jobs.get(&key.0.job).and_then(Job::live);
+        let running = machine.entries.iter().filter(is_running);
+        let attempts: Vec<TaskAttempt> = running.map(|(attempt, _)| attempt.clone()).collect();
+        for attempt in attempts {
+            let job = cache.jobs.get(&attempt.0.job).and_then(Job::live);
             let grace_s = job.map_or(0.0, |job| job.spec.save_s);
-            machine.stop(&key, Stop { grace_s, reason: MOVED });
+            machine.stop(&attempt, Stop { grace_s, reason: MOVED });
             self.statistics.stops += 1;
         }
     }
 
-    /// Where each task of the machine would go, if all of them find room.
-    fn can_empty(
+    /// Where each task of a machine would go, if all of them find room.
+    fn find_evacuation(
         &self,
-        id: &MachineId,
         source: usize,
         bins: &[Bin],
-        names: &[Option<MachineId>],
+        ids: &[Option<MachineId>],
         cache: &Cache,
         now: Instant,
-    ) -> Option<Emptied> {
+    ) -> Option<Evacuation> {
+        let id = ids[source].as_ref()?;
         let machine = self.fleet.machines.get(id)?;
-        let tasks = || machine.entries.iter().filter(|(_, e)| e.state != TaskState::Exited);
-        for ((task, _), entry) in tasks() {
-            let job = cache.jobs.get(&task.job).and_then(Job::live)?;
-            let ran = entry.running_since.is_some_and(|at| now >= at + MOVE_AFTER);
-            if !ran || !movable(job) || entry.stop.is_some() || entry.state != TaskState::Running {
-                return None;
-            }
+        if !all_tasks_movable(machine, cache, now) || !self.keeps_warm_room(machine, source, bins) {
+            return None;
         }
-        let usable = |i: &usize| {
-            let bin = &bins[*i];
-            *i != source && bin.ready && bin.basket == bins[source].basket
-        };
-        let mut free: BTreeMap<u64, Target> =
-            (0..bins.len()).filter(usable).map(|i| (bins[i].index, (i, bins[i].free))).collect();
-        if !machine.spot {
-            // The room that is kept warm in its zone must remain.
-            let zone = bins[source].zone;
-            let spare: u64 = (0..bins.len())
-                .filter(|&i| i != source && bins[i].ready && !bins[i].spot && bins[i].zone == zone)
-                .map(|i| bins[i].free.cpu)
-                .sum();
-            let size = self.fleet.capacity(machine.flavor).cpu;
-            let warm = size as f64 * self.settings.operator.warm_per_zone;
-            if (spare.saturating_sub(machine.used().cpu) as f64) < warm {
-                return None;
-            }
+        let moved = HashMap::new();
+        EvacuationSearch { machine, source, bins, ids, cache, moved }.run(self)
+    }
+
+    /// Whether the room that is kept warm in the machine's zone remains without it.
+    fn keeps_warm_room(&self, machine: &Machine, source: usize, bins: &[Bin]) -> bool {
+        if machine.spot {
+            return true;
         }
-        let mut emptied = Emptied { targets: Vec::new(), replicas: 0 };
-        let mut moved: HashMap<(JobId, usize), u32> = HashMap::new();
-        for ((task, _), entry) in tasks() {
-            let spec = &cache.jobs.get(&task.job).and_then(Job::live)?.spec;
-            let work = self.jobs.progress.get(&task.job)?;
-            let half = (spec.tasks as u32).div_ceil(2);
-            let target = free.values_mut().find(|(i, room)| {
-                let bin = &bins[*i];
-                let zone = bin.zone.index();
-                if !entry.need.fits(room) || !self.suits(spec, bin) {
-                    return false;
-                }
-                let image = |m: &Machine| m.images.contains(&entry.image);
-                let warm =
-                    names[*i].as_ref().and_then(|m| self.fleet.machines.get(m)).is_some_and(image);
-                let same = !spec.one_zone || zone == machine.zone;
-                if !(warm && same) {
-                    return false;
-                }
-                let there = || {
-                    let others = work.placed.values().filter(|placed| {
-                        let there = self.fleet.machines.get(&placed.machine);
-                        placed.machine != *id && there.is_some_and(|m| m.zone == zone)
-                    });
-                    let moved = moved.get(&(task.job.clone(), zone)).copied().unwrap_or(0);
-                    others.count() as u32 + moved
-                };
-                !spec.spread || there() < half
-            });
-            let (i, room) = target?;
-            *room = room.minus(&entry.need);
-            emptied.targets.push((*i, entry.need));
-            emptied.replicas += usize::from(spec.shape == JobKind::Service);
-            *moved.entry((task.job.clone(), bins[*i].zone.index())).or_default() += 1;
+        let zone = bins[source].zone;
+        let others = bins
+            .iter()
+            .enumerate()
+            .filter(|(i, bin)| *i != source && bin.ready && !bin.spot && bin.zone == zone);
+        let free: u64 = others.map(|(_, bin)| bin.free.cpu).sum();
+        let capacity = self.fleet.capacity(machine.flavor).cpu;
+        let warm = capacity as f64 * self.settings.operator.warm_per_zone;
+        free.saturating_sub(machine.used().cpu) as f64 >= warm
+    }
+}
+
+/// The tasks that have not ended.
+fn remaining_tasks(
+    machine: &Machine,
+) -> impl Iterator<Item = (&TaskAttempt, &PlacedAttempt)> + use<'_> {
+    machine.entries.iter().filter(|(_, entry)| entry.state != TaskState::Exited)
+}
+
+fn all_tasks_movable(machine: &Machine, cache: &Cache, now: Instant) -> bool {
+    remaining_tasks(machine).all(|((task, _), entry)| {
+        let job = cache.jobs.get(&task.job).and_then(Job::live);
+        entry.state == TaskState::Running
+            && entry.stop.is_none()
+            && entry.running_since.is_some_and(|at| now >= at + MOVE_AFTER)
+            && job.is_some_and(is_movable)
+    })
+}
+
+impl EvacuationSearch<'_> {
+    fn run(mut self, scheduler: &Scheduler) -> Option<Evacuation> {
+        let mut targets = self.targets();
+        let mut evacuation =
+            Evacuation { machine: self.machine.id.clone(), moves: Vec::new(), replicas: 0 };
+        for ((task, _), entry) in remaining_tasks(self.machine) {
+            let spec = &self.cache.jobs.get(&task.job).and_then(Job::live)?.spec;
+            scheduler.jobs.progress.get(&task.job)?;
+            let target = targets.values_mut().find(|target| {
+                entry.need.fits(&target.free)
+                    && self.may_move_to(scheduler, &self.bins[target.bin], &task.job, spec)
+                    && self.has_image(scheduler, target.bin, entry)
+            })?;
+            target.free = target.free.minus(&entry.need);
+            evacuation.moves.push(TaskMove { target: target.bin, resources: entry.need });
+            evacuation.replicas += usize::from(spec.shape == JobKind::Service);
+            let zone = self.bins[target.bin].zone;
+            *self.moved.entry(MovedKey { job: task.job.clone(), zone }).or_default() += 1;
         }
-        Some(emptied)
+        Some(evacuation)
+    }
+
+    /// The bins that tasks may move to, by their index.
+    fn targets(&self) -> BTreeMap<u64, TargetRoom> {
+        let basket = self.bins[self.source].basket;
+        let is_target =
+            |(i, bin): &(usize, &Bin)| *i != self.source && bin.ready && bin.basket == basket;
+        let targets = self.bins.iter().enumerate().filter(is_target);
+        targets.map(|(bin, b)| (b.index, TargetRoom { bin, free: b.free })).collect()
+    }
+
+    fn has_image(&self, scheduler: &Scheduler, bin: usize, entry: &PlacedAttempt) -> bool {
+        let machine = self.ids[bin].as_ref().and_then(|id| scheduler.fleet.machines.get(id));
+        machine.is_some_and(|machine| machine.images.contains(&entry.image))
+    }
+
+    /// Whether a task of the job may run on a bin, with the job's others where they are.
+    fn may_move_to(&self, scheduler: &Scheduler, bin: &Bin, job: &JobId, spec: &JobSpec) -> bool {
+        if !scheduler.allows_bin(spec, bin) {
+            return false;
+        }
+        if spec.one_zone && bin.zone.index() != self.machine.zone {
+            return false;
+        }
+        let zone_limit = (spec.tasks as u32).div_ceil(2);
+        !spec.spread || self.tasks_in_zone(scheduler, bin.zone, job) < zone_limit
+    }
+
+    /// How many tasks of a job are in a zone or would move there, beside those on this machine.
+    fn tasks_in_zone(&self, scheduler: &Scheduler, zone: ZoneId, job: &JobId) -> u32 {
+        let progress = scheduler.jobs.progress.get(job);
+        let placed = progress.into_iter().flat_map(|progress| progress.placed.values());
+        let others = placed.filter(|placed| {
+            let machine = scheduler.fleet.machines.get(&placed.machine);
+            placed.machine != self.machine.id
+                && machine.is_some_and(|machine| machine.zone == zone.index())
+        });
+        let key = MovedKey { job: job.clone(), zone };
+        others.count() as u32 + self.moved.get(&key).copied().unwrap_or(0)
     }
 }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -109,7 +109,7 @@
         if waiting.is_empty() {
             return Vec::new();
         }
-        let horizon = self.usual_boot_s();
+        let horizon = self.typical_boot_s();
         let jobs: HashMap<&JobId, &LiveJob> = live.iter().copied().collect();
         // By age, since a job only needs those that were accepted before it.
         waiting.sort_by_key(|(id, job)| (job.accepted_ms, *id));
@@ -153,20 +153,18 @@
         length.saturating_sub(ran).as_secs_f64()
     }
 
-    /// Room for what is coming, as asks after all that waits; they are never started.
-    pub(super) fn coming_asks(
+    /// Adds requests for room for jobs that will be ready soon.
+    pub(super) fn reserve_for_upcoming(
         &mut self,
-        asks: &mut Vec<PlacementRequest>,
-        coming: Vec<JobId>,
+        reservations: &mut Vec<PlacementRequest>,
+        upcoming: &[JobId],
         cache: &Cache,
-        sizes: &[Amount],
+        capacities: &[Amount],
     ) {
-        for id in coming {
-            let Some(job) = cache.jobs.get(&id).and_then(Job::live) else { continue };
-            let Some(mut ask) = self.bare_ask(&id, job, sizes) else { continue };
-            ask.count = job.tasks();
-            ask.gang = false;
-            asks.push(ask);
+        for id in upcoming {
+            let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
+            let Some(request) = self.base_request(id, job, capacities) else { continue };
+            reservations.push(PlacementRequest { count: job.tasks(), gang: false, ..request });
         }
     }
 }
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -176,7 +176,7 @@
         let may = |bin: &Bin| {
             let zone = bin.zone.index();
             bin.ready
-                && self.suits(spec, bin)
+                && self.allows_bin(spec, bin)
                 && (!spec.spread || there[zone] < half)
                 // What has to be in one zone stays there as long as any of it does.
                 && (!spec.one_zone || zone == from.zone || there[from.zone] == 0)
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -1,78 +1,101 @@
-//! Elastic jobs: how many more tasks of them run than they are served anyway.
+//! Elastic jobs: how many more of their tasks run than their minimum width.
+//!
+//! Changes `Scheduler::elastic_widths`; reads the jobs, the fleet and the settings.
 
 use crate::constants::LEAST_WIDTH_S;
 use crate::ids::JobId;
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
+use crate::settings::ElasticClass;
 use crate::wire::JobKind;
 use crate::workers::machine::Machine;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 use troutspindle_elastic_width::Grower;
 
+/// How many tasks of a job may start in a pass.
+pub(super) struct ElasticLimit {
+    /// The most tasks.
+    pub(super) max_starts: u64,
+    /// Whether they are beyond the minimum width of an elastic job.
+    pub(super) is_growth: bool,
+}
+
 impl Scheduler {
     /// By how many tasks each elastic job may grow in this pass.
-    pub(super) fn growth(
+    pub(super) fn elastic_growth(
         &mut self,
-        live: &[(&JobId, &LiveJob)],
+        jobs: &[(&JobId, &LiveJob)],
         now: Instant,
     ) -> BTreeMap<JobId, u64> {
         if self.settings.operator.elastic.is_empty() {
             return BTreeMap::new();
         }
-        let usable = |m: &&Machine| {
-            self.takes_work(m, now) && !self.autoscaler.reserved_machines.contains(&m.id)
-        };
-        let machines = self.fleet.machines.values().filter(usable);
-        let free = machines.map(|m| self.fleet.capacity(m.flavor).minus(&m.used()).cpu).sum();
-        let grower = |(id, job): &(&JobId, &LiveJob)| {
-            let elastic = self.settings.elastic(&job.spec.class)?;
-            let work = self.jobs.progress.get(*id).filter(|_| job.spec.shape == JobKind::Array)?;
-            let width = work.placed.len() as u64;
-            let (most, waiting) = (elastic.most, work.waiting(job));
-            let grower = Grower { need: job.need.cpu, width, most, waiting };
-            (width >= elastic.least).then(|| ((*id).clone(), grower))
+        let is_usable = |machine: &&Machine| {
+            self.accepts_tasks(machine, now)
+                && !self.autoscaler.reserved_machines.contains(&machine.id)
         };
-        let growers: Vec<(JobId, Grower)> = live.iter().filter_map(grower).collect();
-        let now = self.term.elapsed(now);
-        self.elastic_widths.grow(&growers, free, now)
+        let machines = self.fleet.machines.values().filter(is_usable);
+        let free_cpu = machines
+            .map(|machine| self.fleet.capacity(machine.flavor).minus(&machine.used()).cpu)
+            .sum();
+        let growers: Vec<(JobId, Grower)> = jobs
+            .iter()
+            .filter_map(|(id, job)| Some(((*id).clone(), self.grower(id, job)?)))
+            .collect();
+        self.elastic_widths.grow(&growers, free_cpu, self.term.elapsed(now))
     }
 
-    /// Bounds how many tasks of an elastic job may start now; true if they are beyond what it is served
-    /// anyway.
-    pub(super) fn limit_width(
+    fn grower(&self, id: &JobId, job: &LiveJob) -> Option<Grower> {
+        let elastic = self.elastic_class(job)?;
+        let progress = self.jobs.progress.get(id)?;
+        let width = progress.placed.len() as u64;
+        let waiting = progress.waiting(job);
+        let grower = Grower { need: job.need.cpu, width, most: elastic.most, waiting };
+        (width >= elastic.least).then_some(grower)
+    }
+
+    /// The elasticity of an array's class, if it has any.
+    fn elastic_class(&self, job: &LiveJob) -> Option<&ElasticClass> {
+        self.settings.elastic(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
+    }
+
+    fn width(&self, id: &JobId) -> u64 {
+        self.jobs.progress.get(id).map_or(0, |progress| progress.placed.len() as u64)
+    }
+
+    /// Bounds how many tasks of a job may start now: an elastic job below its minimum width starts
+    /// up to that, others as many as they may grow by.
+    pub(super) fn elastic_limit(
         &self,
         id: &JobId,
         job: &LiveJob,
         growth: &BTreeMap<JobId, u64>,
-        most: &mut u64,
-    ) -> bool {
-        let Some(elastic) = self.settings.elastic(&job.spec.class) else { return false };
-        if job.spec.shape != JobKind::Array {
-            return false;
-        }
-        let width = self.jobs.progress.get(id).map_or(0, |work| work.placed.len() as u64);
+        limit: u64,
+    ) -> ElasticLimit {
+        let Some(elastic) = self.elastic_class(job) else {
+            return ElasticLimit { max_starts: limit, is_growth: false };
+        };
+        let width = self.width(id);
         if width < elastic.least {
-            *most = (*most).min(elastic.least - width);
-            return false;
+            return ElasticLimit { max_starts: limit.min(elastic.least - width), is_growth: false };
         }
-        *most = (*most).min(growth.get(id).copied().unwrap_or(0));
-        true
+        let growth = growth.get(id).copied().unwrap_or(0);
+        ElasticLimit { max_starts: limit.min(growth), is_growth: true }
     }
 
-    /// Seconds that a task is spared beside others because its job would be narrower than its least.
-    pub(super) fn least_width_s(&self, id: &JobId, job: &LiveJob) -> f64 {
+    /// Seconds of repeated work by which a task of a job at its minimum width is spared.
+    pub(super) fn minimum_width_bonus_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic(&job.spec.class) else { return 0.0 };
-        let width = self.jobs.progress.get(id).map_or(0, |work| work.placed.len() as u64);
-        if width <= elastic.least { LEAST_WIDTH_S } else { 0.0 }
+        if self.width(id) <= elastic.least { LEAST_WIDTH_S } else { 0.0 }
     }
 
-    /// Tasks made way for more urgent work: their jobs rest before they grow again.
-    pub(super) fn made_way(&mut self, jobs: &[JobId], now: Instant) {
+    /// Tasks of these jobs were preempted: the jobs rest before they grow again.
+    pub(super) fn pause_elastic_growth(&mut self, jobs: &[JobId], now: Instant) {
         if self.settings.operator.elastic.is_empty() {
             return;
         }
-        let now = self.term.elapsed(now);
-        jobs.iter().for_each(|job| self.elastic_widths.made_way(job, now));
+        let elapsed = self.term.elapsed(now);
+        jobs.iter().for_each(|job| self.elastic_widths.made_way(job, elapsed));
     }
 }
--- /dev/null
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -0,0 +1,117 @@
+//! What operators and the log are told of groups, their floors and their demand.
+
+use super::DemandGroup;
+use crate::scheduler::Scheduler;
+use std::collections::BTreeMap;
+use tokio::time::Instant;
+use troutspindle_fair_share::constants::MACHINE;
+use troutspindle_fair_share::{Demand, Room, Standing};
+use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
+
+/// The names of a group's class and team.
+struct GroupName {
+    class: String,
+    team: String,
+}
+
+fn machines(room: Room) -> f64 {
+    room as f64 / MACHINE as f64
+}
+
+fn machines_to_hundredths(room: Room) -> f64 {
+    (machines(room) * 100.0).round() / 100.0
+}
+
+fn machines_to_tenths(room: Room) -> f64 {
+    (machines(room) * 10.0).round() / 10.0
+}
+
+impl Scheduler {
+    fn group_name(&self, group: &DemandGroup) -> GroupName {
+        let class = self.fair_share.classes.name(group.class);
+        let team = self.settings.platform.params.teams.get(group.team.index());
+        GroupName {
+            class: class.unwrap_or_default().to_owned(),
+            team: team.map_or(String::new(), |team| team.name.clone()),
+        }
+    }
+
+    /// How many machines' worth each group holds, its floor, and what it needs.
+    pub(super) fn group_shares(&self) -> BTreeMap<String, [f64; 3]> {
+        let row = |(group, standing): (&DemandGroup, &Standing)| {
+            let GroupName { class, team } = self.group_name(group);
+            let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
+            let row = [standing.held, standing.floor, needed].map(machines_to_tenths);
+            (format!("{class} of {team}"), row)
+        };
+        self.fair_share.scarcity.standings().map(row).collect()
+    }
+
+    /// Demand and supply for the log, as JSON; none while floors are switched off.
+    pub(in crate::scheduler) fn demand_line(&self, now: Instant) -> Option<String> {
+        if self.settings.operator.floor <= 0.0 {
+            return None;
+        }
+        let fair_share = &self.fair_share;
+        let line = DemandLine {
+            token: self.term.token.0,
+            at_s: self.term.elapsed(now).as_secs_f64(),
+            ordinary: machines_to_hundredths(fair_share.supply.ordinary),
+            spot: machines_to_hundredths(fair_share.supply.spot),
+            exhausted: fair_share.supply.exhausted,
+            scarce: fair_share.is_scarce(),
+            groups: fair_share
+                .demands
+                .iter()
+                .map(|(g, demand)| self.group_demand(g, demand))
+                .collect(),
+        };
+        serde_json::to_string(&line).ok()
+    }
+
+    fn group_demand(&self, group: &DemandGroup, demand: &Demand) -> GroupDemand {
+        let GroupName { class, team } = self.group_name(group);
+        let fair_share = &self.fair_share;
+        let floor = fair_share.scarcity.standing(group).map_or(0, |standing| standing.floor);
+        GroupDemand {
+            class,
+            team,
+            service: fair_share.service_groups.contains(group),
+            ordinary: demand.ordinary,
+            held: machines_to_hundredths(demand.held),
+            waiting: machines_to_hundredths(demand.waiting),
+            came: fair_share.arrived.get(group).map_or(0.0, |work| work.round()),
+            floor: machines_to_hundredths(floor),
+        }
+    }
+
+    /// The groups below their floors, for operators.
+    pub fn starving(&self, now: Instant) -> Starving {
+        let fair_share = &self.fair_share;
+        let since = fair_share.scarcity.since();
+        let elapsed = self.term.elapsed(now);
+        let below = fair_share.scarcity.standings().filter(|(_, standing)| standing.owed > 0);
+        Starving {
+            leader: self.settings.platform.host_name.to_string(),
+            scarce_for_s: since.map(|since| elapsed.saturating_sub(since).as_secs_f64()),
+            machines: machines(fair_share.supply.all()),
+            nothing_to_rent: fair_share.supply.exhausted,
+            groups: below.map(|(group, standing)| self.starving_group(group, standing)).collect(),
+        }
+    }
+
+    fn starving_group(&self, group: &DemandGroup, standing: &Standing) -> StarvingGroup {
+        let GroupName { class, team } = self.group_name(group);
+        let fair_share = &self.fair_share;
+        let needed = fair_share.demands.get(group).map_or(0, Demand::needed);
+        let causes = fair_share.waiting.iter().filter(|(key, _)| key.group == *group);
+        StarvingGroup {
+            class,
+            team,
+            held: machines(standing.held),
+            floor: machines(standing.floor),
+            needed: machines(needed),
+            waits_for: causes.map(|(key, tasks)| (key.cause.to_owned(), *tasks)).collect(),
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -0,0 +1,221 @@
+//! Whether capacity is scarce: what all jobs that may run demand beside what there is.
+
+use super::{DemandGroup, largest_capacity, room};
+use crate::cloud::{CloudClient, MachinePool};
+use crate::constants::{ARRAYS_NOW, DONE_WITHIN_S, LATE_WITHIN, PRESUMED_FOR};
+use crate::ids::{Amount, JobId};
+use crate::jobs::LiveJob;
+use crate::scheduler::Scheduler;
+use crate::scheduler::planning::FleetView;
+use crate::wire::{JobKind, TaskState};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tokio::time::Instant;
+use troutspindle_fair_share::constants::MACHINE;
+use troutspindle_fair_share::{Demand, Room, Supply, Turn};
+
+/// The demand of all jobs, while it is summed up.
+struct DemandTally {
+    /// The machine by which demand is measured.
+    largest: Amount,
+    /// For how long this leadership has lasted.
+    elapsed: Duration,
+    /// The time of day.
+    now_ms: u64,
+    /// Whether there are machines that no heartbeat has confirmed yet.
+    has_unconfirmed: bool,
+    demands: BTreeMap<DemandGroup, Demand>,
+    /// What is left of each group's arrays, spread over the time that it may take.
+    backlog: BTreeMap<DemandGroup, f64>,
+    /// Waiting tasks that a predecessor may have started.
+    maybe_started: BTreeMap<DemandGroup, Room>,
+}
+
+impl Scheduler {
+    /// Compares what all jobs that may run demand with what there is, and notes whether capacity
+    /// has become scarce or no longer is.
+    pub(in crate::scheduler) fn update_scarcity(
+        &mut self,
+        jobs: &[(&JobId, &LiveJob)],
+        fleet: &FleetView,
+        cloud: &CloudClient,
+        now: Instant,
+    ) {
+        if self.settings.operator.floor <= 0.0 {
+            return;
+        }
+        let mut tally = DemandTally {
+            largest: largest_capacity(&fleet.capacities),
+            elapsed: self.term.elapsed(now),
+            now_ms: self.wall_clock.ms(now),
+            has_unconfirmed: !fleet.unconfirmed.free.is_zero(),
+            demands: BTreeMap::new(),
+            backlog: BTreeMap::new(),
+            maybe_started: BTreeMap::new(),
+        };
+        for (id, job) in jobs {
+            self.tally_job(id, job, &mut tally);
+        }
+        let (largest, elapsed) = (tally.largest, tally.elapsed);
+        let mut demands = self.group_demands(tally, fleet);
+        if self.fair_share.is_scarce() {
+            self.exclude_stopping_tasks(&mut demands, &largest);
+        }
+        let supply = self.supply(fleet, &largest, cloud, elapsed);
+        let turn = self.fair_share.scarcity.look(&demands, &supply, elapsed);
+        (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
+        match turn {
+            Some(Turn::Began) => tracing::info!(
+                machines = supply.all() as f64 / MACHINE as f64,
+                held_floor_needed = ?self.group_shares(),
+                waiting_for = ?self.statistics.waiting_by_cause,
+                "capacity is scarce"
+            ),
+            Some(Turn::Ended) => {
+                tracing::info!(exhausted = supply.exhausted, "capacity is no longer scarce");
+                self.fair_share.waiting.clear();
+            }
+            None => {}
+        }
+    }
+
+    fn tally_job(&mut self, id: &JobId, job: &LiveJob, tally: &mut DemandTally) {
+        let known = self.jobs.progress.get(id).and_then(|progress| progress.demand_group);
+        let group = known.unwrap_or_else(|| self.demand_group(job));
+        let teams = &self.settings.platform.params.teams;
+        let Some(team) = teams.get(group.team.index()) else { return };
+        let guest = team.guarantee().is_zero();
+        let each = room(&job.need, &tally.largest);
+        let occupancy_s = self.task_occupancy_s(id, job);
+        let Some(progress) = self.jobs.progress.get_mut(id) else { return };
+        progress.demand_group = Some(group);
+        if progress.failures.mistaken() {
+            return;
+        }
+        let (held, waiting) = (progress.placed.len() as u64, progress.waiting(job));
+        let empty = Demand { ordinary: true, guest, ..Demand::default() };
+        let demand = tally.demands.entry(group).or_insert(empty);
+        demand.ordinary &= !job.spec.spot;
+        demand.held += each * held;
+        demand.waiting += each * waiting;
+        if progress.predates_leadership && tally.has_unconfirmed {
+            *tally.maybe_started.entry(group).or_default() += each * waiting;
+        }
+        if job.spec.shape == JobKind::Service {
+            demand.offered += each * (held + waiting);
+            self.fair_share.service_groups.insert(group);
+            return;
+        }
+        let finish_s = self.settings.finish_within(&job.spec.class).unwrap_or(DONE_WITHIN_S);
+        *tally.backlog.entry(group).or_default() +=
+            (each * (held + waiting)) as f64 * occupancy_s / (finish_s * LATE_WITHIN);
+        if !std::mem::replace(&mut progress.counted_as_demand, true) {
+            let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
+            let work = (each * tasks) as f64 * occupancy_s / MACHINE as f64;
+            self.record_arrival(group, work, job, tally);
+        }
+    }
+
+    /// Counts an array's work, in machine-seconds, once.
+    fn record_arrival(
+        &mut self,
+        group: DemandGroup,
+        work: f64,
+        job: &LiveJob,
+        tally: &DemandTally,
+    ) {
+        let age = Duration::from_millis(tally.now_ms.saturating_sub(job.since_ms()));
+        self.fair_share.scarcity.came(&group, work, age, tally.elapsed);
+        // What arrived under a predecessor is in its log.
+        if age <= tally.elapsed || self.term.token.0 <= 1 {
+            *self.fair_share.arrived.entry(group).or_default() += work;
+        }
+    }
+
+    fn group_demands(
+        &self,
+        tally: DemandTally,
+        fleet: &FleetView,
+    ) -> BTreeMap<DemandGroup, Demand> {
+        let DemandTally { largest, elapsed, mut demands, backlog, maybe_started, .. } = tally;
+        let all_maybe_started = maybe_started.values().sum::<Room>().max(1) as f64;
+        let unconfirmed = room(&fleet.unconfirmed.free, &largest) as f64;
+        let started_share = (unconfirmed / all_maybe_started).min(1.0);
+        for (group, demand) in &mut demands {
+            let maybe_started = maybe_started.get(group).copied().unwrap_or(0);
+            let started = (maybe_started as f64 * started_share) as Room;
+            demand.held += started;
+            demand.waiting -= started;
+            let arriving = self.fair_share.scarcity.arriving(group, elapsed);
+            // What has waited long is still owed when nothing more arrives.
+            let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Room);
+            demand.offered += (arriving.max(backlog) as f64 * ARRAYS_NOW) as Room;
+            let headroom = fleet.team_headroom.get(group.team.index());
+            let limit = headroom.map_or(0, |headroom| room(headroom, &largest));
+            demand.waiting = demand.waiting.min(limit);
+        }
+        demands
+    }
+
+    /// A task that was told to stop is no longer held.
+    fn exclude_stopping_tasks(
+        &self,
+        demands: &mut BTreeMap<DemandGroup, Demand>,
+        largest: &Amount,
+    ) {
+        for machine in self.fleet.machines.values() {
+            for ((task, attempt), entry) in &machine.entries {
+                if entry.stop.is_none() || entry.state == TaskState::Exited {
+                    continue;
+                }
+                let Some(progress) = self.jobs.progress.get(&task.job) else { continue };
+                let placed = progress.placed.get(&task.index);
+                if placed.is_none_or(|placed| placed.attempt != *attempt) {
+                    continue;
+                }
+                let Some(group) = progress.demand_group else { continue };
+                if let Some(demand) = demands.get_mut(&group) {
+                    let each = room(&entry.need, largest);
+                    demand.held = demand.held.saturating_sub(each);
+                    demand.waiting += each;
+                }
+            }
+        }
+    }
+
+    fn supply(
+        &self,
+        fleet: &FleetView,
+        largest: &Amount,
+        cloud: &CloudClient,
+        elapsed: Duration,
+    ) -> Supply {
+        let rental = &fleet.rental;
+        let none_left = || rental.remaining == 0 || self.all_pools_refuse(fleet, cloud);
+        let mut supply = Supply {
+            exhausted: rental.allowed && none_left(),
+            presumed: !self.fair_share.cloud_responded
+                && self.term.token.0 > 1
+                && elapsed < PRESUMED_FOR,
+            ..Supply::default()
+        };
+        for bin in &fleet.machines.bins {
+            let size = room(&fleet.capacities[bin.machine_type.index()], largest);
+            *(if bin.spot { &mut supply.spot } else { &mut supply.ordinary }) += size;
+        }
+        supply
+    }
+
+    /// Whether nothing more can be rented now, as far as refusals show.
+    fn all_pools_refuse(&self, fleet: &FleetView, cloud: &CloudClient) -> bool {
+        let refuses = |pool: MachinePool| {
+            fleet.closed_zones[pool.zone] || self.autoscaler.capacity_backoff.contains_key(&pool)
+        };
+        let types = self.fleet.machine_types.iter().enumerate();
+        let mut pools = types.flat_map(|(flavor, machine_type)| {
+            let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
+            zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
+        });
+        cloud.is_out() || pools.all(refuses)
+    }
+}
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -1,6 +1,6 @@
 //! How far each live job has come, beyond what its record at the store says.
 
-use super::fair_share::Group;
+use super::fair_share::DemandGroup;
 use super::job_machines::JobMachines;
 use super::orphaned_tasks::OrphanedTasks;
 use crate::ids::{Attempt, JobId, MachineId};
@@ -91,7 +91,7 @@
     /// Whether its work was counted as demand when it arrived.
     pub(super) counted_as_demand: bool,
     /// The group of demand that it belongs to.
-    pub(super) demand_group: Option<Group>,
+    pub(super) demand_group: Option<DemandGroup>,
     /// Tasks from here on were not looked at yet; those below that wait are in `requeued` or
     /// `backing_off`.
     cursor: u32,
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,207 +1,237 @@
-//! What jobs ask of placement, and what could be rented for them.
+//! What jobs request of placement, and the room that is reserved beside.
+//!
+//! Reads the jobs, the fleet and the settings; ends retry backoffs that are over, and counts in
+//! the statistics why tasks wait.
 
-use crate::cloud::MachinePool;
-use crate::constants::{BOOT_USUAL, HIRE_MAX};
+use crate::constants::BOOT_USUAL;
 use crate::ids::{Amount, JobId, MachineTypeId, TeamId, ZoneId};
 use crate::jobs::LiveJob;
-use crate::placement::{Basket, MachineTypeOffer, PlacementRequest, ScaleOutPolicy, ZoneLimits};
+use crate::placement::{Basket, PlacementRequest, ScaleOutPolicy, ZoneLimits};
 use crate::scheduler::Scheduler;
-use crate::scheduler::fleet::FleetSummary;
-use crate::scheduler::job_progress::BackoffExpiry;
+use crate::scheduler::planning::{FleetView, waiting_cause};
 use crate::wire::{JobKind, Priority};
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
+/// Reserved room is requested in parts of the first machine type: so many to a machine.
+const WARM_PARTS: u64 = 4;
+
+/// What the requests of a pass have in common.
+pub(super) struct RequestContext<'a> {
+    /// The fleet as the pass sees it.
+    pub(super) fleet: &'a FleetView,
+    /// When the first retry backoff ends.
+    pub(super) next_backoff_expiry: Option<Instant>,
+    /// When the pass is made.
+    pub(super) now: Instant,
+}
+
+impl RequestContext<'_> {
+    fn note_backoff(&mut self, expiry: Option<Instant>) {
+        self.next_backoff_expiry = self.next_backoff_expiry.iter().chain(&expiry).min().copied();
+    }
+}
+
 impl Scheduler {
-    /// What a job asks for by its description alone, for no task yet; none if it names a zone that
-    /// there is not.
-    pub(super) fn bare_ask(
+    /// What a job requests by its description alone, for no task yet; none if its zone or team is
+    /// not known.
+    pub(super) fn base_request(
         &mut self,
         id: &JobId,
         job: &LiveJob,
-        sizes: &[Amount],
+        capacities: &[Amount],
     ) -> Option<PlacementRequest> {
         let spec = &job.spec;
-        let flavors = spec.flavors.as_ref().map(|names| {
-            let at = |name: &String| self.fleet.machine_types.iter().position(|f| f.name == *name);
-            names.iter().filter_map(at).map(MachineTypeId::new).collect()
-        });
         let zone = match &spec.zone {
             Some(name) => Some(ZoneId::new(self.fleet.zone(name)?)),
             None => None,
         };
-        let half = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
-        let urgency = self.urgency(id, job);
-        let idle_time = urgency == Priority::Low && !self.has_aim(id, job);
+        let zone_limit = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
+        let priority = self.urgency(id, job);
+        let is_best_effort = priority == Priority::Low && !self.has_aim(id, job);
+        let heavy_threshold = self.settings.operator.heavy_threshold;
         Some(PlacementRequest {
             team: TeamId::new(*self.teams.get(&spec.team)?),
-            priority: urgency,
+            priority,
             resources: job.need,
-            basket: Basket::classify(&job.need, sizes, self.settings.operator.heavy_threshold),
+            basket: Basket::classify(&job.need, capacities, heavy_threshold),
             count: 0,
             zone,
-            machine_types: flavors,
+            machine_types: spec.flavors.as_ref().map(|names| self.machine_type_ids(names)),
             allows_spot: spec.spot,
-            zone_limits: ZoneLimits::uniform(self.settings.platform.params.zones.len(), half),
+            zone_limits: ZoneLimits::uniform(self.fleet.zone_count(), zone_limit),
             single_zone: spec.one_zone,
             image: self.fleet.image_ids.intern(&spec.image),
             excluded_machines: Vec::new(),
             gang: spec.shape == JobKind::Gang,
             start_slo_s: self.settings.tightest_wait(&spec.class),
             slo_slack_s: None,
-            scale_out: if idle_time { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
+            scale_out: if is_best_effort { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
         })
     }
 
-    /// What a job asks for: at most so many of its waiting tasks, counted and not looked at one by
-    /// one. `unsure` are the kinds of
-    /// machines on which a predecessor may have started what no report has shown yet; `wake` is
-    /// when the first pause after a failure ends.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn ask_for(
+    fn machine_type_ids(&self, names: &[String]) -> Vec<MachineTypeId> {
+        let types = &self.fleet.machine_types;
+        let position = |name: &String| types.iter().position(|known| known.name == *name);
+        names.iter().filter_map(position).map(MachineTypeId::new).collect()
+    }
+
+    /// What a job requests: at most `max_tasks` of its waiting tasks, which are counted and not
+    /// gone through one by one.
+    pub(super) fn job_request(
         &mut self,
         id: &JobId,
         job: &LiveJob,
-        most: u64,
-        unsure: &[MachinePool],
-        sizes: &[Amount],
-        wake: &mut Option<Instant>,
-        now: Instant,
+        max_tasks: u64,
+        context: &mut RequestContext,
     ) -> Option<PlacementRequest> {
-        let spec = &job.spec;
-        let mut ask = self.bare_ask(id, job, sizes)?;
-        let work = self.jobs.progress.get(id)?;
-        if work.predates_leadership
-            && unsure.iter().any(|pool| {
-                ask.allows(ZoneId::new(pool.zone), MachineTypeId::new(pool.flavor), pool.spot)
-            })
-        {
-            *self.statistics.waiting_by_cause.entry("unconfirmed machine").or_default() +=
-                work.waiting(job);
+        let is_gang = job.spec.shape == JobKind::Gang;
+        let mut request = self.base_request(id, job, &context.fleet.capacities)?;
+        let progress = self.jobs.progress.get(id)?;
+        if progress.predates_leadership && may_run_unseen(&request, context.fleet) {
+            let waiting = progress.waiting(job);
+            self.statistics.add_waiting(waiting_cause::UNCONFIRMED_MACHINE, waiting);
             return None;
         }
-        if spec.shape == JobKind::Gang && !work.placed.is_empty() {
+        if is_gang && !progress.placed.is_empty() {
             // A generation of a gang starts as a whole: when one of its tasks is lost, the
             // others end by themselves and all start again under a new attempt.
             return None;
         }
-        let most = match work.failures.allows(work.placed.len(), now) {
+        let max_tasks = match progress.failures.allows(progress.placed.len(), context.now) {
             // A gang starts as a whole, on trial too.
-            Ok(allowed) if spec.shape != JobKind::Gang => most.min(allowed as u64),
-            Ok(_) => most,
-            Err(at) => {
-                *self.statistics.waiting_by_cause.entry("fails everywhere").or_default() +=
-                    work.waiting(job);
-                *wake = wake.iter().chain(&at).min().copied();
+            Ok(allowed) if !is_gang => max_tasks.min(allowed as u64),
+            Ok(_) => max_tasks,
+            Err(expiry) => {
+                let waiting = progress.waiting(job);
+                self.statistics.add_waiting(waiting_cause::FAILS_EVERYWHERE, waiting);
+                context.note_backoff(expiry);
                 return None;
             }
         };
-        let trial = work.failures.mistaken();
-        let work = self.jobs.progress.get_mut(id)?;
-        work.expire_backoffs(now);
-        let waiting = work.waiting(job);
-        if trial
-            && spec.shape != JobKind::Gang
-            && waiting > 0
-            && waiting <= work.backing_off.len() as u64
-        {
+        let count = self.startable_tasks(id, job, max_tasks, context)?;
+        request.count = u32::try_from(count).unwrap_or(u32::MAX);
+        self.apply_progress(&mut request, id, job)?;
+        Some(request)
+    }
+
+    /// How many waiting tasks of a job are in no backoff, at most `max_tasks`; none if nothing may
+    /// start.
+    fn startable_tasks(
+        &mut self,
+        id: &JobId,
+        job: &LiveJob,
+        max_tasks: u64,
+        context: &mut RequestContext,
+    ) -> Option<u64> {
+        let is_gang = job.spec.shape == JobKind::Gang;
+        let progress = self.jobs.progress.get_mut(id)?;
+        progress.expire_backoffs(context.now);
+        let waiting = progress.waiting(job);
+        let all_back_off = waiting > 0 && waiting <= progress.backing_off.len() as u64;
+        if progress.failures.mistaken() && !is_gang && all_back_off {
             // The job's own pause is over; that of its next task does not matter.
-            work.requeued.extend(work.backing_off.pop_first().map(|expiry| expiry.task));
+            let first = progress.backing_off.pop_first();
+            progress.requeued.extend(first.map(|expiry| expiry.task));
         }
-        let paused = work.backing_off.len() as u64;
-        if let Some(BackoffExpiry { at, .. }) = work.backing_off.first() {
-            *self.statistics.waiting_by_cause.entry("pause after a failure").or_default() += paused;
-            *wake = wake.iter().chain([at]).min().copied();
+        let backing_off = progress.backing_off.len() as u64;
+        if let Some(first) = progress.backing_off.first() {
+            self.statistics.add_waiting(waiting_cause::RETRY_BACKOFF, backing_off);
+            context.note_backoff(Some(first.at));
         }
-        let count = most.min(waiting.saturating_sub(paused));
+        let count = max_tasks.min(waiting.saturating_sub(backing_off));
         // A gang that lacks a task would wait for it for ever once it runs.
-        if count == 0 || (spec.shape == JobKind::Gang && paused > 0) {
-            return None;
-        }
-        ask.count = u32::try_from(count).unwrap_or(u32::MAX);
-        let work = self.jobs.progress.get(id)?;
+        let lacks_task = is_gang && backing_off > 0;
+        (count > 0 && !lacks_task).then_some(count)
+    }
+
+    /// Restricts a request by where the job's tasks run and where they failed.
+    fn apply_progress(
+        &self,
+        request: &mut PlacementRequest,
+        id: &JobId,
+        job: &LiveJob,
+    ) -> Option<()> {
+        let spec = &job.spec;
+        let progress = self.jobs.progress.get(id)?;
         // Tens of thousands may be placed: they are counted only where their zones matter.
-        let counted = spec.spread || spec.one_zone;
-        for placed in work.placed.values().filter(|_| counted) {
+        let zones_matter = spec.spread || spec.one_zone;
+        for placed in progress.placed.values().filter(|_| zones_matter) {
             let Some(machine) = self.fleet.machines.get(&placed.machine) else { continue };
             let zone = ZoneId::new(machine.zone);
             if spec.spread {
-                ask.zone_limits.consume(zone, 1);
+                request.zone_limits.consume(zone, 1);
             }
             if spec.one_zone && spec.zone.is_none() {
-                ask.zone = Some(zone);
+                request.zone = Some(zone);
             }
         }
-        let index = |id| self.fleet.machines.get(id).map(|m: &Machine| m.index);
-        ask.excluded_machines = work.failures.avoided().iter().filter_map(index).collect();
-        if trial {
+        let index = |id| self.fleet.machines.get(id).map(|machine: &Machine| machine.index);
+        request.excluded_machines = progress.failures.avoided().iter().filter_map(index).collect();
+        if progress.failures.mistaken() {
             // A trial of a job that fails everywhere takes what room there is.
-            ask.scale_out = ScaleOutPolicy::Nothing;
+            request.scale_out = ScaleOutPolicy::Nothing;
         }
-        Some(ask)
+        Some(())
     }
 
-    /// Seconds until the job misses its next aim at start; none if it has missed them all.
-    pub(super) fn time_left(
+    /// Seconds until the job misses its next objective for its start; none if it has missed all.
+    pub(super) fn slo_slack_s(
         &self,
         id: &JobId,
         job: &LiveJob,
-        beyond: bool,
+        over_quota: bool,
         now: Instant,
     ) -> Option<f64> {
-        let known = self.jobs.progress.get(id)?.first_seen?;
-        let waited = now.saturating_duration_since(known).as_secs_f64();
-        let guarantee = self.settings.guarantee_wait().filter(|_| !beyond);
-        let aims = self.settings.waits(&job.spec.class).chain(guarantee);
-        let due = self.due_left(id, job, now).filter(|left| *left > 0.0);
-        let left = aims.map(|within_s| within_s - waited).filter(|left| *left > 0.0);
-        left.chain(due).min_by(f64::total_cmp)
+        let first_seen = self.jobs.progress.get(id)?.first_seen?;
+        let waited_s = now.saturating_duration_since(first_seen).as_secs_f64();
+        let quota_slo = self.settings.guarantee_wait().filter(|_| !over_quota);
+        let slos = self.settings.waits(&job.spec.class).chain(quota_slo);
+        let until_deadline = self.due_left(id, job, now).filter(|left| *left > 0.0);
+        let slack = slos.map(|within_s| within_s - waited_s).filter(|left| *left > 0.0);
+        slack.chain(until_deadline).min_by(f64::total_cmp)
     }
 
-    /// Whether a task that has a machine to come starts in time there, or is late already.
-    pub(super) fn can_wait(&self, ask: &PlacementRequest) -> bool {
-        let boot_s = self.usual_boot_s();
-        ask.priority > Priority::Production && ask.slo_slack_s.is_none_or(|left| boot_s < left)
+    /// Whether a task that is booked on a booting machine starts in time there, or is late already.
+    pub(super) fn can_wait_for_boot(&self, request: &PlacementRequest) -> bool {
+        let boot_s = self.typical_boot_s();
+        request.priority > Priority::Production
+            && request.slo_slack_s.is_none_or(|slack| boot_s < slack)
     }
 
     /// Seconds within which most machines rented now are up, with an image.
-    pub(super) fn usual_boot_s(&self) -> f64 {
-        self.fleet.machine_types.iter().map(|flavor| flavor.boot_s * BOOT_USUAL).fold(0.0, f64::max)
+    pub(super) fn typical_boot_s(&self) -> f64 {
+        let types = self.fleet.machine_types.iter();
+        types.map(|machine_type| machine_type.boot_s * BOOT_USUAL).fold(0.0, f64::max)
     }
 
-    /// Room kept free for critical work, as asks that come last and are never started.
-    /// Room that least urgent work takes up counts as free: it makes way at once, and would
-    /// otherwise fill each machine that was rented to keep room.
-    pub(super) fn warm_asks(
+    /// Adds requests for room that is kept free for production work. Room that low-priority tasks
+    /// take up counts as free: they are preempted at once, and would otherwise fill each machine
+    /// that was rented to keep room.
+    pub(super) fn reserve_warm_room(
         &self,
-        asks: &mut Vec<PlacementRequest>,
-        sizes: &[Amount],
-        (survey, silent): (&FleetSummary, &[bool]),
-        team: usize,
+        reservations: &mut Vec<PlacementRequest>,
+        fleet: &FleetView,
     ) {
-        let Some(size) = sizes.first() else { return };
-        let need = Amount { cpu: size.cpu / 4, gpu: 0, ram: size.ram / 4 };
-        let zones = silent.len();
-        let mut lent = vec![0u64; zones];
-        for machine in
-            self.fleet.machines.values().filter(|m| m.life == MachineState::Up && !m.spot)
-        {
-            lent[machine.zone] += machine.low_cpu();
+        let Some(size) = fleet.capacities.first() else { return };
+        let resources = Amount { cpu: size.cpu / WARM_PARTS, gpu: 0, ram: size.ram / WARM_PARTS };
+        let zones = fleet.closed_zones.len();
+        let mut reclaimable_cpu = vec![0u64; zones];
+        let is_up = |machine: &&Machine| machine.life == MachineState::Up && !machine.spot;
+        for machine in self.fleet.machines.values().filter(is_up) {
+            reclaimable_cpu[machine.zone] += machine.low_cpu();
         }
-        let wanted = |zone: usize| {
-            // What comes at once grows with the fleet, and so does the room that it finds.
-            let share = self.settings.operator.warm_share * survey.up[zone] as f64;
-            (self.settings.operator.warm_per_zone.max(share) * 4.0).round() as u64
-        };
-        for zone in (0..zones).filter(|zone| !silent[*zone]) {
-            let count = wanted(zone).saturating_sub(lent[zone] / need.cpu.max(1)) as u32;
+        for zone in (0..zones).filter(|zone| !fleet.closed_zones[*zone]) {
+            let reclaimable = reclaimable_cpu[zone] / resources.cpu.max(1);
+            let count = self.warm_parts(fleet.summary.up[zone]).saturating_sub(reclaimable) as u32;
             if count == 0 {
                 continue;
             }
-            asks.push(PlacementRequest {
-                team: TeamId::new(team),
+            reservations.push(PlacementRequest {
+                // Beyond all teams: the entry without a limit.
+                team: TeamId::new(fleet.team_headroom.len() - 1),
                 priority: Priority::Low,
-                resources: need,
+                resources,
                 basket: Basket::Light,
                 count,
                 zone: Some(ZoneId::new(zone)),
@@ -219,39 +249,18 @@
         }
     }
 
-    pub(super) fn offers(
-        &self,
-        sizes: &[Amount],
-        pending: &[(MachinePool, u32)],
-        now: Instant,
-    ) -> Vec<(MachinePool, MachineTypeOffer)> {
-        let mut offers = Vec::new();
-        let mut held = vec![[0u32; 2]; self.settings.platform.params.zones.len()];
-        for machine in self.fleet.machines.values() {
-            held[machine.zone][usize::from(machine.spot)] += 1;
-        }
-        for (flavor, info) in self.fleet.machine_types.iter().enumerate() {
-            for zone in info.zones.iter().filter_map(|name| self.fleet.zone(name)) {
-                for spot in [true, false] {
-                    let kind = MachinePool { flavor, zone, spot };
-                    let scarce = self.autoscaler.capacity_backoff.get(&kind);
-                    let asked = pending.iter().any(|(other, _)| *other == kind);
-                    if scarce.is_some_and(|backoff| backoff.not_before > now || asked) {
-                        continue;
-                    }
-                    let offer = MachineTypeOffer {
-                        machine_type: MachineTypeId::new(flavor),
-                        zone: ZoneId::new(zone),
-                        spot,
-                        price: if spot { info.spot_price } else { info.price },
-                        capacity: sizes[flavor],
-                        available: scarce.map_or(HIRE_MAX, |backoff| backoff.max_request),
-                        held: held[zone][usize::from(spot)],
-                    };
-                    offers.push((kind, offer));
-                }
-            }
-        }
-        offers
+    /// How much room to keep free in a zone, in parts of a machine.
+    fn warm_parts(&self, machines_up: usize) -> u64 {
+        // What arrives at once grows with the fleet, and so does the room that it finds.
+        let share = self.settings.operator.warm_share * machines_up as f64;
+        let machines = self.settings.operator.warm_per_zone.max(share);
+        (machines * WARM_PARTS as f64).round() as u64
     }
 }
+
+/// Whether a predecessor may have started tasks of the request that no heartbeat has shown yet.
+fn may_run_unseen(request: &PlacementRequest, fleet: &FleetView) -> bool {
+    fleet.unconfirmed.pools.iter().any(|pool| {
+        request.allows(ZoneId::new(pool.zone), MachineTypeId::new(pool.flavor), pool.spot)
+    })
+}
--- /dev/null
+++ b/src/scheduler/planning/decision.rs
@@ -0,0 +1,74 @@
+//! The decision of a planning pass, as a value.
+//!
+//! Reads the autoscaler's offers; changes nothing.
+
+use super::{DemandQueue, FleetView, PendingRental, WaitingTasks, waiting_cause};
+use crate::ids::{Amount, MachineId};
+use crate::placement::{PlacementInput, PlacementPlan, plan};
+use crate::scheduler::Scheduler;
+use crate::scheduler::autoscaling::PoolOffer;
+use tokio::time::Instant;
+
+/// What a pass has decided, and what is needed to carry it out.
+pub(in crate::scheduler) struct PlanningDecision {
+    /// What starts where, what is booked, and what finds no room.
+    pub(in crate::scheduler) placement: PlacementPlan,
+    /// By request: the tasks. Requests beyond these are reservations.
+    pub(in crate::scheduler) tasks: Vec<WaitingTasks>,
+    /// By bin: the machine.
+    pub(in crate::scheduler) machine_ids: Vec<Option<MachineId>>,
+    /// Machines to rent.
+    pub(in crate::scheduler) rentals: Vec<PendingRental>,
+    /// By team: what it could use before the pass.
+    pub(in crate::scheduler) team_headroom: Vec<Amount>,
+    /// Why the tasks wait that find no room.
+    pub(in crate::scheduler) unplaceable_cause: &'static str,
+    /// When the first retry backoff ends.
+    pub(in crate::scheduler) next_backoff_expiry: Option<Instant>,
+}
+
+impl Scheduler {
+    /// Decides what starts and what is rented.
+    pub(super) fn decide(
+        &self,
+        fleet: FleetView,
+        demand: DemandQueue,
+        now: Instant,
+    ) -> PlanningDecision {
+        let offers = if fleet.rental.allowed { self.offers(&fleet, now) } else { Vec::new() };
+        let machines = fleet.machines.bins.len() as f64;
+        let heavy_limit = ((machines * self.settings.operator.heavy_cap) as usize).max(1);
+        let tasks: Vec<WaitingTasks> = demand.requests.iter().map(WaitingTasks::of).collect();
+        let requests = demand.requests.into_iter().map(|job| job.request);
+        let placement = plan(PlacementInput {
+            bins: fleet.machines.bins,
+            requests: requests.chain(demand.reservations).collect(),
+            team_headroom: fleet.team_headroom.clone(),
+            offers: offers.iter().map(|offer| offer.offer.clone()).collect(),
+            heavy_limit,
+            rental_limit: fleet.rental.remaining,
+        });
+        let at_machine_limit = fleet.rental.remaining == 0;
+        PlanningDecision {
+            rentals: rentals(&offers, &placement),
+            placement,
+            tasks,
+            machine_ids: fleet.machines.ids,
+            team_headroom: fleet.team_headroom,
+            unplaceable_cause: if at_machine_limit {
+                waiting_cause::MACHINE_LIMIT
+            } else {
+                waiting_cause::NO_ROOM
+            },
+            next_backoff_expiry: demand.next_backoff_expiry,
+        }
+    }
+}
+
+fn rentals(offers: &[PoolOffer], placement: &PlacementPlan) -> Vec<PendingRental> {
+    let counts = offers.iter().zip(&placement.scale_out);
+    counts
+        .filter(|(_, count)| **count > 0)
+        .map(|(offer, count)| PendingRental { pool: offer.pool, count: *count })
+        .collect()
+}
--- /dev/null
+++ b/src/scheduler/planning/jobs_view.rs
@@ -0,0 +1,112 @@
+//! What a planning pass knows of the jobs: which are ready, and in what order they are served.
+//!
+//! Reads the jobs and the settings; updates estimates and inherited priorities.
+
+use super::UnconfirmedMachines;
+use crate::ids::{Amount, JobId, TeamId};
+use crate::jobs::LiveJob;
+use crate::placement::{QueuedJob, max_copies, sort_by_service_order};
+use crate::scheduler::Scheduler;
+use crate::store::Cache;
+use crate::wire::JobKind;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The live jobs as a pass sees them.
+pub(in crate::scheduler) struct JobsView<'a> {
+    /// Jobs whose dependencies are met, oldest first. The others start nothing and take no part
+    /// of a limit or quota.
+    pub(in crate::scheduler) ready: Vec<(&'a JobId, &'a LiveJob)>,
+    /// Jobs that will be ready by the time that a machine rented now is up, soonest first.
+    pub(in crate::scheduler) upcoming: Vec<JobId>,
+    /// The ready jobs in order of service.
+    pub(in crate::scheduler) queue: Vec<QueuedJob>,
+    /// By team: what its waiting tasks would use if a predecessor had started all of them.
+    pub(super) maybe_used: Vec<Amount>,
+}
+
+/// The ready jobs in order of service, with what may be in use unseen.
+struct ServiceQueue {
+    queue: Vec<QueuedJob>,
+    maybe_used: Vec<Amount>,
+}
+
+impl Scheduler {
+    /// Collects the jobs that the pass may serve.
+    pub(super) fn observe_jobs<'a>(
+        &mut self,
+        unconfirmed: &UnconfirmedMachines,
+        cache: &'a Cache,
+        now: Instant,
+    ) -> JobsView<'a> {
+        let live_job = |id| {
+            let (id, job) = cache.jobs.all.get_key_value(id)?;
+            Some((id, job.live()?))
+        };
+        let mut jobs: Vec<(&JobId, &LiveJob)> =
+            self.jobs.progress.keys().filter_map(live_job).collect();
+        self.estimate_all(&jobs, now);
+        self.carry_back(&jobs);
+        let upcoming = self.coming(&jobs, now);
+        jobs.retain(|(_, job)| job.ready());
+        jobs.sort_by(|a, b| (a.1.since_ms(), a.0).cmp(&(b.1.since_ms(), b.0)));
+        let ServiceQueue { queue, maybe_used } =
+            self.service_queue(&jobs, !unconfirmed.is_empty(), now);
+        JobsView { ready: jobs, upcoming, queue, maybe_used }
+    }
+
+    fn service_queue(
+        &self,
+        jobs: &[(&JobId, &LiveJob)],
+        has_unconfirmed: bool,
+        now: Instant,
+    ) -> ServiceQueue {
+        let teams = &self.settings.platform.params.teams;
+        let mut requested = vec![Amount::default(); teams.len()];
+        let mut maybe_used = vec![Amount::default(); teams.len()];
+        let mut queue: Vec<QueuedJob> = Vec::new();
+        for (age_rank, (id, job)) in jobs.iter().enumerate() {
+            let Some(&team) = self.teams.get(&job.spec.team) else { continue };
+            requested[team] = requested[team].plus(&job.need.times(job.spec.tasks));
+            let over_quota = !requested[team].fits(&teams[team].guarantee());
+            queue.push(QueuedJob {
+                over_quota,
+                age_rank,
+                team: TeamId::new(team),
+                ..self.queued_job(id, job, team, now)
+            });
+            let progress = &self.jobs.progress[*id];
+            if progress.predates_leadership && has_unconfirmed {
+                let resources = job.need.times(progress.waiting(job));
+                maybe_used[team] = maybe_used[team].plus(&resources);
+            }
+        }
+        sort_by_service_order(&mut queue);
+        ServiceQueue { queue, maybe_used }
+    }
+
+    /// A job's place in the queue, as far as it follows from the job alone.
+    fn queued_job(&self, id: &JobId, job: &LiveJob, team: usize, now: Instant) -> QueuedJob {
+        let spec = &job.spec;
+        let progress = &self.jobs.progress[id];
+        let started = job.done_count() + progress.placed.len() as u64;
+        let team_limit = self.settings.platform.params.teams[team].most();
+        let waited =
+            progress.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let (deadlines, missed_deadlines) = self.due_aims(id, job, now);
+        let slos = self.settings.waits(&spec.class).count() + deadlines;
+        let missed_slos = self.settings.missed_waits(&spec.class, waited) + missed_deadlines;
+        let missed_all = missed_slos > 0 && missed_slos == slos;
+        QueuedJob {
+            priority: self.urgency(id, job),
+            first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
+            over_quota: false,
+            without_slo: !self.has_aim(id, job),
+            had_turn: started >= max_copies(&team_limit, &job.need),
+            missed_slos,
+            size: if missed_all { 0 } else { spec.tasks },
+            age_rank: 0,
+            team: TeamId::new(team),
+        }
+    }
+}
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,63 +1,75 @@
-//! Stopping less urgent work for urgent work that finds no room.
+//! Preemption: stopping tasks of lower priority for tasks that find no room.
+//!
+//! Reads the fleet, the jobs, run times and fair shares; changes machines' entries by stops, and
+//! lets preempted elastic jobs rest before they grow again.
 
-use crate::constants::{ENDS_SOON_S, FETCH_SHARE, IMAGE_WORTH_S, SAVE_SHARE};
-use crate::ids::{Amount, JobId, MachineId, MachineTypeId, ZoneId};
+mod budget;
+mod candidates;
+
+use crate::constants::{FETCH_SHARE, SAVE_SHARE};
+use crate::ids::{Amount, JobId, MachineId};
 use crate::jobs::Job;
-use crate::placement::{self, PlacementRequest};
+use crate::placement::{PlacementRequest, max_copies};
+use crate::scheduler::Scheduler;
 use crate::scheduler::task_attempt::TaskAttempt;
-use crate::scheduler::{Scheduler, fair_share};
 use crate::store::Cache;
-use crate::wire::{JobKind, Priority, TaskState};
+use crate::wire::{Priority, TaskState};
 use crate::workers::machine::Stop;
+use budget::PreemptionBudget;
+use candidates::{PreemptionOption, VictimMachine};
 use ordered_float::OrderedFloat;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// The reason of a stop that makes room for more urgent work.
+/// The reason of a stop that makes room for a task of higher priority.
 pub(super) const PREEMPTED: &str = "preempted";
 /// The reason of a stop that moves a task elsewhere.
 pub(super) const MOVED: &str = "moved";
 
-/// A task that could make way.
-struct Victim {
-    key: TaskAttempt,
-    urgency: Priority,
-    need: Amount,
-    /// Seconds of its work that are lost if it may save first, and if it may not; more for a job
-    /// whose tasks made way before.
-    saved_loss: f64,
-    loss: f64,
-    save_s: f64,
-    /// Where room is scarce: whose floor it counts towards, and how much it takes up.
-    of: Option<(fair_share::Group, u64)>,
+/// Tasks that found no room.
+pub(super) struct UnplacedTasks {
+    /// How many.
+    pub(super) count: u32,
+    /// What they request.
+    pub(super) request: PlacementRequest,
 }
 
-/// A machine with tasks that could make way, those first that lose least for their size.
-struct PendingDemand {
-    id: MachineId,
-    index: u64,
-    zone: ZoneId,
-    machine_type: MachineTypeId,
-    spot: bool,
-    free: Amount,
-    images: placement::Images,
-    victims: Vec<Victim>,
+/// What can be preempted, collected once for many requests and only if anything is to be stopped:
+/// machines hold dozens of small tasks each.
+#[derive(Default)]
+pub(super) struct VictimCache {
+    machines: Option<Vec<VictimMachine>>,
+    /// What may be preempted of each group, while capacity is scarce.
+    budget: PreemptionBudget,
+    /// Requests for which nothing could be preempted. What can be preempted only shrinks within a
+    /// pass, so that an equivalent request needs no search.
+    exhausted: Vec<PlacementRequest>,
 }
 
-/// What could make way, looked up once for many asks and only if anything is to be stopped:
-/// machines hold dozens of a guest's small tasks each.
-#[derive(Default)]
-pub(super) struct Stoppable {
-    sources: Option<Vec<PendingDemand>>,
-    /// What may make way of each group, where room is scarce.
-    spare: fair_share::Spare,
-    /// Asks for which nothing could make way: room for others alike was looked for in vain, and what
-    /// could make way only gets less within a pass.
-    hopeless: Vec<PlacementRequest>,
+/// How many tasks of a request to make room for.
+struct RoomNeeded<'a> {
+    request: &'a PlacementRequest,
+    count: u64,
+    /// Only on machines that have the image.
+    with_image_only: bool,
+    /// Seconds for which the task can wait while victims save their progress.
+    patience_s: f64,
+}
+
+/// A task to be stopped.
+struct VictimStop {
+    attempt: TaskAttempt,
+    grace_s: f64,
+}
+
+/// Tasks to be stopped on a machine.
+struct Preemption {
+    machine: MachineId,
+    stops: Vec<VictimStop>,
 }
 
-/// Whether what nothing makes way for on behalf of one has nothing for the other either.
-fn alike(a: &PlacementRequest, b: &PlacementRequest) -> bool {
+/// Whether a search that was in vain for one request is in vain for the other.
+fn is_equivalent(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     (a.priority, a.resources, a.zone, a.allows_spot)
         == (b.priority, b.resources, b.zone, b.allows_spot)
         && a.machine_types == b.machine_types
@@ -65,283 +77,152 @@
         && a.zone_limits.same_open_zones(&b.zone_limits)
 }
 
-/// Whether a group has so much above its floor.
-fn has_spare(spare: &fair_share::Spare, group: fair_share::Group, room: u64) -> bool {
-    spare.as_ref().is_none_or(|spare| spare.get(&group).is_some_and(|spare| *spare >= room))
-}
-
-/// Takes what these take up from what their groups have above their floors, if it is there for all.
-fn spare_takes(
-    spare: &mut fair_share::Spare,
-    victims: impl Iterator<Item = (fair_share::Group, u64)>,
-) -> bool {
-    let Some(spare) = spare else { return true };
-    let mut sums: BTreeMap<fair_share::Group, u64> = BTreeMap::new();
-    victims.for_each(|(group, room)| *sums.entry(group).or_default() += room);
-    if sums.iter().any(|(group, room)| spare.get(group).is_none_or(|left| left < room)) {
-        return false;
-    }
-    for (group, room) in sums {
-        spare.entry(group).and_modify(|left| *left -= room);
-    }
-    true
-}
-
 impl Scheduler {
-    /// Stops less urgent tasks where that makes room for urgent ones that found none: on a
-    /// machine that has the image if there is one, and those that lose least.
+    /// Stops tasks of lower priority where that makes room for tasks that found none: on a machine
+    /// that has the image if there is one, and those that lose least.
     pub(super) fn preempt(
         &mut self,
-        unplaced: Vec<(u32, PlacementRequest)>,
-        room: &[Amount],
+        unplaced: Vec<UnplacedTasks>,
+        team_headroom: &[Amount],
         cache: &Cache,
         now: Instant,
     ) {
-        if unplaced.iter().all(|(count, ask)| *count == 0 || ask.gang) {
+        if unplaced.iter().all(|tasks| tasks.count == 0 || tasks.request.gang) {
             return;
         }
-        // Room that earlier stops are about to free. Its size counts: sixteen small tasks may
-        // make room for one.
-        let mut coming = self
-            .fleet
+        let mut freeing = self.resources_being_freed();
+        // Collected anew: the starts of this pass have taken room.
+        let mut victims = VictimCache::default();
+        for UnplacedTasks { count, request } in unplaced {
+            if request.gang {
+                continue;
+            }
+            let headroom = &team_headroom[request.team.index()];
+            let count = u64::from(count).min(max_copies(headroom, &request.resources));
+            let served = count.min(max_copies(&freeing, &request.resources));
+            freeing = freeing.minus(&request.resources.times(served));
+            self.make_room(&request, count - served, false, &mut victims, cache, now);
+        }
+    }
+
+    /// What earlier preemptions are about to free. Its size counts, not the number of tasks:
+    /// sixteen small ones may make room for one.
+    fn resources_being_freed(&self) -> Amount {
+        self.fleet
             .machines
             .values()
             .flat_map(|machine| machine.entries.values())
             .filter(|entry| entry.state != TaskState::Exited)
             .filter(|entry| entry.stopped_for(PREEMPTED))
-            .fold(Amount::default(), |sum, entry| sum.plus(&entry.need));
-        // Looked up anew: the starts of this pass have taken room.
-        let mut stoppable = Stoppable::default();
-        for (count, ask) in unplaced {
-            if ask.gang {
-                continue;
-            }
-            let count = u64::from(count)
-                .min(placement::max_copies(&room[ask.team.index()], &ask.resources));
-            let served = count.min(placement::max_copies(&coming, &ask.resources));
-            coming = coming.minus(&ask.resources.times(served));
-            self.make_way(&ask, count - served, false, &mut stoppable, cache, now);
-        }
+            .fold(Amount::default(), |sum, entry| sum.plus(&entry.need))
     }
 
-    /// Whether a start on a machine without the image misses its class's tightest aim.
+    /// Whether a start on a machine without the image misses the tightest objective of its class.
     pub(super) fn fetch_is_late(&self, job: &JobId, machine: &MachineId, cache: &Cache) -> bool {
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
         let Some(machine) = self.fleet.machines.get(machine) else { return false };
-        let rate = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
         let Some(within_s) = self.settings.tightest_wait(&live.spec.class) else { return false };
+        let gb_per_s = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
         live.spec.urgency == Priority::Production
-            && rate > 0.0
-            && live.spec.image_gb / rate > within_s * FETCH_SHARE
+            && gb_per_s > 0.0
+            && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE
     }
 
-    fn sources(
-        &self,
-        spare: &fair_share::Spare,
-        cache: &Cache,
-        now: Instant,
-    ) -> Vec<PendingDemand> {
-        let sizes: Vec<Amount> =
-            (0..self.fleet.machine_types.len()).map(|f| self.fleet.capacity(f)).collect();
-        let largest = fair_share::largest(&sizes);
-        let knows = self.settings.operator.estimates.make_way;
-        let mut sources = Vec::new();
-        for machine in self.fleet.machines.values().filter(|m| self.takes_work(m, now)) {
-            let mut victims: Vec<Victim> = machine
-                .entries
-                .iter()
-                .filter(|(_, entry)| {
-                    entry.urgency > Priority::Production
-                        && entry.stop.is_none()
-                        && matches!(entry.state, TaskState::Running | TaskState::Fetching)
-                })
-                .filter_map(|(key, entry)| {
-                    let live = cache.jobs.get(&key.0.job).and_then(Job::live)?;
-                    let spec = &live.spec;
-                    if spec.shape != JobKind::Array {
-                        return None;
-                    }
-                    let ran = entry
-                        .running_since
-                        .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-                    // What ends by itself in a moment gives its room up anyway, and loses all if stopped.
-                    let known = self.runtime_predictor.rest_s(&key.0.job, ran).filter(|_| knows);
-                    if known.is_some_and(|rest_s| rest_s < ENDS_SOON_S) {
-                        return None;
-                    }
-                    let of =
-                        spare.as_ref().and_then(|_| self.taken_from(live, &entry.need, &largest));
-                    // What a group holds up to its floor stays, whoever waits.
-                    if of.is_some_and(|(group, room)| !has_spare(spare, group, room)) {
-                        return None;
-                    }
-                    let saves = spec.checkpoint_s > 0.0;
-                    // What made way before has lost enough: else the same small jobs are stopped
-                    // again and again until they end late.
-                    let before =
-                        self.jobs.progress.get(&key.0.job).map_or(0, |work| work.preemptions);
-                    let weight = 1.0 + f64::from(before) / spec.tasks as f64;
-                    let least = self.least_width_s(&key.0.job, live);
-                    Some(Victim {
-                        key: key.clone(),
-                        urgency: entry.urgency,
-                        need: entry.need,
-                        saved_loss: least + weight * if saves { spec.save_s } else { ran },
-                        loss: least
-                            + weight * if saves { ran.min(spec.checkpoint_s / 2.0) } else { ran },
-                        save_s: if saves { spec.save_s } else { 0.0 },
-                        of,
-                    })
-                })
-                .collect();
-            if victims.is_empty() {
-                continue;
-            }
-            victims.sort_by(|a, b| a.saved_loss.min(a.loss).total_cmp(&b.saved_loss.min(b.loss)));
-            sources.push(PendingDemand {
-                id: machine.id.clone(),
-                index: machine.index,
-                zone: ZoneId::new(machine.zone),
-                machine_type: MachineTypeId::new(machine.flavor),
-                spot: machine.spot,
-                free: self.fleet.capacity(machine.flavor).minus(&machine.used()),
-                images: machine.image_ids.clone(),
-                victims,
-            });
-        }
-        sources
-    }
-
-    /// Makes room for one task on a machine that has its image.
-    pub(super) fn make_warm_way(
+    /// Makes room for one task on a machine that has its image; whether it found any.
+    pub(super) fn preempt_for_image(
         &mut self,
-        ask: &PlacementRequest,
-        stoppable: &mut Stoppable,
+        request: &PlacementRequest,
+        victims: &mut VictimCache,
         cache: &Cache,
         now: Instant,
     ) -> bool {
-        self.make_way(ask, 1, true, stoppable, cache, now) > 0
+        self.make_room(request, 1, true, victims, cache, now) > 0
     }
 
-    /// Makes room for up to so many tasks, where it costs least first; gives for how many. With
-    /// `warm`, only on machines that have the image.
-    fn make_way(
+    /// Makes room for up to `count` tasks, where it costs least first, and returns for how many.
+    fn make_room(
         &mut self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         count: u64,
-        warm: bool,
-        stoppable: &mut Stoppable,
+        with_image_only: bool,
+        victims: &mut VictimCache,
         cache: &Cache,
         now: Instant,
     ) -> u64 {
-        if count == 0 || (!warm && stoppable.hopeless.iter().any(|other| alike(ask, other))) {
+        let searched_in_vain =
+            || victims.exhausted.iter().any(|other| is_equivalent(request, other));
+        if count == 0 || (!with_image_only && searched_in_vain()) {
             return 0;
         }
-        // Saving goes on for as long as the urgent task waits for the room.
-        let patience_s = ask.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE;
-        if stoppable.sources.is_none() {
-            stoppable.spare = self.spare();
-            stoppable.sources = Some(self.sources(&stoppable.spare, cache, now));
-        }
-        let Stoppable { sources: Some(sources), spare, .. } = stoppable else { return 0 };
-        // Room that is made on one machine changes what it costs there alone, so each is looked at
-        // once and again after each choice of it.
-        let look = |source: &PendingDemand| {
-            let cold = !source.images.contains(&ask.image);
-            source.way(ask, patience_s, cold, warm)
-        };
-        let mut ways: BTreeMap<(OrderedFloat<f64>, usize), Way> = BTreeMap::new();
-        for (at, source) in sources.iter().enumerate() {
-            if let Some(way) = look(source) {
-                ways.insert((way.price, at), way);
-            }
-        }
-        let mut chosen = Vec::new();
-        while (chosen.len() as u64) < count
-            && let Some(((_, at), way)) = ways.pop_first()
-        {
-            let source = &mut sources[at];
-            if !spare_takes(spare, way.victims.iter().filter_map(|n| source.victims[*n].of)) {
-                // Others made way up to that floor.
-                source.victims.retain(|v| v.of.is_none_or(|(g, room)| has_spare(spare, g, room)));
-                if let Some(way) = look(source).filter(|other| other.victims != way.victims) {
-                    ways.insert((way.price, at), way);
-                }
-                continue;
-            }
-            tracing::info!(machine = %source.id, tasks = way.victims.len(), loss = way.loss, "preempted");
-            let mut stopped = Vec::new();
-            for n in way.victims.into_iter().rev() {
-                let victim = source.victims.remove(n);
-                source.free = source.free.plus(&victim.need);
-                let grace_s = if victim.save_s <= patience_s { victim.save_s } else { 0.0 };
-                stopped.push((victim.key, grace_s));
-            }
-            source.free = source.free.minus(&ask.resources);
-            chosen.push((source.id.clone(), stopped));
-            if let Some(way) = look(source) {
-                ways.insert((way.price, at), way);
-            }
+        if victims.machines.is_none() {
+            victims.budget = PreemptionBudget::new(self.fair_share.surplus());
+            victims.machines = Some(self.victim_machines(&victims.budget, cache, now));
         }
-        let made = chosen.len() as u64;
-        if made < count && !warm {
-            stoppable.hopeless.push(ask.clone());
+        let VictimCache { machines: Some(machines), budget, .. } = victims else { return 0 };
+        let patience_s = request.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE;
+        let needed = RoomNeeded { request, count, with_image_only, patience_s };
+        let preemptions = needed.choose(machines, budget);
+        let made = preemptions.len() as u64;
+        if made < count && !with_image_only {
+            victims.exhausted.push(request.clone());
         }
-        let jobs: Vec<JobId> = chosen
-            .iter()
-            .flat_map(|(_, stopped)| stopped)
-            .map(|(key, _)| key.0.job.clone())
-            .collect();
-        self.made_way(&jobs, now);
-        for (id, stopped) in chosen {
-            let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
-            for (key, grace_s) in stopped {
-                machine.stop(&key, Stop { grace_s, reason: PREEMPTED });
+        self.carry_out(preemptions, now);
+        made
+    }
+
+    fn carry_out(&mut self, preemptions: Vec<Preemption>, now: Instant) {
+        let stops = preemptions.iter().flat_map(|preemption| &preemption.stops);
+        let jobs: Vec<JobId> = stops.map(|stop| stop.attempt.0.job.clone()).collect();
+        self.pause_elastic_growth(&jobs, now);
+        for Preemption { machine, stops } in preemptions {
+            let Some(machine) = self.fleet.machines.get_mut(&machine) else { continue };
+            for VictimStop { attempt, grace_s } in stops {
+                machine.stop(&attempt, Stop { grace_s, reason: PREEMPTED });
                 self.statistics.stops += 1;
             }
         }
-        made
     }
 }
 
-/// Which tasks of a machine would make way for one task, by their numbers.
-struct Way {
-    /// Seconds of work that are repeated, and what a missing image adds.
-    price: OrderedFloat<f64>,
-    loss: f64,
-    victims: Vec<usize>,
+/// The order in which options are taken: by cost, then by the machine's position.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct OptionRank {
+    cost_s: OrderedFloat<f64>,
+    machine: usize,
 }
 
-impl PendingDemand {
-    fn way(&self, ask: &PlacementRequest, patience_s: f64, cold: bool, warm: bool) -> Option<Way> {
-        if !ask.allows(self.zone, self.machine_type, self.spot)
-            || !ask.zone_limits.is_open(self.zone)
-            || ask.excluded_machines.contains(&self.index)
-            || (warm && cold)
-        {
-            return None;
-        }
-        let mut free = self.free;
-        let mut victims = Vec::new();
-        let mut loss = 0.0;
-        for (n, victim) in self.victims.iter().enumerate() {
-            if ask.resources.fits(&free) {
-                break;
-            }
-            if victim.urgency > ask.priority {
-                // What matters is the work that is lost, not how many tasks it came in.
-                let share = victim.need.cpu as f64 / ask.resources.cpu.max(1) as f64;
-                let saves = victim.save_s <= patience_s;
-                loss += share * if saves { victim.saved_loss } else { victim.loss };
-                free = free.plus(&victim.need);
-                victims.push(n);
+impl RoomNeeded<'_> {
+    /// Chooses what to stop. Room that is made on one machine changes the costs there alone, so
+    /// each machine is searched once, and once more after each choice of it.
+    fn choose(
+        &self,
+        machines: &mut [VictimMachine],
+        budget: &mut PreemptionBudget,
+    ) -> Vec<Preemption> {
+        let mut options: BTreeMap<OptionRank, PreemptionOption> = BTreeMap::new();
+        for (position, machine) in machines.iter().enumerate() {
+            if let Some(option) = machine.option(self) {
+                options.insert(OptionRank { cost_s: option.cost_s, machine: position }, option);
             }
         }
-        // An image at hand is worth some repeated work, but not any amount of it.
-        if !ask.resources.fits(&free) || victims.is_empty() || (warm && loss > IMAGE_WORTH_S) {
-            return None;
+        let mut chosen = Vec::new();
+        while (chosen.len() as u64) < self.count
+            && let Some((rank, option)) = options.pop_first()
+        {
+            let machine = &mut machines[rank.machine];
+            let shares = option.victims.iter().filter_map(|n| machine.victims[*n].share);
+            let next = if budget.spend(shares) {
+                chosen.push(machine.preempt(&option, self));
+                machine.option(self)
+            } else {
+                // Others were preempted down to that floor.
+                machine.victims.retain(|v| v.share.is_none_or(|share| budget.covers(share)));
+                machine.option(self).filter(|next| next.victims != option.victims)
+            };
+            if let Some(next) = next {
+                options.insert(OptionRank { cost_s: next.cost_s, machine: rank.machine }, next);
+            }
         }
-        let price = OrderedFloat(if cold { loss + IMAGE_WORTH_S } else { loss });
-        Some(Way { price, loss, victims })
+        chosen
     }
 }
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -29,4 +29,8 @@
             waiting_by_cause: BTreeMap::new(),
         }
     }
+    /// Counts tasks that wait for a reason.
+    pub(super) fn add_waiting(&mut self, cause: &'static str, tasks: u64) {
+        *self.waiting_by_cause.entry(cause).or_default() += tasks;
+    }
 }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -705,7 +705,7 @@
     let one = &names[0];
     bench.report(one, running[one].clone());
     assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
-    assert!(!bench.scheduler.waits_for_a_pass(&bench.state.cache));
+    assert!(!bench.scheduler.has_pending_work(&bench.state.cache));
 }
 
 /// Bytes that a leader holds for a machine, by which the ceiling of machines reckons: counted, with a task for each two
