--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -1,4 +1,4 @@
-//! How long a planning pass takes at 1,400 machines with 100,000 tasks waiting.
+//! Measures how long a planning pass takes at 1,400 machines with 100,000 tasks waiting.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::sync::Arc;
@@ -16,102 +16,113 @@
 };
 use troutspindle::workers::machine::MachineState;
 
+/// Machines in the fleet.
 const MACHINES: u64 = 1400;
-const WAITING: u64 = 100_000;
+/// Machines that have no task yet.
+const IDLE_MACHINES: u64 = 100;
+/// Tasks that wait in most scenarios.
+const WAITING_TASKS: u64 = 100_000;
 const TEAMS: usize = 20;
-/// Machines in each set-up that have no task yet.
-const FREE: u64 = 100;
+const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Time between two passes.
+const PASS_INTERVAL: Duration = Duration::from_millis(600);
+/// Passes until the leader finds that capacity is scarce.
+const PASSES_UNTIL_SCARCE: u32 = 8;
 
+/// A leader with a fleet that is full but for a few machines.
 struct Leader {
     scheduler: Scheduler,
     state: StoreClient,
     cloud: CloudClient,
     now: Instant,
-    rev: u64,
+    revision: u64,
     jobs: u64,
 }
 
+fn settings() -> Arc<Settings> {
+    let teams: Vec<String> = (0..TEAMS)
+        .map(|n| format!(r#"{{"name":"t{n}","cpus":2000.0,"cpus_max":30000.0}}"#))
+        .chain([r#"{"name":"guest"}"#.to_owned()])
+        .collect();
+    let text = format!(
+        r#"{{"host_name":"n","location":"a","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
+        "others":[],"external":{{"cloud":"127.0.0.1:8","state":"127.0.0.1:9"}},
+        "params":{{"zones":["a","b","c"],"teams":[{}],
+        "workers":{{"report_s":6.0,"lease_s":31.0,"cancel_s":51.0}},
+        "state":{{"rps":400.0,"write_rps":150.0,"value_kb":16.0,"txn_ops":48}},
+        "cloud":{{"rps":5.0,"list_lag_s":6.0}},"resources":{{"max_sockets":3600}}}}}}"#,
+        teams.join(",")
+    );
+    Arc::new(Settings::parse(&text, Some("floor: 0.7")).expect("settings"))
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "f".into(),
+        cpus: 16.0,
+        gpus: 0.0,
+        ram_gb: 64.0,
+        cache_gb: 25.0,
+        fetch_gb_per_s: 0.5,
+        price: 0.9,
+        spot_price: 0.3,
+        boot_s: 15.0,
+        zones: ZONES.map(String::from).to_vec(),
+    }
+}
+
+fn machine_id(n: u64) -> MachineId {
+    MachineId::new(&format!("i-{n:06}"))
+}
+
+/// The status by which a worker acknowledges a start.
+fn running_status(command: WorkerCommand) -> Option<TaskStatus> {
+    let WorkerCommand::Start { task, attempt } = command else { return None };
+    Some(TaskStatus { task, attempt, state: TaskState::Running, why: None, saved: None })
+}
+
 impl Leader {
-    /// All machines but a few are full.
+    /// A leader whose tasks run on all machines but a few.
     fn new() -> Leader {
-        let teams: Vec<String> = (0..TEAMS)
-            .map(|n| format!(r#"{{"name":"t{n}","cpus":2000.0,"cpus_max":30000.0}}"#))
-            .chain([r#"{"name":"guest"}"#.to_owned()])
-            .collect();
-        let text = format!(
-            r#"{{"host_name":"n","location":"a","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
-            "others":[],"external":{{"cloud":"127.0.0.1:8","state":"127.0.0.1:9"}},
-            "params":{{"zones":["a","b","c"],"teams":[{}],
-            "workers":{{"report_s":6.0,"lease_s":31.0,"cancel_s":51.0}},
-            "state":{{"rps":400.0,"write_rps":150.0,"value_kb":16.0,"txn_ops":48}},
-            "cloud":{{"rps":5.0,"list_lag_s":6.0}},"resources":{{"max_sockets":3600}}}}}}"#,
-            teams.join(",")
-        );
-        let settings = Arc::new(Settings::parse(&text, Some("floor: 0.7")).expect("settings"));
+        let settings = settings();
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.flavors = (
-            vec![MachineType {
-                name: "f".into(),
-                cpus: 16.0,
-                gpus: 0.0,
-                ram_gb: 64.0,
-                cache_gb: 25.0,
-                fetch_gb_per_s: 0.5,
-                price: 0.9,
-                spot_price: 0.3,
-                boot_s: 15.0,
-                zones: ["a", "b", "c"].map(String::from).to_vec(),
-            }],
-            Revision(1),
-        );
+        state.cache.flavors = (vec![machine_type()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
         let mut cloud = CloudClient::new(5.0, now);
         cloud.lead(FencingToken(1), now);
-        let mut leader = Leader { scheduler, state, cloud, now, rev: 10, jobs: 0 };
-        let full = MACHINES - FREE;
-        for n in 0..full {
-            leader.report(n, 1, vec![]);
+        let mut leader = Leader { scheduler, state, cloud, now, revision: 10, jobs: 0 };
+        let busy = MACHINES - IDLE_MACHINES;
+        for n in 0..busy {
+            leader.send_heartbeat(n, 1, vec![]);
         }
-        for n in 0..full / 20 {
-            leader.job(n as usize % TEAMS, 80, |_| {});
+        for n in 0..busy / 20 {
+            leader.submit(n as usize % TEAMS, 80, |_| {});
         }
         leader.pass();
-        for n in 0..full {
-            let id = MachineId::new(&format!("i-{n:06}"));
-            let running = leader
-                .scheduler
-                .fleet
-                .machines
-                .get_mut(&id)
-                .map(|m| m.orders())
-                .into_iter()
-                .flatten();
-            let show = |order: WorkerCommand| match order {
-                WorkerCommand::Start { task, attempt } => Some(TaskStatus {
-                    task,
-                    attempt,
-                    state: TaskState::Running,
-                    why: None,
-                    saved: None,
-                }),
-                _ => None,
-            };
-            let tasks = running.filter_map(show).collect();
-            leader.report(n, 2, tasks);
+        for n in 0..busy {
+            let tasks = leader.commands(n).into_iter().filter_map(running_status).collect();
+            leader.send_heartbeat(n, 2, tasks);
         }
-        for n in full..MACHINES {
-            leader.report(n, 1, vec![]);
+        for n in busy..MACHINES {
+            leader.send_heartbeat(n, 1, vec![]);
         }
         leader
     }
 
-    fn job(&mut self, team: usize, tasks: u64, with: impl FnOnce(&mut JobSpec)) {
+    /// The commands that a worker's heartbeat is answered with.
+    fn commands(&mut self, n: u64) -> Vec<WorkerCommand> {
+        let machine = self.scheduler.fleet.machines.get_mut(&machine_id(n));
+        machine.map(|machine| machine.orders()).unwrap_or_default()
+    }
+
+    /// Submits a job; `adapt` changes its specification from that of a small array.
+    fn submit(&mut self, team: usize, tasks: u64, adapt: impl FnOnce(&mut JobSpec)) {
         self.jobs += 1;
-        self.rev += 1;
+        self.revision += 1;
         let id = JobId::new(&format!("wk-{:06}", self.jobs));
         let mut spec = JobSpec {
             id: id.clone(),
@@ -136,18 +147,19 @@
             due_s: None,
             depends_on: None,
         };
-        with(&mut spec);
+        adapt(&mut spec);
         let record = records::data(&Record::live(self.jobs, Some(Arc::new(spec))));
-        self.state.cache.jobs.put_job(id.clone(), &record, Revision(self.rev));
+        self.state.cache.jobs.put_job(id.clone(), &record, Revision(self.revision));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
 
-    fn report(&mut self, n: u64, seq: u64, tasks: Vec<TaskStatus>) {
-        let report = Heartbeat {
-            machine: MachineId::new(&format!("i-{n:06}")),
+    /// Sends a worker's heartbeat and acts as if its machine's record were committed.
+    fn send_heartbeat(&mut self, n: u64, seq: u64, tasks: Vec<TaskStatus>) {
+        let heartbeat = Heartbeat {
+            machine: machine_id(n),
             address: "127.0.0.1:9000".into(),
             flavor: "f".into(),
-            zone: ["a", "b", "c"][n as usize % 3].into(),
+            zone: ZONES[n as usize % ZONES.len()].into(),
             spot: n.is_multiple_of(3),
             agent_epoch: 1,
             seq,
@@ -155,76 +167,94 @@
             notice_s: None,
             tasks,
         };
-        self.scheduler.on_report(&report, &self.state.cache, self.now);
-        if let Some(machine) = self.scheduler.fleet.machines.get_mut(&report.machine) {
+        self.scheduler.on_report(&heartbeat, &self.state.cache, self.now);
+        if let Some(machine) = self.scheduler.fleet.machines.get_mut(&heartbeat.machine) {
             machine.recorded = true;
             assert_eq!(machine.life, MachineState::Up);
         }
     }
 
+    /// Makes a planning pass.
     fn pass(&mut self) {
-        self.now += Duration::from_millis(600);
+        self.now += PASS_INTERVAL;
         self.scheduler.tick(&mut self.state, &mut self.cloud, self.now);
     }
 }
 
-type Load = (&'static str, fn(&mut Leader));
+/// A scenario: what waits when the pass is measured.
+struct Scenario {
+    name: &'static str,
+    prepare: fn(&mut Leader),
+}
+
+const SCENARIOS: [Scenario; 5] = [
+    Scenario {
+        name: "1,000 arrays and 1,000 services while room is scarce",
+        prepare: submit_beyond_capacity,
+    },
+    Scenario {
+        name: "one job of 100,000 tasks",
+        prepare: |leader| leader.submit(0, WAITING_TASKS, |_| {}),
+    },
+    Scenario { name: "1,000 jobs of 100 tasks", prepare: submit_arrays },
+    Scenario { name: "5,000 jobs of 20 tasks of a guest", prepare: submit_guest_arrays },
+    Scenario { name: "6,250 services of 16 replicas", prepare: submit_services },
+];
+
+fn make_service(spec: &mut JobSpec) {
+    spec.shape = JobKind::Service;
+    spec.urgency = Priority::Production;
+    spec.spread = true;
+    spec.spot = false;
+}
+
+fn submit_arrays(leader: &mut Leader) {
+    (0..1000).for_each(|n| leader.submit(n % TEAMS, WAITING_TASKS / 1000, |_| {}));
+}
+
+fn submit_guest_arrays(leader: &mut Leader) {
+    for _ in 0..5000 {
+        leader.submit(0, WAITING_TASKS / 5000, |spec| {
+            spec.team = "guest".into();
+            spec.urgency = Priority::Low;
+            spec.cpus = 0.5;
+            spec.ram_gb = 1.0;
+        });
+    }
+}
+
+fn submit_services(leader: &mut Leader) {
+    (0..6250).for_each(|n| leader.submit(n % TEAMS, 16, make_service));
+}
+
+/// The cloud refuses every pool, and more is submitted than the fleet can run.
+fn submit_beyond_capacity(leader: &mut Leader) {
+    for zone in 0..ZONES.len() {
+        for spot in [true, false] {
+            let refused = CloudEvent::Refused(MachinePool { flavor: 0, zone, spot });
+            leader.scheduler.on_cloud(refused, &leader.state.cache, leader.now);
+        }
+    }
+    let listed = CloudEvent::ListedMachine(Vec::new(), leader.now);
+    leader.scheduler.on_cloud(listed, &leader.state.cache, leader.now);
+    for n in 0..1000 {
+        leader.submit(n % TEAMS, 60, |_| {});
+        leader.submit(n % TEAMS, 9, |spec| {
+            spec.class = "service".into();
+            make_service(spec);
+        });
+    }
+    (0..PASSES_UNTIL_SCARCE).for_each(|_| leader.pass());
+    assert!(leader.scheduler.starving(leader.now).scarce_for_s.is_some());
+}
 
 fn planning(criterion: &mut Criterion) {
-    let loads: [Load; 5] = [
-        ("1,000 arrays and 1,000 services while room is scarce", |leader| {
-            for zone in 0..3 {
-                for spot in [true, false] {
-                    let refused = CloudEvent::Refused(MachinePool { flavor: 0, zone, spot });
-                    leader.scheduler.on_cloud(refused, &leader.state.cache, leader.now);
-                }
-            }
-            let listed = CloudEvent::ListedMachine(Vec::new(), leader.now);
-            leader.scheduler.on_cloud(listed, &leader.state.cache, leader.now);
-            for n in 0..1000 {
-                leader.job(n % TEAMS, 60, |_| {});
-                leader.job(n % TEAMS, 9, |spec| {
-                    spec.class = "service".into();
-                    spec.shape = JobKind::Service;
-                    spec.urgency = Priority::Production;
-                    spec.spread = true;
-                    spec.spot = false;
-                });
-            }
-            (0..8).for_each(|_| leader.pass());
-            assert!(leader.scheduler.starving(leader.now).scarce_for_s.is_some());
-        }),
-        ("one job of 100,000 tasks", |leader| leader.job(0, WAITING, |_| {})),
-        ("1,000 jobs of 100 tasks", |leader| {
-            (0..1000).for_each(|n| leader.job(n % TEAMS, WAITING / 1000, |_| {}));
-        }),
-        ("5,000 jobs of 20 tasks of a guest", |leader| {
-            for _ in 0..5000 {
-                leader.job(0, WAITING / 5000, |spec| {
-                    spec.team = "guest".into();
-                    spec.urgency = Priority::Low;
-                    spec.cpus = 0.5;
-                    spec.ram_gb = 1.0;
-                });
-            }
-        }),
-        ("6,250 services of 16 replicas", |leader| {
-            for n in 0..6250 {
-                leader.job(n % TEAMS, 16, |spec| {
-                    spec.shape = JobKind::Service;
-                    spec.urgency = Priority::Production;
-                    spec.spread = true;
-                    spec.spot = false;
-                });
-            }
-        }),
-    ];
     let mut group = criterion.benchmark_group("a pass at 1,400 machines");
     group.sample_size(10);
-    for (name, load) in loads {
+    for Scenario { name, prepare } in SCENARIOS {
         let set_up = || {
             let mut leader = Leader::new();
-            load(&mut leader);
+            prepare(&mut leader);
             leader
         };
         // The first pass starts what fits; the others find that nothing has changed.
