--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -6,8 +6,11 @@
 mod machine_list;
 mod machine_watch;
 
+#[cfg(test)]
+pub(super) use machine_watch::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
+
 use crate::cloud::{CloudEvent, MachinePool};
-use crate::constants::{CAPACITY_GROWTH, CAPACITY_PROBE, CAPACITY_REST, HIRE_MAX};
+use crate::constants::HIRE_MAX;
 use crate::ids::{MachineId, MachineTypeId, ZoneId};
 use crate::placement::MachineTypeOffer;
 use crate::scheduler::Scheduler;
@@ -16,8 +19,20 @@
 use crate::wire::MachineType;
 use crate::workers::machine::Machine;
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// How long a pool that refused a rental is left alone.
+const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
+/// Machines requested at first of a pool that refused: what is booked on machines that the cloud
+/// doesn't have waits in vain while other pools have some.
+pub(super) const PROBE_REQUEST: u32 = 2;
+/// Factor by which that number grows with each request that is granted.
+const PROBE_GROWTH: u32 = 4;
+/// A new leader waits this long before it rents, so that its first list can show what its
+/// predecessor rented.
+pub(super) const RENTAL_SETTLE_TIME: Duration = Duration::from_millis(1500);
+
 /// What bounds how many machines are rented.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
@@ -97,7 +112,7 @@
     fn on_rented(&mut self, pool: MachinePool, machines: &[MachineId], now: Instant) {
         self.fair_share.record_cloud_response();
         if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&pool) {
-            backoff.max_request *= CAPACITY_GROWTH;
+            backoff.max_request *= PROBE_GROWTH;
             if backoff.max_request > HIRE_MAX {
                 self.autoscaler.capacity_backoff.remove(&pool);
             }
@@ -114,7 +129,7 @@
         let zone = self.fleet.zone_name(pool.zone);
         tracing::info!(%zone, spot = pool.spot, "rental refused");
         let backoff =
-            CapacityBackoff { not_before: now + CAPACITY_REST, max_request: CAPACITY_PROBE };
+            CapacityBackoff { not_before: now + REFUSED_POOL_BACKOFF, max_request: PROBE_REQUEST };
         self.autoscaler.capacity_backoff.insert(pool, backoff);
     }
 
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -3,12 +3,9 @@
 //! Changes machines' lives; what ran on a machine whose lease has expired is reported as lost.
 
 use crate::cloud::CloudClient;
-use crate::constants::{
-    BOOT_OVERDUE, BOOT_OVERDUE_MORE, BOOT_PATIENCE, BOOT_PATIENCE_MORE, HIRE_SETTLE, LATE_TOGETHER,
-};
 use crate::leadership::delegation::Delegations;
 use crate::scheduler::Scheduler;
-use crate::scheduler::autoscaling::Autoscaler;
+use crate::scheduler::autoscaling::{Autoscaler, RENTAL_SETTLE_TIME};
 use crate::scheduler::fleet::FleetSummary;
 use crate::scheduler::term::LeaderTerm;
 use crate::settings::Settings;
@@ -18,6 +15,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A machine that is not up after this many times its nominal boot time is returned.
+pub(in crate::scheduler) const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
+/// Added to the above.
+pub(in crate::scheduler) const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
+/// A machine that is not up after this many times its nominal boot time is overdue.
+const BOOT_OVERDUE_FACTOR: f64 = 1.8;
+/// Added to the above.
+const BOOT_OVERDUE_MARGIN: Duration = Duration::from_secs(2);
+/// From so many overdue machines on, all are taken to be delayed.
+const COMMON_DELAY_MACHINES: usize = 3;
 /// A machine is billed for a minute at the least, so that it is kept for nearly that long.
 const MINIMUM_BILLED: Duration = Duration::from_secs(55);
 /// How many settling times a new leader waits before it returns idle machines.
@@ -83,8 +90,8 @@
 
     fn check_boot(&self, machine: &mut Machine) {
         let machine_type = &self.machine_types[machine.flavor];
-        let mut patience =
-            Duration::from_secs_f64(machine_type.boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
+        let mut patience = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
+            + BOOT_TIMEOUT_MARGIN;
         if !self.summary.overtaken()(machine) {
             // None that was rented later is up either: all come late, and those that would replace
             // it come no sooner.
@@ -128,7 +135,7 @@
             && idle_for > self.idle_limit(machine)
             && age >= MINIMUM_BILLED
             && !self.autoscaler.reserved_machines.contains(&machine.id)
-            && self.now > self.term.started_at + HIRE_SETTLE * IDLE_SETTLE_TIMES
+            && self.now > self.term.started_at + RENTAL_SETTLE_TIME * IDLE_SETTLE_TIMES
         {
             return_machine(machine, "machine is idle, returning it");
         }
@@ -162,8 +169,8 @@
         now: Instant,
     ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
         let is_late = move |machine: &Machine, machine_type: &MachineType| {
-            let usual =
-                Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE) + BOOT_OVERDUE_MORE;
+            let usual = Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE_FACTOR)
+                + BOOT_OVERDUE_MARGIN;
             now.saturating_duration_since(machine.rented) >= usual
         };
         let overtaken = summary.overtaken();
@@ -172,7 +179,7 @@
                 && is_late(machine, &self.fleet.machine_types[machine.flavor])
                 && !overtaken(machine)
         });
-        let all_late = summary.booting && late.count() >= LATE_TOGETHER;
+        let all_late = summary.booting && late.count() >= COMMON_DELAY_MACHINES;
         move |machine, machine_type| {
             is_late(machine, machine_type) && (!all_late || overtaken(machine))
         }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -3,7 +3,6 @@
 //! Owns [`Consolidation`]; reads the jobs, the fleet and a pass's bins; stops the tasks that move,
 //! which the planner then starts elsewhere.
 
-use crate::constants::{EMPTIED_LOOKS, EMPTY_BELOW, MOVE_AFTER, MOVE_SHARE, SAVED_MOVE_SHARE};
 use crate::ids::{Amount, JobId, MachineId, ZoneId};
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
@@ -17,8 +16,23 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
+use std::time::Duration;
 use tokio::time::Instant;
 
+/// Pause between two rounds, so that each shows its effect.
+pub(super) const CONSOLIDATION_INTERVAL: Duration = Duration::from_secs(10);
+/// Share of all running replicas that one round may move.
+pub(super) const MAX_MOVED_REPLICA_SHARE: f64 = 0.02;
+/// The same for tasks that save their progress: they lose a few seconds.
+const MAX_MOVED_CHECKPOINTING_SHARE: f64 = 0.1;
+/// Machines that one round searches, the least used ones, to bound its time.
+const MAX_MACHINES_SEARCHED: usize = 60;
+/// A task is moved only after it ran this long: users count a start that is undone within half a
+/// minute as none.
+const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(45);
+/// A machine is emptied only if at most this share of it is used.
+const MAX_USED_SHARE: f64 = 0.55;
+
 /// When tasks are moved together.
 #[derive(Debug)]
 pub(super) struct Consolidation {
@@ -29,7 +43,7 @@
 impl Consolidation {
     /// Nothing is moved until the first tasks have run for a while.
     pub(super) fn new(now: Instant) -> Consolidation {
-        Consolidation { next_round: now + MOVE_AFTER }
+        Consolidation { next_round: now + MIN_RUN_BEFORE_MOVE }
     }
 }
 
@@ -107,7 +121,7 @@
         let mut bins = machines.bins.clone();
         let mut receiving = HashSet::new();
         let mut chosen: Vec<Evacuation> = Vec::new();
-        for source in self.least_used_first(&bins).into_iter().take(EMPTIED_LOOKS) {
+        for source in self.least_used_first(&bins).into_iter().take(MAX_MACHINES_SEARCHED) {
             if receiving.contains(&source) {
                 continue;
             }
@@ -151,7 +165,7 @@
 
     fn is_little_used(&self, bin: &Bin) -> bool {
         let capacity = self.fleet.capacity(bin.machine_type.index()).cpu;
-        self.used_cpu(bin) as f64 <= capacity as f64 * EMPTY_BELOW
+        self.used_cpu(bin) as f64 <= capacity as f64 * MAX_USED_SHARE
     }
 
     fn move_budget(&self, cache: &Cache) -> MoveBudget {
@@ -160,8 +174,10 @@
             let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
             let placed = progress.placed.len() as f64;
             match job.spec.shape {
-                JobKind::Service => budget.replicas += placed * MOVE_SHARE,
-                _ if is_movable(job) => budget.checkpointing += placed * SAVED_MOVE_SHARE,
+                JobKind::Service => budget.replicas += placed * MAX_MOVED_REPLICA_SHARE,
+                _ if is_movable(job) => {
+                    budget.checkpointing += placed * MAX_MOVED_CHECKPOINTING_SHARE
+                }
                 _ => {}
             }
         }
@@ -239,7 +255,7 @@
         let job = cache.jobs.get(&task.job).and_then(Job::live);
         entry.state == TaskState::Running
             && entry.stop.is_none()
-            && entry.running_since.is_some_and(|at| now >= at + MOVE_AFTER)
+            && entry.running_since.is_some_and(|at| now >= at + MIN_RUN_BEFORE_MOVE)
             && job.is_some_and(is_movable)
     })
 }
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -2,7 +2,6 @@
 //!
 //! Changes `Scheduler::elastic_widths`; reads the jobs, the fleet and the settings.
 
-use crate::constants::LEAST_WIDTH_S;
 use crate::ids::JobId;
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
@@ -13,6 +12,9 @@
 use tokio::time::Instant;
 use troutspindle_elastic_width::Grower;
 
+/// Seconds of repeated work by which a task of a job at its minimum width is spared.
+const MINIMUM_WIDTH_BONUS_S: f64 = 600.0;
+
 /// How many tasks of a job may start in a pass.
 pub(super) struct ElasticLimit {
     /// The most tasks.
@@ -87,7 +89,7 @@
     /// Seconds of repeated work by which a task of a job at its minimum width is spared.
     pub(super) fn minimum_width_bonus_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic(&job.spec.class) else { return 0.0 };
-        if self.width(id) <= elastic.least { LEAST_WIDTH_S } else { 0.0 }
+        if self.width(id) <= elastic.least { MINIMUM_WIDTH_BONUS_S } else { 0.0 }
     }
 
     /// Tasks of these jobs were preempted: the jobs rest before they grow again.
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -13,10 +13,10 @@
 
 pub(super) use priority::FairShareWeight;
 
-use crate::constants::STAGE_MORE;
 use crate::ids::{Amount, JobId, TeamId};
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
+use crate::scheduler::dependencies::STAGE_MORE;
 use crate::scheduler::interner::Interner;
 use std::collections::{BTreeMap, BTreeSet};
 use troutspindle_fair_share::constants::MACHINE;
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -2,7 +2,6 @@
 
 use super::{DemandGroup, largest_capacity, room};
 use crate::cloud::{CloudClient, MachinePool};
-use crate::constants::{ARRAYS_NOW, DONE_WITHIN_S, LATE_WITHIN, PRESUMED_FOR};
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
@@ -14,6 +13,18 @@
 use troutspindle_fair_share::constants::MACHINE;
 use troutspindle_fair_share::{Demand, Room, Supply, Turn};
 
+/// Seconds within which arrays without an objective for their end are to be finished.
+const DEFAULT_FINISH_S: f64 = 300.0;
+/// A backlog is to be worked off within this many times the objective for the end of its jobs:
+/// within the objective itself it would take all room from services.
+const BACKLOG_TIME_FACTOR: f64 = 3.0;
+/// Share of what arrays need that counts as demand: what they miss now they can have later, what
+/// a service misses is lost.
+const ARRAY_DEMAND_SHARE: f64 = 0.7;
+/// For how long at most a new leader presumes that capacity is scarce where demand exceeds supply
+/// and the cloud has not responded yet: its first list and its first rentals take so long.
+const SCARCITY_PRESUMED_FOR: Duration = Duration::from_secs(15);
+
 /// The demand of all jobs, while it is summed up.
 struct DemandTally {
     /// The machine by which demand is measured.
@@ -106,9 +117,9 @@
             self.fair_share.service_groups.insert(group);
             return;
         }
-        let finish_s = self.settings.finish_within(&job.spec.class).unwrap_or(DONE_WITHIN_S);
+        let finish_s = self.settings.finish_within(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
         *tally.backlog.entry(group).or_default() +=
-            (each * (held + waiting)) as f64 * occupancy_s / (finish_s * LATE_WITHIN);
+            (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
             let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
             let work = (each * tasks) as f64 * occupancy_s / MACHINE as f64;
@@ -149,7 +160,7 @@
             let arriving = self.fair_share.scarcity.arriving(group, elapsed);
             // What has waited long is still owed when nothing more arrives.
             let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Room);
-            demand.offered += (arriving.max(backlog) as f64 * ARRAYS_NOW) as Room;
+            demand.offered += (arriving.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Room;
             let headroom = fleet.team_headroom.get(group.team.index());
             let limit = headroom.map_or(0, |headroom| room(headroom, &largest));
             demand.waiting = demand.waiting.min(limit);
@@ -196,7 +207,7 @@
             exhausted: rental.allowed && none_left(),
             presumed: !self.fair_share.cloud_responded
                 && self.term.token.0 > 1
-                && elapsed < PRESUMED_FOR,
+                && elapsed < SCARCITY_PRESUMED_FOR,
             ..Supply::default()
         };
         for bin in &fleet.machines.bins {
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -4,7 +4,7 @@
 //! ends. No live job asks for them any more, so whoever leads next would let their team use the room once more. What
 //! they may take up counts against their team as long as any machine has not confirmed what runs on it.
 
-use crate::constants::{DELEGATION_TERM, REST_SLACK};
+use crate::constants::DELEGATION_TERM;
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::Rest;
 use crate::jobs::{Job, JobBody, LiveJob};
@@ -16,13 +16,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// How much longer than it may a task of a job that is over counts against its team under a new leader: two
+/// controllers' times of day differ by less, and a transaction waits less for its turn.
+const REST_SLACK: Duration = Duration::from_secs(10);
+
 /// By team.
 #[derive(Debug, Default)]
-pub(super) struct OrphanedTasks {
+pub(super) struct OrphanedCapacity {
     teams: BTreeMap<usize, Amount>,
 }
 
-impl OrphanedTasks {
+impl OrphanedCapacity {
     fn add(&mut self, team: usize, amount: Amount) {
         let sum = self.teams.entry(team).or_default();
         *sum = sum.plus(&amount);
@@ -60,7 +64,7 @@
             let JobBody::Over { rest: Some(rest), .. } = &job.body else { continue };
             if rest.ended_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
-                self.jobs.orphaned_tasks.add(team, room(rest, 0));
+                self.jobs.orphaned_capacity.add(team, room(rest, 0));
             }
         }
     }
@@ -75,7 +79,7 @@
             JobBody::Over { .. } => return,
         };
         let team = self.team_of(team);
-        self.jobs.orphaned_tasks.add(team, amount);
+        self.jobs.orphaned_capacity.add(team, amount);
     }
 
     /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -3,7 +3,6 @@
 //! Reads the jobs, the fleet and the settings; ends retry backoffs that are over, and counts in
 //! the statistics why tasks wait.
 
-use crate::constants::BOOT_USUAL;
 use crate::ids::{Amount, JobId, MachineTypeId, TeamId, ZoneId};
 use crate::jobs::LiveJob;
 use crate::placement::{Basket, PlacementRequest, ScaleOutPolicy, ZoneLimits};
@@ -13,6 +12,8 @@
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
+/// Most machines are up, with an image, within this many times their nominal boot time.
+const TYPICAL_BOOT_FACTOR: f64 = 1.5;
 /// Reserved room is requested in parts of the first machine type: so many to a machine.
 const WARM_PARTS: u64 = 4;
 
@@ -202,7 +203,7 @@
     /// Seconds within which most machines rented now are up, with an image.
     pub(super) fn typical_boot_s(&self) -> f64 {
         let types = self.fleet.machine_types.iter();
-        types.map(|machine_type| machine_type.boot_s * BOOT_USUAL).fold(0.0, f64::max)
+        types.map(|machine_type| machine_type.boot_s * TYPICAL_BOOT_FACTOR).fold(0.0, f64::max)
     }
 
     /// Adds requests for room that is kept free for production work. Room that low-priority tasks
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -20,11 +20,12 @@
 pub(super) use jobs_view::JobsView;
 
 use crate::cloud::CloudClient;
-use crate::constants::{CONSOLIDATE_EVERY, PLAN_EVERY};
 use crate::ids::JobId;
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
+use crate::scheduler::consolidation::CONSOLIDATION_INTERVAL;
 use crate::scheduler::job_progress::JobProgress;
+use crate::scheduler::planning_clock::PLAN_EVERY;
 use crate::scheduler::preemption::VictimCache;
 use crate::store::Cache;
 use crate::wire::Priority;
@@ -104,7 +105,7 @@
         let requests = &demand.requests;
         let only_low = requests.iter().all(|job| job.request.priority == Priority::Low);
         if only_low && now >= self.consolidation.next_round && !self.is_draining() {
-            self.consolidation.next_round = now + CONSOLIDATE_EVERY;
+            self.consolidation.next_round = now + CONSOLIDATION_INTERVAL;
             self.consolidate(&fleet.machines, cache, now);
         }
         self.move_off(&fleet.machines.bins, &fleet.machines.ids, cache, now);
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -4,16 +4,20 @@
 
 use super::JobsView;
 use crate::cloud::{CloudClient, MachinePool};
-use crate::constants::{CONSOLIDATE_EVERY, HIRE_SETTLE, VACATED};
 use crate::ids::{Amount, MachineId, MachineTypeId, ZoneId};
 use crate::placement::{Basket, Bin};
 use crate::scheduler::Scheduler;
+use crate::scheduler::autoscaling::RENTAL_SETTLE_TIME;
+use crate::scheduler::consolidation::CONSOLIDATION_INTERVAL;
 use crate::scheduler::fleet::FleetSummary;
 use crate::scheduler::interner::Interner;
 use crate::workers::machine::{Machine, MachineState};
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// How long best-effort tasks keep off a machine that tasks of higher priority left: the next of
+/// those would stop them again.
+const VACATED_HOLD: Duration = Duration::from_secs(5);
 /// How many settling times a new leader waits at most for the cloud's first list of machines.
 const LIST_PATIENCE: u32 = 4;
 
@@ -116,7 +120,7 @@
         now: Instant,
     ) -> FleetView {
         if unconfirmed.is_empty() {
-            self.jobs.orphaned_tasks.clear();
+            self.jobs.orphaned_capacity.clear();
         }
         let types = 0..self.fleet.machine_types.len();
         let capacities: Vec<Amount> = types.map(|index| self.fleet.capacity(index)).collect();
@@ -149,7 +153,7 @@
         let used = self.team_usage(capacities);
         let teams = self.settings.platform.params.teams.iter().enumerate();
         let headroom = teams.map(|(index, team)| {
-            let hidden = maybe_used[index].plus(&self.jobs.orphaned_tasks.of(index));
+            let hidden = maybe_used[index].plus(&self.jobs.orphaned_capacity.of(index));
             team.most().minus(&used[index]).minus(&hidden.least(&unconfirmed.free))
         });
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
@@ -215,7 +219,7 @@
                 basket: machine.basket,
                 ready: up && machine.confirmed && machine.recorded,
                 images: machine.image_ids.clone(),
-                recently_vacated: machine.vacated_at.is_some_and(|at| now < at + VACATED),
+                recently_vacated: machine.vacated_at.is_some_and(|at| now < at + VACATED_HOLD),
             });
             machines.ids.push(Some(machine.id.clone()));
         }
@@ -226,9 +230,9 @@
         let pending = cloud.pending().into_iter();
         let pending: Vec<PendingRental> =
             pending.map(|(pool, count)| PendingRental { pool, count }).collect();
-        let settled_at = self.term.started_at + HIRE_SETTLE;
-        let listed =
-            self.fleet.listed_once || now >= self.term.started_at + HIRE_SETTLE * LIST_PATIENCE;
+        let settled_at = self.term.started_at + RENTAL_SETTLE_TIME;
+        let listed = self.fleet.listed_once
+            || now >= self.term.started_at + RENTAL_SETTLE_TIME * LIST_PATIENCE;
         let expected: u32 = pending.iter().map(|rental| rental.count).sum();
         let held = u32::try_from(self.fleet.machines.len()).unwrap_or(u32::MAX);
         let remaining = self.autoscaler.max_machines.saturating_sub(held.saturating_add(expected));
@@ -239,7 +243,7 @@
 /// Whether tasks may be placed on a machine that is up.
 fn is_usable(machine: &Machine, quiet: Duration, now: Instant) -> bool {
     // A machine that is being emptied takes nothing until it is empty.
-    let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATE_EVERY);
+    let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATION_INTERVAL);
     machine.life == MachineState::Up
         && (!emptying || machine.is_empty())
         && machine.recall_at.is_none()
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -6,7 +6,9 @@
 mod budget;
 mod candidates;
 
-use crate::constants::{FETCH_SHARE, SAVE_SHARE};
+#[cfg(test)]
+pub(super) use candidates::MISSING_IMAGE_COST_S;
+
 use crate::ids::{Amount, JobId, MachineId};
 use crate::jobs::Job;
 use crate::placement::{PlacementRequest, max_copies};
@@ -21,6 +23,12 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
+/// Share of the tightest objective for a start that may go by while a victim saves its progress.
+const SAVE_SHARE_OF_SLO: f64 = 0.25;
+/// A fetch of an image that takes more than this share of the tightest objective for a start is
+/// worth preempting tasks for, where a machine has the image.
+const FETCH_SHARE_OF_SLO: f64 = 0.8;
+
 /// The reason of a stop that makes room for a task of higher priority.
 pub(super) const PREEMPTED: &str = "preempted";
 /// The reason of a stop that moves a task elsewhere.
@@ -125,7 +133,7 @@
         let gb_per_s = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
         live.spec.urgency == Priority::Production
             && gb_per_s > 0.0
-            && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE
+            && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
 
     /// Makes room for one task on a machine that has its image; whether it found any.
@@ -159,7 +167,7 @@
             victims.machines = Some(self.victim_machines(&victims.budget, cache, now));
         }
         let VictimCache { machines: Some(machines), budget, .. } = victims else { return 0 };
-        let patience_s = request.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE;
+        let patience_s = request.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE_OF_SLO;
         let needed = RoomNeeded { request, count, with_image_only, patience_s };
         let preemptions = needed.choose(machines, budget);
         let made = preemptions.len() as u64;
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -2,7 +2,6 @@
 
 use super::budget::PreemptionBudget;
 use super::{Preemption, RoomNeeded, VictimStop};
-use crate::constants::{ENDS_SOON_S, IMAGE_WORTH_S};
 use crate::ids::{Amount, MachineId, MachineTypeId, ZoneId};
 use crate::jobs::Job;
 use crate::placement::Images;
@@ -15,6 +14,12 @@
 use ordered_float::OrderedFloat;
 use tokio::time::Instant;
 
+/// Seconds. A task that ends this soon is not preempted: a stop and its report take as long.
+const ENDS_SOON_S: f64 = 3.0;
+/// Seconds of work that may be repeated so that a task starts where its image is: a fetch takes a
+/// few seconds, and an array that repeats minutes of work ends late.
+pub(in crate::scheduler) const MISSING_IMAGE_COST_S: f64 = 30.0;
+
 /// A task that can be preempted.
 pub(super) struct Victim {
     attempt: TaskAttempt,
@@ -195,11 +200,11 @@
         // An image at hand is worth some repeated work, but not any amount of it.
         if !request.resources.fits(&free)
             || victims.is_empty()
-            || (needed.with_image_only && loss_s > IMAGE_WORTH_S)
+            || (needed.with_image_only && loss_s > MISSING_IMAGE_COST_S)
         {
             return None;
         }
-        let cost_s = OrderedFloat(if has_image { loss_s } else { loss_s + IMAGE_WORTH_S });
+        let cost_s = OrderedFloat(if has_image { loss_s } else { loss_s + MISSING_IMAGE_COST_S });
         Some(PreemptionOption { cost_s, loss_s, victims })
     }
 
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,18 +1,20 @@
 use crate::admission::MACHINE_BYTES;
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, MachinePool};
-use crate::constants::{
-    BOOT_PATIENCE, BOOT_PATIENCE_MORE, CAPACITY_PROBE, HIRE_SETTLE, IMAGE_WORTH_S, LATE,
-    PACE_EVERY, PLAN_EVERY, PROVEN_AFTER,
-};
 use crate::controller::TICK_MOST;
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::jobs::{Job, JobBody};
 use crate::scheduler::Scheduler;
 use crate::scheduler::autoscaling::CapacityBackoff;
+use crate::scheduler::autoscaling::{
+    BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN, PROBE_REQUEST, RENTAL_SETTLE_TIME,
+};
 use crate::scheduler::direct_calls::OutgoingCall;
 use crate::scheduler::fair_share::FairShare;
+use crate::scheduler::planning_clock::{LATE, PACE_EVERY, PLAN_EVERY};
+use crate::scheduler::preemption::MISSING_IMAGE_COST_S;
+use crate::scheduler::reconciliation::PROVEN_AFTER;
 use crate::settings::Settings;
 use crate::settings::plain_flavor as flavor;
 use crate::store::records;
@@ -134,7 +136,7 @@
         shown
     };
     let first = fill(&mut bench, "i-1", "wk-1", "i");
-    let long = Duration::from_secs_f64(IMAGE_WORTH_S * 2.0);
+    let long = Duration::from_secs_f64(MISSING_IMAGE_COST_S * 2.0);
     for entry in bench.scheduler.fleet.machines.values_mut().flat_map(|m| m.entries.values_mut()) {
         entry.running_since = bench.now.checked_sub(long);
     }
@@ -266,7 +268,8 @@
     let booting = |bench: &Bench| {
         bench.scheduler.fleet.machines.values().filter(|m| m.life == MachineState::Booting).count()
     };
-    let patience = Duration::from_secs_f64(flavor().boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
+    let patience =
+        Duration::from_secs_f64(flavor().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
     bench.pass(patience / 2);
     let flavor = flavor();
     let overdue = |bench: &Bench| {
@@ -508,11 +511,11 @@
         let names = ["i-1", "i-2", "i-3", "i-4"];
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         bench.scheduler.fleet.listed_once = true;
-        bench.now += HIRE_SETTLE * 2;
+        bench.now += RENTAL_SETTLE_TIME * 2;
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
             let kind = MachinePool { flavor: 0, zone, spot };
-            let backoff = CapacityBackoff { not_before: bench.now, max_request: CAPACITY_PROBE };
+            let backoff = CapacityBackoff { not_before: bench.now, max_request: PROBE_REQUEST };
             bench.scheduler.autoscaler.capacity_backoff.insert(kind, backoff);
         }
         let array = bench.job("wk-1", JobKind::Array, 400);
@@ -833,18 +836,18 @@
         bench.state.cache.jobs.put_job(id.clone(), &data, Revision(9));
         bench.lead_anew();
         let need = Amount::need(4.0, 0.0, 4.0);
-        assert_eq!(bench.scheduler.jobs.orphaned_tasks.of(0), need.times(tasks), "{what}");
+        assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
         bench.report("i-1", vec![]);
         bench.pass(PLAN_EVERY * 5);
         assert_eq!(
-            bench.scheduler.jobs.orphaned_tasks.of(0),
+            bench.scheduler.jobs.orphaned_capacity.of(0),
             need.times(tasks),
             "{what}: one has not told"
         );
         bench.report("i-2", vec![]);
         bench.pass(PLAN_EVERY * 5);
         assert_eq!(
-            bench.scheduler.jobs.orphaned_tasks.of(0),
+            bench.scheduler.jobs.orphaned_capacity.of(0),
             Amount::default(),
             "{what}: all have"
         );
