--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -135,7 +135,7 @@
         job: &LiveJob,
         tally: &DemandTally,
     ) {
-        let age = Duration::from_millis(tally.now_ms.saturating_sub(job.since_ms()));
+        let age = Duration::from_millis(tally.now_ms.saturating_sub(job.eligible_ms()));
         self.fair_share.scarcity.came(&group, work, age, tally.elapsed);
         // What arrived under a predecessor is in its log.
         if age <= tally.elapsed || self.term.token.0 <= 1 {
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -48,8 +48,8 @@
         self.estimate_all(&jobs, now);
         self.carry_back(&jobs);
         let upcoming = self.coming(&jobs, now);
-        jobs.retain(|(_, job)| job.ready());
-        jobs.sort_by(|a, b| (a.1.since_ms(), a.0).cmp(&(b.1.since_ms(), b.0)));
+        jobs.retain(|(_, job)| job.is_ready());
+        jobs.sort_by(|a, b| (a.1.eligible_ms(), a.0).cmp(&(b.1.eligible_ms(), b.0)));
         let ServiceQueue { queue, maybe_used } =
             self.service_queue(&jobs, !unconfirmed.is_empty(), now);
         JobsView { ready: jobs, upcoming, queue, maybe_used }
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -89,7 +89,7 @@
 
     fn start(&mut self, id: &MachineId, task: TaskId, cache: &Cache, now: Instant) {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
-        if !live.ready() {
+        if !live.is_ready() {
             // No request is made for it; this is the last place that could start it too early.
             tracing::error!(%task, "not started: dependencies are not met");
             return;
