--- a/src/placement/model.rs
+++ b/src/placement/model.rs
@@ -163,7 +163,7 @@
 pub enum ScaleOutPolicy {
     /// Machines of any kind.
     Any,
-    /// Spot machines only: best-effort work takes what room there is, and machines that cost little.
+    /// Spot machines only: best-effort work takes what room there is, and cheap machines.
     Spot,
     /// None.
     Nothing,
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -119,70 +119,72 @@
     }
 }
 
+const MACHINE_SIZE: Amount = Amount { cpu: 16_000_000, gpu: 0, ram: 64_000_000 };
+
+/// The index of the n-th machine: machines are passed out of order.
+fn shuffled_index(n: u64) -> u64 {
+    (n * 7919) % 10_007
+}
+
+fn random_bin(random: &mut StdRng, n: u64) -> Bin {
+    let used = Amount::need(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
+    let basket = match random.random_range(0..3) {
+        0 => Some(Basket::Heavy),
+        1 => Some(Basket::Light),
+        _ => None,
+    };
+    Bin {
+        index: shuffled_index(n),
+        zone: ZoneId::new(random.random_range(0..3)),
+        machine_type: MachineTypeId::new(random.random_range(0..2)),
+        spot: random.random(),
+        free: if basket.is_some() { MACHINE_SIZE.minus(&used) } else { MACHINE_SIZE },
+        basket,
+        ready: true,
+        images: (0..3u32).filter(|_| random.random()).collect(),
+        recently_vacated: random.random(),
+    }
+}
+
+fn random_request(random: &mut StdRng, machines: u64, tasks: u32) -> PlacementRequest {
+    let cpus = f64::from(random.random_range(1..15u32));
+    let resources = Amount::need(cpus, 0.0, cpus * 3.0);
+    let spread = random.random::<bool>();
+    PlacementRequest {
+        team: TeamId::new(random.random_range(0..2)),
+        priority: if random.random() { Priority::Production } else { Priority::High },
+        resources,
+        basket: Basket::classify(&resources, &[MACHINE_SIZE], 0.5),
+        count: random.random_range(1..tasks),
+        zone: random.random::<bool>().then(|| ZoneId::new(random.random_range(0..3))),
+        machine_types: random
+            .random::<bool>()
+            .then(|| vec![MachineTypeId::new(random.random_range(0..2))]),
+        allows_spot: random.random(),
+        zone_limits: if spread { ZoneLimits::uniform(3, 3) } else { ZoneLimits::unlimited(3) },
+        single_zone: false,
+        image: random.random_range(0..3),
+        excluded_machines: (0..machines)
+            .filter(|_| random.random_range(0..9) == 0)
+            .map(shuffled_index)
+            .collect(),
+        gang: random.random_range(0..4) == 0,
+        start_slo_s: None,
+        slo_slack_s: None,
+        scale_out: if random.random() { ScaleOutPolicy::Any } else { ScaleOutPolicy::Spot },
+    }
+}
+
 fn random_input(random: &mut StdRng, machines: u64, tasks: u32) -> PlacementInput {
-    let size = Amount::room(16.0, 0.0, 64.0);
-    let bins = (0..random.random_range(0..machines))
-        .map(|index| {
-            let used = Amount::need(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
-            let basket = match random.random_range(0..3) {
-                0 => Some(Basket::Heavy),
-                1 => Some(Basket::Light),
-                _ => None,
-            };
-            Bin {
-                // Handed in out of order.
-                index: (index * 7919) % 10_007,
-                zone: ZoneId::new(random.random_range(0..3)),
-                machine_type: MachineTypeId::new(random.random_range(0..2)),
-                spot: random.random(),
-                free: if basket.is_some() { size.minus(&used) } else { size },
-                basket,
-                ready: true,
-                images: (0..3u32).filter(|_| random.random()).collect(),
-                recently_vacated: random.random(),
-            }
-        })
-        .collect();
-    let requests = (0..random.random_range(0..8))
-        .map(|_| {
-            let cpus = f64::from(random.random_range(1..15u32));
-            let need = Amount::need(cpus, 0.0, cpus * 3.0);
-            let spread = random.random::<bool>();
-            PlacementRequest {
-                team: TeamId::new(random.random_range(0..2)),
-                priority: if random.random() { Priority::Production } else { Priority::High },
-                resources: need,
-                basket: Basket::classify(&need, &[size], 0.5),
-                count: random.random_range(1..tasks),
-                zone: random.random::<bool>().then(|| ZoneId::new(random.random_range(0..3))),
-                machine_types: random
-                    .random::<bool>()
-                    .then(|| vec![MachineTypeId::new(random.random_range(0..2))]),
-                allows_spot: random.random(),
-                zone_limits: if spread {
-                    ZoneLimits::uniform(3, 3)
-                } else {
-                    ZoneLimits::unlimited(3)
-                },
-                single_zone: false,
-                image: random.random_range(0..3),
-                excluded_machines: (0..machines)
-                    .filter(|_| random.random_range(0..9) == 0)
-                    .map(|index| (index * 7919) % 10_007)
-                    .collect(),
-                gang: random.random_range(0..4) == 0,
-                start_slo_s: None,
-                slo_slack_s: None,
-                scale_out: if random.random() { ScaleOutPolicy::Any } else { ScaleOutPolicy::Spot },
-            }
-        })
-        .collect();
+    let bins = (0..random.random_range(0..machines)).map(|n| random_bin(random, n)).collect();
+    let requests =
+        (0..random.random_range(0..8)).map(|_| random_request(random, machines, tasks)).collect();
     let cpu = random.random_range(0..machines * 7_500_000);
-    let room = Amount { cpu, gpu: 0, ram: u64::MAX };
+    let headroom = Amount { cpu, gpu: 0, ram: u64::MAX };
     PlacementInput {
         bins,
         requests,
-        team_headroom: vec![room; 2],
+        team_headroom: vec![headroom; 2],
         offers: vec![],
         heavy_limit: 3,
         rental_limit: u32::MAX,
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -1,4 +1,5 @@
-//! What a planning pass knows of the fleet: machines, what teams may still use, and what may be rented.
+//! What a planning pass knows of the fleet: its machines, what teams may still use, and what may
+//! be rented.
 //!
 //! Reads the fleet, the drains and the cloud's pending rentals; updates the machines' baskets.
 
