--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
 use crate::leadership::controller_lease::ControllerLease;
 use crate::leadership::delegation::DelegatedLease;
 use crate::leadership::election::{Election, ElectionEvent};
-use crate::peers::mesh::{self, PeerExtra, PeerMessage, Pieces};
+use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::scheduler::Scheduler;
 use crate::scheduler::planning_clock::LATE;
 use crate::settings::Settings;
@@ -38,7 +38,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot, watch};
 use tokio::time::Instant;
-use troutspindle_protocol::ops;
+use troutspindle_protocol::operator_api;
 
 use relayed_heartbeats::Sharing;
 
@@ -80,7 +80,7 @@
     heard: Instant,
     state_lost: bool,
     up: Duration,
-    extra: PeerExtra,
+    extra: PeerCapabilities,
 }
 
 /// Milliseconds since then.
@@ -109,7 +109,7 @@
     delegated_lease: DelegatedLease,
     heartbeat: ControllerLease,
     /// Relayed messages of which some pieces have come.
-    pieces: HashMap<ControllerId, Pieces>,
+    pieces: HashMap<ControllerId, ChunkAssembler>,
     started: Instant,
     /// The highest token under which another controller told that it leads, and who that was.
     leads: Option<(FencingToken, ControllerId)>,
@@ -268,8 +268,8 @@
             Route::Hello => self.on_hello(ticket, &request.body, now),
             Route::Unknown => Some(Response::empty(404)),
             Route::WrongMethod => Some(Response::empty(405)),
-            Route::AtRisk => Some(self.on_at_risk(&request.body, now)),
-            Route::Starving => Some(self.on_starving(&request.body, now)),
+            Route::JobsAtRisk => Some(self.on_at_risk(&request.body, now)),
+            Route::FairShareReport => Some(self.on_starving(&request.body, now)),
             Route::Drains => Some(self.on_drains(&request.body, now)),
             Route::Drain => self.on_drain(ticket, &request.body, now),
             Route::Undrain => self.on_undrain(ticket, &request.body),
@@ -419,7 +419,7 @@
             let counts = running.iter().map(|(id, n)| (id.clone(), *n)).take(1500).collect();
             let token = scheduler.token();
             self.api.running = running;
-            self.broadcast(&PeerMessage::Running { token, counts });
+            self.broadcast(&PeerMessage::RunningTasks { token, counts });
         }
         self.resign_if_cut_off(now);
         if self.stands_aside(now) {
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -6,7 +6,9 @@
 use tokio::time::Instant;
 use troutspindle_fair_share::constants::MACHINE;
 use troutspindle_fair_share::{Demand, Room, Standing};
-use troutspindle_protocol::ops::{DemandLine, GroupDemand, Starving, StarvingGroup};
+use troutspindle_protocol::operator_api::{
+    DemandLog, FairShareReport, GroupBelowFloor, GroupDemand,
+};
 
 /// The names of a group's class and team.
 struct GroupName {
@@ -53,7 +55,7 @@
             return None;
         }
         let fair_share = &self.fair_share;
-        let line = DemandLine {
+        let line = DemandLog {
             token: self.term.token.0,
             at_s: self.term.elapsed(now).as_secs_f64(),
             ordinary: machines_to_hundredths(fair_share.supply.ordinary),
@@ -86,12 +88,12 @@
     }
 
     /// The groups below their floors, for operators.
-    pub fn starving(&self, now: Instant) -> Starving {
+    pub fn starving(&self, now: Instant) -> FairShareReport {
         let fair_share = &self.fair_share;
         let since = fair_share.scarcity.since();
         let elapsed = self.term.elapsed(now);
         let below = fair_share.scarcity.standings().filter(|(_, standing)| standing.owed > 0);
-        Starving {
+        FairShareReport {
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|since| elapsed.saturating_sub(since).as_secs_f64()),
             machines: machines(fair_share.supply.all()),
@@ -100,12 +102,12 @@
         }
     }
 
-    fn starving_group(&self, group: &DemandGroup, standing: &Standing) -> StarvingGroup {
+    fn starving_group(&self, group: &DemandGroup, standing: &Standing) -> GroupBelowFloor {
         let GroupName { class, team } = self.group_name(group);
         let fair_share = &self.fair_share;
         let needed = fair_share.demands.get(group).map_or(0, Demand::needed);
         let causes = fair_share.waiting.iter().filter(|(key, _)| key.group == *group);
-        StarvingGroup {
+        GroupBelowFloor {
             class,
             team,
             held: machines(standing.held),
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_protocol::ops::{AtRisk, RiskyJob};
+use troutspindle_protocol::operator_api::{JobAtRisk, JobsAtRisk};
 use troutspindle_runtime_estimates::{
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
 };
@@ -365,12 +365,12 @@
     }
 
     /// What operators are told.
-    pub fn at_risk(&self, cache: &Cache, now: Instant) -> AtRisk {
+    pub fn at_risk(&self, cache: &Cache, now: Instant) -> JobsAtRisk {
         let risky = |(id, seen): (&JobId, &Seen)| {
             let live = cache.jobs.get(id).and_then(Job::live)?;
             let due_ms = self.due_ms(&seen.spec, live.accepted_ms)?;
             let (estimate, _) = seen.known?;
-            (seen.late >= AT_RISK_FROM).then(|| RiskyJob {
+            (seen.late >= AT_RISK_FROM).then(|| JobAtRisk {
                 job: id.clone(),
                 class: seen.spec.class.clone(),
                 team: seen.spec.team.clone(),
@@ -382,11 +382,11 @@
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
         };
-        let mut jobs: Vec<RiskyJob> =
+        let mut jobs: Vec<JobAtRisk> =
             self.runtime_predictor.seen.iter().filter_map(risky).collect();
         jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
         let counts = &self.runtime_predictor;
-        AtRisk {
+        JobsAtRisk {
             leader: self.settings.platform.host_name.to_string(),
             jobs,
             warned: counts.warned,
