--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -116,7 +116,7 @@
     /// The commands that a worker's heartbeat is answered with.
     fn commands(&mut self, n: u64) -> Vec<WorkerCommand> {
         let machine = self.scheduler.fleet.machines.get_mut(&machine_id(n));
-        machine.map(|machine| machine.orders()).unwrap_or_default()
+        machine.map(|machine| machine.commands_for_answer()).unwrap_or_default()
     }
 
     /// Submits a job; `adapt` changes its specification from that of a small array.
@@ -170,7 +170,7 @@
         self.scheduler.on_report(&heartbeat, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.fleet.machines.get_mut(&heartbeat.machine) {
             machine.recorded = true;
-            assert_eq!(machine.life, MachineState::Up);
+            assert_eq!(machine.state, MachineState::Up);
         }
     }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -148,7 +148,7 @@
             let machine = scheduler.fleet.add_machine(id, kind, now);
             machine.recorded = true;
             machine.confirmed = false;
-            machine.life = MachineState::Up;
+            machine.state = MachineState::Up;
             machine.address = record.address.parse().ok();
         }
         for (id, job) in &cache.jobs.all {
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -93,7 +93,7 @@
             CloudEvent::MachineTypes(found) => {
                 crate::wire::merge(&mut self.fleet.machine_types, found);
                 // What counts as heavy follows from the largest type.
-                self.fleet.machines.values_mut().for_each(Machine::entries_changed);
+                self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
             CloudEvent::Hired(pool, machines) => self.on_rented(pool, &machines, now),
             CloudEvent::Refused(pool) => self.on_refused(pool, now),
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -47,7 +47,7 @@
         self.autoscaler.reserved_machines.remove(&row.machine);
         if let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
             let machine = self.fleet.add_machine(&row.machine, pool, now);
-            machine.life = MachineState::Returning;
+            machine.state = MachineState::Returning;
         }
     }
 
@@ -75,13 +75,13 @@
         let quiet = self.settings.report_every() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
-                && machine.life != MachineState::Returning
-                && machine.silent_for(asked_at) > quiet
+                && machine.state != MachineState::Returning
+                && machine.time_since_heartbeat(asked_at) > quiet
                 && asked_at.saturating_duration_since(machine.rented) > lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine is silent and not listed, returning it");
-            machine.life = MachineState::Returning;
+            machine.state = MachineState::Returning;
         }
     }
 
@@ -95,9 +95,9 @@
     ) {
         let Some(mut machine) = self.fleet.remove_machine(id) else { return };
         self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
-        let tasks = machine.entries.len();
+        let tasks = machine.attempts.len();
         tracing::info!(machine = %id, reason, tasks, "machine is gone");
-        for event in machine.lose_all() {
+        for event in machine.terminate_attempts() {
             self.on_fact(id, event, cache, now);
         }
     }
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -49,7 +49,7 @@
         let expired = self.is_beyond_any_lease(machine);
         let lost = self.check_lease(machine, expired);
         self.check_boot(machine);
-        if machine.life == MachineState::Up && machine.faulty && machine.is_empty() {
+        if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
             return_machine(machine, "machine is faulty, returning it");
         }
         self.check_silence(machine, expired);
@@ -61,24 +61,24 @@
     /// reachable otherwise.
     fn is_beyond_any_lease(&self, machine: &Machine) -> bool {
         let answered = self.delegations.told(&machine.id);
-        machine.life == MachineState::Up
-            && machine.lease_over(answered, self.settings.worker_lease(), self.now)
+        machine.state == MachineState::Up
+            && machine.is_lease_expired(answered, self.settings.worker_lease(), self.now)
             && !self.unreachable_zones[machine.zone]
     }
 
     fn check_lease(&self, machine: &mut Machine, expired: bool) -> Vec<TaskEvent> {
-        if machine.confirmed && machine.entries.is_empty() {
+        if machine.confirmed && machine.attempts.is_empty() {
             // Nothing can be running there.
             return Vec::new();
         }
         // A predecessor's right had ended when ours began, and what others may answer on our behalf
         // is bounded: once the lease has surely expired, the worker has killed what it had.
         let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
-        if machine.lease_over(others, self.settings.worker_lease(), self.now) {
+        if machine.is_lease_expired(others, self.settings.worker_lease(), self.now) {
             tracing::info!(machine = %machine.id, "lease of silent machine has expired");
             machine.confirmed = true;
-            machine.dead_below = self.term.latest_attempt();
-            return machine.lose_all();
+            machine.terminated_up_to = self.term.latest_attempt();
+            return machine.terminate_attempts();
         }
         if expired {
             // Another controller might still answer it. Its deletion proves that nothing runs
@@ -98,32 +98,32 @@
             patience *= 2;
         }
         let age = self.now.saturating_duration_since(machine.rented);
-        if machine.life == MachineState::Booting && age > patience {
+        if machine.state == MachineState::Booting && age > patience {
             return_machine(machine, "machine did not boot in time, returning it");
         }
     }
 
     fn check_silence(&self, machine: &mut Machine, expired: bool) {
-        if machine.life == MachineState::Up
+        if machine.state == MachineState::Up
             && expired
             && self.is_quiet(machine)
-            && machine.silent_for(self.now) > self.settings.worker_lease() * 2
+            && machine.time_since_heartbeat(self.now) > self.settings.worker_lease() * 2
         {
             return_machine(machine, "machine is silent for long, returning it");
         }
     }
 
     fn is_quiet(&self, machine: &Machine) -> bool {
-        machine.silent_for(self.now) > self.settings.report_every() * 2
+        machine.time_since_heartbeat(self.now) > self.settings.report_every() * 2
     }
 
     fn check_idle(&self, machine: &mut Machine) {
         // A silent machine is not idle: after a failover that finds a zone unreachable, all its
         // machines would be returned.
-        let idle = machine.life == MachineState::Up
+        let idle = machine.state == MachineState::Up
             && !self.is_quiet(machine)
             && machine.is_empty()
-            && machine.recall_at.is_none();
+            && machine.reclaim_at.is_none();
         if !idle {
             machine.idle_since = None;
             return;
@@ -156,7 +156,7 @@
 
 fn return_machine(machine: &mut Machine, message: &'static str) {
     tracing::info!(machine = %machine.id, "{message}");
-    machine.life = MachineState::Returning;
+    machine.state = MachineState::Returning;
 }
 
 impl Scheduler {
@@ -175,7 +175,7 @@
         };
         let overtaken = summary.overtaken();
         let late = self.fleet.machines.values().filter(|machine| {
-            machine.life == MachineState::Booting
+            machine.state == MachineState::Booting
                 && is_late(machine, &self.fleet.machine_types[machine.flavor])
                 && !overtaken(machine)
         });
@@ -212,7 +212,7 @@
         for machine in self.fleet.machines.values_mut() {
             let lost = watch.check(machine);
             events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
-            if machine.life == MachineState::Returning {
+            if machine.state == MachineState::Returning {
                 cloud.delete(&machine.id, now);
             }
         }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::task_attempt::TaskAttempt;
 use crate::store::Cache;
 use crate::wire::{JobKind, JobSpec, TaskState};
-use crate::workers::machine::{Machine, PlacedAttempt, Stop};
+use crate::workers::machine::{Machine, PlacedAttempt, StopRequest};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -195,15 +195,15 @@
 
     fn evacuate(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        machine.emptied_at = Some(now);
+        machine.last_consolidated = Some(now);
         let is_running =
             |(_, entry): &(&TaskAttempt, &PlacedAttempt)| entry.state == TaskState::Running;
-        let running = machine.entries.iter().filter(is_running);
+        let running = machine.attempts.iter().filter(is_running);
         let attempts: Vec<TaskAttempt> = running.map(|(attempt, _)| attempt.clone()).collect();
         for attempt in attempts {
             let job = cache.jobs.get(&attempt.0.job).and_then(Job::live);
             let grace_s = job.map_or(0.0, |job| job.spec.save_s);
-            machine.stop(&attempt, Stop { grace_s, reason: MOVED });
+            machine.request_stop(&attempt, StopRequest { grace_s, reason: MOVED });
             self.statistics.stops += 1;
         }
     }
@@ -247,7 +247,7 @@
 fn remaining_tasks(
     machine: &Machine,
 ) -> impl Iterator<Item = (&TaskAttempt, &PlacedAttempt)> + use<'_> {
-    machine.entries.iter().filter(|(_, entry)| entry.state != TaskState::Exited)
+    machine.attempts.iter().filter(|(_, entry)| entry.state != TaskState::Exited)
 }
 
 fn all_tasks_movable(machine: &Machine, cache: &Cache, now: Instant) -> bool {
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -100,7 +100,7 @@
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
         progress.demand_group = Some(group);
-        if progress.failures.mistaken() {
+        if progress.failures.is_job_faulty() {
             return;
         }
         let (held, waiting) = (progress.placed.len() as u64, progress.waiting(job));
@@ -175,7 +175,7 @@
         largest: &Amount,
     ) {
         for machine in self.fleet.machines.values() {
-            for ((task, attempt), entry) in &machine.entries {
+            for ((task, attempt), entry) in &machine.attempts {
                 if entry.stop.is_none() || entry.state == TaskState::Exited {
                     continue;
                 }
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -12,11 +12,11 @@
         let every = self.settings.report_every();
         let machine = self.fleet.machines.get_mut(id)?;
         // What is revoked since it was silent is none the less answered here: we reckon with our own answers.
-        if machine.silent_for(now) > every && machine.is_doomed() {
+        if machine.time_since_heartbeat(now) > every && machine.must_lose_lease() {
             return None;
         }
         // Should we lead on, its lease counts from here.
-        machine.answered = now;
+        machine.last_answered = now;
         Some(self.term.token)
     }
 
@@ -34,17 +34,18 @@
             let told = self.delegations.told(&machine.id);
             let answered_for_leader =
                 told.is_some_and(|at| now.saturating_duration_since(at) < quiet);
-            let dead =
-                machine.silent_for(now) > quiet && !cut_off[machine.zone] && !answered_for_leader;
-            if dead || (machine.silent_for(now) > every && machine.is_doomed()) {
+            let dead = machine.time_since_heartbeat(now) > quiet
+                && !cut_off[machine.zone]
+                && !answered_for_leader;
+            if dead || (machine.time_since_heartbeat(now) > every && machine.must_lose_lease()) {
                 machine.revoked_since.get_or_insert(self.delegations.number);
                 revoked.push(machine.id.clone());
                 continue;
             }
             machine.revoked_since = None;
             // Perhaps out of our reach alone: whoever hears it answers it, though we are near.
-            machine.delegated =
-                machine.life == MachineState::Up && machine.silent_for(now) >= every * 3 / 2;
+            machine.delegated = machine.state == MachineState::Up
+                && machine.time_since_heartbeat(now) >= every * 3 / 2;
             if machine.delegated {
                 self.direct_calls.dirty_machines.insert(machine.id.clone());
                 delegated.push(machine.id.clone());
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -46,5 +46,5 @@
 }
 
 fn holds(machine: &Machine, job: &JobId) -> bool {
-    machine.entries.range(super::task_attempt::attempts_of(job)).next().is_some()
+    machine.attempts.range(super::task_attempt::attempts_of(job)).next().is_some()
 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -88,7 +88,7 @@
         let runs = |(index, placed): (&u32, &Placement)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
-            let entry = machine.entries.get(&(task, placed.attempt))?;
+            let entry = machine.attempts.get(&(task, placed.attempt))?;
             (entry.state != TaskState::Exited).then_some(())
         };
         let known = work.placed.iter().filter_map(runs).count() + work.duplicate_attempts.len();
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -99,7 +99,7 @@
             // others end by themselves and all start again under a new attempt.
             return None;
         }
-        let max_tasks = match progress.failures.allows(progress.placed.len(), context.now) {
+        let max_tasks = match progress.failures.allowed_starts(progress.placed.len(), context.now) {
             // A gang starts as a whole, on trial too.
             Ok(allowed) if !is_gang => max_tasks.min(allowed as u64),
             Ok(_) => max_tasks,
@@ -130,7 +130,7 @@
         progress.expire_backoffs(context.now);
         let waiting = progress.waiting(job);
         let all_back_off = waiting > 0 && waiting <= progress.backing_off.len() as u64;
-        if progress.failures.mistaken() && !is_gang && all_back_off {
+        if progress.failures.is_job_faulty() && !is_gang && all_back_off {
             // The job's own pause is over; that of its next task does not matter.
             let first = progress.backing_off.pop_first();
             progress.requeued.extend(first.map(|expiry| expiry.task));
@@ -168,8 +168,9 @@
             }
         }
         let index = |id| self.fleet.machines.get(id).map(|machine: &Machine| machine.index);
-        request.excluded_machines = progress.failures.avoided().iter().filter_map(index).collect();
-        if progress.failures.mistaken() {
+        request.excluded_machines =
+            progress.failures.avoided_machines().iter().filter_map(index).collect();
+        if progress.failures.is_job_faulty() {
             // A trial of a job that fails everywhere takes what room there is.
             request.scale_out = ScaleOutPolicy::Nothing;
         }
@@ -218,9 +219,9 @@
         let resources = Amount { cpu: size.cpu / WARM_PARTS, gpu: 0, ram: size.ram / WARM_PARTS };
         let zones = fleet.closed_zones.len();
         let mut reclaimable_cpu = vec![0u64; zones];
-        let is_up = |machine: &&Machine| machine.life == MachineState::Up && !machine.spot;
+        let is_up = |machine: &&Machine| machine.state == MachineState::Up && !machine.spot;
         for machine in self.fleet.machines.values().filter(is_up) {
-            reclaimable_cpu[machine.zone] += machine.low_cpu();
+            reclaimable_cpu[machine.zone] += machine.low_priority_cpu();
         }
         for zone in (0..zones).filter(|zone| !fleet.closed_zones[*zone]) {
             let reclaimable = reclaimable_cpu[zone] / resources.cpu.max(1);
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -60,12 +60,12 @@
 impl Scheduler {
     /// Whether tasks may be placed on a machine now, and will stay there.
     pub(super) fn accepts_tasks(&self, machine: &Machine, now: Instant) -> bool {
-        machine.life == MachineState::Up
+        machine.state == MachineState::Up
             && machine.confirmed
             && machine.recorded
-            && machine.recall_at.is_none()
+            && machine.reclaim_at.is_none()
             && !machine.faulty
-            && machine.silent_for(now) < self.settings.report_every() * 2
+            && machine.time_since_heartbeat(now) < self.settings.report_every() * 2
             && !self.is_drained(machine)
     }
 
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -167,9 +167,9 @@
         let mut used = vec![Amount::default(); self.teams.len()];
         for machine in self.fleet.machines.values_mut() {
             let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
-            for (team, amount) in &usage.teams {
-                if let Some(sum) = used.get_mut(*team) {
-                    *sum = sum.plus(amount);
+            for of_team in &usage.teams {
+                if let Some(sum) = used.get_mut(of_team.team) {
+                    *sum = sum.plus(&of_team.used);
                 }
             }
         }
@@ -198,9 +198,9 @@
                 continue;
             }
             let machine_type = &self.fleet.machine_types[machine.flavor];
-            let booting = machine.life == MachineState::Booting && !overdue(machine, machine_type);
+            let booting = machine.state == MachineState::Booting && !overdue(machine, machine_type);
             let up = is_usable(machine, quiet, now);
-            let unconfirmed = machine.life == MachineState::Up && !machine.confirmed;
+            let unconfirmed = machine.state == MachineState::Up && !machine.confirmed;
             if !(booting || up || unconfirmed) {
                 continue;
             }
@@ -244,13 +244,13 @@
 /// Whether tasks may be placed on a machine that is up.
 fn is_usable(machine: &Machine, quiet: Duration, now: Instant) -> bool {
     // A machine that is being emptied takes nothing until it is empty.
-    let emptying = machine.emptied_at.is_some_and(|at| now < at + CONSOLIDATION_INTERVAL);
-    machine.life == MachineState::Up
+    let emptying = machine.last_consolidated.is_some_and(|at| now < at + CONSOLIDATION_INTERVAL);
+    machine.state == MachineState::Up
         && (!emptying || machine.is_empty())
-        && machine.recall_at.is_none()
+        && machine.reclaim_at.is_none()
         && !machine.faulty
-        && machine.heard.is_some()
-        && machine.silent_for(now) < quiet
+        && machine.last_heartbeat.is_some()
+        && machine.time_since_heartbeat(now) < quiet
 }
 
 fn intern_images(machine: &mut Machine, image_ids: &mut Interner) {
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::preemption::{UnplacedTasks, VictimCache};
 use crate::store::Cache;
 use crate::wire::{JobKind, Priority};
-use crate::workers::machine::PlacedAttempt;
+use crate::workers::machine::{AttemptSpec, PlacedAttempt};
 use foldhash::HashMap;
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -116,9 +116,12 @@
         }
         progress.placed.insert(task.index, Placement { machine: id.clone(), attempt });
         let image = Arc::from(live.spec.image.as_str());
-        let entry = PlacedAttempt::new(live.need, team, priority, image, now);
-        machine.entries.insert((task, attempt), entry);
-        machine.entries_changed();
-        machine.owed = true;
+        let entry = PlacedAttempt::new(
+            AttemptSpec { need: live.need, team, urgency: priority, image },
+            now,
+        );
+        machine.attempts.insert((task, attempt), entry);
+        machine.invalidate_usage();
+        machine.commands_due = true;
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -16,7 +16,7 @@
 use crate::scheduler::task_attempt::TaskAttempt;
 use crate::store::Cache;
 use crate::wire::{Priority, TaskState};
-use crate::workers::machine::Stop;
+use crate::workers::machine::StopRequest;
 use budget::PreemptionBudget;
 use candidates::{PreemptionOption, VictimMachine};
 use ordered_float::OrderedFloat;
@@ -119,7 +119,7 @@
         self.fleet
             .machines
             .values()
-            .flat_map(|machine| machine.entries.values())
+            .flat_map(|machine| machine.attempts.values())
             .filter(|entry| entry.state != TaskState::Exited)
             .filter(|entry| entry.stopped_for(PREEMPTED))
             .fold(Amount::default(), |sum, entry| sum.plus(&entry.need))
@@ -185,7 +185,7 @@
         for Preemption { machine, stops } in preemptions {
             let Some(machine) = self.fleet.machines.get_mut(&machine) else { continue };
             for VictimStop { attempt, grace_s } in stops {
-                machine.stop(&attempt, Stop { grace_s, reason: PREEMPTED });
+                machine.request_stop(&attempt, StopRequest { grace_s, reason: PREEMPTED });
                 self.statistics.stops += 1;
             }
         }
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -85,7 +85,7 @@
     }
 
     fn victim_machine(&self, machine: &Machine, rules: &VictimRules) -> Option<VictimMachine> {
-        let entries = machine.entries.iter();
+        let entries = machine.attempts.iter();
         let mut victims: Vec<Victim> =
             entries.filter_map(|(attempt, entry)| self.victim(attempt, entry, rules)).collect();
         if victims.is_empty() {
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,7 +3,7 @@
 //! Owns the way from a report's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
-use crate::constants::{FAULTY_JOBS, RETRY_FIRST, RETRY_MOST};
+use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST, RETRY_MOST};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
@@ -13,13 +13,15 @@
 use crate::scheduler::task_attempt::TaskAttempt;
 use crate::store::Cache;
 use crate::wire::{CommandBatch, Heartbeat, JobKind, Priority, TaskState, WorkerCommand};
-use crate::workers::machine::{HeartbeatEffect, Machine, OVER, PlacedAttempt, Stop, TaskEvent};
+use crate::workers::machine::{
+    HeartbeatEffect, JOB_FINISHED, Machine, PlacedAttempt, StopRequest, TaskEvent,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// A task that ran this long shows that its job does well: mistakes show at once.
-pub(super) const PROVEN_AFTER: Duration = Duration::from_secs(10);
+pub(super) const SUCCESS_AFTER_RUNNING: Duration = Duration::from_secs(10);
 
 impl Scheduler {
     /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
@@ -66,18 +68,18 @@
         self.direct_calls.dirty_machines.insert(id.clone());
         let answered = !matches!(report, Err(crate::http::CallError::Unknown));
         if let (Some(orders), true) = (sent, answered) {
-            machine.note_flying(&orders.orders, -1);
+            machine.track_starts_in_flight(&orders.orders, -1);
         }
         match report {
             Ok(report) if report.machine == *id => {
-                machine.direct_after = now + Duration::from_millis(20);
+                machine.next_direct_at = now + Duration::from_millis(20);
                 self.take_report(&report, cache, now)
             }
             _ => {
-                if machine.asked_openly {
-                    machine.asked_in_vain = Some(machine.direct_sent);
+                if machine.probe_zone_reachable {
+                    machine.unanswered_probe = Some(machine.direct_sent_at);
                 }
-                machine.direct_after = now + RETRY_FIRST * 2;
+                machine.next_direct_at = now + RETRY_FIRST * 2;
                 true
             }
         }
@@ -91,11 +93,12 @@
     ) -> Option<Vec<WorkerCommand>> {
         let machine = self.fleet.machines.get_mut(id)?;
         // The answer is about to be sent, so its lease may now last until a lease from here.
-        machine.answered = now;
-        let orders = machine.orders();
+        machine.last_answered = now;
+        let orders = machine.commands_for_answer();
         // Most reports leave nothing owed.
-        machine.owed = orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
-        if machine.owed || !machine.confirmed {
+        machine.commands_due =
+            orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
+        if machine.commands_due || !machine.confirmed {
             self.direct_calls.dirty_machines.insert(id.clone());
         }
         Some(orders)
@@ -116,15 +119,17 @@
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
         let quiet = self.settings.report_every() * 2;
-        let usable = |m: &Machine| (m.life, m.confirmed, m.agent_epoch, m.silent_for(now) > quiet);
+        let usable = |m: &Machine| {
+            (m.state, m.confirmed, m.agent_epoch, m.time_since_heartbeat(now) > quiet)
+        };
         let before = usable(machine);
-        let had_notice = machine.recall_at.is_some();
-        let facts = match machine.hear(report, self.term.token, now) {
+        let had_notice = machine.reclaim_at.is_some();
+        let facts = match machine.record_heartbeat(report, self.term.token, now) {
             HeartbeatEffect::Superseded => return false,
             HeartbeatEffect::Stale => return true,
-            HeartbeatEffect::News(facts) => facts,
+            HeartbeatEffect::Recorded(facts) => facts,
         };
-        if !had_notice && machine.recall_at.is_some() {
+        if !had_notice && machine.reclaim_at.is_some() {
             tracing::info!(machine = %machine.id, notice_s = report.notice_s, "spot notice");
         }
         // Most reports say what is known already and change no plan.
@@ -134,7 +139,7 @@
         }
         let news = !facts.is_empty()
             || usable(machine) != before
-            || had_notice != machine.recall_at.is_some();
+            || had_notice != machine.reclaim_at.is_some();
         let id = report.machine.clone();
         for fact in facts {
             self.on_fact(&id, fact, cache, now);
@@ -178,7 +183,7 @@
     ) {
         let since = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let Some(machine) = self.fleet.machines.get(id) else { return };
-        let Some(entry) = machine.entries.get(&(task.clone(), attempt)) else { return };
+        let Some(entry) = machine.attempts.get(&(task.clone(), attempt)) else { return };
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         let known_ms =
             self.jobs.progress.get(&task.job).and_then(|work| work.first_seen).map(since);
@@ -217,14 +222,14 @@
         let live = self.live(cache, &task.job).is_some();
         let work = live.then(|| self.jobs.progress.entry(task.job.clone()).or_default());
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
-        machine.owed = true;
-        let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) else { return };
+        machine.commands_due = true;
+        let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
         (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, urgency);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
-        machine.adopted(&key);
+        machine.adopt_attempt(&key);
         let Some(work) = work else {
-            return machine.stop(&key, Stop { grace_s: 0.0, reason: OVER });
+            return machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
         };
         let found = Placement { machine: machine.id.clone(), attempt };
         let Some(placed) = work.placed.get(&task.index).cloned() else {
@@ -247,7 +252,10 @@
         let duplicate = DuplicateAttempt { task: task.index, placement: duplicate };
         work.duplicate_attempts.push(duplicate);
         if let Some(machine) = self.fleet.machines.get_mut(&id) {
-            machine.stop(&(task, attempt), Stop { grace_s: 0.0, reason: "found twice" });
+            machine.request_stop(
+                &(task, attempt),
+                StopRequest { grace_s: 0.0, reason: "found twice" },
+            );
         }
     }
 
@@ -285,7 +293,7 @@
         now: Instant,
     ) {
         if let Some(machine) = self.fleet.machines.get_mut(id)
-            && let Some(entry) = machine.entries.get(&(task.clone(), attempt))
+            && let Some(entry) = machine.attempts.get(&(task.clone(), attempt))
             && entry.urgency < Priority::Low
         {
             machine.vacated_at = Some(now);
@@ -293,8 +301,8 @@
         let live = self.live(cache, &task.job);
         let done = why == "done" && live.is_some_and(|l| l.spec.shape != JobKind::Service);
         let entry =
-            self.fleet.machines.get(id).and_then(|m| m.entries.get(&(task.clone(), attempt)));
-        let began = entry.and_then(|entry| entry.began);
+            self.fleet.machines.get(id).and_then(|m| m.attempts.get(&(task.clone(), attempt)));
+        let began = entry.and_then(|entry| entry.observed_start);
         let ran = began.map(|at| now.saturating_duration_since(at));
         if (done && live.is_some_and(|live| !self.is_completing(&task, live))) || why == "halted" {
             self.learn_end(&task, id, live, (ran, done, saved));
@@ -305,7 +313,7 @@
                 let work = self.jobs.progress.entry(task.job.clone()).or_default();
                 work.completing.insert(task.index);
                 self.jobs.completing.insert(task.job.clone());
-                self.did_well(&task.job, now);
+                self.record_success(&task.job, now);
                 return;
             }
         }
@@ -317,8 +325,8 @@
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let index = task.index;
         let mut made_way = false;
-        if let Some(entry) = machine.entries.get_mut(&(task.clone(), attempt)) {
-            entry.settled = true;
+        if let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) {
+            entry.exit_handled = true;
             made_way = entry.stopped_for(PREEMPTED);
             if entry.stopped_for(MOVED) || entry.stopped_for(PREEMPTED) {
                 // Somebody waits: a service for its replica, or urgent work for this room.
@@ -336,10 +344,10 @@
             };
             if why == "error" {
                 machine.failed_jobs.insert(task.job.clone());
-                let before = work.failures.mistaken();
-                work.failures.failed(id, now);
-                if work.failures.mistaken() && !before {
-                    let machines = work.failures.failed_on.len();
+                let before = work.failures.is_job_faulty();
+                work.failures.record_failure(id, now);
+                if work.failures.is_job_faulty() && !before {
+                    let machines = work.failures.failed_machines().len();
                     tracing::info!(job = %task.job, machines, "fails everywhere, tried now and then");
                 }
             }
@@ -356,9 +364,9 @@
     }
 
     /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
-    pub(super) fn did_well(&mut self, id: &JobId, now: Instant) {
+    pub(super) fn record_success(&mut self, id: &JobId, now: Instant) {
         let Some(work) = self.jobs.progress.get_mut(id) else { return };
-        if work.failures.did_well() {
+        if work.failures.record_success() {
             tracing::info!(job = %id, "does well after all");
             work.reset_backoffs(now);
             self.planning_clock.pass_requested = true;
@@ -371,29 +379,30 @@
         let ran = |placed: &Placement, job: &JobId, index: u32| {
             let machine = self.fleet.machines.get(&placed.machine)?;
             let key = (TaskId { job: job.clone(), index }, placed.attempt);
-            let entry = machine.entries.get(&key)?;
-            (entry.state == TaskState::Running && now >= entry.running_since? + PROVEN_AFTER)
+            let entry = machine.attempts.get(&key)?;
+            (entry.state == TaskState::Running
+                && now >= entry.running_since? + SUCCESS_AFTER_RUNNING)
                 .then_some(())
         };
-        let open = self.jobs.progress.iter().filter(|(_, work)| work.failures.open());
+        let open = self.jobs.progress.iter().filter(|(_, work)| work.failures.is_undecided());
         let proven: Vec<JobId> = open
             .filter(|(id, work)| work.placed.iter().any(|(n, at)| ran(at, id, *n).is_some()))
             .map(|(id, _)| id.clone())
             .collect();
         for id in proven {
-            self.did_well(&id, now);
+            self.record_success(&id, now);
         }
         if !survey.failing {
             return;
         }
         for machine in
-            self.fleet.machines.values_mut().filter(|m| m.failed_jobs.len() >= FAULTY_JOBS)
+            self.fleet.machines.values_mut().filter(|m| m.failed_jobs.len() >= MACHINE_FAULT_JOBS)
         {
             let sound = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
                 Some(JobBody::Finished { cancelled, .. }) => !cancelled,
-                _ => self.jobs.progress.get(*id).is_some_and(|work| work.failures.sound()),
+                _ => self.jobs.progress.get(*id).is_some_and(|work| work.failures.has_succeeded()),
             };
-            machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= FAULTY_JOBS;
+            machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= MACHINE_FAULT_JOBS;
         }
     }
 
@@ -401,7 +410,7 @@
     pub(super) fn drain_if_recalled(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
         let known_rest = self.settings.operator.estimates.drain;
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let Some(at) = machine.recall_at else { return };
+        let Some(at) = machine.reclaim_at else { return };
         let left = at.saturating_duration_since(now).as_secs_f64();
         let drained = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
             if entry.stop.is_some() || entry.state == TaskState::Exited {
@@ -415,10 +424,11 @@
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
             live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
-        let keys: Vec<_> = machine.entries.iter().filter(drained).map(|(k, _)| k.clone()).collect();
+        let keys: Vec<_> =
+            machine.attempts.iter().filter(drained).map(|(k, _)| k.clone()).collect();
         for key in keys {
-            let stop = Stop { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
-            machine.stop(&key, stop);
+            let stop = StopRequest { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
+            machine.request_stop(&key, stop);
             self.statistics.stops += 1;
         }
     }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -261,7 +261,7 @@
         let Some(work) = self.jobs.progress.get(id) else { return Vec::new() };
         let began = |(index, placed): (&u32, &Placement)| {
             let key = (TaskId { job: id.clone(), index: *index }, placed.attempt);
-            let entry = self.fleet.machines.get(&placed.machine)?.entries.get(&key)?;
+            let entry = self.fleet.machines.get(&placed.machine)?.attempts.get(&key)?;
             (entry.state == TaskState::Running).then_some(entry.running_since).flatten()
         };
         let began = work.placed.iter().filter_map(began);
