--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -8,9 +8,10 @@
 use troutspindle::cloud::{CloudClient, CloudEvent, MachinePool};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use troutspindle::scheduler::Scheduler;
+use troutspindle::schema::encoding;
+use troutspindle::schema::records::JobRecord;
 use troutspindle::settings::Settings;
-use troutspindle::store::StoreClient;
-use troutspindle::store::records::{self, JobRecord};
+use troutspindle::store::{StoreClient, Versioned};
 use troutspindle::wire::{
     Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus, WorkerCommand,
 };
@@ -88,7 +89,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.kept();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = (vec![machine_type()], Revision(1));
+        state.cache.machine_types = Versioned::new(vec![machine_type()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
@@ -148,7 +149,7 @@
             depends_on: None,
         };
         adapt(&mut spec);
-        let record = records::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
+        let record = encoding::to_value(&JobRecord::live(self.jobs, Some(Arc::new(spec))));
         self.state.cache.jobs.apply_record(id.clone(), &record, Revision(self.revision));
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -8,9 +8,9 @@
 /// How long a submission or an abort may take inside.
 pub const CHANGE_DEADLINE: Duration = Duration::from_millis(4000);
 /// Pause after a failed call to the state service, grown by a random half.
-pub const STATE_RETRY: Duration = Duration::from_millis(250);
+pub const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Share of the state service's budget that we plan to use; the rest is for its own counting.
-pub const STATE_BUDGET: f64 = 0.92;
+pub const RATE_LIMIT_SHARE: f64 = 0.92;
 /// Share by which two steady clocks may disagree: 0.05% each side.
 pub const DRIFT: f64 = 0.001;
 /// Added to a worker's lease before its tasks count as dead: packet and timer delays.
@@ -25,7 +25,7 @@
 /// back; a job also avoids so many machines on which it failed.
 pub const MACHINE_FAULT_JOBS: usize = 2;
 /// Count. PROTOCOL's cap on the tasks of a job.
-pub const LEGS_MAX: u64 = 100_000;
+pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// How long another controller may answer reports on a leader's behalf after it last heard from
 /// it: longer than the cuts between zones that operators see.
 pub const DELEGATION_TERM: Duration = Duration::from_secs(45);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,7 +3,7 @@
 use crate::admission::{
     AdmissionQueue, LoadEstimator, MachineLimit, Need, Sockets, come_back_s, read_together,
 };
-use crate::api::{Api, Route, need, route};
+use crate::api::{Answer, Api, Route, need, route};
 use crate::clock::WallClock;
 use crate::cloud::{CloudClient, CloudEvent, CloudRequest};
 use crate::constants::FORMAT_HEARTBEAT;
@@ -16,12 +16,13 @@
 use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::scheduler::Scheduler;
 use crate::scheduler::planning_clock::LATE;
+use crate::schema::encoding;
+use crate::schema::keys;
 use crate::settings::Settings;
-use crate::store::STATE_LOST;
-use crate::store::records;
 use crate::store::{
-    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, RELAY_PREFIX, StoreClient, StoreEvent,
-    StoreRequest, StoreResponse, WriteOrigin, WriteOutcome, WritePriority,
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, OutgoingRequest, PendingWrite, RELAY_PREFIX,
+    STORE_UNAVAILABLE_AFTER, StoreClient, StoreEvent, StoreRequest, StoreResponse, Versioned,
+    WriteOrigin, WriteOutcome, WritePriority,
 };
 use crate::wire::{
     self, CommandBatch, Heartbeat, NotLeader, Precondition, StoreValue, Transaction, Write,
@@ -151,7 +152,7 @@
             election: Election::new(p.host_name.clone(), p.others.len(), seed, now),
             cloud: CloudClient::new(p.params.cloud.rps, now),
             scheduler: None,
-            api: Api::new(settings.clone(), wall)?,
+            api: Api::new(settings.clone(), wall).ok()?,
             peers: HashMap::new(),
             worker_here: None,
             worker_elsewhere: None,
@@ -262,10 +263,10 @@
 
     fn on_http(&mut self, ticket: u64, request: Request, now: Instant) {
         let response = match route(&request) {
-            Route::Up => {
+            Route::Health => {
                 Some(if self.is_up(now) { Response::empty(200) } else { Response::empty(503) })
             }
-            Route::Hello => self.on_hello(ticket, &request.body, now),
+            Route::Heartbeat => self.on_hello(ticket, &request.body, now),
             Route::Unknown => Some(Response::empty(404)),
             Route::WrongMethod => Some(Response::empty(405)),
             Route::JobsAtRisk => Some(self.on_at_risk(&request.body, now)),
@@ -283,7 +284,8 @@
     /// Up while requests can be taken; a node that alone has lost the store says no, so that
     /// users go where it is served.
     fn is_up(&self, now: Instant) -> bool {
-        let fresh = |peer: &PeerView| now.saturating_duration_since(peer.heard) < STATE_LOST;
+        let fresh =
+            |peer: &PeerView| now.saturating_duration_since(peer.heard) < STORE_UNAVAILABLE_AFTER;
         let others_fine = self.peers.values().any(|peer| fresh(peer) && !peer.state_lost);
         let elsewhere = self.stands_aside(now) || self.leaves_users(now);
         self.state.cache.loaded && !(self.state.is_unavailable(now) && others_fine) && !elsewhere
@@ -293,7 +295,7 @@
     /// for a while.
     fn leaves_users(&self, now: Instant) -> bool {
         let serves = |view: &&PeerView| {
-            let fresh = now.saturating_duration_since(view.heard) < STATE_LOST;
+            let fresh = now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
             fresh && !view.state_lost && view.up > CROWDED_PEER_UP
         };
         self.crowded && self.peers.values().filter(serves).count() >= CROWDED_PEERS
@@ -304,7 +306,8 @@
     fn stands_aside(&self, now: Instant) -> bool {
         let cache = &self.state.cache;
         let drained = |name: &ControllerId| cache.is_controller_drained(name);
-        let fresh = |view: &PeerView| now.saturating_duration_since(view.heard) < STATE_LOST;
+        let fresh =
+            |view: &PeerView| now.saturating_duration_since(view.heard) < STORE_UNAVAILABLE_AFTER;
         let serves = |(name, view): (&ControllerId, &PeerView)| {
             fresh(view) && !view.state_lost && !drained(name)
         };
@@ -332,7 +335,7 @@
     fn on_flavors(&mut self, found: Vec<wire::MachineType>) {
         // The catalogue is kept at the store, so that a controller started while the cloud is
         // out can still judge submissions. It only grows: records refer to it.
-        let (known, rev) = self.state.cache.machine_types.clone();
+        let Versioned { value: known, revision: rev } = self.state.cache.machine_types.clone();
         let mut all = known.clone();
         wire::merge(&mut all, found);
         // Only a leader, or whoever finds none there yet, writes it.
@@ -340,14 +343,14 @@
             return;
         }
         let layout = self.state.layout();
-        if !layout.second() || layout.fits(&all) {
-            return self.push_flavors(MACHINE_TYPES_KEY.into(), records::to_value(&all), rev);
+        if !layout.is_second() || layout.fits(&all) {
+            return self.push_flavors(MACHINE_TYPES_KEY.into(), encoding::to_value(&all), rev);
         }
         for flavor in all.iter().filter(|flavor| !known.contains(flavor)) {
             // Names may be of any text, keys may not.
-            let key = format!("{MACHINE_TYPE_PREFIX}{}", records::key_hash(&flavor.name));
+            let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&flavor.name));
             let rev = self.state.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
-            self.push_flavors(key, records::to_value(flavor), rev);
+            self.push_flavors(key, encoding::to_value(flavor), rev);
         }
     }
 
@@ -356,9 +359,9 @@
         if self.state.is_pending(&origin) {
             return;
         }
-        let guards = vec![Precondition { key: key.clone(), rev }];
+        let preconditions = vec![Precondition { key: key.clone(), rev }];
         let transaction =
-            Transaction { guards, writes: vec![Write::Put { key, data, hold: None }] };
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
         self.state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin,
@@ -390,7 +393,7 @@
             self.relay_status(&beat, now);
             self.tell_sharing(now);
         }
-        let quiet = |at: Instant| now.saturating_duration_since(at) > STATE_LOST / 3;
+        let quiet = |at: Instant| now.saturating_duration_since(at) > STORE_UNAVAILABLE_AFTER / 3;
         if !self.probe_in_flight && self.state.synced_at.is_none_or(quiet) {
             self.probe_in_flight = true;
             self.state.sync(PROBE);
@@ -403,7 +406,7 @@
         if !self.settings.operator.hold_format {
             self.state.publish_version();
         }
-        for (ticket, response) in self.api.tick(&self.state, now) {
+        for Answer { ticket, response } in self.api.tick(&self.state, now) {
             self.reply(ticket, response);
         }
         self.look_at_promises(now);
@@ -526,7 +529,7 @@
     /// Lets the cores act on what has happened until nothing more follows.
     fn pump(&mut self, now: Instant) {
         loop {
-            while let Some(event) = self.state.events.pop_front() {
+            while let Some(event) = self.state.next_event() {
                 self.on_state(event, now);
             }
             self.take_relayed(now);
@@ -556,13 +559,13 @@
             self.pump_sharing(now);
             self.state.poll(now);
             self.cloud.poll(act && self.scheduler.is_some(), now);
-            for (id, call) in self.state.calls.drain(..) {
+            while let Some(OutgoingRequest { id, request: call }) = self.state.next_request() {
                 self.out.push(Effect::State(id, call));
             }
             for (id, call) in self.cloud.out.drain(..) {
                 self.out.push(Effect::Cloud(id, call));
             }
-            if self.state.events.is_empty() {
+            if !self.state.has_events() {
                 return;
             }
         }
@@ -617,16 +620,16 @@
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(WriteOrigin::Operator(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::Operator(ticket), outcome) => {
                 self.on_ordered(ticket, outcome);
             }
-            StoreEvent::Outcome(WriteOrigin::User(ticket), outcome) => {
+            StoreEvent::WriteSettled(WriteOrigin::User(ticket), outcome) => {
                 let answer = self.api.on_outcome(ticket, outcome, &mut self.state, now);
                 if let Some(response) = answer {
                     self.reply(ticket, response);
                 }
             }
-            StoreEvent::Outcome(origin, outcome) => {
+            StoreEvent::WriteSettled(origin, outcome) => {
                 if outcome != WriteOutcome::Committed {
                     tracing::debug!(?origin, ?outcome, "commit failed");
                 }
@@ -634,12 +637,12 @@
                     scheduler.on_outcome(&origin, outcome, &mut self.state);
                 }
             }
-            StoreEvent::ControllerLease(call, sent, reply) => {
-                self.heartbeat.on_response(&call, sent, &reply, now);
+            StoreEvent::ControllerLease { request, sent_at, response } => {
+                self.heartbeat.on_response(&request, sent_at, &response, now);
             }
-            StoreEvent::Election(call, sent, reply) => {
+            StoreEvent::Election { request, sent_at, response } => {
                 let (calls, event) =
-                    self.election.on_response(&call, sent, &reply, &self.state.cache, now);
+                    self.election.on_response(&request, sent_at, &response, &self.state.cache, now);
                 for call in calls {
                     self.state.send_election_request(call, now);
                 }
@@ -659,11 +662,13 @@
     /// The cache now holds everything that any predecessor committed.
     fn take_over(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
-        let Some((leader, rev)) = &self.state.cache.leader else { return };
+        let Some(Versioned { value: leader, revision: rev }) = &self.state.cache.leader else {
+            return;
+        };
         if leader.token != token || self.scheduler.is_some() {
             return;
         }
-        if self.state.cache.machine_types.0.is_empty() {
+        if self.state.cache.machine_types.value.is_empty() {
             // Without the catalogue nothing can be judged; it comes from the cloud soon.
             self.state.sync_soon(TAKE_OVER);
             return;
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,10 +1,20 @@
-use super::*;
+use crate::ids::{JobId, Revision};
+use crate::jobs::{
+    Acceptance, FinalState, GarbageWrite, Jobs, LiveJob, TaskSet, accept, cancel, complete, dag,
+    fixtures,
+};
+use crate::schema::keys::JOB_PREFIX;
+use crate::schema::records::Layout;
+use crate::wire::{self, JobSpec, JobStatus, Precondition, StoreValue, Transaction, Write};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
 fn spec(id: &str, tasks: u64) -> Arc<JobSpec> {
     Arc::new(fixtures::job_spec(id, tasks))
 }
 
-const LAYOUT: Layout = Layout { format: 1, chunk: 16_384, txn_ops: 4, value_max: 1800 };
+const LAYOUT: Layout =
+    Layout { format: 1, legacy_chunk_tasks: 16_384, max_operations: 4, value_max: 1800 };
 
 fn record(spec: &Arc<JobSpec>, jobs: &Jobs) -> Transaction {
     match accept(spec, 5, &LAYOUT, jobs) {
@@ -21,10 +31,10 @@
 
 impl Store {
     fn commit(&mut self, transaction: &Transaction, layout: &Layout) -> bool {
-        assert!(transaction.writes.len() <= layout.txn_ops);
-        assert!(transaction.guards.len() <= layout.txn_ops * 4);
+        assert!(transaction.writes.len() <= layout.max_operations);
+        assert!(transaction.preconditions.len() <= layout.max_operations * 4);
         let rev = |key| self.keys.get(key).filter(|(v, _)| v.is_some()).map_or(0, |(_, r)| *r);
-        if transaction.guards.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
+        if transaction.preconditions.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
             return false;
         }
         self.rev += 1;
@@ -34,21 +44,23 @@
                 Write::Delete { .. } => None,
             };
             let fits = value.as_ref().is_none_or(|value| layout.fits(value));
-            assert!(fits || !layout.second(), "{}", write.key());
+            assert!(fits || !layout.is_second(), "{}", write.key());
             self.keys.insert(write.key().to_owned(), (value, self.rev));
         }
         true
     }
     fn take(&self, jobs: &mut Jobs, key: &str) {
         let (value, rev) = &self.keys[key];
-        match (key.strip_prefix(records::JOB_PREFIX), value) {
+        match (key.strip_prefix(JOB_PREFIX), value) {
             (Some(id), Some(value)) => jobs.apply_record(JobId::new(id), value, Revision(*rev)),
-            _ => drop(jobs.apply_auxiliary_key(key, value.as_ref(), Revision(*rev))),
+            _ => {
+                jobs.apply_auxiliary_key(key, value.as_ref(), Revision(*rev));
+            }
         }
     }
     /// What a process finds that reads all keys in this order.
     fn read(&self, order: impl Iterator<Item = usize>) -> Jobs {
-        let mut jobs = Jobs::new(LAYOUT.chunk);
+        let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
         let there: Vec<&String> =
             self.keys.iter().filter(|(_, (v, _))| v.is_some()).map(|(k, _)| k).collect();
         order.filter_map(|n| there.get(n)).for_each(|key| self.take(&mut jobs, key));
@@ -59,16 +71,18 @@
 fn apply(jobs: &mut Jobs, transaction: &Transaction, rev: u64) {
     for write in &transaction.writes {
         let Write::Put { key, data, .. } = write else { continue };
-        match key.strip_prefix(records::JOB_PREFIX) {
+        match key.strip_prefix(JOB_PREFIX) {
             Some(id) => jobs.apply_record(JobId::new(id), data, Revision(rev)),
-            None => drop(jobs.apply_auxiliary_key(key, Some(data), Revision(rev))),
+            None => {
+                jobs.apply_auxiliary_key(key, Some(data), Revision(rev));
+            }
         }
     }
 }
 
 #[test]
-fn a_job_ends_with_its_last_task_whatever_the_order_and_repeats() {
-    let mut jobs = Jobs::new(LAYOUT.chunk);
+fn a_job_is_done_with_its_last_task_in_any_order_and_with_repeats() {
+    let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-1");
     let transaction = record(&spec("wk-1", 40), &jobs);
     apply(&mut jobs, &transaction, 1);
@@ -84,12 +98,15 @@
         let over = jobs.get(&id).unwrap().final_state();
         assert_eq!(over.is_some(), nth >= 39, "{nth}");
     }
-    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Done, 40)));
+    assert_eq!(
+        jobs.get(&id).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Done, completed_tasks: 40 })
+    );
 }
 
 #[test]
-fn nothing_goes_backward() {
-    let mut jobs = Jobs::new(LAYOUT.chunk);
+fn older_revisions_and_changes_of_finished_jobs_are_ignored() {
+    let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-2");
     let first = record(&spec("wk-2", 2), &jobs);
     apply(&mut jobs, &first, 1);
@@ -97,19 +114,40 @@
     let half = complete(&id, &job, &[0], 0, 7, &LAYOUT).unwrap().transaction;
     apply(&mut jobs, &half, 2);
     apply(&mut jobs, &first, 1);
-    assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 1);
+    assert_eq!(jobs.get(&id).unwrap().live().unwrap().completed_count(), 1);
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     apply(&mut jobs, &end, 4);
     apply(&mut jobs, &half, 9);
-    assert_eq!(jobs.get(&id).unwrap().final_state(), Some((JobStatus::Cancelled, 1)));
+    assert_eq!(
+        jobs.get(&id).unwrap().final_state(),
+        Some(FinalState { status: JobStatus::Cancelled, completed_tasks: 1 })
+    );
+}
+
+/// Collects garbage until the job's record is all that is left.
+fn collect_garbage(store: &mut Store, id: &JobId) -> FinalState {
+    let mut state = None;
+    while state.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
+        let jobs = store.read(0..store.keys.len());
+        state = jobs.get(id).unwrap().final_state();
+        let (preconditions, writes) = jobs
+            .garbage(3)
+            .into_iter()
+            .map(|GarbageWrite { write, revision: rev }| {
+                (Precondition { key: write.key().into(), rev }, write)
+            })
+            .unzip();
+        assert!(store.commit(&Transaction { preconditions, writes }, &LAYOUT));
+    }
+    state.unwrap()
 }
 
 /// A large job that was accepted in the first layout goes on in the second, under limits that
-/// its record would break: no mark is lost or invented, whoever reads the store in between, and
-/// nothing is left in the end.
+/// its record would break: no completed task is lost or invented, whoever reads the store in
+/// between, and nothing is left in the end.
 #[test]
 fn a_large_job_goes_on_in_the_second_layout_from_any_point() {
-    let first = Layout { format: 0, txn_ops: 12, value_max: 14_000, ..LAYOUT };
+    let first = Layout { format: 0, max_operations: 12, value_max: 14_000, ..LAYOUT };
     for (tasks, step, cancelled) in
         [(3000, 700, false), (50_000, 9000, false), (50_000, 9000, true)]
     {
@@ -129,12 +167,12 @@
             let Some(live) = jobs.get(&id).unwrap().live() else { break };
             // What a process reads is what was committed, in whichever layout.
             assert_eq!(
-                live.done.marks().collect::<Vec<_>>(),
-                committed.marks().collect::<Vec<_>>()
+                live.completed.iter().collect::<Vec<_>>(),
+                committed.iter().collect::<Vec<_>>()
             );
             let from = next;
             next = (next + step).min(tasks as u32);
-            // Every other one first, so that marks of all keys grow more than once.
+            // Every other one first, so that all chunks grow more than once.
             reported.extend((from..next).filter(|n| round % 2 == 1 || n % 2 == 0));
             if next == tasks as u32 {
                 reported.extend(0..next);
@@ -147,37 +185,28 @@
                 continue;
             }
             let layout = if round < 2 { first } else { LAYOUT };
-            let open: Vec<u32> = reported.iter().copied().filter(|n| !live.is_done(*n)).collect();
+            let open: Vec<u32> =
+                reported.iter().copied().filter(|n| !live.is_completed(*n)).collect();
             let Some(done) = complete(&id, jobs.get(&id).unwrap(), &open, 0, 9, &layout) else {
                 continue;
             };
             assert!(store.commit(&done.transaction, &layout));
             if let Some(live) = store.read(0..store.keys.len()).get(&id).unwrap().live() {
-                let new: Vec<u32> = live.done.marks().filter(|n| !committed.has(*n)).collect();
+                let new: Vec<u32> =
+                    live.completed.iter().filter(|n| !committed.contains(*n)).collect();
                 assert!(new.iter().all(|n| reported.contains(n)));
-                new.into_iter().for_each(|n| committed.set(n));
-                assert!((0..tasks as u32).all(|n| !committed.has(n) || live.is_done(n)));
+                new.into_iter().for_each(|n| committed.insert(n));
+                assert!((0..tasks as u32).all(|n| !committed.contains(n) || live.is_completed(n)));
             }
         }
-        let mut over = None;
-        while over.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
-            let jobs = store.read(0..store.keys.len());
-            over = jobs.get(&id).unwrap().final_state();
-            let (guards, writes) = jobs
-                .garbage(3)
-                .into_iter()
-                .map(|(write, rev)| (Precondition { key: write.key().into(), rev }, write))
-                .unzip();
-            assert!(store.commit(&Transaction { guards, writes }, &LAYOUT));
-        }
         let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
-        assert_eq!(over.unwrap().0, status);
+        assert_eq!(collect_garbage(&mut store, &id).status, status);
     }
 }
 
-/// However many keys marks are due in, each change fits the limits, and the rest follows.
+/// However many chunks change, each transaction fits the limits, and the rest follows.
 #[test]
-fn marks_of_many_keys_go_a_few_at_a_time() {
+fn many_changed_chunks_are_committed_a_few_at_a_time() {
     let (mut store, id) = (Store::default(), JobId::new("wk-1"));
     let transaction = record(&spec("wk-1", 100_000), &Jobs::new(16_384));
     assert!(store.commit(&transaction, &LAYOUT));
@@ -189,13 +218,13 @@
     }
     let jobs = store.read(0..store.keys.len());
     assert!(complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).is_none());
-    assert_eq!(jobs.get(&id).unwrap().live().unwrap().done_count(), 100);
+    assert_eq!(jobs.get(&id).unwrap().live().unwrap().completed_count(), 100);
 }
 
-/// A description larger than a value, from the first part to the tidying up; a second submission
+/// A description larger than a value, from the first chunk to garbage collection; a second submission
 /// elsewhere goes on with what the first one wrote.
 #[test]
-fn a_description_larger_than_a_value_is_kept_in_parts() {
+fn a_description_larger_than_a_value_is_stored_in_chunks() {
     let mut long = fixtures::job_spec("wk-9", 2000);
     long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
     long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
@@ -233,25 +262,25 @@
     assert_eq!(jobs.garbage(1000).len(), store.keys.len() - 1);
 }
 
-fn alone(job: &LiveJob) -> dag::InheritedPriority {
+fn own_priority(job: &LiveJob) -> dag::InheritedPriority {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
     dag::InheritedPriority { urgency: job.spec.urgency, due_ms }
 }
 
-fn length_ms(job: &LiveJob) -> u64 {
+fn duration_ms(job: &LiveJob) -> u64 {
     job.spec.expect_s as u64
 }
 
-/// The plain model of what is carried back: by recursion over all that need the job.
-fn plain_carried(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
-    let mut carried = alone(live[id]);
+/// The plain model of what is inherited: by recursion over all that depend on the job.
+fn plain_inherited(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
+    let mut inherited = own_priority(live[id]);
     for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
-        let after = plain_carried(other, live);
-        carried.urgency = carried.urgency.min(after.urgency);
-        let begin = after.due_ms.map(|due| due.saturating_sub(length_ms(job)));
-        carried.due_ms = carried.due_ms.into_iter().chain(begin).min();
+        let after = plain_inherited(other, live);
+        inherited.urgency = inherited.urgency.min(after.urgency);
+        let begin = after.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
+        inherited.due_ms = inherited.due_ms.into_iter().chain(begin).min();
     }
-    carried
+    inherited
 }
 
 /// The plain model: what a job's state is, worked out anew from all records, by recursion.
@@ -272,6 +301,67 @@
     state
 }
 
+/// What is inherited against the plain model.
+fn check_priorities(jobs: &Jobs) -> Result<(), proptest::test_runner::TestCaseError> {
+    let live: BTreeMap<&JobId, &LiveJob> =
+        jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
+    let inherited = dag::inherit_priorities(&live, own_priority, |_, job| duration_ms(job));
+    for (id, job) in &live {
+        let found = inherited.get(*id).copied().unwrap_or_else(|| own_priority(job));
+        proptest::prop_assert_eq!(found, plain_inherited(id, &live), "job {}", id);
+    }
+    Ok(())
+}
+
+/// A job whose priority, due time and duration vary with a number.
+fn submitted(which: usize, id: &JobId, depends_on: Vec<JobId>) -> Arc<JobSpec> {
+    let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
+    Arc::new(JobSpec {
+        depends_on: Some(depends_on),
+        urgency: urgencies[which % 3],
+        due_s: (which.is_multiple_of(4)).then_some(100.0 + (which * 7 % 50) as f64),
+        expect_s: which as f64,
+        ..fixtures::job_spec(id.as_str(), 1)
+    })
+}
+
+/// Of a random graph: the jobs that each one depends on, all before it.
+fn acyclic(edges: &[Vec<usize>]) -> Vec<Vec<usize>> {
+    let before = |(n, list): (usize, &Vec<usize>)| {
+        let set: BTreeSet<usize> = list.iter().filter(|_| n > 0).map(|m| m % n.max(1)).collect();
+        set.into_iter().collect()
+    };
+    edges.iter().enumerate().map(before).collect()
+}
+
+/// The id of a graph's n-th job: not in the order of acceptance.
+fn graph_job(n: usize) -> JobId {
+    JobId::new(&format!("wk-{}", (n * 17) % 41))
+}
+
+/// What processes derived of the accepted jobs against the plain model.
+fn check_states(
+    processes: &[&Jobs],
+    accepted: usize,
+    depends_on: &[Vec<usize>],
+    ended: &BTreeMap<usize, bool>,
+) -> Result<(), proptest::test_runner::TestCaseError> {
+    let mut memo = BTreeMap::new();
+    for n in 0..accepted {
+        let plain = plain_state(n, depends_on, ended, &mut memo);
+        for jobs in processes {
+            let job = jobs.get(&graph_job(n)).unwrap();
+            let state = job.final_state().map(|state| state.status == JobStatus::Cancelled);
+            proptest::prop_assert_eq!(state, plain, "job {}", n);
+            if let Some(live) = job.live() {
+                let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
+                proptest::prop_assert_eq!(live.unfinished_dependencies as usize, open.count());
+            }
+        }
+    }
+    Ok(())
+}
+
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config {
         cases: 60, failure_persistence: None,
@@ -288,29 +378,18 @@
         shuffle in 0usize..40,
     ) {
         let count = edges.len();
-        let depends_on: Vec<Vec<usize>> = edges
-            .iter()
-            .enumerate()
-            .map(|(n, list)| {
-                let set: BTreeSet<usize> = list.iter().filter(|_| n > 0).map(|m| m % n.max(1)).collect();
-                set.into_iter().collect()
-            })
-            .collect();
-        let name = |n: usize| JobId::new(&format!("wk-{}", (n * 17) % 41));
+        let depends_on = acyclic(&edges);
+        let name = graph_job;
         let mut store = Store::default();
-        let mut jobs = Jobs::new(LAYOUT.chunk);
+        let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
         let mut ended: BTreeMap<usize, bool> = BTreeMap::new();
         let mut accepted = 0;
         for (which, act) in acts {
             let before = store.keys.clone();
             if accepted < count && act < 4 {
-                let mut spec = fixtures::job_spec(name(accepted).as_str(), 1);
-                spec.depends_on = Some(depends_on[accepted].iter().map(|n| name(*n)).collect());
-                let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
-                spec.urgency = urgencies[which % 3];
-                spec.due_s = (which % 4 == 0).then_some(100.0 + (which * 7 % 50) as f64);
-                spec.expect_s = which as f64;
-                store.commit(&record(&Arc::new(spec), &jobs), &LAYOUT);
+                let dependencies = depends_on[accepted].iter().map(|n| name(*n)).collect();
+                let spec = submitted(which, &name(accepted), dependencies);
+                store.commit(&record(&spec, &jobs), &LAYOUT);
                 accepted += 1;
             } else if accepted > 0 {
                 let n = which % accepted;
@@ -321,10 +400,10 @@
                         let done = complete(&name(n), &job, &[0], 0, 9, &LAYOUT);
                         (done.map(|done| done.transaction), Some(false))
                     }
-                    // Tidying up changes no answer.
+                    // Garbage collection changes no state.
                     _ => {
-                        let transaction = jobs.garbage(2).pop().map(|(write, rev)| Transaction {
-                            guards: vec![Precondition { key: write.key().into(), rev }],
+                        let transaction = jobs.garbage(2).pop().map(|GarbageWrite { write, revision: rev }| Transaction {
+                            preconditions: vec![Precondition { key: write.key().into(), rev }],
                             writes: vec![write],
                         });
                         (transaction, None)
@@ -342,26 +421,8 @@
             new.iter().for_each(|key| store.take(&mut jobs, key));
             let total = store.keys.len();
             let again = store.read((0..total).map(|n| (n + shuffle) % total.max(1)));
-            let mut memo = BTreeMap::new();
-            let live: BTreeMap<&JobId, &LiveJob> =
-                jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let carried = dag::carry_back(&live, alone, |_, job| length_ms(job));
-            for (id, job) in &live {
-                let found = carried.get(*id).copied().unwrap_or_else(|| alone(job));
-                proptest::prop_assert_eq!(found, plain_carried(id, &live), "job {}", id);
-            }
-            for n in 0..accepted {
-                let plain = plain_state(n, &depends_on, &ended, &mut memo);
-                for jobs in [&jobs, &again] {
-                    let job = jobs.get(&name(n)).unwrap();
-                    let state = job.final_state().map(|(status, _)| status == JobStatus::Cancelled);
-                    proptest::prop_assert_eq!(state, plain, "job {}", n);
-                    if let Some(live) = job.live() {
-                        let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
-                        proptest::prop_assert_eq!(live.open as usize, open.count());
-                    }
-                }
-            }
+            check_priorities(&jobs)?;
+            check_states(&[&jobs, &again], accepted, &depends_on, &ended)?;
         }
     }
 }
@@ -378,7 +439,7 @@
     let graphs: [fn(usize) -> Vec<usize>; 2] = [chain, layered];
     for depends_on in graphs {
         for backward in [false, true] {
-            let mut jobs = Jobs::new(LAYOUT.chunk);
+            let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
             let name = |n: usize| JobId::new(&format!("wk-{n}"));
             let mut order: Vec<usize> = (0..5000).collect();
             if backward {
@@ -394,19 +455,19 @@
                 apply(&mut jobs, &transaction, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
-            let alone = |job: &LiveJob| dag::InheritedPriority {
+            let own = |job: &LiveJob| dag::InheritedPriority {
                 urgency: job.spec.urgency,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
-            let carried = dag::carry_back(&live, alone, |_, _| 10);
-            let first = carried[&name(0)];
+            let inherited = dag::inherit_priorities(&live, own, |_, _| 10);
+            let first = inherited[&name(0)];
             assert_eq!(first.urgency, wire::Priority::Production);
             let layers = if depends_on(4999).len() == 1 { 4999 } else { 999 };
             assert_eq!(first.due_ms, Some(1_000_000 - layers * 10));
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
             apply(&mut jobs, &end, 2);
-            let over = jobs.all.values().filter(|job| job.final_state().is_some()).count();
+            let over = jobs.all.values().filter(|job| job.is_finished()).count();
             let all = if layers == 999 { 4996 } else { 5000 };
             assert_eq!((over, jobs.take_changed().len()), (all, all));
         }
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -8,10 +8,11 @@
 //! long that nothing it answered can outlive the cancellation's time. The proof is in
 //! `docs/design.md`, "A cut-off zone".
 
-use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, STATE_RETRY, WORKER_MARGIN};
+use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, RETRY_PAUSE, WORKER_MARGIN};
 use crate::ids::{ControllerId, JobId, LeaseId, Revision};
-use crate::store::records::{self, VersionRecord};
-use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse};
+use crate::schema::records::VersionRecord;
+use crate::schema::{encoding, keys};
+use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Precondition, StoreValue, Transaction, Write};
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -71,7 +72,7 @@
     pub fn poll(
         &mut self,
         seen: Revision,
-        version: Option<&(VersionRecord, Revision)>,
+        version: Option<&Versioned<VersionRecord>>,
         now: Instant,
     ) -> Option<StoreRequest> {
         if self.in_flight || now < self.due {
@@ -80,17 +81,17 @@
         let call = match self.stage {
             Stage::Absent => StoreRequest::GrantLease(HEARTBEAT_LEASE),
             Stage::Leased(lease, _) => {
-                let (record, told) = version?;
-                let epoch = records::version_key(&self.me);
-                let put = |key: &str, data, hold| Write::Put { key: key.into(), data, hold };
+                let Versioned { value: record, revision: told } = version?;
+                let epoch = keys::version_key(&self.me);
+                let put = |key: &str, data, lease| Write::Put { key: key.into(), data, lease };
                 StoreRequest::Commit(Transaction {
-                    guards: vec![
+                    preconditions: vec![
                         Precondition { key: self.key.clone(), rev: seen },
                         Precondition { key: epoch.clone(), rev: *told },
                     ],
                     writes: vec![
                         put(&self.key, StoreValue::Bool(true), Some(lease)),
-                        put(&epoch, records::to_value(record), None),
+                        put(&epoch, encoding::to_value(record), None),
                     ],
                 })
             }
@@ -108,7 +109,7 @@
         now: Instant,
     ) {
         self.in_flight = false;
-        self.due = now + STATE_RETRY * 2;
+        self.due = now + RETRY_PAUSE * 2;
         match (self.stage, call, reply) {
             (Stage::Absent, StoreRequest::GrantLease(_), StoreResponse::LeaseGranted(lease)) => {
                 self.stage = Stage::Leased(*lease, sent);
@@ -213,7 +214,7 @@
         }
         for peer in &self.peers {
             let rev = cache.controller_leases.get(peer).copied();
-            let format = cache.versions.get(peer).map_or(0, |(v, _)| v.format);
+            let format = cache.versions.get(peer).map_or(0, |version| version.value.format);
             match self.seen.get_mut(peer) {
                 Some(seen) if seen.rev == rev => {}
                 Some(seen) => *seen = Seen { rev, since: now },
@@ -259,29 +260,29 @@
 
     /// What guards a cancellation of the job: for each other controller its key, or that it has
     /// none. `zone_of` tells where a controller stands.
-    pub fn guards(
+    pub fn preconditions(
         &self,
         id: &JobId,
         cache: &Cache,
         zone_of: impl Fn(&ControllerId) -> Option<String>,
         now: Instant,
     ) -> Result<Vec<Precondition>, Missing> {
-        let mut guards: BTreeMap<String, Revision> = BTreeMap::new();
+        let mut preconditions: BTreeMap<String, Revision> = BTreeMap::new();
         let (mut asked, mut late) = (Vec::new(), false);
         let given = self.given.get(id);
-        let placed = self
-            .placed
-            .get(id)
-            .filter(|(leader, _)| cache.leader.as_ref().is_some_and(|(_, rev)| rev == leader));
+        let placed = self.placed.get(id).filter(|(leader, _)| {
+            cache.leader.as_ref().is_some_and(|known| known.revision == *leader)
+        });
         for peer in &self.peers {
             let seen = self.seen.get(peer);
             let rev = seen.and_then(|seen| seen.rev);
-            guards.insert(heartbeat_key(peer), rev.unwrap_or_default());
+            preconditions.insert(heartbeat_key(peer), rev.unwrap_or_default());
             if rev.is_none() {
                 // Applied late, it must not take a later absence for this one: a heartbeat in between has
                 // written this key, which never goes away.
-                let told = cache.versions.get(peer).map(|(_, rev)| *rev).unwrap_or_default();
-                guards.insert(records::version_key(peer), told);
+                let told =
+                    cache.versions.get(peer).map(|version| version.revision).unwrap_or_default();
+                preconditions.insert(keys::version_key(peer), told);
             }
             let promise = given.and_then(|given| given.get(peer));
             let sure = match rev {
@@ -301,7 +302,7 @@
             if let (Some((leader, zones)), Some(zone)) = (placed, zone_of(peer))
                 && !zones.contains(&zone)
             {
-                guards.insert(crate::store::LEADER_KEY.into(), *leader);
+                preconditions.insert(crate::store::LEADER_KEY.into(), *leader);
                 continue;
             }
             match rev {
@@ -315,8 +316,8 @@
         if !asked.is_empty() {
             return Err(Missing::CancellationAcks(asked));
         }
-        let guards = guards.into_iter().map(|(key, rev)| Precondition { key, rev });
-        Ok(guards.chain(self.own.clone()).collect())
+        let preconditions = preconditions.into_iter().map(|(key, rev)| Precondition { key, rev });
+        Ok(preconditions.chain(self.own.clone()).collect())
     }
 }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -123,7 +123,7 @@
             term: LeaderTerm::new(token, leader_revision, now),
             wall_clock,
             teams: team_names.enumerate().map(|(index, name)| (name, index)).collect(),
-            fleet: Fleet::new(zone_names, cache.machine_types.0.clone()),
+            fleet: Fleet::new(zone_names, cache.machine_types.value.clone()),
             jobs: JobTable::default(),
             planning_clock: PlanningClock::new(now),
             start_pacer: StartPacer::new(now),
@@ -141,8 +141,10 @@
             statistics: Statistics::new(now),
             settings,
         };
-        for (id, (record, _)) in &cache.machines {
-            let Some(kind) = scheduler.fleet.pool(&record.flavor, &record.zone, record.spot) else {
+        for (id, known) in &cache.machines {
+            let record = &known.value;
+            let Some(kind) = scheduler.fleet.pool(&record.machine_type, &record.zone, record.spot)
+            else {
                 continue;
             };
             let machine = scheduler.fleet.add_machine(id, kind, now);
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -42,7 +42,7 @@
         }
         let group = self.demand_group(job);
         let spec = &job.spec;
-        let tasks = spec.tasks.saturating_sub(job.done_count()) as f64;
+        let tasks = spec.tasks.saturating_sub(job.completed_count()) as f64;
         let remaining_work = if spec.shape == JobKind::Service {
             0.0
         } else {
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -121,7 +121,7 @@
         *tally.backlog.entry(group).or_default() +=
             (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
-            let tasks = job.spec.tasks - job.done_count().min(job.spec.tasks);
+            let tasks = job.spec.tasks - job.completed_count().min(job.spec.tasks);
             let work = (each * tasks) as f64 * occupancy_s / MACHINE as f64;
             self.record_arrival(group, work, job, tally);
         }
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -3,7 +3,8 @@
 //! of descriptions whose submission was never finished. A take-over loses nothing: what is left is
 //! found again in the store.
 
-use crate::ids::{JobId, Revision};
+use crate::ids::JobId;
+use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
 use crate::scheduler::Scheduler;
 use crate::store::{PendingWrite, StoreClient, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{Precondition, Transaction, Write};
@@ -39,28 +40,31 @@
             return;
         }
         self.garbage_collector.at = now + TIDY_EVERY;
-        let most = TIDY_WRITES.min(state.layout().txn_ops);
+        let most = TIDY_WRITES.min(state.layout().max_operations);
         let mut writes = state.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
-        for (id, key, rev) in state.cache.jobs.orphaned_spec_chunks() {
-            let since = self.garbage_collector.orphans.get(id).copied().unwrap_or(now);
-            waiting.insert(id.clone(), since);
+        for OrphanedSpecChunk { job, key, revision } in state.cache.jobs.orphaned_spec_chunks() {
+            let since = self.garbage_collector.orphans.get(&job).copied().unwrap_or(now);
+            waiting.insert(job, since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
-                writes.push((Write::Delete { key }, rev));
+                writes.push(GarbageWrite { write: Write::Delete { key }, revision });
             }
         }
         self.garbage_collector.orphans = waiting;
         if writes.is_empty() {
             return;
         }
-        let guard =
-            |(write, rev): &(Write, Revision)| Precondition { key: write.key().into(), rev: *rev };
-        let guards =
-            std::iter::once(self.term.precondition()).chain(writes.iter().map(guard)).collect();
+        let precondition = |garbage: &GarbageWrite| Precondition {
+            key: garbage.write.key().into(),
+            rev: garbage.revision,
+        };
+        let preconditions = std::iter::once(self.term.precondition())
+            .chain(writes.iter().map(precondition))
+            .collect();
         self.garbage_collector.keys =
-            writes.iter().map(|(write, _)| write.key().to_owned()).collect();
-        let writes = writes.into_iter().map(|(write, _)| write).collect();
-        let transaction = Transaction { guards, writes };
+            writes.iter().map(|garbage| garbage.write.key().to_owned()).collect();
+        let writes = writes.into_iter().map(|garbage| garbage.write).collect();
+        let transaction = Transaction { preconditions, writes };
         state.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::GarbageCollection,
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -106,7 +106,10 @@
     /// How many of the job's tasks are neither done nor placed. Some may be both, until the
     /// commit of a completion is known.
     pub(super) fn waiting(&self, job: &LiveJob) -> u64 {
-        job.spec.tasks.saturating_sub(job.done_count()).saturating_sub(self.placed.len() as u64)
+        job.spec
+            .tasks
+            .saturating_sub(job.completed_count())
+            .saturating_sub(self.placed.len() as u64)
     }
 
     /// When the pause of a task ends, if it has not ended yet.
@@ -167,6 +170,6 @@
     }
 
     fn is_open(&self, job: &LiveJob, task: u32) -> bool {
-        !self.placed.contains_key(&task) && !job.is_done(task)
+        !self.placed.contains_key(&task) && !job.is_completed(task)
     }
 }
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -128,7 +128,7 @@
         if self.urgency(id, job) != Priority::Low || job.spec.shape != JobKind::Array {
             return within_limit;
         }
-        let within_rate = self.start_pacer.low_priority_starts.room(context.now) as u64;
+        let within_rate = self.start_pacer.low_priority_starts.available(context.now) as u64;
         let startable = within_limit.min(waiting);
         if within_rate >= startable {
             return within_limit;
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -194,7 +194,7 @@
             MachineBins { bins: Vec::with_capacity(count), ids: Vec::with_capacity(count) };
         for machine in self.fleet.machines.values_mut() {
             let zone_name = &settings.platform.params.zones[machine.zone];
-            if drained.of(machine.id.as_str(), zone_name).is_some() {
+            if drained.drain_of_machine(machine.id.as_str(), zone_name).is_some() {
                 continue;
             }
             let machine_type = &self.fleet.machine_types[machine.flavor];
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -89,7 +89,7 @@
     fn queued_job(&self, id: &JobId, job: &LiveJob, team: usize, now: Instant) -> QueuedJob {
         let spec = &job.spec;
         let progress = &self.jobs.progress[id];
-        let started = job.done_count() + progress.placed.len() as u64;
+        let started = job.completed_count() + progress.placed.len() as u64;
         let team_limit = self.settings.platform.params.teams[team].most();
         let waited =
             progress.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
