--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -95,17 +95,15 @@
                 // What counts as heavy follows from the largest type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
-            CloudEvent::Hired(pool, machines) => self.on_rented(pool, &machines, now),
-            CloudEvent::Refused(pool) => self.on_refused(pool, now),
-            CloudEvent::Deleted(machines) => {
+            CloudEvent::MachinesRented(pool, machines) => self.on_rented(pool, &machines, now),
+            CloudEvent::CapacityExhausted(pool) => self.on_refused(pool, now),
+            CloudEvent::MachinesReturned(machines) => {
                 for id in machines {
                     self.fleet.terminated.insert(id.clone());
                     self.remove_machine(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::ListedMachine(listed, asked_at) => {
-                self.on_machine_list(listed, asked_at, cache, now);
-            }
+            CloudEvent::Listed(listing) => self.on_machine_list(listing, cache, now),
         }
     }
 
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -1,5 +1,6 @@
 //! The cloud's list of machines, and machines that are gone.
 
+use crate::cloud::MachineListing;
 use crate::ids::MachineId;
 use crate::scheduler::Scheduler;
 use crate::store::Cache;
@@ -17,17 +18,12 @@
 const MAX_AGE_S: f64 = 1e7;
 
 impl Scheduler {
-    /// Takes in the cloud's list of machines, which was requested at `asked_at`.
-    pub(super) fn on_machine_list(
-        &mut self,
-        listed: Vec<ListedMachine>,
-        asked_at: Instant,
-        cache: &Cache,
-        now: Instant,
-    ) {
+    /// Takes in the cloud's list of machines.
+    pub(super) fn on_machine_list(&mut self, listing: MachineListing, cache: &Cache, now: Instant) {
+        let MachineListing { machines, requested_at } = listing;
         self.fleet.listed_once = true;
         let mut present = HashSet::new();
-        for row in listed {
+        for row in machines {
             if self.fleet.terminated.contains(&row.machine) {
                 continue;
             }
@@ -38,7 +34,7 @@
                 self.record_listed_machine(&row, now);
             }
         }
-        self.suspect_unlisted(&present, asked_at);
+        self.suspect_unlisted(&present, requested_at);
     }
 
     /// A failed machine stays in the list until it is deleted.
@@ -69,15 +65,15 @@
     /// Returns machines that are silent and not listed. A machine once listed stays listed until
     /// it is gone, but a list may be older than the one before, so a missing machine is only
     /// suspected: its deletion gives the proof.
-    fn suspect_unlisted(&mut self, present: &HashSet<MachineId>, asked_at: Instant) {
+    fn suspect_unlisted(&mut self, present: &HashSet<MachineId>, requested_at: Instant) {
         let list_lag_s = self.settings.platform.params.cloud.list_lag_s;
         let lag = Duration::from_secs_f64(list_lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S);
         let quiet = self.settings.report_every() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
                 && machine.state != MachineState::Returning
-                && machine.time_since_heartbeat(asked_at) > quiet
-                && asked_at.saturating_duration_since(machine.rented) > lag
+                && machine.time_since_heartbeat(requested_at) > quiet
+                && requested_at.saturating_duration_since(machine.rented) > lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine is silent and not listed, returning it");
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -213,7 +213,7 @@
             let lost = watch.check(machine);
             events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
             if machine.state == MachineState::Returning {
-                cloud.delete(&machine.id, now);
+                cloud.scale_in(&machine.id, now);
             }
         }
         for (machine, event) in events {
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -227,6 +227,6 @@
             let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
             zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
         });
-        cloud.is_out() || pools.all(refuses)
+        cloud.is_unavailable() || pools.all(refuses)
     }
 }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -16,10 +16,10 @@
 
 pub(super) use decision::PlanningDecision;
 pub(super) use demand::{DemandQueue, JobRequest, WaitingTasks};
-pub(super) use fleet_view::{FleetView, MachineBins, PendingRental, UnconfirmedMachines};
+pub(super) use fleet_view::{FleetView, MachineBins, UnconfirmedMachines};
 pub(super) use jobs_view::JobsView;
 
-use crate::cloud::CloudClient;
+use crate::cloud::{CloudClient, PendingRental};
 use crate::ids::JobId;
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
@@ -145,7 +145,7 @@
     fn rent(&self, decision: &PlanningDecision, cloud: &mut CloudClient, now: Instant) {
         for PendingRental { pool, count } in &decision.rentals {
             let machine_type = &self.fleet.machine_types[pool.flavor].name;
-            cloud.hire(*pool, machine_type, self.fleet.zone_name(pool.zone), *count, now);
+            cloud.scale_out(*pool, machine_type, self.fleet.zone_name(pool.zone), *count, now);
         }
     }
 
--- a/src/scheduler/planning/decision.rs
+++ b/src/scheduler/planning/decision.rs
@@ -2,7 +2,8 @@
 //!
 //! Reads the autoscaler's offers; changes nothing.
 
-use super::{DemandQueue, FleetView, PendingRental, WaitingTasks, waiting_cause};
+use super::{DemandQueue, FleetView, WaitingTasks, waiting_cause};
+use crate::cloud::PendingRental;
 use crate::ids::{Amount, MachineId};
 use crate::placement::{PlacementInput, PlacementPlan, plan};
 use crate::scheduler::Scheduler;
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -4,7 +4,7 @@
 //! Reads the fleet, the drains and the cloud's pending rentals; updates the machines' baskets.
 
 use super::JobsView;
-use crate::cloud::{CloudClient, MachinePool};
+use crate::cloud::{CloudClient, MachinePool, PendingRental};
 use crate::ids::{Amount, MachineId, MachineTypeId, ZoneId};
 use crate::placement::{Basket, Bin};
 use crate::scheduler::Scheduler;
@@ -74,14 +74,6 @@
     pub(in crate::scheduler) remaining: u32,
 }
 
-/// A number of machines to be rented.
-pub(in crate::scheduler) struct PendingRental {
-    /// Of which pool.
-    pub(in crate::scheduler) pool: MachinePool,
-    /// How many.
-    pub(in crate::scheduler) count: u32,
-}
-
 impl FleetView {
     /// Adds the machines of pending rentals to the bins.
     pub(super) fn add_pending_rentals(&mut self) {
@@ -228,9 +220,7 @@
     }
 
     fn rental_state(&self, cloud: &CloudClient, now: Instant) -> RentalState {
-        let pending = cloud.pending().into_iter();
-        let pending: Vec<PendingRental> =
-            pending.map(|(pool, count)| PendingRental { pool, count }).collect();
+        let pending = cloud.pending_rentals();
         let settled_at = self.term.started_at + RENTAL_SETTLE_TIME;
         let listed = self.fleet.listed_once
             || now >= self.term.started_at + RENTAL_SETTLE_TIME * LIST_PATIENCE;
