--- a/crates/elastic-width/src/lib.rs
+++ b/crates/elastic-width/src/lib.rs
@@ -113,7 +113,7 @@
 impl<Id: Ord + Clone> Widths<Id> {
     /// A task of the job made way for more urgent work. Who has to make way again soon after a rest rests
     /// twice as long.
-    pub fn made_way(&mut self, job: &Id, now: Duration) {
+    pub fn record_preemption(&mut self, job: &Id, now: Duration) {
         let rest = match self.rests.get(job) {
             Some((until, rest)) if now < *until => *rest,
             Some((_, rest)) => REST_MOST.min(*rest * 2),
--- a/crates/elastic-width/src/tests.rs
+++ b/crates/elastic-width/src/tests.rs
@@ -88,7 +88,7 @@
         while width.iter().sum::<u64>() + guest > all {
             let widest = usize::from(width[1] > width[0]);
             width[widest] -= 1;
-            widths.made_way(&(widest as u8), now);
+            widths.record_preemption(&(widest as u8), now);
             turns[widest] += u32::from(direction[widest] > 0);
             direction[widest] = -1;
             shrinks += 1;
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -98,6 +98,6 @@
             return;
         }
         let elapsed = self.term.elapsed(now);
-        jobs.iter().for_each(|job| self.elastic_widths.made_way(job, elapsed));
+        jobs.iter().for_each(|job| self.elastic_widths.record_preemption(job, elapsed));
     }
 }
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -26,7 +26,7 @@
 const SCARCITY_PRESUMED_FOR: Duration = Duration::from_secs(15);
 
 /// The demand of all jobs, while it is summed up.
-struct DemandTally {
+struct DemandTotals {
     /// The machine by which demand is measured.
     largest: Amount,
     /// For how long this leadership has lasted.
@@ -55,7 +55,7 @@
         if self.settings.operator.floor <= 0.0 {
             return;
         }
-        let mut tally = DemandTally {
+        let mut totals = DemandTotals {
             largest: largest_capacity(&fleet.capacities),
             elapsed: self.term.elapsed(now),
             now_ms: self.wall_clock.ms(now),
@@ -65,10 +65,10 @@
             maybe_started: BTreeMap::new(),
         };
         for (id, job) in jobs {
-            self.tally_job(id, job, &mut tally);
+            self.add_job_demand(id, job, &mut totals);
         }
-        let (largest, elapsed) = (tally.largest, tally.elapsed);
-        let mut demands = self.group_demands(tally, fleet);
+        let (largest, elapsed) = (totals.largest, totals.elapsed);
+        let mut demands = self.group_demands(totals, fleet);
         if self.fair_share.is_scarce() {
             self.exclude_stopping_tasks(&mut demands, &largest);
         }
@@ -90,13 +90,13 @@
         }
     }
 
-    fn tally_job(&mut self, id: &JobId, job: &LiveJob, tally: &mut DemandTally) {
+    fn add_job_demand(&mut self, id: &JobId, job: &LiveJob, totals: &mut DemandTotals) {
         let known = self.jobs.progress.get(id).and_then(|progress| progress.demand_group);
         let group = known.unwrap_or_else(|| self.demand_group(job));
         let teams = &self.settings.platform.params.teams;
         let Some(team) = teams.get(group.team.index()) else { return };
         let guest = team.guarantee().is_zero();
-        let each = room(&job.need, &tally.largest);
+        let each = room(&job.need, &totals.largest);
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
         progress.demand_group = Some(group);
@@ -105,12 +105,12 @@
         }
         let (held, waiting) = (progress.placed.len() as u64, progress.waiting(job));
         let empty = Demand { ordinary: true, guest, ..Demand::default() };
-        let demand = tally.demands.entry(group).or_insert(empty);
+        let demand = totals.demands.entry(group).or_insert(empty);
         demand.ordinary &= !job.spec.spot;
         demand.held += each * held;
         demand.waiting += each * waiting;
-        if progress.predates_leadership && tally.has_unconfirmed {
-            *tally.maybe_started.entry(group).or_default() += each * waiting;
+        if progress.predates_leadership && totals.has_unconfirmed {
+            *totals.maybe_started.entry(group).or_default() += each * waiting;
         }
         if job.spec.shape == JobKind::Service {
             demand.offered += each * (held + waiting);
@@ -118,12 +118,12 @@
             return;
         }
         let finish_s = self.settings.finish_within(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
-        *tally.backlog.entry(group).or_default() +=
+        *totals.backlog.entry(group).or_default() +=
             (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
             let tasks = job.spec.tasks - job.completed_count().min(job.spec.tasks);
             let work = (each * tasks) as f64 * occupancy_s / MACHINE as f64;
-            self.record_arrival(group, work, job, tally);
+            self.record_arrival(group, work, job, totals);
         }
     }
 
@@ -133,22 +133,22 @@
         group: DemandGroup,
         work: f64,
         job: &LiveJob,
-        tally: &DemandTally,
+        totals: &DemandTotals,
     ) {
-        let age = Duration::from_millis(tally.now_ms.saturating_sub(job.eligible_ms()));
-        self.fair_share.scarcity.came(&group, work, age, tally.elapsed);
+        let age = Duration::from_millis(totals.now_ms.saturating_sub(job.eligible_ms()));
+        self.fair_share.scarcity.came(&group, work, age, totals.elapsed);
         // What arrived under a predecessor is in its log.
-        if age <= tally.elapsed || self.term.token.0 <= 1 {
+        if age <= totals.elapsed || self.term.token.0 <= 1 {
             *self.fair_share.arrived.entry(group).or_default() += work;
         }
     }
 
     fn group_demands(
         &self,
-        tally: DemandTally,
+        totals: DemandTotals,
         fleet: &FleetView,
     ) -> BTreeMap<DemandGroup, Demand> {
-        let DemandTally { largest, elapsed, mut demands, backlog, maybe_started, .. } = tally;
+        let DemandTotals { largest, elapsed, mut demands, backlog, maybe_started, .. } = totals;
         let all_maybe_started = maybe_started.values().sum::<Room>().max(1) as f64;
         let unconfirmed = room(&fleet.unconfirmed.free, &largest) as f64;
         let started_share = (unconfirmed / all_maybe_started).min(1.0);
