--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -70,7 +70,7 @@
     /// Its commit is in flight.
     pub(super) committing: bool,
     /// A cancellation waits until then for other controllers to acknowledge it.
-    pub(super) promises_until: Option<Instant>,
+    pub(super) acks_deadline: Option<Instant>,
 }
 
 impl PendingRequest {
@@ -83,7 +83,7 @@
             synced: false,
             accepted: false,
             committing: false,
-            promises_until: None,
+            acks_deadline: None,
         }
     }
 }
--- /dev/null
+++ b/src/controller/machine_types.rs
@@ -0,0 +1,50 @@
+//! The catalogue of machine types, kept at the store.
+
+use super::Controller;
+use crate::ids::Revision;
+use crate::schema::{encoding, keys};
+use crate::store::{
+    MACHINE_TYPE_PREFIX, MACHINE_TYPES_KEY, PendingWrite, Versioned, WriteOrigin, WritePriority,
+};
+use crate::wire::{self, MachineType, Precondition, StoreValue, Transaction, Write};
+
+impl Controller {
+    /// Stores machine types that the cloud has shown, so that a controller started while the cloud is out can still
+    /// judge submissions. The catalogue only grows, since records refer to it.
+    pub(super) fn on_machine_types(&mut self, found: Vec<MachineType>) {
+        let Versioned { value: known, revision } = self.store.cache.machine_types.clone();
+        let mut all = known.clone();
+        wire::merge(&mut all, found);
+        // Only a leader writes it, or whoever finds none there yet.
+        if all == known || !(self.scheduler.is_some() || known.is_empty()) {
+            return;
+        }
+        let layout = self.store.layout();
+        if !layout.is_second() || layout.fits(&all) {
+            self.store_machine_types(MACHINE_TYPES_KEY.into(), encoding::to_value(&all), revision);
+            return;
+        }
+        for machine_type in all.iter().filter(|machine_type| !known.contains(machine_type)) {
+            // Names may be of any text, keys may not.
+            let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&machine_type.name));
+            let revision =
+                self.store.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
+            self.store_machine_types(key, encoding::to_value(machine_type), revision);
+        }
+    }
+
+    fn store_machine_types(&mut self, key: String, data: StoreValue, revision: Revision) {
+        let origin = WriteOrigin::MachineTypes(key.clone());
+        if self.store.is_pending(&origin) {
+            return;
+        }
+        let preconditions = vec![Precondition { key: key.clone(), rev: revision }];
+        let transaction =
+            Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
+        self.store.enqueue(PendingWrite {
+            priority: WritePriority::Background,
+            origin,
+            transaction,
+        });
+    }
+}
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -60,7 +60,7 @@
     /// Whether the lease of a machine has expired, whoever may have renewed it, and its zone is
     /// reachable otherwise.
     fn is_beyond_any_lease(&self, machine: &Machine) -> bool {
-        let answered = self.delegations.told(&machine.id);
+        let answered = self.delegations.last_answered(&machine.id);
         machine.state == MachineState::Up
             && machine.is_lease_expired(answered, self.settings.worker_lease(), self.now)
             && !self.unreachable_zones[machine.zone]
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -95,7 +95,7 @@
 
     /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
     /// learn of them; one that is not known yet was accepted a moment ago.
-    pub fn on_told_cancelled(&mut self, ids: &[JobId], cache: &Cache) {
+    pub fn on_cancellation_acknowledged(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
             if open && !self.jobs.cancelling.contains(id) {
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -2,7 +2,7 @@
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::cloud::{CloudEvent, MachinePool};
-use crate::controller::TICK_MOST;
+use crate::controller::TICK_MAX;
 use crate::ids::MachineId;
 use crate::scheduler::autoscaling::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
 use crate::scheduler::direct_calls::OutgoingCall;
@@ -76,10 +76,10 @@
         let until = bench.now + late * 3;
         while bench.now < until {
             // Behind a cut nobody is heard, until it ends.
-            if open || bench.now + TICK_MOST * 2 >= until {
+            if open || bench.now + TICK_MAX * 2 >= until {
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
-            bench.pass(TICK_MOST);
+            bench.pass(TICK_MAX);
             for OutgoingCall { machine: id, call: direct, .. } in
                 bench.scheduler.take_direct_calls()
             {
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -72,7 +72,7 @@
     assert!(!bench.scheduler.direct_calls.all_dirty);
     assert_eq!(bench.scheduler.direct_calls.dirty_machines, BTreeSet::new());
     // A job that is over has its tasks stopped, and each machine is looked at until it is told.
-    bench.scheduler.on_told_cancelled(std::slice::from_ref(&job), &bench.state.cache);
+    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.state.cache);
     let one = &names[0];
     bench.report(one, running[one].clone());
     assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -61,7 +61,7 @@
             let alone = self.fleet.zone_last_heartbeat[zone].is_some_and(|at| at > asked)
                 && silent[zone] * 2 <= up[zone]
                 && !cut_off[zone];
-            let told = self.delegations.told(&machine.id);
+            let told = self.delegations.last_answered(&machine.id);
             let elsewhere =
                 told.is_some_and(|at| machine.last_heartbeat.is_none_or(|heard| at > heard));
             let worth = if machine.confirmed { LOST_REPLICAS_WORTH } else { LOST_WORTH };
@@ -100,7 +100,7 @@
             let others = &self.settings.platform.others;
             let mut there = others.iter().filter(|peer| peer.location == names[zone]).peekable();
             there.peek().is_some()
-                && there.all(|peer| self.delegations.unheard(&peer.host_name, now))
+                && there.all(|peer| self.delegations.is_unreachable(&peer.host_name, now))
         };
         (0..up.len())
             .map(|zone| up[zone] > 0 && heard[zone] * 4 < up[zone] && (up[zone] >= 2 || deaf(zone)))
