--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -87,7 +87,7 @@
     fn new() -> Leader {
         let settings = settings();
         let now = Instant::now();
-        let limits = settings.platform.params.state.kept();
+        let limits = settings.platform.params.state.effective();
         let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
         state.cache.machine_types = Versioned::new(vec![machine_type()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -103,7 +103,7 @@
         let first_number = seed >> 2;
         let api = Api::new(settings.clone(), wall).map_err(ControllerError::LatencyHistogram)?;
         Ok(Controller {
-            store: StoreClient::new(platform.params.state.kept(), names, seed, now),
+            store: StoreClient::new(platform.params.state.effective(), names, seed, now),
             election: Election::new(platform.host_name.clone(), platform.others.len(), seed, now),
             cloud: CloudClient::new(platform.params.cloud.rps, now),
             scheduler: None,
--- a/src/controller/actor/outgoing_calls.rs
+++ b/src/controller/actor/outgoing_calls.rs
@@ -4,7 +4,7 @@
 use crate::cloud::CloudRequest;
 use crate::http::{CallError, Client, Method, Request};
 use crate::ids::MachineId;
-use crate::settings::External;
+use crate::settings::ExternalServices;
 use crate::store::{StoreRequest, TimedRequest};
 use crate::wire::{self, CommandBatch, Heartbeat};
 use crate::workers::command_delivery::{DirectCall, WORKER_TIMEOUT};
@@ -41,7 +41,7 @@
 
 impl OutgoingCalls {
     /// Keeps at most `max_idle` idle connections to workers.
-    pub(super) fn start(external: &External, max_idle: usize) -> OutgoingCalls {
+    pub(super) fn start(external: &ExternalServices, max_idle: usize) -> OutgoingCalls {
         OutgoingCalls {
             client: Client::start(max_idle, vec![external.state, external.cloud]),
             store_address: external.state,
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -146,7 +146,7 @@
         let silent_since = scheduler.last_heartbeat().max(self.stalls.resumed_at());
         let silence = now.saturating_duration_since(silent_since);
         let patience = if scheduler.heartbeats() > 0 {
-            let usual = RESIGN_AFTER_SILENCE.max(self.settings.report_every() / 2);
+            let usual = RESIGN_AFTER_SILENCE.max(self.settings.heartbeat_interval() / 2);
             usual + self.sharding.extra_patience(now)
         } else {
             // Those that asked its predecessor first give that up.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -29,7 +29,8 @@
 /// first's list of revoked machines, and be acknowledged.
 #[test]
 fn chunks_of_two_messages_by_way_of_the_store_are_never_put_together() {
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let now = Instant::now();
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     read_empty_store(&mut controller, now);
@@ -69,7 +70,8 @@
 #[test]
 fn a_leader_sheds_users_to_peers_that_are_there() {
     let now = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let ready = |sheds_users: bool, peers: &[(bool, u64)]| {
         let mut controller =
             Controller::new(settings.clone(), 1, WallClock { at: now, ms: 5 }).unwrap();
@@ -98,10 +100,11 @@
 #[test]
 fn a_leader_of_many_machines_that_falls_behind_calls_few_of_them() {
     let now = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: now, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
-    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     let max_calls = |controller: &mut Controller, machines: u32, falls_behind: bool| {
         let cache = &controller.store.cache;
         let token = FencingToken(1);
@@ -139,7 +142,7 @@
     let teams = r#"[{"name":"t","cpus_max":8.0}]"#;
     let now = Instant::now();
     let ask = |own: &str, method: Method, shown: &str| {
-        let mut settings = crate::settings::plain(teams);
+        let mut settings = crate::settings::fixtures::settings(teams);
         settings.operator.operator_key = crate::settings::Secret(own.into());
         let mut controller =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
@@ -165,7 +168,7 @@
 fn a_drain_is_responded_to_once_it_is_committed() {
     let key = "a key of some length";
     let now = Instant::now();
-    let mut settings = crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#);
+    let mut settings = crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#);
     settings.operator.operator_key = crate::settings::Secret(key.into());
     let mut controller =
         Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
@@ -239,11 +242,12 @@
 #[test]
 fn a_leader_that_knows_of_its_successor_answers_as_its_follower() {
     let start = Instant::now();
-    let settings = Arc::new(crate::settings::plain(r#"[{"name":"t","cpus_max":8.0}]"#));
+    let settings =
+        Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let wall = WallClock { at: start, ms: 5 };
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
     read_empty_store(&mut controller, start);
-    controller.store.cache.machine_types.value = vec![crate::settings::plain_flavor()];
+    controller.store.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     let report = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
