--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -68,7 +68,7 @@
     fn suspect_unlisted(&mut self, present: &HashSet<MachineId>, requested_at: Instant) {
         let list_lag_s = self.settings.platform.params.cloud.list_lag_s;
         let lag = Duration::from_secs_f64(list_lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S);
-        let quiet = self.settings.report_every() * 2;
+        let quiet = self.settings.heartbeat_interval() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
                 && machine.state != MachineState::Returning
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -114,7 +114,7 @@
     }
 
     fn is_quiet(&self, machine: &Machine) -> bool {
-        machine.time_since_heartbeat(self.now) > self.settings.report_every() * 2
+        machine.time_since_heartbeat(self.now) > self.settings.heartbeat_interval() * 2
     }
 
     fn check_idle(&self, machine: &mut Machine) {
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -59,7 +59,7 @@
 
     /// The elasticity of an array's class, if it has any.
     fn elastic_class(&self, job: &LiveJob) -> Option<&ElasticClass> {
-        self.settings.elastic(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
+        self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
     }
 
     fn width(&self, id: &JobId) -> u64 {
@@ -88,7 +88,7 @@
 
     /// Seconds of repeated work by which a task of a job at its minimum width is spared.
     pub(super) fn minimum_width_bonus_s(&self, id: &JobId, job: &LiveJob) -> f64 {
-        let Some(elastic) = self.settings.elastic(&job.spec.class) else { return 0.0 };
+        let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
         if self.width(id) <= elastic.least { MINIMUM_WIDTH_BONUS_S } else { 0.0 }
     }
 
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -117,7 +117,7 @@
             self.fair_share.service_groups.insert(group);
             return;
         }
-        let finish_s = self.settings.finish_within(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
+        let finish_s = self.settings.finish_objective(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
         *totals.backlog.entry(group).or_default() +=
             (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -49,7 +49,7 @@
         };
         let zone_limit = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
         let priority = self.urgency(id, job);
-        let is_best_effort = priority == Priority::Low && !self.has_aim(id, job);
+        let is_best_effort = priority == Priority::Low && !self.has_objective(id, job);
         let heavy_threshold = self.settings.operator.heavy_threshold;
         Some(PlacementRequest {
             team: TeamId::new(*self.teams.get(&spec.team)?),
@@ -65,7 +65,7 @@
             image: self.fleet.image_ids.intern(&spec.image),
             excluded_machines: Vec::new(),
             gang: spec.shape == JobKind::Gang,
-            start_slo_s: self.settings.tightest_wait(&spec.class),
+            start_slo_s: self.settings.tightest_start_objective(&spec.class),
             slo_slack_s: None,
             scale_out: if is_best_effort { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
         })
@@ -187,8 +187,8 @@
     ) -> Option<f64> {
         let first_seen = self.jobs.progress.get(id)?.first_seen?;
         let waited_s = now.saturating_duration_since(first_seen).as_secs_f64();
-        let quota_slo = self.settings.guarantee_wait().filter(|_| !over_quota);
-        let slos = self.settings.waits(&job.spec.class).chain(quota_slo);
+        let quota_slo = self.settings.guarantee_start_objective().filter(|_| !over_quota);
+        let slos = self.settings.start_objectives(&job.spec.class).chain(quota_slo);
         let until_deadline = self.due_left(id, job, now).filter(|left| *left > 0.0);
         let slack = slos.map(|within_s| within_s - waited_s).filter(|left| *left > 0.0);
         slack.chain(until_deadline).min_by(f64::total_cmp)
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -65,7 +65,7 @@
             && machine.recorded
             && machine.reclaim_at.is_none()
             && !machine.faulty
-            && machine.time_since_heartbeat(now) < self.settings.report_every() * 2
+            && machine.time_since_heartbeat(now) < self.settings.heartbeat_interval() * 2
             && !self.is_drained(machine)
     }
 
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -147,7 +147,7 @@
         let teams = self.settings.platform.params.teams.iter().enumerate();
         let headroom = teams.map(|(index, team)| {
             let hidden = maybe_used[index].plus(&self.jobs.orphaned_capacity.of(index));
-            team.most().minus(&used[index]).minus(&hidden.least(&unconfirmed.free))
+            team.limit().minus(&used[index]).minus(&hidden.least(&unconfirmed.free))
         });
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
         headroom.chain([unlimited]).collect()
@@ -178,7 +178,7 @@
         let settings = self.settings.clone();
         let threshold = settings.operator.heavy_threshold;
         let hold = Duration::from_secs_f64(settings.operator.hold_s);
-        let quiet = settings.report_every() * 2 + Duration::from_secs(1);
+        let quiet = settings.heartbeat_interval() * 2 + Duration::from_secs(1);
         let overdue = self.overdue(summary, now);
         let drained = self.drains.drained.clone();
         let count = self.fleet.machines.len();
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -90,18 +90,19 @@
         let spec = &job.spec;
         let progress = &self.jobs.progress[id];
         let started = job.completed_count() + progress.placed.len() as u64;
-        let team_limit = self.settings.platform.params.teams[team].most();
+        let team_limit = self.settings.platform.params.teams[team].limit();
         let waited =
             progress.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let (deadlines, missed_deadlines) = self.due_aims(id, job, now);
-        let slos = self.settings.waits(&spec.class).count() + deadlines;
-        let missed_slos = self.settings.missed_waits(&spec.class, waited) + missed_deadlines;
+        let slos = self.settings.start_objectives(&spec.class).count() + deadlines;
+        let missed_slos =
+            self.settings.missed_start_objectives(&spec.class, waited) + missed_deadlines;
         let missed_all = missed_slos > 0 && missed_slos == slos;
         QueuedJob {
             priority: self.urgency(id, job),
             first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
             over_quota: false,
-            without_slo: !self.has_aim(id, job),
+            without_slo: !self.has_objective(id, job),
             had_turn: started >= max_copies(&team_limit, &job.need),
             missed_slos,
             size: if missed_all { 0 } else { spec.tasks },
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -129,7 +129,9 @@
     pub(super) fn fetch_is_late(&self, job: &JobId, machine: &MachineId, cache: &Cache) -> bool {
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
         let Some(machine) = self.fleet.machines.get(machine) else { return false };
-        let Some(within_s) = self.settings.tightest_wait(&live.spec.class) else { return false };
+        let Some(within_s) = self.settings.tightest_start_objective(&live.spec.class) else {
+            return false;
+        };
         let gb_per_s = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
         live.spec.urgency == Priority::Production
             && gb_per_s > 0.0
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -308,7 +308,7 @@
         // What waits is taken to find room as its team's limit allows.
         let team =
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
-        let width = team.map_or(u64::MAX, |team| placement::copies(&team.limit(), &live.need));
+        let width = team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.need));
         let rest = remaining(&estimate.centre, &running, waiting, width);
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
