--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -168,7 +168,7 @@
             notice_s: None,
             tasks,
         };
-        self.scheduler.on_report(&heartbeat, &self.state.cache, self.now);
+        self.scheduler.on_heartbeat(&heartbeat, &self.state.cache, self.now);
         if let Some(machine) = self.scheduler.fleet.machines.get_mut(&heartbeat.machine) {
             machine.recorded = true;
             assert_eq!(machine.state, MachineState::Up);
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -98,7 +98,7 @@
         let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
             return;
         };
-        match scheduler.on_relayed(from, heartbeats, &self.store.cache, now) {
+        match scheduler.on_relayed_heartbeats(from, heartbeats, &self.store.cache, now) {
             Some(results) => {
                 self.send_to_peer(
                     from.clone(),
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -33,7 +33,7 @@
             return redirect(&owner);
         }
         let Some(scheduler) = &mut self.scheduler else { return Response::later(503) };
-        match scheduler.on_report(heartbeat, &self.store.cache, now) {
+        match scheduler.on_heartbeat(heartbeat, &self.store.cache, now) {
             Some(commands) => Response::with(200, wire::encode(&commands)),
             None => {
                 tracing::info!(
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -94,7 +94,7 @@
         let tasks = machine.attempts.len();
         tracing::info!(machine = %id, reason, tasks, "machine is gone");
         for event in machine.terminate_attempts() {
-            self.on_fact(id, event, cache, now);
+            self.on_task_event(id, event, cache, now);
         }
     }
 }
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -194,9 +194,9 @@
     ) {
         let summary = self.fleet_summary(now);
         let unreachable_zones = self.recently_unreachable_zones(&summary, now);
-        self.weigh_failures(&summary, cache, now);
+        self.attribute_failures(&summary, cache, now);
         if summary.status_unanswered {
-            self.give_up_lost(&unreachable_zones, cache, now);
+            self.terminate_unreachable(&unreachable_zones, cache, now);
         }
         let watch = MachineWatch {
             settings: &self.settings,
@@ -217,7 +217,7 @@
             }
         }
         for (machine, event) in events {
-            self.on_fact(&machine, event, cache, now);
+            self.on_task_event(&machine, event, cache, now);
         }
     }
 }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -108,7 +108,7 @@
             self.consolidation.next_round = now + CONSOLIDATION_INTERVAL;
             self.consolidate(&fleet.machines, cache, now);
         }
-        self.move_off(&fleet.machines.bins, &fleet.machines.ids, cache, now);
+        self.evacuate_drained(&fleet.machines.bins, &fleet.machines.ids, cache, now);
     }
 
     /// Carries out what a pass has decided.
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -46,7 +46,7 @@
         let mut jobs: Vec<(&JobId, &LiveJob)> =
             self.jobs.progress.keys().filter_map(live_job).collect();
         self.estimate_all(&jobs, now);
-        self.carry_back(&jobs);
+        self.inherit_priorities(&jobs);
         let upcoming = self.coming(&jobs, now);
         jobs.retain(|(_, job)| job.is_ready());
         jobs.sort_by(|a, b| (a.1.eligible_ms(), a.0).cmp(&(b.1.eligible_ms(), b.0)));
