--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -1,40 +1,38 @@
-//! Machines that come and go: rentals, refusals, lists, and what silence and age say.
+//! Scaling out and in: answers of the cloud, and what can be rented.
 //!
-//! Owns a machine's life and its index, and which kinds refuse. It decides when a machine is given up; what ran there is
-//! told on as facts. It rents nothing by itself: the planner says how many.
+//! Owns [`Autoscaler`], and a machine's life together with the fleet. It rents nothing by itself:
+//! the planner decides how many machines.
 
-use crate::cloud::{CloudClient, CloudEvent, MachineListing, MachinePool};
+mod machine_list;
+mod machine_watch;
+
+#[cfg(test)]
+pub(super) use machine_watch::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
+
+use crate::cloud::{CloudEvent, MachinePool};
 use crate::constants::HIRE_MAX;
-use crate::ids::MachineId;
+use crate::ids::{MachineId, MachineTypeId, ZoneId};
+use crate::placement::MachineTypeOffer;
 use crate::scheduler::Scheduler;
-use crate::scheduler::fleet::FleetSummary;
+use crate::scheduler::planning::FleetView;
 use crate::store::Cache;
 use crate::wire::MachineType;
-use crate::workers::machine::{Machine, MachineState};
+use crate::workers::machine::Machine;
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a type, zone and kind that refused a rental is left alone.
-const CAPACITY_REST: Duration = Duration::from_secs(6);
-/// Count. Machines asked for, at first, of a kind that refused: what is booked on machines that
-/// there are not waits for nothing, while other kinds have some.
-pub(super) const CAPACITY_PROBE: u32 = 2;
-/// How much more is asked for with each request of such a kind that is filled.
-const CAPACITY_GROWTH: u32 = 4;
-/// A machine that is not up after this many times its nominal boot time is given back.
-pub(super) const BOOT_PATIENCE: f64 = 3.0;
-/// Added to the above.
-pub(super) const BOOT_PATIENCE_MORE: Duration = Duration::from_secs(20);
-/// A machine that is not up after this many times its nominal boot time is overdue.
-const BOOT_OVERDUE: f64 = 1.8;
-/// Added to the above.
-const BOOT_OVERDUE_MORE: Duration = Duration::from_secs(2);
-/// Count. Overdue machines from which on all are taken to come late.
-const LATE_TOGETHER: usize = 3;
-/// A new leader waits this long before it rents, so that its first listing can tell what its
+/// How long a pool that refused a rental is left alone.
+const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
+/// Machines requested at first of a pool that refused: what is booked on machines that the cloud
+/// doesn't have waits in vain while other pools have some.
+pub(super) const PROBE_REQUEST: u32 = 2;
+/// Factor by which that number grows with each request that is granted.
+const PROBE_GROWTH: u32 = 4;
+/// A new leader waits this long before it rents, so that its first list can show what its
 /// predecessor rented.
-pub(super) const HIRE_SETTLE: Duration = Duration::from_millis(1500);
+pub(super) const RENTAL_SETTLE_TIME: Duration = Duration::from_millis(1500);
+
 /// What bounds how many machines are rented.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
@@ -65,7 +63,29 @@
     pub(super) max_request: u32,
 }
 
+/// A pool with what can be rented of it.
+pub(super) struct PoolOffer {
+    /// The pool.
+    pub(super) pool: MachinePool,
+    /// The offer.
+    pub(super) offer: MachineTypeOffer,
+}
+
+/// How many machines are held in a zone.
+#[derive(Clone, Copy, Default)]
+struct MachineCount {
+    on_demand: u32,
+    spot: u32,
+}
+
+impl MachineCount {
+    fn of_kind(&mut self, spot: bool) -> &mut u32 {
+        if spot { &mut self.spot } else { &mut self.on_demand }
+    }
+}
+
 impl Scheduler {
+    /// Takes in what the cloud answered.
     pub fn on_cloud(&mut self, event: CloudEvent, cache: &Cache, now: Instant) {
         self.planning_clock.pass_requested = true;
         self.direct_calls.all_dirty = true;
@@ -75,224 +95,89 @@
                 // What counts as heavy follows from the largest type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
-            CloudEvent::MachinesRented(kind, machines) => {
-                self.fair_share.cloud_told();
-                if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&kind) {
-                    backoff.max_request *= CAPACITY_GROWTH;
-                    if backoff.max_request > HIRE_MAX {
-                        self.autoscaler.capacity_backoff.remove(&kind);
-                    }
-                }
-                for id in &machines {
-                    self.fleet.add_machine(id, kind, now);
-                }
-                let zone = &self.settings.platform.params.zones[kind.zone];
-                tracing::info!(count = machines.len(), %zone, spot = kind.spot, "rented");
-            }
-            CloudEvent::CapacityExhausted(kind) => {
-                self.fair_share.cloud_told();
-                let zone = &self.settings.platform.params.zones[kind.zone];
-                tracing::info!(%zone, spot = kind.spot, "rental refused");
-                let backoff = CapacityBackoff {
-                    not_before: now + CAPACITY_REST,
-                    max_request: CAPACITY_PROBE,
-                };
-                self.autoscaler.capacity_backoff.insert(kind, backoff);
-            }
+            CloudEvent::MachinesRented(pool, machines) => self.on_rented(pool, &machines, now),
+            CloudEvent::CapacityExhausted(pool) => self.on_refused(pool, now),
             CloudEvent::MachinesReturned(machines) => {
                 for id in machines {
                     self.fleet.terminated.insert(id.clone());
-                    self.gone(&id, "returned", cache, now);
+                    self.remove_machine(&id, "returned", cache, now);
                 }
             }
-            CloudEvent::Listed(listing) => self.on_list(listing, cache, now),
+            CloudEvent::Listed(listing) => self.on_machine_list(listing, cache, now),
         }
     }
 
-    pub(super) fn on_list(&mut self, listing: MachineListing, cache: &Cache, now: Instant) {
-        let MachineListing { machines: listed, requested_at: asked } = listing;
-        self.fleet.listed_once = true;
-        let mut present = HashSet::new();
-        for row in listed {
-            if self.fleet.terminated.contains(&row.machine) {
-                continue;
-            }
-            present.insert(row.machine.clone());
-            if row.status == crate::wire::ListedMachineState::Failed {
-                self.gone(&row.machine, "failed", cache, now);
-                // It stays in the list until it is deleted.
-                self.autoscaler.reserved_machines.remove(&row.machine);
-                if let Some(kind) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
-                    let machine = self.fleet.add_machine(&row.machine, kind, now);
-                    machine.state = MachineState::Returning;
-                }
-                continue;
-            }
-            if !self.fleet.machines.contains_key(&row.machine) {
-                let Some(kind) = self.fleet.pool(&row.flavor, &row.zone, row.spot) else {
-                    continue;
-                };
-                self.fleet.add_machine(&row.machine, kind, now);
-            }
-            if let Some(machine) = self.fleet.machines.get_mut(&row.machine) {
-                // A new leader knows from here how long a machine has been paid for.
-                let age = Duration::from_secs_f64(row.age_s.clamp(0.0, 1e7));
-                let rented = now.checked_sub(age).unwrap_or(machine.rented);
-                machine.rented = machine.rented.min(rented);
-                if machine.address.is_none() {
-                    machine.address = row.address.as_deref().and_then(|a| a.parse().ok());
-                }
+    fn on_rented(&mut self, pool: MachinePool, machines: &[MachineId], now: Instant) {
+        self.fair_share.record_cloud_response();
+        if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&pool) {
+            backoff.max_request *= PROBE_GROWTH;
+            if backoff.max_request > HIRE_MAX {
+                self.autoscaler.capacity_backoff.remove(&pool);
             }
         }
-        // A machine once listed stays listed until it is gone, but a list may be older than the
-        // one before. So a missing machine is only suspected; its deletion gives the proof.
-        let lag =
-            Duration::from_secs_f64(self.settings.platform.params.cloud.list_lag_s * 2.0 + 1.0);
-        let quiet = self.settings.heartbeat_interval() * 2;
-        for machine in self.fleet.machines.values_mut() {
-            if !present.contains(&machine.id)
-                && machine.state != MachineState::Returning
-                && machine.time_since_heartbeat(asked) > quiet
-                && asked.saturating_duration_since(machine.rented) > lag
-            {
-                tracing::info!(machine = %machine.id, "silent and not listed");
-                machine.state = MachineState::Returning;
-            }
+        for id in machines {
+            self.fleet.add_machine(id, pool, now);
         }
+        let zone = self.fleet.zone_name(pool.zone);
+        tracing::info!(count = machines.len(), %zone, spot = pool.spot, "machines rented");
     }
 
-    pub(super) fn gone(&mut self, id: &MachineId, how: &'static str, cache: &Cache, now: Instant) {
-        let Some(mut machine) = self.fleet.remove_machine(id) else { return };
-        self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
-        tracing::info!(machine = %id, how, tasks = machine.attempts.len(), "machine is gone");
-        for fact in machine.terminate_attempts() {
-            self.on_task_event(id, fact, cache, now);
-        }
-    }
-
-    /// From what age on work is not booked on a machine any more that is still booting. Where several
-    /// at once are overdue and none that was rented later is up, all come late, and renting as many
-    /// again would pay twice for the same wait.
-    pub(super) fn overdue(
-        &self,
-        survey: &FleetSummary,
-        now: Instant,
-    ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
-        let usual = |flavor: &MachineType| {
-            Duration::from_secs_f64(flavor.boot_s * BOOT_OVERDUE) + BOOT_OVERDUE_MORE
-        };
-        let overtaken = survey.overtaken();
-        let aged = move |machine: &Machine, flavor: &MachineType| {
-            now.saturating_duration_since(machine.rented) >= usual(flavor)
-        };
-        let late = self.fleet.machines.values().filter(|machine| {
-            machine.state == MachineState::Booting
-                && aged(machine, &self.fleet.machine_types[machine.flavor])
-                && !overtaken(machine)
-        });
-        let all_late = survey.booting && late.count() >= LATE_TOGETHER;
-        move |machine, flavor| aged(machine, flavor) && (!all_late || overtaken(machine))
+    fn on_refused(&mut self, pool: MachinePool, now: Instant) {
+        self.fair_share.record_cloud_response();
+        let zone = self.fleet.zone_name(pool.zone);
+        tracing::info!(%zone, spot = pool.spot, "rental refused");
+        let backoff =
+            CapacityBackoff { not_before: now + REFUSED_POOL_BACKOFF, max_request: PROBE_REQUEST };
+        self.autoscaler.capacity_backoff.insert(pool, backoff);
     }
 
-    pub(super) fn watch_machines(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
-        let lease = self.settings.worker_lease();
-        let survey = self.fleet_summary(now);
-        let cut_off = self.recently_unreachable_zones(&survey, now);
-        self.attribute_failures(&survey, cache, now);
-        if survey.status_unanswered {
-            self.terminate_unreachable(&cut_off, cache, now);
+    /// What can be rented now: pools that refused are left alone for a while, and asked for few
+    /// machines then, one request at a time.
+    pub(super) fn offers(&self, fleet: &FleetView, now: Instant) -> Vec<PoolOffer> {
+        let mut held = vec![MachineCount::default(); self.fleet.zone_count()];
+        for machine in self.fleet.machines.values() {
+            *held[machine.zone].of_kind(machine.spot) += 1;
         }
-        let overtaken = survey.overtaken();
-        let idle_return = Duration::from_secs_f64(self.settings.operator.idle_return_s);
-        let mut facts = Vec::new();
-        for machine in self.fleet.machines.values_mut() {
-            // A predecessor's right had ended when ours began, and what others may answer on
-            // our behalf is bounded: once the lease has surely run out, the worker has killed
-            // what it had.
-            let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
-            let beyond = machine.state == MachineState::Up
-                && machine.is_lease_expired(
-                    self.delegations.last_answered(&machine.id),
-                    lease,
-                    now,
-                )
-                && !cut_off[machine.zone];
-            if machine.confirmed && machine.attempts.is_empty() {
-                // Nothing can be running there.
-            } else if machine.is_lease_expired(others, lease, now) {
-                tracing::info!(machine = %machine.id, "silent machine's lease is over");
-                machine.confirmed = true;
-                machine.terminated_up_to = self.term.latest_attempt();
-                facts.extend(
-                    machine.terminate_attempts().into_iter().map(|fact| (machine.id.clone(), fact)),
-                );
-            } else if beyond {
-                // Another controller might still answer it. Its deletion proves that nothing
-                // runs there, unless a whole zone is cut off: that one is waited for.
-                tracing::info!(machine = %machine.id, "silent beyond its lease, given back");
-                machine.state = MachineState::Returning;
-            }
-            let flavor = &self.fleet.machine_types[machine.flavor];
-            let age = now.saturating_duration_since(machine.rented);
-            let mut patience =
-                Duration::from_secs_f64(flavor.boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
-            if !overtaken(machine) {
-                // Nor is any up that was rented later: they come late all together, and those
-                // that would replace it come no sooner.
-                patience *= 2;
-            }
-            if machine.state == MachineState::Booting && age > patience {
-                tracing::info!(machine = %machine.id, "never came up");
-                machine.state = MachineState::Returning;
-            }
-            if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
-                tracing::info!(machine = %machine.id, "faulty, given back");
-                machine.state = MachineState::Returning;
-            }
-            let quiet = machine.time_since_heartbeat(now) > self.settings.heartbeat_interval() * 2;
-            if machine.state == MachineState::Up
-                && beyond
-                && quiet
-                && machine.time_since_heartbeat(now) > lease * 2
-            {
-                tracing::info!(machine = %machine.id, "silent for long, given back");
-                machine.state = MachineState::Returning;
-            }
-            // A silent machine is not idle: after a take-over that finds a zone cut off, its
-            // machines would all be given back.
-            if machine.state == MachineState::Up
-                && !quiet
-                && machine.is_empty()
-                && machine.reclaim_at.is_none()
-            {
-                let since = *machine.idle_since.get_or_insert(now);
-                let idle = now.saturating_duration_since(since);
-                // A machine costs a minute at the least.
-                let paid = age < Duration::from_secs(55);
-                // Idle time costs a spot machine that much less, and a boot costs its users the same.
-                let cheap = if machine.spot && flavor.spot_price > 0.0 {
-                    (flavor.price / flavor.spot_price).max(1.0)
-                } else {
-                    1.0
-                };
-                if machine.confirmed
-                    && idle > idle_return.mul_f64(cheap)
-                    && !paid
-                    && !self.autoscaler.reserved_machines.contains(&machine.id)
-                    && now > self.term.started_at + HIRE_SETTLE * 4
-                {
-                    tracing::info!(machine = %machine.id, "idle, given back");
-                    machine.state = MachineState::Returning;
+        let mut offers = Vec::new();
+        for (flavor, machine_type) in self.fleet.machine_types.iter().enumerate() {
+            let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
+            for zone in zones.filter(|zone| !fleet.closed_zones[*zone]) {
+                for spot in [true, false] {
+                    let pool = MachinePool { flavor, zone, spot };
+                    let Some(available) = self.available(&pool, fleet, now) else { continue };
+                    let held = *held[zone].of_kind(spot);
+                    let offer = offer(&pool, machine_type, fleet, available, held);
+                    offers.push(PoolOffer { pool, offer });
                 }
-            } else {
-                machine.idle_since = None;
-            }
-            if machine.state == MachineState::Returning {
-                cloud.scale_in(&machine.id, now);
             }
         }
-        for (id, fact) in facts {
-            self.on_task_event(&id, fact, cache, now);
-        }
+        offers
+    }
+
+    /// How many machines may be requested of a pool; none while it is left alone.
+    fn available(&self, pool: &MachinePool, fleet: &FleetView, now: Instant) -> Option<u32> {
+        let Some(backoff) = self.autoscaler.capacity_backoff.get(pool) else {
+            return Some(HIRE_MAX);
+        };
+        let is_pending = fleet.rental.pending.iter().any(|rental| rental.pool == *pool);
+        (backoff.not_before <= now && !is_pending).then_some(backoff.max_request)
+    }
+}
+
+fn offer(
+    pool: &MachinePool,
+    machine_type: &MachineType,
+    fleet: &FleetView,
+    available: u32,
+    held: u32,
+) -> MachineTypeOffer {
+    MachineTypeOffer {
+        machine_type: MachineTypeId::new(pool.flavor),
+        zone: ZoneId::new(pool.zone),
+        spot: pool.spot,
+        price: if pool.spot { machine_type.spot_price } else { machine_type.price },
+        capacity: fleet.capacities[pool.flavor],
+        available,
+        held,
     }
 }
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -9,7 +9,7 @@
 use crate::jobs::{Job, LiveJob};
 use crate::placement::Bin;
 use crate::scheduler::Scheduler;
-use crate::scheduler::consolidation::MOVE_SHARE;
+use crate::scheduler::consolidation::MAX_MOVED_REPLICA_SHARE;
 use crate::scheduler::job_progress::{JobProgress, Placement};
 use crate::scheduler::preemption::MOVED;
 use crate::scheduler::task_attempt::TaskAttempt;
@@ -120,7 +120,7 @@
             }
         }
         // As gently as other moves, unless there is no time for that.
-        let gentle = all as f64 * MOVE_SHARE;
+        let gentle = all as f64 * MAX_MOVED_REPLICA_SHARE;
         let hurried = here as f64 * DRAIN_EVERY.as_secs_f64() / (hurry_s / 2.0).max(1.0);
         let most = gentle.max(hurried).ceil() as usize;
         for (id, work) in &self.jobs.progress {
@@ -182,9 +182,9 @@
             }
         }
         let may = |bin: &Bin| {
-            let zone = bin.zone;
+            let zone = bin.zone.index();
             bin.ready
-                && self.suits(spec, bin)
+                && self.allows_bin(spec, bin)
                 && (!spec.spread || there[zone] < half)
                 // What has to be in one zone stays there as long as any of it does.
                 && (!spec.one_zone || zone == from.zone || there[from.zone] == 0)
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -4,7 +4,7 @@
 use crate::cloud::MachinePool;
 use crate::ids::JobId;
 use crate::jobs::JobBody;
-use crate::scheduler::autoscaling::{CAPACITY_PROBE, CapacityBackoff, HIRE_SETTLE};
+use crate::scheduler::autoscaling::{CapacityBackoff, PROBE_REQUEST, RENTAL_SETTLE_TIME};
 use crate::scheduler::fair_share::FairShare;
 use crate::wire::{JobKind, Priority, TaskState};
 use std::sync::Arc;
@@ -28,11 +28,11 @@
         let names = ["i-1", "i-2", "i-3", "i-4"];
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         bench.scheduler.fleet.listed_once = true;
-        bench.now += HIRE_SETTLE * 2;
+        bench.now += RENTAL_SETTLE_TIME * 2;
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
             let kind = MachinePool { flavor: 0, zone, spot };
-            let backoff = CapacityBackoff { not_before: bench.now, max_request: CAPACITY_PROBE };
+            let backoff = CapacityBackoff { not_before: bench.now, max_request: PROBE_REQUEST };
             bench.scheduler.autoscaler.capacity_backoff.insert(kind, backoff);
         }
         let array = bench.job("wk-1", JobKind::Array, 400);
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -4,7 +4,7 @@
 use crate::cloud::{CloudEvent, MachinePool};
 use crate::controller::TICK_MAX;
 use crate::ids::MachineId;
-use crate::scheduler::autoscaling::{BOOT_PATIENCE, BOOT_PATIENCE_MORE};
+use crate::scheduler::autoscaling::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
 use crate::scheduler::direct_calls::OutgoingCall;
 use crate::scheduler::planning_clock::PLAN_EVERY;
 use crate::settings::Settings;
@@ -31,7 +31,8 @@
     let booting = |bench: &TestLeader| {
         bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
     };
-    let patience = Duration::from_secs_f64(flavor().boot_s * BOOT_PATIENCE) + BOOT_PATIENCE_MORE;
+    let patience =
+        Duration::from_secs_f64(flavor().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
     bench.pass(patience / 2);
     let flavor = flavor();
     let overdue = |bench: &TestLeader| {
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -76,5 +76,5 @@
     let one = &names[0];
     bench.report(one, running[one].clone());
     assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
-    assert!(!bench.scheduler.waits_for_a_pass(&bench.state.cache));
+    assert!(!bench.scheduler.has_pending_work(&bench.state.cache));
 }
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -4,7 +4,7 @@
 use crate::ids::MachineId;
 use crate::jobs::JobBody;
 use crate::scheduler::planning_clock::PLAN_EVERY;
-use crate::scheduler::preemption::IMAGE_WORTH_S;
+use crate::scheduler::preemption::MISSING_IMAGE_COST_S;
 use crate::wire::{JobKind, Priority, TaskState};
 use crate::workers::machine::Machine;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
         shown
     };
     let first = fill(&mut bench, "i-1", "wk-1", "i");
-    let long = Duration::from_secs_f64(IMAGE_WORTH_S * 2.0);
+    let long = Duration::from_secs_f64(MISSING_IMAGE_COST_S * 2.0);
     for entry in bench.scheduler.fleet.machines.values_mut().flat_map(|m| m.attempts.values_mut()) {
         entry.running_since = bench.now.checked_sub(long);
     }
