--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -57,7 +57,7 @@
 use std::time::Duration;
 use term::LeaderTerm;
 use tokio::time::Instant;
-use troutspindle_elastic_width::Widths;
+use troutspindle_elastic_width::WidthPlanner;
 
 /// Pause between two looks at what silence and age do to machines.
 const WATCH_EVERY: Duration = Duration::from_millis(200);
@@ -100,7 +100,7 @@
     /// What operators drain.
     drains: DrainState,
     /// What is remembered of elastic jobs.
-    elastic_widths: Widths<JobId>,
+    elastic_widths: WidthPlanner<JobId>,
     /// Which other controllers may answer heartbeats for this leader.
     pub delegations: Delegations,
     /// Counts for logs.
@@ -137,7 +137,7 @@
             persistence: PersistenceSchedule::new(now),
             dependencies: InheritedPriorities::default(),
             drains: DrainState::default(),
-            elastic_widths: Widths::default(),
+            elastic_widths: WidthPlanner::default(),
             delegations: Delegations::new(token, peers, now),
             statistics: Statistics::new(now),
             settings,
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -10,7 +10,7 @@
 use crate::workers::machine::Machine;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
-use troutspindle_elastic_width::Grower;
+use troutspindle_elastic_width::ElasticJob;
 
 /// Seconds of repeated work by which a task of a job at its minimum width is spared.
 const MINIMUM_WIDTH_BONUS_S: f64 = 600.0;
@@ -41,20 +41,20 @@
         let free_cpu = machines
             .map(|machine| self.fleet.capacity(machine.flavor).minus(&machine.used()).cpu)
             .sum();
-        let growers: Vec<(JobId, Grower)> = jobs
+        let elastic_jobs: Vec<(JobId, ElasticJob)> = jobs
             .iter()
-            .filter_map(|(id, job)| Some(((*id).clone(), self.grower(id, job)?)))
+            .filter_map(|(id, job)| Some(((*id).clone(), self.elastic_job(id, job)?)))
             .collect();
-        self.elastic_widths.grow(&growers, free_cpu, self.term.elapsed(now))
+        self.elastic_widths.grow(&elastic_jobs, free_cpu, self.term.elapsed(now))
     }
 
-    fn grower(&self, id: &JobId, job: &LiveJob) -> Option<Grower> {
+    fn elastic_job(&self, id: &JobId, job: &LiveJob) -> Option<ElasticJob> {
         let elastic = self.elastic_class(job)?;
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let grower = Grower { need: job.need.cpu, width, most: elastic.most, waiting };
-        (width >= elastic.least).then_some(grower)
+        let elastic_job = ElasticJob { need: job.need.cpu, width, most: elastic.most, waiting };
+        (width >= elastic.least).then_some(elastic_job)
     }
 
     /// The elasticity of an array's class, if it has any.
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -19,8 +19,8 @@
 use crate::scheduler::dependencies::STAGE_MORE;
 use crate::scheduler::interner::Interner;
 use std::collections::{BTreeMap, BTreeSet};
-use troutspindle_fair_share::constants::MACHINE;
-use troutspindle_fair_share::{Demand, Room, Scarcity, Supply};
+use troutspindle_fair_share::constants::UNITS_PER_MACHINE;
+use troutspindle_fair_share::{Capacity, Demand, ScarcityTracker, Supply};
 
 /// Work that shares a floor: the jobs of one class that one team owns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 
 /// The leader's view of all accepted work beside the fleet.
 pub(super) struct FairShare {
-    scarcity: Scarcity<DemandGroup>,
+    scarcity: ScarcityTracker<DemandGroup>,
     /// The numbers of the job classes.
     classes: Interner,
     /// What each group demanded in the last planning pass.
@@ -60,7 +60,7 @@
     /// Nothing is scarce; `floor` is the share of an equal division that a group is entitled to.
     pub(super) fn new(floor: f64) -> FairShare {
         FairShare {
-            scarcity: Scarcity::new(floor),
+            scarcity: ScarcityTracker::new(floor),
             classes: Interner::default(),
             demands: BTreeMap::new(),
             supply: Supply::default(),
@@ -82,10 +82,11 @@
     }
 
     /// What each group holds above its floor; none while nothing is scarce.
-    pub(super) fn surplus(&self) -> Option<BTreeMap<DemandGroup, Room>> {
-        let standings = self.scarcity.standings();
-        self.is_scarce()
-            .then(|| standings.map(|(group, standing)| (*group, standing.spare)).collect())
+    pub(super) fn surplus(&self) -> Option<BTreeMap<DemandGroup, Capacity>> {
+        let group_shares = self.scarcity.group_shares();
+        self.is_scarce().then(|| {
+            group_shares.map(|(group, group_share)| (*group, group_share.preemptible)).collect()
+        })
     }
 }
 
@@ -95,14 +96,14 @@
     /// The task's group.
     pub(super) group: DemandGroup,
     /// The part of a machine that the task takes.
-    pub(super) room: Room,
+    pub(super) room: Capacity,
 }
 
 /// The part that an amount takes of a machine with the `largest` amount of each resource.
-fn room(amount: &Amount, largest: &Amount) -> Room {
+fn room(amount: &Amount, largest: &Amount) -> Capacity {
     let part = |amount: u64, whole: u64| match u128::from(whole) {
         0 => 0,
-        whole => (u128::from(amount) * u128::from(MACHINE) / whole) as Room,
+        whole => (u128::from(amount) * u128::from(UNITS_PER_MACHINE) / whole) as Capacity,
     };
     part(amount.cpu, largest.cpu)
         .max(part(amount.gpu, largest.gpu))
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -4,8 +4,8 @@
 use crate::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
-use troutspindle_fair_share::constants::MACHINE;
-use troutspindle_fair_share::{Demand, Room, Standing};
+use troutspindle_fair_share::constants::UNITS_PER_MACHINE;
+use troutspindle_fair_share::{Capacity, Demand, GroupShare};
 use troutspindle_protocol::operator_api::{
     DemandLog, FairShareReport, GroupBelowFloor, GroupDemand,
 };
@@ -16,15 +16,15 @@
     team: String,
 }
 
-fn machines(room: Room) -> f64 {
-    room as f64 / MACHINE as f64
+fn machines(room: Capacity) -> f64 {
+    room as f64 / UNITS_PER_MACHINE as f64
 }
 
-fn machines_to_hundredths(room: Room) -> f64 {
+fn machines_to_hundredths(room: Capacity) -> f64 {
     (machines(room) * 100.0).round() / 100.0
 }
 
-fn machines_to_tenths(room: Room) -> f64 {
+fn machines_to_tenths(room: Capacity) -> f64 {
     (machines(room) * 10.0).round() / 10.0
 }
 
@@ -40,13 +40,13 @@
 
     /// How many machines' worth each group holds, its floor, and what it needs.
     pub(super) fn group_shares(&self) -> BTreeMap<String, [f64; 3]> {
-        let row = |(group, standing): (&DemandGroup, &Standing)| {
+        let row = |(group, group_share): (&DemandGroup, &GroupShare)| {
             let GroupName { class, team } = self.group_name(group);
             let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
-            let row = [standing.held, standing.floor, needed].map(machines_to_tenths);
+            let row = [group_share.held, group_share.floor, needed].map(machines_to_tenths);
             (format!("{class} of {team}"), row)
         };
-        self.fair_share.scarcity.standings().map(row).collect()
+        self.fair_share.scarcity.group_shares().map(row).collect()
     }
 
     /// Demand and supply for the log, as JSON; none while floors are switched off.
@@ -74,7 +74,8 @@
     fn group_demand(&self, group: &DemandGroup, demand: &Demand) -> GroupDemand {
         let GroupName { class, team } = self.group_name(group);
         let fair_share = &self.fair_share;
-        let floor = fair_share.scarcity.standing(group).map_or(0, |standing| standing.floor);
+        let floor =
+            fair_share.scarcity.group_share(group).map_or(0, |group_share| group_share.floor);
         GroupDemand {
             class,
             team,
@@ -92,17 +93,20 @@
         let fair_share = &self.fair_share;
         let since = fair_share.scarcity.since();
         let elapsed = self.term.elapsed(now);
-        let below = fair_share.scarcity.standings().filter(|(_, standing)| standing.owed > 0);
+        let below =
+            fair_share.scarcity.group_shares().filter(|(_, group_share)| group_share.owed > 0);
         FairShareReport {
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|since| elapsed.saturating_sub(since).as_secs_f64()),
             machines: machines(fair_share.supply.all()),
             nothing_to_rent: fair_share.supply.exhausted,
-            groups: below.map(|(group, standing)| self.starving_group(group, standing)).collect(),
+            groups: below
+                .map(|(group, group_share)| self.starving_group(group, group_share))
+                .collect(),
         }
     }
 
-    fn starving_group(&self, group: &DemandGroup, standing: &Standing) -> GroupBelowFloor {
+    fn starving_group(&self, group: &DemandGroup, group_share: &GroupShare) -> GroupBelowFloor {
         let GroupName { class, team } = self.group_name(group);
         let fair_share = &self.fair_share;
         let needed = fair_share.demands.get(group).map_or(0, Demand::needed);
@@ -110,8 +114,8 @@
         GroupBelowFloor {
             class,
             team,
-            held: machines(standing.held),
-            floor: machines(standing.floor),
+            held: machines(group_share.held),
+            floor: machines(group_share.floor),
             needed: machines(needed),
             waits_for: causes.map(|(key, tasks)| (key.cause.to_owned(), *tasks)).collect(),
         }
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -9,7 +9,7 @@
 use crate::wire::JobKind;
 use ordered_float::OrderedFloat;
 use std::collections::BTreeMap;
-use troutspindle_fair_share::Room;
+use troutspindle_fair_share::Capacity;
 
 /// How a request is ranked while capacity is scarce.
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +24,7 @@
 
 /// What a group below its floor is owed.
 struct Debt {
-    owed: Room,
+    owed: Capacity,
     /// How much of its floor the group has.
     reached: OrderedFloat<f64>,
 }
@@ -67,8 +67,8 @@
         }
         let largest = largest_capacity(capacities);
         let mut debts: BTreeMap<DemandGroup, Debt> = BTreeMap::new();
-        for (group, standing) in self.fair_share.scarcity.standings() {
-            debts.insert(*group, Debt { owed: standing.owed, reached: standing.reached() });
+        for (group, group_share) in self.fair_share.scarcity.group_shares() {
+            debts.insert(*group, Debt { owed: group_share.owed, reached: group_share.reached() });
         }
         let mut first: Vec<JobRequest> = Vec::new();
         for n in owed_order(requests, &debts) {
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle_fair_share::constants::MACHINE;
-use troutspindle_fair_share::{Demand, Room, Supply, Turn};
+use troutspindle_fair_share::constants::UNITS_PER_MACHINE;
+use troutspindle_fair_share::{Capacity, Demand, ScarcityChange, Supply};
 
 /// Seconds within which arrays without an objective for their end are to be finished.
 const DEFAULT_FINISH_S: f64 = 300.0;
@@ -39,7 +39,7 @@
     /// What is left of each group's arrays, spread over the time that it may take.
     backlog: BTreeMap<DemandGroup, f64>,
     /// Waiting tasks that a predecessor may have started.
-    maybe_started: BTreeMap<DemandGroup, Room>,
+    maybe_started: BTreeMap<DemandGroup, Capacity>,
 }
 
 impl Scheduler {
@@ -73,16 +73,16 @@
             self.exclude_stopping_tasks(&mut demands, &largest);
         }
         let supply = self.supply(fleet, &largest, cloud, elapsed);
-        let turn = self.fair_share.scarcity.look(&demands, &supply, elapsed);
+        let turn = self.fair_share.scarcity.update(&demands, &supply, elapsed);
         (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
         match turn {
-            Some(Turn::Began) => tracing::info!(
-                machines = supply.all() as f64 / MACHINE as f64,
+            Some(ScarcityChange::Began) => tracing::info!(
+                machines = supply.all() as f64 / UNITS_PER_MACHINE as f64,
                 held_floor_needed = ?self.group_shares(),
                 waiting_for = ?self.statistics.waiting_by_cause,
                 "capacity is scarce"
             ),
-            Some(Turn::Ended) => {
+            Some(ScarcityChange::Ended) => {
                 tracing::info!(exhausted = supply.exhausted, "capacity is no longer scarce");
                 self.fair_share.waiting.clear();
             }
@@ -122,7 +122,7 @@
             (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
             let tasks = job.spec.tasks - job.completed_count().min(job.spec.tasks);
-            let work = (each * tasks) as f64 * occupancy_s / MACHINE as f64;
+            let work = (each * tasks) as f64 * occupancy_s / UNITS_PER_MACHINE as f64;
             self.record_arrival(group, work, job, totals);
         }
     }
@@ -136,7 +136,7 @@
         totals: &DemandTotals,
     ) {
         let age = Duration::from_millis(totals.now_ms.saturating_sub(job.eligible_ms()));
-        self.fair_share.scarcity.came(&group, work, age, totals.elapsed);
+        self.fair_share.scarcity.record_arrival(&group, work, age, totals.elapsed);
         // What arrived under a predecessor is in its log.
         if age <= totals.elapsed || self.term.token.0 <= 1 {
             *self.fair_share.arrived.entry(group).or_default() += work;
@@ -149,18 +149,18 @@
         fleet: &FleetView,
     ) -> BTreeMap<DemandGroup, Demand> {
         let DemandTotals { largest, elapsed, mut demands, backlog, maybe_started, .. } = totals;
-        let all_maybe_started = maybe_started.values().sum::<Room>().max(1) as f64;
+        let all_maybe_started = maybe_started.values().sum::<Capacity>().max(1) as f64;
         let unconfirmed = room(&fleet.unconfirmed.free, &largest) as f64;
         let started_share = (unconfirmed / all_maybe_started).min(1.0);
         for (group, demand) in &mut demands {
             let maybe_started = maybe_started.get(group).copied().unwrap_or(0);
-            let started = (maybe_started as f64 * started_share) as Room;
+            let started = (maybe_started as f64 * started_share) as Capacity;
             demand.held += started;
             demand.waiting -= started;
-            let arriving = self.fair_share.scarcity.arriving(group, elapsed);
+            let arrival_rate = self.fair_share.scarcity.arrival_rate(group, elapsed);
             // What has waited long is still owed when nothing more arrives.
-            let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Room);
-            demand.offered += (arriving.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Room;
+            let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Capacity);
+            demand.offered += (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
             let headroom = fleet.team_headroom.get(group.team.index());
             let limit = headroom.map_or(0, |headroom| room(headroom, &largest));
             demand.waiting = demand.waiting.min(limit);
--- a/src/scheduler/preemption/budget.rs
+++ b/src/scheduler/preemption/budget.rs
@@ -2,15 +2,15 @@
 
 use crate::scheduler::fair_share::{DemandGroup, GroupShare};
 use std::collections::BTreeMap;
-use troutspindle_fair_share::Room;
+use troutspindle_fair_share::Capacity;
 
 /// What may still be preempted of each group; unlimited while nothing is scarce.
 #[derive(Default)]
-pub(super) struct PreemptionBudget(Option<BTreeMap<DemandGroup, Room>>);
+pub(super) struct PreemptionBudget(Option<BTreeMap<DemandGroup, Capacity>>);
 
 impl PreemptionBudget {
     /// A budget of what each group holds above its floor; none: unlimited.
-    pub(super) fn new(surplus: Option<BTreeMap<DemandGroup, Room>>) -> PreemptionBudget {
+    pub(super) fn new(surplus: Option<BTreeMap<DemandGroup, Capacity>>) -> PreemptionBudget {
         PreemptionBudget(surplus)
     }
 
@@ -29,9 +29,9 @@
     /// Takes what these tasks use from their groups' budgets, if it is there for all of them.
     pub(super) fn spend(&mut self, shares: impl Iterator<Item = GroupShare>) -> bool {
         let Some(budget) = &mut self.0 else { return true };
-        let mut sums: BTreeMap<DemandGroup, Room> = BTreeMap::new();
+        let mut sums: BTreeMap<DemandGroup, Capacity> = BTreeMap::new();
         shares.for_each(|share| *sums.entry(share.group).or_default() += share.room);
-        let is_short = |(group, room): (&DemandGroup, &Room)| {
+        let is_short = |(group, room): (&DemandGroup, &Capacity)| {
             budget.get(group).is_none_or(|remaining| remaining < room)
         };
         if sums.iter().any(is_short) {
