--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -157,7 +157,7 @@
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
         for (number, job) in &world.jobs {
-            let cancelled = job.told_cancelled.is_some();
+            let cancelled = job.cancellation_confirmed_ms.is_some();
             match job.spec.shape {
                 JobKind::Service if !cancelled => {
                     assert_eq!(world.running(*number), 4, "seed {seed}: service {number}");
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -38,7 +38,7 @@
     pub cancel_at: Option<u64>,
     /// When its user asked to cancel it.
     pub asked_abort: bool,
-    pub told_cancelled: Option<u64>,
+    pub cancellation_confirmed_ms: Option<u64>,
     /// How often its user was told to ask again to cancel it.
     pub put_off: u32,
     pub told_done: bool,
--- a/crates/simulation/src/targeted_faults.rs
+++ b/crates/simulation/src/targeted_faults.rs
@@ -83,7 +83,7 @@
 
     fn cancel_now(&mut self, count: usize) {
         let open = |(number, job): (&u64, &UserJob)| {
-            let open = job.accepted && !job.told_done && job.told_cancelled.is_none();
+            let open = job.accepted && !job.told_done && job.cancellation_confirmed_ms.is_none();
             (open && self.on_machines(*number) > 0).then_some(*number)
         };
         let mut running: Vec<u64> = self.jobs.iter().filter_map(open).collect();
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -41,7 +41,7 @@
             accepted: false,
             cancel_at,
             asked_abort: false,
-            told_cancelled: None,
+            cancellation_confirmed_ms: None,
             ran_when_told: 0,
             put_off: 0,
             told_done: false,
@@ -61,7 +61,7 @@
         if job.asked.is_some_and(|(since, _)| t < since + 5000) {
             return self.at(t + 500, SimEvent::User(number));
         }
-        let over = job.told_done || job.told_cancelled.is_some();
+        let over = job.told_done || job.cancellation_confirmed_ms.is_some();
         let id = job.spec.id.clone();
         let depends_on: Vec<u64> = job.spec.depends_on.iter().flatten().map(Self::number).collect();
         if depends_on.iter().any(|need| !self.jobs[need].accepted) {
@@ -112,7 +112,7 @@
         let t = self.now_ms;
         let before = self.before(number);
         let wanted = before.iter().any(|n| self.jobs[n].asked_abort);
-        let told = before.iter().filter_map(|n| self.jobs[n].told_cancelled).min();
+        let told = before.iter().filter_map(|n| self.jobs[n].cancellation_confirmed_ms).min();
         let on_machines = self.on_machines(number);
         let events = self.events;
         let mut news = false;
@@ -148,7 +148,7 @@
             // An answer that was on its way when another one came may still say that it is open.
             let later = !open || known >= Some(ReportedStatus::Done);
             let back = later && job.told_done && view.status != JobStatus::Done
-                || later && job.told_cancelled.is_some() && view.status != JobStatus::Cancelled
+                || later && job.cancellation_confirmed_ms.is_some() && view.status != JobStatus::Cancelled
                 || (view.status == JobStatus::Cancelled && !wanted);
             // Whoever asks after any user was told finds the job cancelled.
             if open && told.is_some_and(|at| asked > at) {
@@ -158,8 +158,8 @@
                 wrong.push(format!("went_back: {} to {:?}", job.spec.id, view.status));
             }
             job.told_done |= view.status == JobStatus::Done;
-            if view.status == JobStatus::Cancelled && job.told_cancelled.is_none() {
-                job.told_cancelled = Some(t);
+            if view.status == JobStatus::Cancelled && job.cancellation_confirmed_ms.is_none() {
+                job.cancellation_confirmed_ms = Some(t);
                 job.ran_when_told = on_machines;
             }
         }
@@ -176,7 +176,7 @@
     /// All troubles have been over for long: each job is over or runs as a whole, and its user hears of it.
     pub fn check_final_state(&mut self) {
         for (number, job) in &self.jobs {
-            let cancelled = job.told_cancelled.is_some();
+            let cancelled = job.cancellation_confirmed_ms.is_some();
             let whole = self.running(*number) as u64 == job.spec.tasks;
             let outlasts = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
             let what = if self.now_ms > job.last_good + 75_000 {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -31,7 +31,7 @@
             worker.changed = true;
         }
         let outlives = |(task, running): (&TaskId, &Running)| {
-            let told = self.jobs[&Self::number(&task.job)].told_cancelled;
+            let told = self.jobs[&Self::number(&task.job)].cancellation_confirmed_ms;
             let late = told.is_some_and(|at| t > at + CANCEL_MS);
             (late && running.state != TaskState::Exited).then(|| task.clone())
         };
@@ -234,7 +234,7 @@
             return self.record_violation(format!("{task} is of no job"));
         };
         let (spec, always_fails) = (job.spec.clone(), job.always_fails);
-        let late = job.told_cancelled.is_some_and(|at| self.now_ms > at + CANCEL_MS);
+        let late = job.cancellation_confirmed_ms.is_some_and(|at| self.now_ms > at + CANCEL_MS);
         let t = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
         // What its owner takes to run for minutes outlasts any day.
--- a/crates/troutspindlectl/src/bound.rs
+++ b/crates/troutspindlectl/src/bound.rs
@@ -16,7 +16,7 @@
 pub enum BoundError {
     #[error("{0}: cannot be read: {1}; name logs of controllers")]
     Read(String, std::io::Error),
-    #[error("no line `what is asked for` in {0}: log at level info, with a floor set")]
+    #[error("no line `demand by class and team` in {0}: log at level info, with a floor set")]
     Nothing(String),
     #[error("the program has no solution: {0}")]
     Unsolved(#[from] microlp::Error),
--- a/crates/troutspindlectl/src/bound/tests.rs
+++ b/crates/troutspindlectl/src/bound/tests.rs
@@ -56,7 +56,7 @@
 fn a_log_line_is_read_as_the_controllers_write_it() {
     let json = serde_json::to_string(&line(3, 30.0, 20.0)).unwrap();
     let text = format!(
-        "12.01 n-0 2026-09-21T14:13:20.058006Z  INFO what is asked for demand={json}\nnoise\n"
+        "12.01 n-0 2026-09-21T14:13:20.058006Z  INFO demand by class and team demand={json}\nnoise\n"
     );
     let (before, rest) = text.lines().next().unwrap().split_once(DEMAND_FIELD).unwrap();
     assert_eq!(clock_s(before), Some(14.0 * 3600.0 + 13.0 * 60.0 + 20.058006));
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -125,7 +125,7 @@
     fn on_refused(&mut self, pool: MachinePool, now: Instant) {
         self.fair_share.record_cloud_response();
         let zone = self.fleet.zone_name(pool.zone);
-        tracing::info!(%zone, spot = pool.spot, "rental refused");
+        tracing::info!(%zone, spot = pool.spot, "scale-out refused");
         let backoff =
             CapacityBackoff { not_before: now + REFUSED_POOL_BACKOFF, max_request: PROBE_REQUEST };
         self.autoscaler.capacity_backoff.insert(pool, backoff);
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -76,7 +76,7 @@
                 && requested_at.saturating_duration_since(machine.rented) > lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
-            tracing::info!(machine = %machine.id, "machine is silent and not listed, returning it");
+            tracing::info!(machine = %machine.id, "machine unreachable and not listed, terminating");
             machine.state = MachineState::Returning;
         }
     }
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -50,7 +50,7 @@
         let lost = self.check_lease(machine, expired);
         self.check_boot(machine);
         if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
-            return_machine(machine, "machine is faulty, returning it");
+            return_machine(machine, "machine is faulty, terminating");
         }
         self.check_silence(machine, expired);
         self.check_idle(machine);
@@ -75,7 +75,7 @@
         // is bounded: once the lease has surely expired, the worker has killed what it had.
         let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
         if machine.is_lease_expired(others, self.settings.worker_lease(), self.now) {
-            tracing::info!(machine = %machine.id, "lease of silent machine has expired");
+            tracing::info!(machine = %machine.id, "machine unreachable, lease expired");
             machine.confirmed = true;
             machine.terminated_up_to = self.term.latest_attempt();
             return machine.terminate_attempts();
@@ -83,7 +83,7 @@
         if expired {
             // Another controller might still answer it. Its deletion proves that nothing runs
             // there, unless its whole zone is unreachable: that one is waited for.
-            return_machine(machine, "machine is silent beyond its lease, returning it");
+            return_machine(machine, "machine unreachable beyond its lease, terminating");
         }
         Vec::new()
     }
@@ -99,7 +99,7 @@
         }
         let age = self.now.saturating_duration_since(machine.rented);
         if machine.state == MachineState::Booting && age > patience {
-            return_machine(machine, "machine did not boot in time, returning it");
+            return_machine(machine, "machine did not boot in time, terminating");
         }
     }
 
@@ -109,7 +109,7 @@
             && self.is_quiet(machine)
             && machine.time_since_heartbeat(self.now) > self.settings.worker_lease() * 2
         {
-            return_machine(machine, "machine is silent for long, returning it");
+            return_machine(machine, "machine unreachable for long, terminating");
         }
     }
 
@@ -137,7 +137,7 @@
             && !self.autoscaler.reserved_machines.contains(&machine.id)
             && self.now > self.term.started_at + RENTAL_SETTLE_TIME * IDLE_SETTLE_TIMES
         {
-            return_machine(machine, "machine is idle, returning it");
+            return_machine(machine, "machine idle, scaling in");
         }
     }
 
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -92,7 +92,7 @@
         evacuations.extend(self.tasks_to_stop(cache, now));
         for Evacuation { key, machine, grace_s } in evacuations {
             let Some(machine) = self.fleet.machines.get_mut(&machine) else { continue };
-            tracing::info!(machine = %machine.id, task = %key.0, grace_s, "leaves what is drained");
+            tracing::info!(machine = %machine.id, task = %key.0, grace_s, "task evicted by a drain");
             machine.request_stop(&key, StopRequest { grace_s, reason: MOVED });
             self.statistics.stops += 1;
         }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -99,7 +99,7 @@
         for id in ids {
             let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
             if open && !self.jobs.cancelling.contains(id) {
-                tracing::debug!(job = %id, "about to be cancelled, stopped");
+                tracing::debug!(job = %id, "cancellation acknowledged, stopping tasks");
                 // Remembered, not only forgotten as work: the end of one of its tasks would
                 // otherwise make it new work, none of whose tasks seem to run anywhere.
                 self.jobs.cancelling.insert(id.clone());
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -45,7 +45,7 @@
             let Some(kind) = self.fleet.pool(&report.flavor, &report.zone, report.spot) else {
                 return Some(self.answer(Vec::new()));
             };
-            tracing::info!(machine = %report.machine, "a machine reports that was not known");
+            tracing::info!(machine = %report.machine, "heartbeat of an unknown machine");
             self.fleet.add_machine(&report.machine, kind, now);
         }
         if !self.apply_heartbeat(report, cache, now) {
@@ -171,7 +171,7 @@
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
                 let run = ObservedRun { duration: ran, done: false, saved: false };
                 self.learn_end(&task, machine, live, &run);
-                tracing::info!(%machine, %task, %attempt, "task is gone with its machine's session");
+                tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
             }
             TaskEvent::Exited { task, attempt, why, saved } => {
@@ -249,7 +249,7 @@
         }
         // No attempt is started before all earlier ones are surely gone, so the report that shows the earlier
         // one is an old one. The later one goes on; the task is free only when neither is shown any more.
-        tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "an old report shows a task twice");
+        tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "old heartbeat shows a duplicate attempt");
         let duplicate = if attempt > placed.attempt {
             work.placed.insert(task.index, found);
             placed
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -106,7 +106,7 @@
             let (value, revision) = (known.value.as_deref(), known.revision);
             if let Err(error) = self.learner.keeper.on_kept(*bucket, value, revision.0) {
                 // It costs what was learned there, and nothing else.
-                tracing::info!(key = %key(*bucket), %error, "estimates not read");
+                tracing::info!(key = %key(*bucket), %error, "runtime estimates unreadable");
             }
         }
     }
@@ -332,7 +332,7 @@
             seen.warned = true;
             self.runtime_predictor.warned += 1;
             let grade = estimate.grade;
-            tracing::info!(job = %id, class = live.spec.class, late, left_s, done_in_s, ended, ?grade, "will probably be late");
+            tracing::info!(job = %id, class = live.spec.class, late, left_s, done_in_s, ended, ?grade, "job likely to miss its deadline");
         }
     }
 
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -104,7 +104,7 @@
             "counts"
         );
         if let Some(demand) = self.demand_line(now) {
-            tracing::info!(%demand, "what is asked for");
+            tracing::info!(%demand, "demand by class and team");
         }
     }
 }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -160,7 +160,7 @@
         progress.failures.record_failure(&exit.machine, now);
         if progress.failures.is_job_faulty() && !was_faulty {
             let machines = progress.failures.failed_machines().len();
-            tracing::info!(%job, machines, "job fails on every machine, retried rarely");
+            tracing::info!(%job, machines, "job suspected: fails on every machine, retried with backoff");
         }
     }
 
--- a/tests/cluster/dag.rs
+++ b/tests/cluster/dag.rs
@@ -49,7 +49,7 @@
         world.at(until, SimEvent::Fault(ends));
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
+        let over = |job: &UserJob| job.told_done || job.cancellation_confirmed_ms.is_some();
         assert!(world.jobs.values().all(over), "seed {seed}");
         // Closing jobs of pipelines that nobody cancelled are done.
         assert!((0..9).step_by(3).all(|n| world.jobs[&(104 + n * 10)].told_done), "seed {seed}");
--- a/tests/cluster/fair_share.rs
+++ b/tests/cluster/fair_share.rs
@@ -32,7 +32,7 @@
         world.run(s * 1000);
         for n in services.iter().filter(|_| s >= 60) {
             let job = &world.jobs[n];
-            if job.accepted && job.told_cancelled.is_none() {
+            if job.accepted && job.cancellation_confirmed_ms.is_none() {
                 up += world.running(*n);
                 wanted += 4;
             }
--- a/tests/cluster/machines_and_jobs.rs
+++ b/tests/cluster/machines_and_jobs.rs
@@ -45,7 +45,7 @@
         world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
         world.run(150_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        let over = |job: &UserJob| job.told_done || job.told_cancelled.is_some();
+        let over = |job: &UserJob| job.told_done || job.cancellation_confirmed_ms.is_some();
         let array = |job: &&UserJob| job.spec.shape == JobKind::Array;
         assert!(world.jobs.values().filter(array).all(over), "seed {seed}");
         starts += world.starts;
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -43,13 +43,13 @@
         // What has nothing there was cancelled at once, but for an outage or a new leader.
         let other = &world.jobs[&4];
         if seed % 4 == 3 {
-            assert!(other.told_cancelled.is_some() && other.put_off == 0, "seed {seed}");
+            assert!(other.cancellation_confirmed_ms.is_some() && other.put_off == 0, "seed {seed}");
         }
         put_off += (0..3).map(|n| world.jobs[&n].put_off).sum::<u32>();
-        told_in_the_cut += (0..3).filter(|n| world.jobs[n].told_cancelled.is_some()).count();
+        told_in_the_cut += (0..3).filter(|n| world.jobs[n].cancellation_confirmed_ms.is_some()).count();
         world.run(140_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        assert!((0..3).all(|n| world.jobs[&n].told_cancelled.is_some()), "seed {seed}");
+        assert!((0..3).all(|n| world.jobs[&n].cancellation_confirmed_ms.is_some()), "seed {seed}");
         if seed % 8 != 1 {
             let lost = world.workers.values().filter(|w| w.zone == 1 && w.agent_epoch > 1).count();
             assert_eq!((world.running(3), lost), (4, 0), "seed {seed}");
--- a/tests/cluster/rolling_upgrade.rs
+++ b/tests/cluster/rolling_upgrade.rs
@@ -33,7 +33,7 @@
     assert!(world.old == [false; CONTROLLERS] && before == 0);
     assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
     for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
-        let over = job.told_done || job.told_cancelled.is_some();
+        let over = job.told_done || job.cancellation_confirmed_ms.is_some();
         assert!(over, "seed {seed}, {faults:?}: {number} is not over");
     }
     assert_eq!(world.running(0), 4, "seed {seed}, {faults:?}");
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -133,7 +133,7 @@
     }
     world.run(OVER + 85_000);
     for (n, job) in &world.jobs {
-        let cancelled = job.told_cancelled.is_some();
+        let cancelled = job.cancellation_confirmed_ms.is_some();
         if job.last_good + 75_000 < world.now_ms {
             world.violations.push(format!("forgotten: nobody is told of {n}"));
         }
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -154,7 +154,7 @@
         // Users cancel all the while, the last of them just before the outage.
         let first = round * 2;
         for (k, n) in (first..6).enumerate() {
-            if world.jobs[&n].told_cancelled.is_some() || (n == 5 && round + 1 < rounds) {
+            if world.jobs[&n].cancellation_confirmed_ms.is_some() || (n == 5 && round + 1 < rounds) {
                 continue;
             }
             let before = [30, 60, 150, 400, 900, row.gap / 2][k % 6];
@@ -179,10 +179,10 @@
         let end = out + OUTAGE_MS;
         world.run(end);
         let told =
-            |job: &&UserJob| job.told_cancelled.is_some_and(|t| t >= at && job.ran_when_told > 0);
+            |job: &&UserJob| job.cancellation_confirmed_ms.is_some_and(|t| t >= at && job.ran_when_told > 0);
         let told: Vec<&UserJob> = world.jobs.values().filter(told).collect();
         seen.confirmed += told.len();
-        let since = told.iter().filter_map(|job| job.told_cancelled).min();
+        let since = told.iter().filter_map(|job| job.cancellation_confirmed_ms).min();
         seen.answered |= since.is_some_and(|since| world.answered[old] > since);
         world.fault(Fault::Outage(false));
         world.fault(Fault::StoreRefuses(old, false));
@@ -195,13 +195,13 @@
     }
     world.run(at + 40_000);
     for (n, job) in &world.jobs {
-        if job.cancel_at.is_some() && job.told_cancelled.is_none() {
+        if job.cancel_at.is_some() && job.cancellation_confirmed_ms.is_none() {
             world.violations.push(format!("{n} was never cancelled"));
         }
         if world.now_ms > job.last_good + 75_000 {
             world.violations.push(format!("forgotten: nobody is told of {n}"));
         }
-        if job.told_cancelled.is_none()
+        if job.cancellation_confirmed_ms.is_none()
             && job.spec.depends_on.is_none()
             && world.on_machines(*n) != 4
         {
--- a/tests/targeted_faults.rs
+++ b/tests/targeted_faults.rs
@@ -360,7 +360,7 @@
         world.check_final_state();
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!(world.targeted_faults.effects("cancel at end") > 100);
-        let told = |job: &&UserJob| job.told_cancelled.is_some();
+        let told = |job: &&UserJob| job.cancellation_confirmed_ms.is_some();
         assert!(world.jobs.values().filter(told).count() as u64 > count / 5);
     }
 }
