--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -25,8 +25,10 @@
 /// Seconds. A task that saves is told so much earlier than its time is up: for the command and its report.
 const DRAIN_MARGIN_S: f64 = 5.0;
 
+/// What operators drain, and when tasks are moved off next.
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
+    /// The zones and machines that are drained.
     pub drained: DrainSet,
     at: Option<Instant>,
 }
@@ -48,6 +50,7 @@
 }
 
 impl Scheduler {
+    /// Takes in the drains that are stored by now.
     pub(super) fn read_drains(&mut self, cache: &Cache) {
         let drained = cache.drained().collect::<DrainSet>();
         if drained != self.drains.drained {
@@ -62,10 +65,12 @@
             .drain_of_machine(machine.id.as_str(), self.fleet.zone_name(machine.zone))
     }
 
+    /// Whether a machine is drained, by itself or with its zone.
     pub(super) fn is_drained(&self, machine: &Machine) -> bool {
         self.drain_of(machine).is_some()
     }
 
+    /// By zone: whether it is drained.
     pub(super) fn drained_zones(&self) -> Vec<bool> {
         let zones = &self.settings.platform.params.zones;
         zones.iter().map(|zone| self.drains.drained.covers_zone(zone)).collect()
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -20,6 +20,7 @@
 /// removed: users repeat a submission for a minute.
 const ORPHAN_AFTER: Duration = Duration::from_secs(180);
 
+/// What is known of garbage between two rounds.
 pub(super) struct GarbageCollector {
     at: Instant,
     /// Keys of the transaction under way.
@@ -29,12 +30,14 @@
 }
 
 impl GarbageCollector {
+    /// A collector whose first round is one interval away.
     pub fn new(now: Instant) -> GarbageCollector {
         GarbageCollector { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
     }
 }
 
 impl Scheduler {
+    /// Removes some garbage, if a round is due and the last one has ended.
     pub(super) fn collect_garbage(&mut self, state: &mut StoreClient, now: Instant) {
         if now < self.garbage_collector.at || state.is_pending(&WriteOrigin::GarbageCollection) {
             return;
@@ -72,6 +75,7 @@
         });
     }
 
+    /// Takes in how a round ended.
     pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -32,6 +32,7 @@
         *sum = sum.plus(&amount);
     }
 
+    /// What orphaned tasks of a team may still use.
     pub(super) fn of(&self, team: usize) -> Amount {
         self.teams.get(&team).copied().unwrap_or_default()
     }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Takes in how a write to the store ended.
     pub fn on_outcome(
         &mut self,
         origin: &WriteOrigin,
@@ -232,6 +233,7 @@
         }
     }
 
+    /// Writes tasks that are reported done, those that end a job first.
     pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
         let marks = now >= self.persistence.next_progress_write && !state.is_backlogged();
         if marks {
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -105,6 +105,7 @@
         Some(orders)
     }
 
+    /// The answer to a heartbeat with these commands.
     pub(super) fn answer(&self, orders: Vec<WorkerCommand>) -> CommandBatch {
         CommandBatch { token: self.term.token, agent_epoch: None, orders }
     }
@@ -155,6 +156,7 @@
         true
     }
 
+    /// Takes in what a heartbeat shows of one task.
     pub(super) fn on_task_event(
         &mut self,
         machine: &MachineId,
@@ -181,6 +183,7 @@
         }
     }
 
+    /// Logs how long a task took to start.
     pub(super) fn on_running(
         &mut self,
         id: &MachineId,
@@ -267,6 +270,7 @@
         }
     }
 
+    /// Frees a task whose attempt is gone, unless another attempt is still shown.
     pub(super) fn release(&mut self, task: &TaskId, attempt: Attempt, now: Instant) {
         if let Some(work) = self.jobs.progress.get_mut(&task.job) {
             work.duplicate_attempts.retain(|duplicate| {
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -67,6 +67,7 @@
     warned: bool,
 }
 
+/// Run times as they were learned, and the jobs that are watched for lateness.
 #[derive(Debug, Default)]
 pub(super) struct RuntimePredictor {
     learner: Learner,
@@ -94,6 +95,7 @@
 }
 
 impl RuntimePredictor {
+    /// A predictor that knows what its predecessors stored.
     pub(super) fn new(cache: &Cache) -> RuntimePredictor {
         let mut learning = RuntimePredictor::default();
         learning.read(cache);
@@ -132,6 +134,7 @@
     }
 }
 
+/// The store key of a bucket of estimates.
 pub(crate) fn key(bucket: u8) -> String {
     format!("{ESTIMATES_PREFIX}{bucket:02x}")
 }
@@ -201,6 +204,7 @@
         }
     }
 
+    /// What is known of jobs like this one.
     #[cfg(test)]
     pub(super) fn estimate_of(&self, profile: &Profile) -> Option<Estimate> {
         self.runtime_predictor.learner.estimate(profile, &Current::default(), 0)
@@ -367,6 +371,7 @@
         });
     }
 
+    /// Takes in how a write of estimates ended.
     pub(super) fn on_estimates_written(&mut self, bucket: u8, outcome: WriteOutcome) {
         let told = match outcome {
             WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
