--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -148,7 +148,9 @@
             // An answer that was on its way when another one came may still say that it is open.
             let later = !open || known >= Some(ReportedStatus::Done);
             let back = later && job.told_done && view.status != JobStatus::Done
-                || later && job.cancellation_confirmed_ms.is_some() && view.status != JobStatus::Cancelled
+                || later
+                    && job.cancellation_confirmed_ms.is_some()
+                    && view.status != JobStatus::Cancelled
                 || (view.status == JobStatus::Cancelled && !wanted);
             // Whoever asks after any user was told finds the job cancelled.
             if open && told.is_some_and(|at| asked > at) {
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -46,7 +46,8 @@
             assert!(other.cancellation_confirmed_ms.is_some() && other.put_off == 0, "seed {seed}");
         }
         put_off += (0..3).map(|n| world.jobs[&n].put_off).sum::<u32>();
-        told_in_the_cut += (0..3).filter(|n| world.jobs[n].cancellation_confirmed_ms.is_some()).count();
+        told_in_the_cut +=
+            (0..3).filter(|n| world.jobs[n].cancellation_confirmed_ms.is_some()).count();
         world.run(140_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert!((0..3).all(|n| world.jobs[&n].cancellation_confirmed_ms.is_some()), "seed {seed}");
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -154,7 +154,8 @@
         // Users cancel all the while, the last of them just before the outage.
         let first = round * 2;
         for (k, n) in (first..6).enumerate() {
-            if world.jobs[&n].cancellation_confirmed_ms.is_some() || (n == 5 && round + 1 < rounds) {
+            if world.jobs[&n].cancellation_confirmed_ms.is_some() || (n == 5 && round + 1 < rounds)
+            {
                 continue;
             }
             let before = [30, 60, 150, 400, 900, row.gap / 2][k % 6];
@@ -178,8 +179,9 @@
         }
         let end = out + OUTAGE_MS;
         world.run(end);
-        let told =
-            |job: &&UserJob| job.cancellation_confirmed_ms.is_some_and(|t| t >= at && job.ran_when_told > 0);
+        let told = |job: &&UserJob| {
+            job.cancellation_confirmed_ms.is_some_and(|t| t >= at && job.ran_when_told > 0)
+        };
         let told: Vec<&UserJob> = world.jobs.values().filter(told).collect();
         seen.confirmed += told.len();
         let since = told.iter().filter_map(|job| job.cancellation_confirmed_ms).min();
