--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -31,7 +31,7 @@
 /// The API with a store that executes every request and holds what it is given.
 struct TestApi {
     api: Api,
-    state: StoreClient,
+    store: StoreClient,
     rev: u64,
     now: Instant,
     syncs: u32,
@@ -45,9 +45,9 @@
             Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
         let names = ["n-0", "n-1"].map(ControllerId::new).to_vec();
         let limits = settings.platform.params.state.effective();
-        let mut state = StoreClient::new(limits, names.clone(), 1, now);
-        state.poll(now);
-        let id = state.next_request().unwrap().id;
+        let mut store = StoreClient::new(limits, names.clone(), 1, now);
+        store.poll(now);
+        let id = store.next_request().unwrap().id;
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
         let flavors = encoding::to_value(&vec![crate::settings::fixtures::machine_type()]);
         let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
@@ -56,20 +56,20 @@
         let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
         rows.extend(versions);
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
-        state.on_response(id, StoreResponse::Range(page), now);
+        store.on_response(id, StoreResponse::Range(page), now);
         let api = Api::new(settings, WallClock { at: now, ms: 5 }).unwrap();
-        TestApi { api, state, rev: 1, now, syncs: 0 }
+        TestApi { api, store, rev: 1, now, syncs: 0 }
     }
 
     fn submit_body(&mut self, body: &[u8]) -> Response {
-        let answer = self.api.on_request(10, Route::Submit, body, &mut self.state, self.now);
+        let answer = self.api.on_request(10, Route::Submit, body, &mut self.store, self.now);
         if let Some(answer) = answer {
             return answer;
         }
         loop {
             self.now += Duration::from_millis(500);
-            self.state.poll(self.now);
-            while let Some(OutgoingRequest { id, request }) = self.state.next_request() {
+            self.store.poll(self.now);
+            while let Some(OutgoingRequest { id, request }) = self.store.next_request() {
                 let response = match request {
                     StoreRequest::Watch { wait, .. } if !wait.is_zero() => {
                         StoreResponse::Unavailable
@@ -85,14 +85,14 @@
                         StoreResponse::Watch(wire::WatchResponse { rev, events: vec![] })
                     }
                 };
-                self.state.on_response(id, response, self.now);
+                self.store.on_response(id, response, self.now);
             }
-            while let Some(event) = self.state.next_event() {
-                let (api, state) = (&mut self.api, &mut self.state);
+            while let Some(event) = self.store.next_event() {
+                let (api, store) = (&mut self.api, &mut self.store);
                 let answer = match event {
-                    StoreEvent::Synced(10) => api.on_synced(10, state, self.now),
+                    StoreEvent::Synced(10) => api.on_synced(10, store, self.now),
                     StoreEvent::WriteSettled(WriteOrigin::User(10), outcome) => {
-                        api.on_outcome(10, outcome, state, self.now)
+                        api.on_outcome(10, outcome, store, self.now)
                     }
                     _ => None,
                 };
@@ -119,7 +119,7 @@
     // Accepted without one; the answer then waits for news of what it names.
     let synced = api.syncs;
     assert_eq!(synced, 1);
-    let job = api.state.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
+    let job = api.store.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
     assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
     // Never accepted, itself, a service: for good, but only once the store has been api.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
@@ -174,7 +174,7 @@
     let answer = api.submit_body(&wire::encode(&spec));
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after_s.is_some());
-    assert!(api.state.cache.jobs.get(&JobId::new("wk-2")).is_none());
+    assert!(api.store.cache.jobs.get(&JobId::new("wk-2")).is_none());
 }
 
 /// Guests have neither quota nor limit; each of their jobs was once rejected.
@@ -301,7 +301,7 @@
             broken += 1;
         }
     }
-    assert!(broken > 100 && api.state.cache.jobs.get(&JobId::new("wk-1")).is_none());
+    assert!(broken > 100 && api.store.cache.jobs.get(&JobId::new("wk-1")).is_none());
     for body in [&b""[..], b"{", b"\xff", &wire::encode(&StoreValue::from("wk-1")), b"\x80"] {
         assert_eq!(api.submit_body(body).status, 400);
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -242,27 +242,27 @@
     }
 
     /// Does what is due by now. Called often, and only while this process holds the lease.
-    pub fn tick(&mut self, state: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
+    pub fn tick(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         if now >= self.planning_clock.next_watch {
             self.planning_clock.next_watch = now + WATCH_EVERY;
-            self.watch(state, cloud, now);
+            self.watch(store, cloud, now);
         }
-        self.store(state, now);
+        self.store(store, now);
         if self.planning_clock.start_round(now) {
-            self.plan_if_useful(&state.cache, cloud, now);
+            self.plan_if_useful(&store.cache, cloud, now);
         }
         self.send_direct_calls(now);
     }
 
     /// What is looked at now and then rather than on each event.
-    fn watch(&mut self, state: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
+    fn watch(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         self.direct_calls.all_dirty = true;
-        self.watch_machines(&state.cache, cloud, now);
-        self.delete_machine_records(state);
-        self.read_drains(&state.cache);
-        self.collect_garbage(state, now);
-        self.store_estimates(state, now);
-        self.warn_of_late_jobs(&state.cache, now);
+        self.watch_machines(&store.cache, cloud, now);
+        self.delete_machine_records(store);
+        self.read_drains(&store.cache);
+        self.collect_garbage(store, now);
+        self.store_estimates(store, now);
+        self.warn_of_late_jobs(&store.cache, now);
     }
 
     fn plan_if_useful(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -38,15 +38,15 @@
 
 impl Scheduler {
     /// Removes some garbage, if a round is due and the last one has ended.
-    pub(super) fn collect_garbage(&mut self, state: &mut StoreClient, now: Instant) {
-        if now < self.garbage_collector.at || state.is_pending(&WriteOrigin::GarbageCollection) {
+    pub(super) fn collect_garbage(&mut self, store: &mut StoreClient, now: Instant) {
+        if now < self.garbage_collector.at || store.is_pending(&WriteOrigin::GarbageCollection) {
             return;
         }
         self.garbage_collector.at = now + TIDY_EVERY;
-        let most = TIDY_WRITES.min(state.layout().max_operations);
-        let mut writes = state.cache.jobs.garbage(most);
+        let most = TIDY_WRITES.min(store.layout().max_operations);
+        let mut writes = store.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
-        for OrphanedSpecChunk { job, key, revision } in state.cache.jobs.orphaned_spec_chunks() {
+        for OrphanedSpecChunk { job, key, revision } in store.cache.jobs.orphaned_spec_chunks() {
             let since = self.garbage_collector.orphans.get(&job).copied().unwrap_or(now);
             waiting.insert(job, since);
             if now >= since + ORPHAN_AFTER && writes.len() < most {
@@ -68,7 +68,7 @@
             writes.iter().map(|garbage| garbage.write.key().to_owned()).collect();
         let writes = writes.into_iter().map(|garbage| garbage.write).collect();
         let transaction = Transaction { preconditions, writes };
-        state.enqueue(PendingWrite {
+        store.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::GarbageCollection,
             transaction,
@@ -76,10 +76,10 @@
     }
 
     /// Takes in how a round ended.
-    pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, state: &mut StoreClient) {
+    pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, store: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
             // Something there is not as it was known; the next full reading shows how it is.
-            self.garbage_collector.keys.iter().for_each(|key| state.cache.jobs.forget_garbage(key));
+            self.garbage_collector.keys.iter().for_each(|key| store.cache.jobs.forget_garbage(key));
         }
     }
 }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -137,10 +137,10 @@
         &mut self,
         origin: &WriteOrigin,
         outcome: WriteOutcome,
-        state: &mut StoreClient,
+        store: &mut StoreClient,
     ) {
         if *origin == WriteOrigin::GarbageCollection {
-            return self.on_garbage_collected(outcome, state);
+            return self.on_garbage_collected(outcome, store);
         }
         if let WriteOrigin::RuntimeEstimates(bucket) = origin {
             return self.on_estimates_written(*bucket, outcome);
@@ -156,7 +156,7 @@
     }
 
     /// Hands the store what is due: records of machines and completions.
-    pub(super) fn store(&mut self, state: &mut StoreClient, now: Instant) {
+    pub(super) fn store(&mut self, store: &mut StoreClient, now: Instant) {
         let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
             machines
@@ -166,13 +166,13 @@
         self.fleet.unrecorded.retain(|id| due(id).is_some());
         for machine in self.fleet.unrecorded.iter().filter_map(due) {
             let origin = WriteOrigin::MachineAdded(machine.id.clone());
-            if state.is_pending(&origin) {
+            if store.is_pending(&origin) {
                 continue;
             }
             let Some(address) = machine.address else { continue };
             let key = format!("{MACHINE_PREFIX}{}", machine.id);
             let rev =
-                state.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
+                store.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
                 machine_type: self.fleet.machine_types[machine.flavor].name.clone(),
@@ -187,20 +187,20 @@
                 ],
                 writes: vec![Write::Put { key, data, lease: None }],
             };
-            state.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
+            store.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
         }
-        self.store_completions(state, now);
+        self.store_completions(store, now);
     }
 
     /// Removes the records of machines that are surely gone.
-    pub(super) fn delete_machine_records(&self, state: &mut StoreClient) {
+    pub(super) fn delete_machine_records(&self, store: &mut StoreClient) {
         // Both are in the order of their names: one walk along both instead of a search for each.
         let mut ours = self.fleet.machines.keys().peekable();
         let mut is_ours = |id: &MachineId| {
             while ours.next_if(|our| *our < id).is_some() {}
             ours.peek().is_some_and(|our| *our == id)
         };
-        let gone: Vec<(MachineId, Revision)> = state
+        let gone: Vec<(MachineId, Revision)> = store
             .cache
             .machines
             .iter()
@@ -214,7 +214,7 @@
             .collect();
         for (id, rev) in gone {
             let origin = WriteOrigin::MachineRemoved(id.clone());
-            if state.is_pending(&origin) {
+            if store.is_pending(&origin) {
                 continue;
             }
             let key = format!("{MACHINE_PREFIX}{id}");
@@ -225,7 +225,7 @@
                 ],
                 writes: vec![Write::Delete { key }],
             };
-            state.enqueue(PendingWrite {
+            store.enqueue(PendingWrite {
                 priority: WritePriority::Background,
                 origin,
                 transaction,
@@ -234,12 +234,12 @@
     }
 
     /// Writes tasks that are reported done, those that end a job first.
-    pub(super) fn store_completions(&mut self, state: &mut StoreClient, now: Instant) {
-        let marks = now >= self.persistence.next_progress_write && !state.is_backlogged();
+    pub(super) fn store_completions(&mut self, store: &mut StoreClient, now: Instant) {
+        let marks = now >= self.persistence.next_progress_write && !store.is_backlogged();
         if marks {
             self.persistence.next_progress_write = now + MARKS_EVERY;
         }
-        let layout = state.layout();
+        let layout = store.layout();
         let now_ms = self.wall_clock.ms(now);
         let guard = self.term.precondition();
         let work = &self.jobs.progress;
@@ -252,14 +252,14 @@
         reported.sort_by_key(|(_, work)| Reverse(work.completing.len()));
         for (id, work) in reported {
             let origin = WriteOrigin::Completion(id.clone());
-            if state.is_pending(&origin) {
+            if store.is_pending(&origin) {
                 continue;
             }
-            let Some(job) = state.cache.jobs.get(id) else { continue };
+            let Some(job) = store.cache.jobs.get(id) else { continue };
             let goes_on = |live: &LiveJob| {
                 live.completed_count() + (work.completing.len() as u64) < live.spec.tasks
             };
-            if (!marks || state.is_backlogged()) && job.live().is_none_or(goes_on) {
+            if (!marks || store.is_backlogged()) && job.live().is_none_or(goes_on) {
                 continue;
             }
             let tasks: Vec<u32> = work.completing.iter().copied().collect();
@@ -268,14 +268,14 @@
             let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
                 continue;
             };
-            if !done.ends && (!marks || state.is_backlogged()) {
+            if !done.ends && (!marks || store.is_backlogged()) {
                 continue;
             }
             let mut transaction = done.transaction;
             transaction.preconditions.push(guard.clone());
             let priority =
                 if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
-            state.enqueue(PendingWrite { priority, origin, transaction });
+            store.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -341,16 +341,16 @@
     }
 
     /// Writes what was learned, after all else.
-    pub(super) fn store_estimates(&mut self, state: &mut StoreClient, now: Instant) {
+    pub(super) fn store_estimates(&mut self, store: &mut StoreClient, now: Instant) {
         if !self.learns() {
             return;
         }
-        self.runtime_predictor.read(&state.cache);
-        if state.is_backlogged() {
+        self.runtime_predictor.read(&store.cache);
+        if store.is_backlogged() {
             return;
         }
         // The quotes of a text are part of its value.
-        let most = state.layout().value_max.saturating_sub(2);
+        let most = store.layout().value_max.saturating_sub(2);
         let now_ms = now.saturating_duration_since(self.term.started_at).as_millis() as u64;
         let Some(write) =
             self.runtime_predictor.learner.keeper.poll(self.term.token.0, most, now_ms)
@@ -364,7 +364,7 @@
         ];
         let writes = vec![Write::Put { key, data: StoreValue::from(write.value), lease: None }];
         let transaction = Transaction { preconditions, writes };
-        state.enqueue(PendingWrite {
+        store.enqueue(PendingWrite {
             priority: WritePriority::Background,
             origin: WriteOrigin::RuntimeEstimates(write.bucket),
             transaction,
--- a/src/scheduler/tests/cancellation.rs
+++ b/src/scheduler/tests/cancellation.rs
@@ -15,9 +15,9 @@
     let orders = bench.report("i-1", vec![]);
     assert_eq!(task_statuses(&orders, TaskState::Running).len(), 4);
     bench.report("i-1", task_statuses(&orders, TaskState::Running));
-    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &bench.state.cache);
+    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &bench.store.cache);
     bench.report("i-1", task_statuses(&orders, TaskState::Exited));
-    bench.scheduler.on_jobs(&[id], &bench.state.cache, bench.now);
+    bench.scheduler.on_jobs(&[id], &bench.store.cache, bench.now);
     for _ in 0..20 {
         bench.pass(PLAN_EVERY);
     }
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -65,7 +65,7 @@
     // All but what is kept warm and what a half of a half leaves.
     assert!((8..=16).contains(&before), "{before}");
     let urgent = bench.job("wk-2", JobKind::Service, 14);
-    let Some(job) = bench.state.cache.jobs.all.get_mut(&urgent) else { panic!() };
+    let Some(job) = bench.store.cache.jobs.all.get_mut(&urgent) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     for _ in 0..4 {
@@ -73,7 +73,7 @@
     }
     assert_eq!((width(&bench, &urgent), width(&bench, &wide)), (14, 2));
     // The urgent one is gone, and the elastic one rests before it grows again.
-    bench.state.cache.jobs.all.remove(&urgent);
+    bench.store.cache.jobs.all.remove(&urgent);
     bench.scheduler.jobs.progress.remove(&urgent);
     bench.scheduler.stop_all(&urgent);
     for _ in 0..8 {
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -49,15 +49,15 @@
     ];
     for (at_ms, tasks, what) in cases {
         let (mut bench, id) = after_failover(2);
-        let job = bench.state.cache.jobs.get(&id).unwrap();
-        let layout = records::Layout { format: records::FORMAT, ..bench.state.layout() };
+        let job = bench.store.cache.jobs.get(&id).unwrap();
+        let layout = records::Layout { format: records::FORMAT, ..bench.store.layout() };
         let transaction = jobs::cancel(&id, job, at_ms.unwrap_or_default(), &layout).unwrap();
         let [Write::Put { data, .. }] = &transaction.writes[..] else { panic!() };
         let mut data = data.clone();
         if let (None, StoreValue::Map(fields)) = (at_ms, &mut data) {
             fields.retain(|(key, _)| !["e", "t"].contains(&key.as_text().unwrap()));
         }
-        bench.state.cache.jobs.apply_record(id.clone(), &data, Revision(9));
+        bench.store.cache.jobs.apply_record(id.clone(), &data, Revision(9));
         bench.lead_anew();
         let need = Amount::need(4.0, 0.0, 4.0);
         assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -49,7 +49,7 @@
             second(&mut bench);
         }
         let service = bench.job("wk-2", JobKind::Service, 16);
-        let live = bench.state.cache.jobs.all.get_mut(&service);
+        let live = bench.store.cache.jobs.all.get_mut(&service);
         let Some(JobBody::Live(live)) = live.map(|job| &mut job.body) else { panic!() };
         let spec = Arc::make_mut(&mut live.spec);
         (spec.urgency, spec.class) = (Priority::Production, "urgent".into());
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -15,7 +15,7 @@
 /// A leader without peers, and the cores that it works with.
 pub(super) struct TestLeader {
     pub(super) scheduler: Scheduler,
-    pub(super) state: StoreClient,
+    pub(super) store: StoreClient,
     pub(super) cloud: CloudClient,
     pub(super) now: Instant,
     pub(super) seq: u64,
@@ -27,14 +27,14 @@
         let settings = Arc::new(crate::settings::fixtures::settings(teams));
         let now = Instant::now();
         let limits = settings.platform.params.state.effective();
-        let mut state = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        state.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
+        let mut store = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
+        store.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
-            Scheduler::new(FencingToken(1), Revision(2), settings, &state.cache, wall, now);
+            Scheduler::new(FencingToken(1), Revision(2), settings, &store.cache, wall, now);
         let mut cloud = CloudClient::new(5.0, now);
         cloud.begin_leadership(FencingToken(1), now);
-        TestLeader { scheduler, state, cloud, now, seq: 0 }
+        TestLeader { scheduler, store, cloud, now, seq: 0 }
     }
 
     pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
@@ -45,15 +45,15 @@
             spot: shape == JobKind::Array,
             ..jobs::fixtures::job_spec(id, tasks)
         };
-        let layout = self.state.layout();
+        let layout = self.store.layout();
         let jobs::Acceptance::JobRecord(transaction) =
-            jobs::accept(&Arc::new(spec), 1, &layout, &self.state.cache.jobs)
+            jobs::accept(&Arc::new(spec), 1, &layout, &self.store.cache.jobs)
         else {
             panic!()
         };
         let [Write::Put { data, .. }] = &transaction.writes[..] else { panic!() };
-        self.state.cache.jobs.apply_record(JobId::new(id), data, Revision(5));
-        self.scheduler.on_jobs(&[JobId::new(id)], &self.state.cache, self.now);
+        self.store.cache.jobs.apply_record(JobId::new(id), data, Revision(5));
+        self.scheduler.on_jobs(&[JobId::new(id)], &self.store.cache, self.now);
         JobId::new(id)
     }
 
@@ -72,7 +72,7 @@
             notice_s: None,
             tasks,
         };
-        let orders = self.scheduler.on_heartbeat(&report, &self.state.cache, self.now).unwrap();
+        let orders = self.scheduler.on_heartbeat(&report, &self.store.cache, self.now).unwrap();
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
@@ -81,7 +81,7 @@
 
     pub(super) fn pass(&mut self, time: Duration) {
         self.now += time;
-        self.scheduler.tick(&mut self.state, &mut self.cloud, self.now);
+        self.scheduler.tick(&mut self.store, &mut self.cloud, self.now);
     }
 }
 
@@ -118,7 +118,7 @@
             spot: false,
         };
         bench
-            .state
+            .store
             .cache
             .machines
             .insert(MachineId::new(name), Versioned::new(record, Revision(3)));
@@ -132,7 +132,7 @@
     pub(super) fn lead_anew(&mut self) {
         let settings = self.scheduler.settings.clone();
         let wall = WallClock { at: self.now, ms: 1_000_000 };
-        let cache = &self.state.cache;
+        let cache = &self.store.cache;
         self.scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, self.now);
     }
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -27,7 +27,7 @@
     let kind = MachinePool { flavor: 0, zone: 1, spot: true };
     bench.pass(PLAN_EVERY);
     let hired = CloudEvent::MachinesRented(kind, rented);
-    bench.scheduler.on_cloud(hired, &bench.state.cache, bench.now);
+    bench.scheduler.on_cloud(hired, &bench.store.cache, bench.now);
     let booting = |bench: &TestLeader| {
         bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
     };
@@ -89,7 +89,7 @@
                     DirectCall::Status => None,
                 };
                 let gave_up = Err(crate::http::CallError::Unknown);
-                let (cache, now) = (&bench.state.cache, bench.now);
+                let (cache, now) = (&bench.store.cache, bench.now);
                 bench.scheduler.on_direct(&id, sent.as_ref(), gave_up, cache, now);
             }
         }
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -19,7 +19,7 @@
             bench.report(&format!("i-{n}"), vec![]);
         }
         let id = bench.job("wk-1", JobKind::Array, 400);
-        let Some(job) = bench.state.cache.jobs.all.get_mut(&id) else { panic!() };
+        let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
         let JobBody::Live(live) = &mut job.body else { panic!() };
         Arc::make_mut(&mut live.spec).urgency = Priority::Low;
         for _ in 0..20 {
@@ -72,9 +72,9 @@
     assert!(!bench.scheduler.direct_calls.all_dirty);
     assert_eq!(bench.scheduler.direct_calls.dirty_machines, BTreeSet::new());
     // A job that is over has its tasks stopped, and each machine is looked at until it is told.
-    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.state.cache);
+    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.store.cache);
     let one = &names[0];
     bench.report(one, running[one].clone());
     assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
-    assert!(!bench.scheduler.has_pending_work(&bench.state.cache));
+    assert!(!bench.scheduler.has_pending_work(&bench.store.cache));
 }
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -35,7 +35,7 @@
     fill(&mut bench, "i-2", "wk-2", "other");
     bench.report("i-1", first);
     let id = bench.job("wk-3", JobKind::Service, 1);
-    let Some(job) = bench.state.cache.jobs.all.get_mut(&id) else { panic!() };
+    let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     bench.pass(PLAN_EVERY * 5);
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -40,9 +40,9 @@
         completed_count: 4,
         ..records::JobRecord::live(1, None)
     };
-    let rev = Revision(bench.state.cache.rev.0.max(10) + 1);
-    bench.state.cache.jobs.apply_record(JobId::new(id), &encoding::to_value(&done), rev);
-    bench.scheduler.on_jobs(&[JobId::new(id)], &bench.state.cache, bench.now);
+    let rev = Revision(bench.store.cache.rev.0.max(10) + 1);
+    bench.store.cache.jobs.apply_record(JobId::new(id), &encoding::to_value(&done), rev);
+    bench.scheduler.on_jobs(&[JobId::new(id)], &bench.store.cache, bench.now);
 }
 
 /// What the store would hold after all writes that are due were done.
@@ -50,8 +50,8 @@
     let mut written = 0;
     for n in 0..40 {
         bench.now += Duration::from_millis(300);
-        bench.scheduler.store_estimates(&mut bench.state, bench.now);
-        for item in bench.state.take_queued_writes() {
+        bench.scheduler.store_estimates(&mut bench.store, bench.now);
+        for item in bench.store.take_queued_writes() {
             let (WriteOrigin::RuntimeEstimates(bucket), [Write::Put { data, .. }]) =
                 (&item.origin, &item.transaction.writes[..])
             else {
@@ -59,8 +59,8 @@
             };
             assert_eq!(item.priority, WritePriority::Background);
             let text = data.as_text().map(str::to_owned);
-            bench.state.cache.estimates.insert(*bucket, Versioned::new(text, Revision(100 + n)));
-            bench.scheduler.on_outcome(&item.origin, WriteOutcome::Committed, &mut bench.state);
+            bench.store.cache.estimates.insert(*bucket, Versioned::new(text, Revision(100 + n)));
+            bench.scheduler.on_outcome(&item.origin, WriteOutcome::Committed, &mut bench.store);
             written += 1;
         }
     }
@@ -69,7 +69,7 @@
 
 fn estimated_run_s(bench: &mut TestLeader, id: &str) -> Option<f64> {
     let id = bench.job(id, JobKind::Array, 4);
-    let live = bench.state.cache.jobs.get(&id).and_then(Job::live).unwrap();
+    let live = bench.store.cache.jobs.get(&id).and_then(Job::live).unwrap();
     let spec = &live.spec;
     let profile = troutspindle_runtime_estimates::Profile {
         job: "x",
@@ -97,15 +97,15 @@
     assert!((1..=4).contains(&write_estimates(&mut bench)));
     assert_eq!(write_estimates(&mut bench), 0, "nothing new, nothing written");
     let mut next = learning_leader();
-    next.state.cache.estimates = bench.state.cache.estimates.clone();
-    next.scheduler.store_estimates(&mut next.state, next.now);
+    next.store.cache.estimates = bench.store.cache.estimates.clone();
+    next.scheduler.store_estimates(&mut next.store, next.now);
     assert!((estimated_run_s(&mut next, "wk-2").unwrap() - known).abs() < 0.5);
     let mut damaged = learning_leader();
-    for (bucket, known) in &bench.state.cache.estimates {
+    for (bucket, known) in &bench.store.cache.estimates {
         let text = known.value.as_ref().map(|text| text[..text.len() / 2].to_owned());
-        damaged.state.cache.estimates.insert(*bucket, Versioned::new(text, known.revision));
+        damaged.store.cache.estimates.insert(*bucket, Versioned::new(text, known.revision));
     }
-    damaged.scheduler.store_estimates(&mut damaged.state, damaged.now);
+    damaged.scheduler.store_estimates(&mut damaged.store, damaged.now);
     assert_eq!(estimated_run_s(&mut damaged, "wk-2"), None);
     run_array(&mut damaged, "wk-3", 1);
 }
