--- a/crates/elastic-width/src/lib.rs
+++ b/crates/elastic-width/src/lib.rs
@@ -6,6 +6,7 @@
 //! keeps them from swapping it back and forth is that growth takes half of what stayed free, and that a job
 //! that was preempted backs off.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
 pub mod constants;
 
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -6,6 +6,7 @@
 //! waits, so its records say what it is owed, and two leaders in a row cannot count it twice. Only the recent
 //! rate at which work arrives is remembered, and a new leader begins it anew from the records of live jobs.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
 pub mod constants;
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -3,6 +3,7 @@
 //! speak through it.
 
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
 pub mod constants;
 pub mod http;
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -198,7 +198,12 @@
     }
 
     /// A follower's status, with which it asks for a grant.
-    pub fn record_status(&mut self, from: &ControllerId, status: &FollowerStatus, now: Instant) {
+    pub fn record_status(
+        &mut self,
+        from: &ControllerId,
+        status: &FollowerStatus<'_>,
+        now: Instant,
+    ) {
         let Some(follower) = self.followers.get_mut(from) else { return };
         if status.route == MessageRoute::Direct {
             follower.last_heard = now;
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -182,7 +182,7 @@
         allocation.remaining
     }
 
-    fn fill_tier(&mut self, allocation: &mut Allocation, tier: Tier) {
+    fn fill_tier(&mut self, allocation: &mut Allocation<'_>, tier: Tier) {
         let groups: Vec<GroupNumber> = self
             .capacity_index
             .groups()
@@ -208,7 +208,7 @@
     }
 
     /// Whether tasks remain that their team's limit permits.
-    fn may_continue(&self, allocation: &Allocation) -> bool {
+    fn may_continue(&self, allocation: &Allocation<'_>) -> bool {
         let request = &allocation.request;
         let headroom = &self.team_headroom[request.team.index()];
         allocation.remaining > 0 && request.resources.fits(headroom)
@@ -216,14 +216,19 @@
 
     /// Whether no machine of this basket (none: the pool) may be taken, because the heavy basket
     /// is full.
-    fn is_at_heavy_limit(&self, allocation: &Allocation, basket: Option<Basket>) -> bool {
+    fn is_at_heavy_limit(&self, allocation: &Allocation<'_>, basket: Option<Basket>) -> bool {
         basket.is_none()
             && allocation.request.basket == Basket::Heavy
             && self.heavy_machines >= allocation.heavy_limit
     }
 
     /// Fills machines of the tier and basket that have the request's image.
-    fn fill_with_image(&mut self, allocation: &mut Allocation, basket: Option<Basket>, tier: Tier) {
+    fn fill_with_image(
+        &mut self,
+        allocation: &mut Allocation<'_>,
+        basket: Option<Basket>,
+        tier: Tier,
+    ) {
         for &index in self.image_index.bins_with(allocation.request.image).iter() {
             if !self.may_continue(allocation) {
                 return;
@@ -243,7 +248,7 @@
     /// request's image are full already.
     fn fill_in_order(
         &mut self,
-        allocation: &mut Allocation,
+        allocation: &mut Allocation<'_>,
         basket: Option<Basket>,
         groups: &[GroupNumber],
     ) {
@@ -271,7 +276,7 @@
         }
     }
 
-    fn rent_machines(&mut self, allocation: &mut Allocation) {
+    fn rent_machines(&mut self, allocation: &mut Allocation<'_>) {
         while self.may_continue(allocation) && !self.is_at_heavy_limit(allocation, None) {
             let Some(bin) = self.scale_out.rent(allocation.request, self.bins.len()) else {
                 return;
@@ -283,7 +288,7 @@
     }
 
     /// Assigns as many tasks to a machine as fit and may run there.
-    fn assign(&mut self, allocation: &mut Allocation, index: BinIndex) {
+    fn assign(&mut self, allocation: &mut Allocation<'_>, index: BinIndex) {
         let request = &mut *allocation.request;
         let bin = &mut self.bins[index.0];
         let is_best_effort = request.scale_out == ScaleOutPolicy::Spot;
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -31,7 +31,7 @@
 
 impl GarbageCollector {
     /// A collector whose first round is one interval away.
-    pub fn new(now: Instant) -> GarbageCollector {
+    pub(super) fn new(now: Instant) -> GarbageCollector {
         GarbageCollector { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
     }
 }
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -84,7 +84,7 @@
         id: &JobId,
         job: &LiveJob,
         max_tasks: u64,
-        context: &mut RequestContext,
+        context: &mut RequestContext<'_>,
     ) -> Option<PlacementRequest> {
         let is_gang = job.spec.shape == JobKind::Gang;
         let mut request = self.base_request(id, job, &context.fleet.capacities)?;
@@ -123,7 +123,7 @@
         id: &JobId,
         job: &LiveJob,
         max_tasks: u64,
-        context: &mut RequestContext,
+        context: &mut RequestContext<'_>,
     ) -> Option<u64> {
         let is_gang = job.spec.shape == JobKind::Gang;
         let progress = self.jobs.progress.get_mut(id)?;
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -74,7 +74,7 @@
     /// Turns what waits into placement requests.
     pub(super) fn collect_demand(
         &mut self,
-        jobs: &JobsView,
+        jobs: &JobsView<'_>,
         fleet: &FleetView,
         cache: &Cache,
         now: Instant,
@@ -118,7 +118,7 @@
         id: &JobId,
         job: &LiveJob,
         team: TeamId,
-        context: &RequestContext,
+        context: &RequestContext<'_>,
     ) -> u64 {
         let within_limit = max_copies(&context.fleet.team_headroom[team.index()], &job.need);
         let waiting = self.jobs.progress[id].waiting(job);
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -108,7 +108,7 @@
     pub(super) fn observe_fleet(
         &mut self,
         unconfirmed: UnconfirmedMachines,
-        jobs: &JobsView,
+        jobs: &JobsView<'_>,
         cloud: &CloudClient,
         now: Instant,
     ) -> FleetView {
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    fn victim_machine(&self, machine: &Machine, rules: &VictimRules) -> Option<VictimMachine> {
+    fn victim_machine(&self, machine: &Machine, rules: &VictimRules<'_>) -> Option<VictimMachine> {
         let entries = machine.attempts.iter();
         let mut victims: Vec<Victim> =
             entries.filter_map(|(attempt, entry)| self.victim(attempt, entry, rules)).collect();
@@ -109,7 +109,7 @@
         &self,
         attempt: &TaskAttempt,
         entry: &PlacedAttempt,
-        rules: &VictimRules,
+        rules: &VictimRules<'_>,
     ) -> Option<Victim> {
         let is_preemptible = entry.urgency > Priority::Production
             && entry.stop.is_none()
@@ -172,7 +172,7 @@
 
 impl VictimMachine {
     /// What to preempt here for one task, if that makes room for it.
-    pub(super) fn option(&self, needed: &RoomNeeded) -> Option<PreemptionOption> {
+    pub(super) fn option(&self, needed: &RoomNeeded<'_>) -> Option<PreemptionOption> {
         let request = needed.request;
         let has_image = self.images.contains(&request.image);
         if !request.allows(self.zone, self.machine_type, self.spot)
@@ -209,7 +209,11 @@
     }
 
     /// Takes the victims of an option out, and books the room for the task.
-    pub(super) fn preempt(&mut self, option: &PreemptionOption, needed: &RoomNeeded) -> Preemption {
+    pub(super) fn preempt(
+        &mut self,
+        option: &PreemptionOption,
+        needed: &RoomNeeded<'_>,
+    ) -> Preemption {
         let (tasks, loss_s) = (option.victims.len(), option.loss_s);
         tracing::info!(machine = %self.id, tasks, loss_s, "preempting tasks");
         let mut stops = Vec::with_capacity(tasks);
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -206,7 +206,7 @@
 
     /// What is known of jobs like this one.
     #[cfg(test)]
-    pub(super) fn estimate_of(&self, profile: &Profile) -> Option<Estimate> {
+    pub(super) fn estimate_of(&self, profile: &Profile<'_>) -> Option<Estimate> {
         self.runtime_predictor.learner.estimate(profile, &Current::default(), 0)
     }
 
--- a/tests/cluster/controller_crashes.rs
+++ b/tests/cluster/controller_crashes.rs
@@ -5,7 +5,7 @@
 use troutspindle_simulation::{CONTROLLERS, Fault, SimEvent, World};
 
 /// A trouble of 25 s, longer than a worker's lease, that must not cost running work.
-pub fn play_fault(seed: u64, begins: Fault, ends: Fault) {
+pub(crate) fn play_fault(seed: u64, begins: Fault, ends: Fault) {
     let mut world = World::new(seed);
     world.submit_at(3000, 0, true, None);
     world.run(30_000);
--- a/tests/cluster/dag.rs
+++ b/tests/cluster/dag.rs
@@ -8,7 +8,7 @@
 
 /// Pipelines of five jobs, one after another: a first one, three that need it and a closing one.
 /// Of the last pipelines, first, middle or closing jobs are cancelled.
-pub fn submit_dags(world: &mut World, begin: u64, count: u64) {
+pub(crate) fn submit_dags(world: &mut World, begin: u64, count: u64) {
     for pipeline in 0..count {
         let at = begin + pipeline * 6000;
         let first = 100 + pipeline * 10;
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -192,7 +192,7 @@
     })
 }
 
-pub fn samples() -> Vec<Sample> {
+pub(crate) fn samples() -> Vec<Sample> {
     let text = encode_text(&grant()).expect("a message serializes");
     vec![
         // What stands behind a status in its frame is not part of its text.
--- a/tests/wire_format/operators.rs
+++ b/tests/wire_format/operators.rs
@@ -102,7 +102,7 @@
     }
 }
 
-pub fn samples() -> Vec<Sample> {
+pub(crate) fn samples() -> Vec<Sample> {
     let name = UndrainRequest { key: KEY.into(), kind: DrainKind::Controller, name: "n-1".into() };
     vec![
         Sample::json("ops-question", &OperatorQuery { key: KEY.into() }),
--- a/tests/wire_format/protocol.rs
+++ b/tests/wire_format/protocol.rs
@@ -13,15 +13,15 @@
     WatchResponse, WorkerCommand, Write,
 };
 
-pub fn task() -> TaskId {
+pub(crate) fn task() -> TaskId {
     TaskId { job: JobId::new("wk-000412"), index: 17 }
 }
 
-pub fn attempt() -> Attempt {
+pub(crate) fn attempt() -> Attempt {
     Attempt::new(FencingToken(41), 5)
 }
 
-pub fn job_spec() -> JobSpec {
+pub(crate) fn job_spec() -> JobSpec {
     JobSpec {
         id: JobId::new("wk-000412"),
         class: "nightly".into(),
@@ -48,7 +48,7 @@
 }
 
 /// With nothing that may be missing.
-pub fn plain_job_spec() -> JobSpec {
+pub(crate) fn plain_job_spec() -> JobSpec {
     JobSpec {
         shape: JobKind::Array,
         urgency: Priority::Production,
@@ -71,7 +71,7 @@
     TaskStatus { task: task(), attempt: attempt(), state, why: None, saved: None }
 }
 
-pub fn report() -> Heartbeat {
+pub(crate) fn report() -> Heartbeat {
     let failed =
         TaskStatus { why: Some("killed".into()), saved: Some(true), ..reported(TaskState::Exited) };
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
@@ -93,7 +93,7 @@
     Heartbeat { address: String::new(), spot: false, notice_s: None, tasks: Vec::new(), ..report() }
 }
 
-pub fn orders() -> Vec<WorkerCommand> {
+pub(crate) fn orders() -> Vec<WorkerCommand> {
     let (task, attempt) = (task(), attempt());
     vec![
         WorkerCommand::Start { task: task.clone(), attempt },
@@ -102,7 +102,7 @@
     ]
 }
 
-pub fn flavor() -> MachineType {
+pub(crate) fn flavor() -> MachineType {
     MachineType {
         name: "g8".into(),
         cpus: 96.5,
@@ -121,7 +121,7 @@
     MachineType { cache_gb: 0.0, fetch_gb_per_s: 0.0, ..flavor() }
 }
 
-pub fn hire() -> RentalRequest {
+pub(crate) fn hire() -> RentalRequest {
     RentalRequest {
         request: "r-41-7".into(),
         flavor: "g8".into(),
@@ -131,7 +131,7 @@
     }
 }
 
-pub fn machines() -> Vec<MachineId> {
+pub(crate) fn machines() -> Vec<MachineId> {
     ["i-000231", "i-000232"].map(MachineId::new).to_vec()
 }
 
@@ -151,7 +151,7 @@
     ListedMachine { address: None, spot: false, age_s: 0.0, ..listed(ListedMachineState::Starting) }
 }
 
-pub fn transaction() -> Transaction {
+pub(crate) fn transaction() -> Transaction {
     Transaction {
         preconditions: vec![
             Precondition { key: "t/j/wk-1".into(), rev: Revision(0) },
@@ -185,7 +185,7 @@
     vec![put, delete]
 }
 
-pub fn samples() -> Vec<Sample> {
+pub(crate) fn samples() -> Vec<Sample> {
     [users(), workers(), cloud(), state(), names()].into_iter().flatten().collect()
 }
 
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -29,7 +29,7 @@
     request(name, &call.request())
 }
 
-pub fn samples() -> Vec<Sample> {
+pub(crate) fn samples() -> Vec<Sample> {
     let follow = StoreRequest::Watch { after: Revision(70_000), wait: Duration::from_millis(2500) };
     let kind = MachinePool { flavor: 1, zone: 2, spot: true };
     vec![
--- a/tests/wire_format/sample.rs
+++ b/tests/wire_format/sample.rs
@@ -7,7 +7,7 @@
 
 type Read = Box<dyn Fn(&[u8]) -> String>;
 
-pub struct Sample {
+pub(crate) struct Sample {
     /// Its line in the fixture; it has nothing to do with names in the code.
     pub name: &'static str,
     pub bytes: Vec<u8>,
@@ -17,12 +17,12 @@
 
 impl Sample {
     /// What is only written by this program.
-    pub fn written(name: &'static str, bytes: impl Into<Vec<u8>>) -> Sample {
+    pub(crate) fn written(name: &'static str, bytes: impl Into<Vec<u8>>) -> Sample {
         Sample { name, bytes: bytes.into(), reading: None }
     }
 
     /// What is read, too, by this reader.
-    pub fn read_by<T: Debug + 'static>(
+    pub(crate) fn read_by<T: Debug + 'static>(
         name: &'static str,
         bytes: impl Into<Vec<u8>>,
         value: &T,
@@ -34,7 +34,7 @@
     }
 
     /// A message in CBOR.
-    pub fn cbor<T>(name: &'static str, value: &T) -> Sample
+    pub(crate) fn cbor<T>(name: &'static str, value: &T) -> Sample
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
@@ -42,7 +42,7 @@
     }
 
     /// A message in CBOR that leaves out what may be missing.
-    pub fn cbor_without<T>(name: &'static str, value: &T, keys: &[&str]) -> Sample
+    pub(crate) fn cbor_without<T>(name: &'static str, value: &T, keys: &[&str]) -> Sample
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
@@ -57,7 +57,7 @@
     }
 
     /// A value as it stands at the state service.
-    pub fn stored<T>(name: &'static str, value: &T) -> Sample
+    pub(crate) fn stored<T>(name: &'static str, value: &T) -> Sample
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
@@ -68,7 +68,7 @@
     }
 
     /// A message in JSON.
-    pub fn json<T>(name: &'static str, value: &T) -> Sample
+    pub(crate) fn json<T>(name: &'static str, value: &T) -> Sample
     where
         T: Serialize + DeserializeOwned + Debug + 'static,
     {
@@ -77,7 +77,7 @@
     }
 
     /// Fails unless these bytes are read as the value.
-    pub fn assert_reads(&self, bytes: &[u8]) {
+    pub(crate) fn assert_reads(&self, bytes: &[u8]) {
         if let Some((shown, read)) = &self.reading {
             assert_eq!(read(bytes), *shown, "{}", self.name);
         }
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -369,7 +369,7 @@
     names.into_iter().zip(writes).map(value).collect()
 }
 
-pub fn samples() -> Vec<Sample> {
+pub(crate) fn samples() -> Vec<Sample> {
     let groups = [
         records(),
         keys(),
