--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -14,7 +14,7 @@
 use troutspindle_protocol::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
 
 /// The jobs that a process of workers knows.
-pub type JobBook = HashMap<JobId, JobFacts>;
+pub type JobCatalog = HashMap<JobId, JobFacts>;
 
 struct Task {
     attempt: Attempt,
@@ -240,7 +240,7 @@
         &mut self,
         (sent, agent_epoch): (Instant, u64),
         orders: &CommandBatch,
-        book: &JobBook,
+        book: &JobCatalog,
         now: Instant,
     ) -> HeartbeatOutcome {
         self.in_flight = false;
@@ -266,7 +266,7 @@
     }
 
     /// A direct command; false: refused, since the token is lower or the session another.
-    pub fn on_command(&mut self, orders: &CommandBatch, book: &JobBook, now: Instant) -> bool {
+    pub fn on_command(&mut self, orders: &CommandBatch, book: &JobCatalog, now: Instant) -> bool {
         if orders.token < self.token || orders.agent_epoch != Some(self.agent_epoch) {
             return false;
         }
@@ -288,7 +288,7 @@
         }
     }
 
-    fn execute(&mut self, orders: &[WorkerCommand], book: &JobBook, now: Instant) {
+    fn execute(&mut self, orders: &[WorkerCommand], book: &JobCatalog, now: Instant) {
         for order in orders {
             match order {
                 WorkerCommand::Start { task, attempt } => self.start(task, *attempt, book, now),
@@ -299,7 +299,7 @@
         self.advance(now);
     }
 
-    fn start(&mut self, id: &TaskId, attempt: Attempt, book: &JobBook, now: Instant) {
+    fn start(&mut self, id: &TaskId, attempt: Attempt, book: &JobCatalog, now: Instant) {
         if let Some(known) = self.tasks.get(id) {
             if known.attempt == attempt {
                 return;
--- a/crates/scale-test/src/worker_process.rs
+++ b/crates/scale-test/src/worker_process.rs
@@ -5,7 +5,7 @@
     FromWorkers, MachineFacts, ToWorkers, WorkerCounters, WorkerEvent, WorkerSettings, now_us,
     read_frame, write_frame,
 };
-use crate::worker::{HeartbeatOutcome, JobBook, Worker};
+use crate::worker::{HeartbeatOutcome, JobCatalog, Worker};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -49,7 +49,7 @@
 /// All workers of the process.
 struct Host {
     settings: WorkerSettings,
-    book: JobBook,
+    book: JobCatalog,
     places: Vec<Place>,
     by_id: HashMap<MachineId, usize>,
     due: BinaryHeap<Reverse<(Instant, usize)>>,
@@ -84,7 +84,7 @@
     });
     let mut host = Host {
         settings,
-        book: JobBook::new(),
+        book: JobCatalog::new(),
         places: Vec::new(),
         by_id: HashMap::new(),
         due: BinaryHeap::new(),
--- a/crates/scale-test/src/worker_tests.rs
+++ b/crates/scale-test/src/worker_tests.rs
@@ -23,7 +23,7 @@
     Worker::new(facts, settings, 1, now)
 }
 
-fn book() -> JobBook {
+fn book() -> JobCatalog {
     let job = |id: &str, service: bool| JobFacts {
         id: JobId::new(id),
         tasks: 4,
--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -210,7 +210,7 @@
                 }
                 What::Look(look) => {
                     let Some(run) = going.get_mut(&n) else { continue };
-                    look_at(job, run, look, hour, &learner, &mut figures);
+                    evaluate_at(job, run, look, hour, &learner, &mut figures);
                 }
             }
             continue;
@@ -290,7 +290,7 @@
     troutspindle_runtime_estimates::below(off / (side / 1.2816).max(1e-6))
 }
 
-fn look_at(
+fn evaluate_at(
     job: &PastJob,
     run: &mut Going,
     look: usize,
