--- a/crates/scale-test/src/roles.rs
+++ b/crates/scale-test/src/roles.rs
@@ -56,11 +56,11 @@
 /// Every figure, with its budget and the mechanism that carries it.
 fn rows() -> Vec<Row> {
     let decides = "`src/scheduler.rs`";
-    let relays = "`src/relay.rs`, `src/delivery.rs`";
-    let members = "`src/membership.rs`, `src/node/sharing.rs`";
-    let limits = "`src/limits.rs`";
+    let relays = "`src/peers/heartbeat_relay.rs`, `src/workers/command_delivery.rs`";
+    let members = "`src/peers/membership.rs`, `src/controller/relayed_heartbeats.rs`";
+    let limits = "`src/admission.rs`";
     let worker = "PROTOCOL";
-    let state = "`src/state.rs`";
+    let state = "`src/store/client.rs`";
     vec![
         row(
             "leader",
@@ -142,7 +142,7 @@
             "leases lost, all workers",
             both(|r| r.leases_lost as f64),
             None,
-            "`src/delegation.rs`",
+            "`src/leadership/delegation.rs`",
         ),
         row(
             "state service",
@@ -152,7 +152,13 @@
             state,
         ),
         row("state service", "bytes a second", both(|r| r.state_bytes_per_s), None, state),
-        row("state service", "keys", both(|r| r.state_keys as f64), None, "`src/records.rs`"),
+        row(
+            "state service",
+            "keys",
+            both(|r| r.state_keys as f64),
+            None,
+            "`src/schema/records.rs`",
+        ),
         row(
             "cloud",
             "requests a second",
@@ -180,7 +186,7 @@
             "first start after a leader's end, ms",
             both(|r| r.recovery_ms.iter().copied().max().unwrap_or(0) as f64),
             Some(2300.0),
-            "`src/election.rs`; warm standby `missing`",
+            "`src/leadership/election.rs`; warm standby `missing`",
         ),
     ]
 }
