--- a/src/controller.rs
+++ b/src/controller.rs
@@ -220,7 +220,13 @@
         if commands.as_ref().is_some_and(|commands| commands.token != scheduler.token()) {
             return;
         }
-        if !scheduler.on_direct(&machine, commands.as_ref(), result, &self.store.cache, now) {
+        if !scheduler.on_worker_response(
+            &machine,
+            commands.as_ref(),
+            result,
+            &self.store.cache,
+            now,
+        ) {
             tracing::info!(%machine, "a worker has seen a higher fencing token");
             self.resign(now);
         }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The leader's work: what it knows of machines and tasks, turned into commands.
 //!
 //! A core without clock or I/O. It exists only while its process leads, is built anew for each
-//! leadership from the store's records and the workers' reports, and stores no placements.
+//! leadership from the store's records and the workers' heartbeats, and stores no placements.
 
 mod autoscaling;
 mod consolidation;
@@ -60,10 +60,10 @@
 use troutspindle_elastic_width::WidthPlanner;
 
 /// Pause between two looks at what silence and age do to machines.
-const WATCH_EVERY: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest pause between two passes that are asked for while no task waits: they keep room warm, book what is drained
 /// and look whether room is scarce.
-const PLAN_WHOLE: Duration = Duration::from_millis(480);
+const UNCONDITIONAL_PASS_INTERVAL: Duration = Duration::from_millis(480);
 /// The leader's view of machines and tasks, and everything that it decides from it.
 pub struct Scheduler {
     /// This leadership: its fencing token and what is numbered within it.
@@ -244,7 +244,7 @@
     /// Does what is due by now. Called often, and only while this process holds the lease.
     pub fn tick(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         if now >= self.planning_clock.next_watch {
-            self.planning_clock.next_watch = now + WATCH_EVERY;
+            self.planning_clock.next_watch = now + WATCH_INTERVAL;
             self.watch(store, cloud, now);
         }
         self.store(store, now);
@@ -270,7 +270,7 @@
         if now < clock.next_unconditional_pass && !self.has_pending_work(cache) {
             return;
         }
-        self.planning_clock.next_unconditional_pass = now + PLAN_WHOLE;
+        self.planning_clock.next_unconditional_pass = now + UNCONDITIONAL_PASS_INTERVAL;
         self.planning_clock.pass_in_this_event = true;
         self.plan(cache, cloud, now);
         self.direct_calls.all_dirty = true;
@@ -279,7 +279,7 @@
     fn send_direct_calls(&mut self, now: Instant) {
         let rules = CallRules {
             token: self.term.token,
-            late_after: self.late_after(),
+            heartbeat_late_after: self.heartbeat_late_after(),
             heartbeat_interval: self.settings.heartbeat_interval(),
         };
         self.direct_calls.dispatch(&mut self.fleet, &rules, now);
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What each stage of a pipeline takes besides its run time and its image: a report, a commit, a
+/// What each stage of a pipeline takes besides its run time and its image: a heartbeat, a commit, a
 /// plan and a start, with room for a lost packet.
-pub(super) const STAGE_MORE: Duration = Duration::from_secs(3);
+pub(super) const STAGE_OVERHEAD: Duration = Duration::from_secs(3);
 /// What live jobs inherit from those that depend on them.
 #[derive(Debug)]
 pub(super) struct InheritedPriorities {
@@ -49,7 +49,7 @@
             self.fleet.machine_types.iter().map(|f| f.fetch_gb_per_s).filter(|rate| *rate > 0.0);
         let fetch_s = rates.reduce(f64::min).map_or(0.0, |rate| job.spec.image_gb / rate);
         let run_s = self.run_s(id, job, learned);
-        Duration::from_secs_f64((run_s + fetch_s).clamp(0.0, 1e7)) + STAGE_MORE
+        Duration::from_secs_f64((run_s + fetch_s).clamp(0.0, 1e7)) + STAGE_OVERHEAD
     }
 
     /// Finds out what jobs inherit, if any that counts has changed.
@@ -98,7 +98,7 @@
     }
 
     /// How many aims a due time stands for, and how many of them are missed.
-    pub(super) fn due_aims(&self, id: &JobId, job: &LiveJob, now: Instant) -> (usize, usize) {
+    pub(super) fn due_objectives(&self, id: &JobId, job: &LiveJob, now: Instant) -> (usize, usize) {
         match self.due_left(id, job, now) {
             Some(left) => (1, usize::from(left < 0.0)),
             None => (0, 0),
@@ -122,7 +122,7 @@
             let mut ready_s = 0.0f64;
             for need in job.depends_on() {
                 let Some((need, needed)) = jobs.get_key_value(need) else { continue };
-                let rest = || self.rest_s(need, needed, now);
+                let rest = || self.remaining_s(need, needed, now);
                 // What is not known to be ready yet may be of the same millisecond.
                 ready_s = ready_s.max(match ends.get(*need) {
                     Some(end) => *end,
@@ -142,7 +142,7 @@
 
     /// Seconds that a ready job still takes, by its owner's estimate: from when the last of its tasks
     /// began, or all of it while any waits.
-    fn rest_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> f64 {
+    fn remaining_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> f64 {
         let length = self.length(id, job, self.settings.operator.estimates.ahead);
         let Some(work) = self.jobs.progress.get(id).filter(|work| work.waiting(job) == 0) else {
             return length.as_secs_f64();
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -41,7 +41,7 @@
     /// The leader's fencing token.
     pub(super) token: FencingToken,
     /// How long after its last heartbeat a worker is asked for its status.
-    pub(super) late_after: Duration,
+    pub(super) heartbeat_late_after: Duration,
     /// The interval between heartbeats.
     pub(super) heartbeat_interval: Duration,
 }
@@ -202,7 +202,9 @@
         machine.commands_due = !orders.is_empty();
         if !orders.is_empty() || !machine.confirmed {
             command(machine.agent_epoch, orders)
-        } else if machine.delegated || machine.time_since_heartbeat(now) > rules.late_after {
+        } else if machine.delegated
+            || machine.time_since_heartbeat(now) > rules.heartbeat_late_after
+        {
             // Its answer shows that it is within our reach again, or that it lives.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -21,8 +21,8 @@
 use troutspindle_protocol::operator_api::{Drain, DrainKind, Drains};
 
 /// Pause between two rounds of moves off what is drained.
-const DRAIN_EVERY: Duration = Duration::from_secs(1);
-/// Seconds. A task that saves is told so much earlier than its time is up: for the command and its report.
+const EVACUATION_INTERVAL: Duration = Duration::from_secs(1);
+/// Seconds. A task that saves is told so much earlier than its time is up: for the command and its heartbeat.
 const DRAIN_MARGIN_S: f64 = 5.0;
 
 /// What operators drain, and when tasks are moved off next.
@@ -92,7 +92,7 @@
         if self.drains.drained.is_empty() || self.drains.at.is_some_and(|at| now < at) {
             return;
         }
-        self.drains.at = Some(now + DRAIN_EVERY);
+        self.drains.at = Some(now + EVACUATION_INTERVAL);
         let mut evacuations = self.tasks_to_move(bins, names, cache, now);
         evacuations.extend(self.tasks_to_stop(cache, now));
         for Evacuation { key, machine, grace_s } in evacuations {
@@ -126,7 +126,7 @@
         }
         // As gently as other moves, unless there is no time for that.
         let gentle = all as f64 * MAX_MOVED_REPLICA_SHARE;
-        let hurried = here as f64 * DRAIN_EVERY.as_secs_f64() / (hurry_s / 2.0).max(1.0);
+        let hurried = here as f64 * EVACUATION_INTERVAL.as_secs_f64() / (hurry_s / 2.0).max(1.0);
         let most = gentle.max(hurried).ceil() as usize;
         for (id, work) in &self.jobs.progress {
             if evacuations.len() >= most {
@@ -265,9 +265,9 @@
         }
         let ran_s =
             entry.running_since.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        let rest_s =
-            self.runtime_predictor.rest_s(&task.job, ran_s).unwrap_or(spec.expect_s - ran_s);
-        spec.checkpoint_s <= 0.0 && by_in_s.is_some_and(|left_s| rest_s > left_s)
+        let remaining_s =
+            self.runtime_predictor.remaining_s(&task.job, ran_s).unwrap_or(spec.expect_s - ran_s);
+        spec.checkpoint_s <= 0.0 && by_in_s.is_some_and(|left_s| remaining_s > left_s)
     }
 }
 
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -16,7 +16,7 @@
 use crate::ids::{Amount, JobId, TeamId};
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
-use crate::scheduler::dependencies::STAGE_MORE;
+use crate::scheduler::dependencies::STAGE_OVERHEAD;
 use crate::scheduler::interner::Interner;
 use std::collections::{BTreeMap, BTreeSet};
 use troutspindle_fair_share::constants::UNITS_PER_MACHINE;
@@ -129,7 +129,7 @@
 
     /// Seconds for which a task of the job takes up its room, with the time between two tasks.
     fn task_occupancy_s(&self, id: &JobId, job: &LiveJob) -> f64 {
-        self.run_s(id, job, self.settings.operator.estimates.learn) + STAGE_MORE.as_secs_f64()
+        self.run_s(id, job, self.settings.operator.estimates.learn) + STAGE_OVERHEAD.as_secs_f64()
     }
 
     /// What stopping a task that needs `resources` would take from its group.
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -1,6 +1,6 @@
 //! Tidying up at the state service, a few writes at a time and after all else: what jobs that are
 //! over left beside their records, records of jobs that are cancelled by what they need, and parts
-//! of descriptions whose submission was never finished. A take-over loses nothing: what is left is
+//! of descriptions whose submission was never finished. A failover loses nothing: what is left is
 //! found again in the store.
 
 use crate::ids::JobId;
@@ -13,12 +13,12 @@
 use tokio::time::Instant;
 
 /// Count. Writes of tidying up in one transaction: few, so that they hold up nothing.
-const TIDY_WRITES: usize = 4;
+const GARBAGE_WRITES_PER_TRANSACTION: usize = 4;
 /// Pause between two such transactions.
-const TIDY_EVERY: Duration = Duration::from_millis(1000);
+const GARBAGE_COLLECTION_INTERVAL: Duration = Duration::from_millis(1000);
 /// A submission of many parts that was not finished within this time is given up, and its parts are
 /// removed: users repeat a submission for a minute.
-const ORPHAN_AFTER: Duration = Duration::from_secs(180);
+const ORPHANED_SPEC_AGE: Duration = Duration::from_secs(180);
 
 /// What is known of garbage between two rounds.
 pub(super) struct GarbageCollector {
@@ -32,7 +32,11 @@
 impl GarbageCollector {
     /// A collector whose first round is one interval away.
     pub(super) fn new(now: Instant) -> GarbageCollector {
-        GarbageCollector { at: now + TIDY_EVERY, keys: Vec::new(), orphans: HashMap::new() }
+        GarbageCollector {
+            at: now + GARBAGE_COLLECTION_INTERVAL,
+            keys: Vec::new(),
+            orphans: HashMap::new(),
+        }
     }
 }
 
@@ -42,14 +46,14 @@
         if now < self.garbage_collector.at || store.is_pending(&WriteOrigin::GarbageCollection) {
             return;
         }
-        self.garbage_collector.at = now + TIDY_EVERY;
-        let most = TIDY_WRITES.min(store.layout().max_operations);
+        self.garbage_collector.at = now + GARBAGE_COLLECTION_INTERVAL;
+        let most = GARBAGE_WRITES_PER_TRANSACTION.min(store.layout().max_operations);
         let mut writes = store.cache.jobs.garbage(most);
         let mut waiting = HashMap::new();
         for OrphanedSpecChunk { job, key, revision } in store.cache.jobs.orphaned_spec_chunks() {
             let since = self.garbage_collector.orphans.get(&job).copied().unwrap_or(now);
             waiting.insert(job, since);
-            if now >= since + ORPHAN_AFTER && writes.len() < most {
+            if now >= since + ORPHANED_SPEC_AGE && writes.len() < most {
                 writes.push(GarbageWrite { write: Write::Delete { key }, revision });
             }
         }
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -7,7 +7,7 @@
 use crate::workers::machine::MachineState;
 use tokio::time::Instant;
 impl Scheduler {
-    /// The token to answer a report with once our right to act has ended, as those answer to whom we
+    /// The token to answer a heartbeat with once our right to act has ended, as those answer to whom we
     /// gave grants. A successor reckons with such answers for a full term from its start.
     pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
         let every = self.settings.heartbeat_interval();
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -1,7 +1,7 @@
 //! On which machines a job may have tasks.
 //!
 //! An index that may name too many machines and never too few: every entry of a machine comes from a start that was
-//! decided here or from a report that showed it, and both are noted. Without it the end of each job took a look at
+//! decided here or from a heartbeat that showed it, and both are noted. Without it the end of each job took a look at
 //! every machine, which was a sixth of a leader's time at 5,600 machines and 60 jobs a second.
 
 use crate::ids::{JobId, MachineId};
@@ -39,7 +39,7 @@
         self.machines.get(job).into_iter().flatten().cloned().collect()
     }
 
-    /// The job is over: what a report shows of it later is dealt with when it is shown.
+    /// The job is over: what a heartbeat shows of it later is dealt with when it is shown.
     pub(super) fn forget(&mut self, job: &JobId) {
         self.machines.remove(job);
     }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -18,7 +18,7 @@
 
 /// How much longer than it may a task of a job that is over counts against its team under a new leader: two
 /// controllers' times of day differ by less, and a transaction waits less for its turn.
-const REST_SLACK: Duration = Duration::from_secs(10);
+const ORPHANED_TASK_SLACK: Duration = Duration::from_secs(10);
 
 /// By team.
 #[derive(Debug, Default)]
@@ -49,13 +49,13 @@
 }
 
 impl Scheduler {
-    /// At the take-over: jobs that ended so lately that something of them may run. Versions before this one don't
+    /// At the failover: jobs that ended so lately that something of them may run. Versions before this one don't
     /// say when; of theirs those count that ended after any that surely ended long ago.
     pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
         let within = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
             + DELEGATION_TERM
-            + REST_SLACK;
+            + ORPHANED_TASK_SLACK;
         let now_ms = self.wall_clock.ms(now);
         let lately = |ended_ms: u64| now_ms < ended_ms.saturating_add(within.as_millis() as u64);
         let jobs = cache.jobs.all.values();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A job is over, or about to be, of which a predecessor may have started what no report has shown.
+    /// A job is over, or about to be, of which a predecessor may have started what no heartbeat has shown.
     pub(super) fn count_orphaned_tasks(&mut self, work: &JobProgress, job: &Job) {
         let placed = work.placed.len() as u64;
         let (team, amount) = match &job.body {
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -21,7 +21,7 @@
 
 /// How long marks of tasks of jobs that go on wait for others: one write carries all of a job's that
 /// have come, and each write is read by every controller.
-const MARKS_EVERY: Duration = Duration::from_millis(1000);
+const PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1000);
 /// When progress of jobs that go on is written.
 #[derive(Debug)]
 pub(super) struct PersistenceSchedule {
@@ -79,13 +79,13 @@
                     }
                 }
                 JobBody::Finished { cancelled, .. } => {
-                    self.learn_over(id, *cancelled, now);
+                    self.record_job_end(id, *cancelled, now);
                     self.jobs.cancelling.remove(id);
                     if let Some(work) = self.jobs.progress.remove(id) {
                         tracing::debug!(job = %id, cancelled, "job is over");
                         self.count_orphaned_tasks(&work, job);
                     }
-                    self.stop_all(id);
+                    self.stop_tasks_of_job(id);
                     self.jobs.machines.forget(id);
                 }
             }
@@ -106,13 +106,13 @@
                 if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
                     self.count_orphaned_tasks(&work, job);
                 }
-                self.stop_all(id);
+                self.stop_tasks_of_job(id);
             }
         }
     }
 
     /// Stops whatever a job that is over has anywhere.
-    pub(super) fn stop_all(&mut self, id: &JobId) {
+    pub(super) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let attempts = attempts_of(id);
         self.direct_calls.all_dirty = true;
         for holder in self.jobs.machines.of(id) {
@@ -237,7 +237,7 @@
     pub(super) fn store_completions(&mut self, store: &mut StoreClient, now: Instant) {
         let marks = now >= self.persistence.next_progress_write && !store.is_backlogged();
         if marks {
-            self.persistence.next_progress_write = now + MARKS_EVERY;
+            self.persistence.next_progress_write = now + PROGRESS_WRITE_INTERVAL;
         }
         let layout = store.layout();
         let now_ms = self.wall_clock.ms(now);
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -25,7 +25,7 @@
 use crate::scheduler::Scheduler;
 use crate::scheduler::consolidation::CONSOLIDATION_INTERVAL;
 use crate::scheduler::job_progress::JobProgress;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::scheduler::preemption::VictimCache;
 use crate::store::Cache;
 use crate::wire::Priority;
@@ -157,8 +157,8 @@
         }
         // Time alone may change the outcome: backoffs end, pools are asked again.
         self.planning_clock.pass_requested = true;
-        let soon = retry.is_some_and(|at| at < now + PLAN_EVERY * RETRY_PAUSES);
+        let soon = retry.is_some_and(|at| at < now + MIN_PASS_INTERVAL * RETRY_PAUSES);
         let pauses = if soon { RETRY_PAUSES_AFTER_BACKOFF } else { RETRY_PAUSES };
-        self.planning_clock.next_pass = now + PLAN_EVERY * pauses;
+        self.planning_clock.next_pass = now + MIN_PASS_INTERVAL * pauses;
     }
 }
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -93,7 +93,7 @@
         let team_limit = self.settings.platform.params.teams[team].limit();
         let waited =
             progress.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let (deadlines, missed_deadlines) = self.due_aims(id, job, now);
+        let (deadlines, missed_deadlines) = self.due_objectives(id, job, now);
         let slos = self.settings.start_objectives(&spec.class).count() + deadlines;
         let missed_slos =
             self.settings.missed_start_objectives(&spec.class, waited) + missed_deadlines;
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -7,21 +7,21 @@
 /// For so long after a late tick a process takes no silence for anybody's death.
 const BEHIND_FOR: Duration = Duration::from_secs(3);
 /// Longest pause between two planning rounds when nothing asks for one.
-const PLAN_IDLE: Duration = Duration::from_millis(1000);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(1000);
 /// Shortest pause between two planning rounds.
-pub(super) const PLAN_EVERY: Duration = Duration::from_millis(120);
+pub(super) const MIN_PASS_INTERVAL: Duration = Duration::from_millis(120);
 /// Count. A pass is followed by a pause so many times as long as it took, if that is more.
-const PLAN_PAUSE: u32 = 4;
+const PASS_PAUSE_FACTOR: u32 = 4;
 /// Starts a second of least urgent tasks: at first, and at the least and most. Ten keep an array
-/// going; thousands of tasks of a few seconds only fill reports, which a new leader has to read
+/// going; thousands of tasks of a few seconds only fill heartbeats, which a new leader has to read
 /// all at once.
-const LOW_RATE_FIRST: f64 = 100.0;
-const LOW_RATE_LEAST: f64 = 10.0;
-const LOW_RATE_MOST: f64 = 250.0;
+const LOW_PRIORITY_STARTS_INITIAL: f64 = 100.0;
+const LOW_PRIORITY_STARTS_MIN: f64 = 10.0;
+const LOW_PRIORITY_STARTS_MAX: f64 = 250.0;
 /// By how many a second that rate grows with each look at which the process was not late.
-const LOW_RATE_STEP: f64 = 5.0;
+const LOW_PRIORITY_STARTS_STEP: f64 = 5.0;
 /// Pause between two such looks.
-pub(super) const PACE_EVERY: Duration = Duration::from_millis(250);
+pub(super) const PACE_ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// A tick this late shows that the process falls behind.
 pub(crate) const LATE: Duration = Duration::from_millis(150);
 
@@ -59,12 +59,12 @@
 
     /// Starts a new round if one is due. Without a request one is due after a longer time.
     pub(super) fn start_round(&mut self, now: Instant) -> bool {
-        let patience = if self.pass_requested { Duration::ZERO } else { PLAN_IDLE };
+        let patience = if self.pass_requested { Duration::ZERO } else { MAX_PASS_INTERVAL };
         if now < self.next_pass + patience {
             return false;
         }
         self.pass_requested = false;
-        self.next_pass = now + PLAN_EVERY;
+        self.next_pass = now + MIN_PASS_INTERVAL;
         true
     }
 
@@ -73,7 +73,7 @@
     /// to renew the leader's lease.
     pub(super) fn record_duration(&mut self, took: Duration, now: Instant) {
         if std::mem::take(&mut self.pass_in_this_event) {
-            self.next_pass = self.next_pass.max(now + took * PLAN_PAUSE);
+            self.next_pass = self.next_pass.max(now + took * PASS_PAUSE_FACTOR);
         }
     }
 }
@@ -96,8 +96,8 @@
     /// A pacer at its first rate.
     pub(super) fn new(now: Instant) -> StartPacer {
         StartPacer {
-            low_priority_starts: TokenBucket::new(LOW_RATE_FIRST, 1.0, now),
-            rate: LOW_RATE_FIRST,
+            low_priority_starts: TokenBucket::new(LOW_PRIORITY_STARTS_INITIAL, 1.0, now),
+            rate: LOW_PRIORITY_STARTS_INITIAL,
             next_adjustment: now,
             last_behind: None,
         }
@@ -108,12 +108,12 @@
         if now < self.next_adjustment {
             return;
         }
-        self.next_adjustment = now + PACE_EVERY;
+        self.next_adjustment = now + PACE_ADJUSTMENT_INTERVAL;
         if late > LATE {
             self.last_behind = Some(now);
         }
-        let rate = if late > LATE { self.rate / 2.0 } else { self.rate + LOW_RATE_STEP };
-        self.rate = rate.clamp(LOW_RATE_LEAST, LOW_RATE_MOST);
+        let rate = if late > LATE { self.rate / 2.0 } else { self.rate + LOW_PRIORITY_STARTS_STEP };
+        self.rate = rate.clamp(LOW_PRIORITY_STARTS_MIN, LOW_PRIORITY_STARTS_MAX);
         self.low_priority_starts.set_rate(self.rate, now);
     }
 
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -14,7 +14,7 @@
 use ordered_float::OrderedFloat;
 use tokio::time::Instant;
 
-/// Seconds. A task that ends this soon is not preempted: a stop and its report take as long.
+/// Seconds. A task that ends this soon is not preempted: a stop and its heartbeat take as long.
 const ENDS_SOON_S: f64 = 3.0;
 /// Seconds of work that may be repeated so that a task starts where its image is: a fetch takes a
 /// few seconds, and an array that repeats minutes of work ends late.
@@ -160,8 +160,8 @@
         self.settings.operator.estimates.make_way
             && self
                 .runtime_predictor
-                .rest_s(&attempt.0.job, ran_s)
-                .is_some_and(|rest_s| rest_s < ENDS_SOON_S)
+                .remaining_s(&attempt.0.job, ran_s)
+                .is_some_and(|remaining_s| remaining_s < ENDS_SOON_S)
     }
 }
 
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,6 +1,6 @@
-//! What workers' reports say, turned into what is known of machines and tasks.
+//! What workers' heartbeats say, turned into what is known of machines and tasks.
 //!
-//! Owns the way from a report's facts to `work` and to the entries of the machine that told. It starts nothing,
+//! Owns the way from a heartbeat's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
 use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST};
@@ -25,7 +25,7 @@
 pub(super) const SUCCESS_AFTER_RUNNING: Duration = Duration::from_secs(10);
 
 impl Scheduler {
-    /// A report on `/hello`; the answer renews the worker's lease. None: a later leader exists.
+    /// A heartbeat on `/hello`; the answer renews the worker's lease. None: a later leader exists.
     pub fn on_heartbeat(
         &mut self,
         report: &Heartbeat,
@@ -51,12 +51,12 @@
         if !self.apply_heartbeat(report, cache, now) {
             return None;
         }
-        let orders = self.commands_in_answer(&report.machine, now)?;
+        let orders = self.commands_in_response(&report.machine, now)?;
         Some(self.answer(orders))
     }
 
-    /// The end of a direct call: the worker's report, or whether it may still be executed.
-    pub fn on_direct(
+    /// The end of a direct call: the worker's heartbeat, or whether it may still be executed.
+    pub fn on_worker_response(
         &mut self,
         id: &MachineId,
         sent: Option<&CommandBatch>,
@@ -87,7 +87,7 @@
     }
 
     /// The orders of an answer that is about to be sent, which renews the worker's lease.
-    pub(super) fn commands_in_answer(
+    pub(super) fn commands_in_response(
         &mut self,
         id: &MachineId,
         now: Instant,
@@ -172,7 +172,7 @@
             TaskEvent::Vanished(task, attempt, ran) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
                 let run = ObservedRun { duration: ran, done: false, saved: false };
-                self.learn_end(&task, machine, live, &run);
+                self.record_task_run(&task, machine, live, &run);
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
             }
@@ -250,7 +250,7 @@
         if exited {
             return;
         }
-        // No attempt is started before all earlier ones are surely gone, so the report that shows the earlier
+        // No attempt is started before all earlier ones are surely gone, so the heartbeat that shows the earlier
         // one is an old one. The later one goes on; the task is free only when neither is shown any more.
         tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "old heartbeat shows a duplicate attempt");
         let duplicate = if attempt > placed.attempt {
@@ -355,7 +355,7 @@
             let ran = entry.running_since.map(|t| now.saturating_duration_since(t).as_secs_f64());
             let known = ran
                 .filter(|_| known_rest)
-                .and_then(|ran| self.runtime_predictor.rest_s(&task.job, ran));
+                .and_then(|ran| self.runtime_predictor.remaining_s(&task.job, ran));
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
             live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports that other controllers passed on.
+//! Heartbeats that other controllers passed on.
 //!
 //! Each is taken in and answered as if the worker had sent it here, at the time at which it arrives here. Nothing
 //! about a worker is decided anywhere else.
@@ -68,14 +68,14 @@
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
-        let orders = self.commands_in_answer(id, now).unwrap_or_default();
+        let orders = self.commands_in_response(id, now).unwrap_or_default();
         HeartbeatResult::Accepted(orders.into_iter().map(RelayedCommand::from).collect())
     }
 
     /// The controller that takes a worker's reports, if it passed one on lately.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
-        let is_recent = now.saturating_duration_since(relayer.at) < self.late_after();
+        let is_recent = now.saturating_duration_since(relayer.at) < self.heartbeat_late_after();
         is_recent.then_some(&relayer.controller)
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -23,21 +23,21 @@
 
 /// Count. Estimates found anew before a planning pass, some ten microseconds each: eight passes a second take
 /// a fortieth of a small controller's allowance.
-const ESTIMATES_A_PASS: usize = 30;
+const ESTIMATES_PER_PASS: usize = 30;
 /// How old an estimate may be that decisions use.
-const ESTIMATE_FRESH: Duration = Duration::from_secs(5);
+const ESTIMATE_MAX_AGE: Duration = Duration::from_secs(5);
 /// Seconds. A task that ran before and is done within this time only gave its result again.
-const RESULT_AGAIN_S: f64 = 1.0;
+const RESULT_REPLAY_MAX_S: f64 = 1.0;
 /// Count. Jobs looked at in one round, five a second, for whether they will be late: each takes up to a
 /// quarter of a millisecond.
-const WARN_LOOKS: usize = 3;
+const WARNING_CHECKS_PER_ROUND: usize = 3;
 /// Probability of being late from which on a job is warned of: more than one in ten warnings would be
 /// wrong below it, in replayed histories.
-pub(crate) const WARN_FROM: f64 = 0.9;
+pub(crate) const WARNING_PROBABILITY: f64 = 0.9;
 /// Probability from which on it stands in the list that operators ask for.
-const AT_RISK_FROM: f64 = 0.5;
+const AT_RISK_PROBABILITY: f64 = 0.5;
 /// Count. Tasks that must have ended before a job of which nothing else is known is warned of.
-const WARN_TASKS: u32 = 3;
+const WARNING_MIN_TASKS: u32 = 3;
 
 /// The run of one attempt, as far as it was seen.
 #[derive(Debug)]
@@ -114,7 +114,7 @@
     }
 
     /// Seconds that a task which has run so long still takes, if anything is known of it.
-    pub(super) fn rest_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
+    pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
         let (estimate, _) = self.seen.get(id)?.known?;
         (estimate.grade > Grade::Unknown).then(|| estimate.centre.rest_s(ran_s))
     }
@@ -140,13 +140,13 @@
 }
 
 impl Scheduler {
-    fn learns(&self) -> bool {
+    fn is_learning(&self) -> bool {
         self.settings.operator.estimates.learn
     }
 
     /// A task ran so long, to its end or until it was stopped, killed or lost. None: it is not known when it
     /// began.
-    pub(super) fn learn_end(
+    pub(super) fn record_task_run(
         &mut self,
         task: &TaskId,
         machine: &MachineId,
@@ -156,7 +156,7 @@
         let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
         // A faulty machine shows nothing about its tasks.
         let faulty = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
-        if !self.learns() || self.fleet.machines.get(machine).is_some_and(faulty) {
+        if !self.is_learning() || self.fleet.machines.get(machine).is_some_and(faulty) {
             return;
         }
         let Some(run_s) = run.duration.map(|ran| ran.as_secs_f64()) else { return };
@@ -166,7 +166,7 @@
         let before_s = seen.saved_s.get(&task.index).copied();
         match (run.done, before_s) {
             // It had run to its end before, and the machine only gave the result again.
-            (true, None) if !first && run_s < RESULT_AGAIN_S => {}
+            (true, None) if !first && run_s < RESULT_REPLAY_MAX_S => {}
             (true, before_s) => seen.shown.ended(run_s + before_s.unwrap_or(0.0)),
             (false, before_s) => {
                 let all_s = run_s + before_s.unwrap_or(0.0);
@@ -184,7 +184,7 @@
     }
 
     /// A job is over, done or cancelled: its run counts, and so does whether it was warned of.
-    pub(super) fn learn_over(&mut self, id: &JobId, cancelled: bool, now: Instant) {
+    pub(super) fn record_job_end(&mut self, id: &JobId, cancelled: bool, now: Instant) {
         let Some(seen) = self.runtime_predictor.seen.remove(id) else { return };
         let hour = self.hour(now);
         self.runtime_predictor.learner.learn(
@@ -223,12 +223,12 @@
 
     /// What is known of a job's run times, not older than a few seconds.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
-        if live.spec.shape == JobKind::Service || !self.learns() {
+        if live.spec.shape == JobKind::Service || !self.is_learning() {
             return None;
         }
         let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
         if let Some((estimate, at)) = known
-            && now < at + ESTIMATE_FRESH
+            && now < at + ESTIMATE_MAX_AGE
         {
             return Some(estimate);
         }
@@ -252,11 +252,12 @@
         let from = self.runtime_predictor.pass_from % live.len().max(1);
         let stale = |id: &JobId| {
             let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
-            known.is_none_or(|(_, at)| now >= at + ESTIMATE_FRESH)
+            known.is_none_or(|(_, at)| now >= at + ESTIMATE_MAX_AGE)
         };
         let turn = live[from..].iter().chain(&live[..from]).enumerate();
         let arrays = turn.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
-        let due: Vec<_> = arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_A_PASS).collect();
+        let due: Vec<_> =
+            arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_PER_PASS).collect();
         self.runtime_predictor.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
         for (_, (id, job)) in due {
             self.estimate(id, job, now);
@@ -295,12 +296,12 @@
                 .jobs
                 .progress
                 .range(id.clone()..)
-                .take(WARN_LOOKS)
+                .take(WARNING_CHECKS_PER_ROUND)
                 .map(|(id, _)| id.clone())
                 .collect(),
-            None => self.jobs.progress.keys().take(WARN_LOOKS).cloned().collect(),
+            None => self.jobs.progress.keys().take(WARNING_CHECKS_PER_ROUND).cloned().collect(),
         };
-        if ids.len() == WARN_LOOKS
+        if ids.len() == WARNING_CHECKS_PER_ROUND
             && let Some(last) = ids.last()
         {
             self.runtime_predictor.next =
@@ -331,8 +332,8 @@
         let seen = self.runtime_predictor.seen(id, live);
         seen.late = late;
         seen.done_in_s = done_in_s;
-        let known = estimate.grade > Grade::Unknown || seen.shown.count() >= WARN_TASKS;
-        if known && left_s > 0.0 && late >= WARN_FROM && !seen.warned {
+        let known = estimate.grade > Grade::Unknown || seen.shown.count() >= WARNING_MIN_TASKS;
+        if known && left_s > 0.0 && late >= WARNING_PROBABILITY && !seen.warned {
             seen.warned = true;
             self.runtime_predictor.warned += 1;
             let grade = estimate.grade;
@@ -342,7 +343,7 @@
 
     /// Writes what was learned, after all else.
     pub(super) fn store_estimates(&mut self, store: &mut StoreClient, now: Instant) {
-        if !self.learns() {
+        if !self.is_learning() {
             return;
         }
         self.runtime_predictor.read(&store.cache);
@@ -387,7 +388,7 @@
             let live = cache.jobs.get(id).and_then(Job::live)?;
             let due_ms = self.due_ms(&seen.spec, live.accepted_ms)?;
             let (estimate, _) = seen.known?;
-            (seen.late >= AT_RISK_FROM).then(|| JobAtRisk {
+            (seen.late >= AT_RISK_PROBABILITY).then(|| JobAtRisk {
                 job: id.clone(),
                 class: seen.spec.class.clone(),
                 team: seen.spec.team.clone(),
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -27,7 +27,7 @@
         let mut zones: BTreeSet<usize> = BTreeSet::new();
         for machine in self.fleet.machines.values() {
             let mut entries = machine.attempts.range(attempts.clone());
-            // What a predecessor started there no report may have shown yet.
+            // What a predecessor started there no heartbeat may have shown yet.
             let unsure = old && !machine.confirmed && may(machine);
             if unsure || entries.any(|(_, e)| e.state != TaskState::Exited) {
                 zones.insert(machine.zone);
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -79,7 +79,7 @@
         let first_report = live.is_some_and(|live| !self.is_completing(&exit.task, live));
         if (done && first_report) || exit.was_stopped() {
             let run = self.observed_run(exit, done, now);
-            self.learn_end(&exit.task, &exit.machine, live, &run);
+            self.record_task_run(&exit.task, &exit.machine, live, &run);
         }
         if done && live.is_some_and(|live| !live.is_completed(exit.task.index)) {
             // The machine keeps the exit until the completion is committed.
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -75,7 +75,7 @@
     // The urgent one is gone, and the elastic one rests before it grows again.
     bench.store.cache.jobs.all.remove(&urgent);
     bench.scheduler.jobs.progress.remove(&urgent);
-    bench.scheduler.stop_all(&urgent);
+    bench.scheduler.stop_tasks_of_job(&urgent);
     for _ in 0..8 {
         second(&mut bench);
         assert_eq!(width(&bench, &wide), 2);
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -3,12 +3,12 @@
 use super::fixture::{TestLeader, after_failover, running_status};
 use crate::ids::{Amount, Attempt, ControllerId, FencingToken, MachineId, Revision};
 use crate::jobs;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::schema::records;
 use crate::wire::{JobKind, StoreValue, WorkerCommand, Write};
 use crate::workers::machine::{JOB_FINISHED, StopRequest};
 
-/// An old report of the machine that a task has left reaches a new leader before the news of the one where it
+/// An old heartbeat of the machine that a task has left reaches a new leader before the news of the one where it
 /// runs. The one that ran was once told to stop, and its task started a third time at once.
 #[test]
 fn task_in_a_stale_heartbeat_goes_on_where_it_was_started_last() {
@@ -22,7 +22,7 @@
             bench.report(machine, vec![task]);
         }
         for round in 0..20 {
-            bench.pass(PLAN_EVERY * 5);
+            bench.pass(MIN_PASS_INTERVAL * 5);
             let starts = |order: &WorkerCommand| matches!(order, WorkerCommand::Start { .. });
             let orders = bench.report("i-1", vec![]);
             assert!(!orders.iter().any(starts), "round {round}: {orders:?}");
@@ -31,13 +31,13 @@
         }
         // Free only once it is shown nowhere.
         bench.report("i-2", vec![]);
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         let placed = &bench.scheduler.jobs.progress[&job].placed;
         assert!(placed.len() == 1 && placed[&0].attempt > Attempt(9), "{placed:?}");
     }
 }
 
-/// Tasks of a job that was cancelled before the take-over may run on machines that have not told yet.
+/// Tasks of a job that was cancelled before the failover may run on machines that have not told yet.
 #[test]
 fn orphaned_tasks_count_until_every_machine_is_confirmed() {
     let wall_ms = 1_000_000;
@@ -62,14 +62,14 @@
         let need = Amount::need(4.0, 0.0, 4.0);
         assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
         bench.report("i-1", vec![]);
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         assert_eq!(
             bench.scheduler.jobs.orphaned_capacity.of(0),
             need.times(tasks),
             "{what}: one has not told"
         );
         bench.report("i-2", vec![]);
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         assert_eq!(
             bench.scheduler.jobs.orphaned_capacity.of(0),
             Amount::default(),
@@ -85,7 +85,7 @@
     let mut bench = TestLeader::new();
     bench.report("i-1", vec![]);
     let id = bench.job("wk-1", JobKind::Array, 1);
-    bench.pass(PLAN_EVERY * 5);
+    bench.pass(MIN_PASS_INTERVAL * 5);
     let machine = MachineId::new("i-1");
     let flies = |bench: &mut TestLeader, over: bool| {
         let known = bench.scheduler.fleet.machines.get_mut(&machine).unwrap();
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -2,7 +2,7 @@
 
 use super::fixture::{TestLeader, failed_statuses, task_statuses};
 use crate::ids::JobId;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::scheduler::reconciliation::SUCCESS_AFTER_RUNNING;
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
         bench.job(id, JobKind::Array, 16);
     }
     for _ in 0..400 {
-        bench.pass(PLAN_EVERY);
+        bench.pass(MIN_PASS_INTERVAL);
         for machine in machines {
             let orders = bench.report(machine, vec![]);
             bench.report(machine, failed_statuses(&orders));
@@ -34,15 +34,15 @@
     let before = bench.scheduler.statistics.starts;
     let mut running = Vec::new();
     while running.is_empty() {
-        bench.pass(PLAN_EVERY);
+        bench.pass(MIN_PASS_INTERVAL);
         running = task_statuses(&bench.report("i-1", vec![]), TaskState::Running);
     }
     bench.report("i-1", running.clone());
-    bench.pass(SUCCESS_AFTER_RUNNING + PLAN_EVERY);
+    bench.pass(SUCCESS_AFTER_RUNNING + MIN_PASS_INTERVAL);
     bench.report("i-1", running);
     for _ in 0..10 {
         machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
-        bench.pass(PLAN_EVERY);
+        bench.pass(MIN_PASS_INTERVAL);
     }
     assert!(
         bench.scheduler.statistics.starts >= before + 15,
@@ -61,7 +61,7 @@
     let is_job_faulty = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
     let mut held: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
-        bench.pass(PLAN_EVERY);
+        bench.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
             let tasks = held.remove(machine).unwrap_or_default();
             let orders = bench.report(machine, tasks.clone());
@@ -86,7 +86,7 @@
     let mut bench = TestLeader::new();
     bench.job("wk-1", JobKind::Gang, 6);
     for step in 0..300 {
-        bench.pass(PLAN_EVERY);
+        bench.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
             let orders = bench.report(machine, vec![]);
             bench.report(machine, failed_statuses(&orders));
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -57,7 +57,7 @@
         JobId::new(id)
     }
 
-    /// A report of the machine with these tasks; gives the answer's orders.
+    /// A heartbeat of the machine with these tasks; gives the answer's orders.
     pub(super) fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
         self.seq += 1;
         let report = Heartbeat {
--- a/src/scheduler/tests/job_machines.rs
+++ b/src/scheduler/tests/job_machines.rs
@@ -34,7 +34,7 @@
     assert!(with.len() > 1 && with.contains(&MachineId::new("i-1")), "{with:?}");
     let noted = bench.scheduler.jobs.machines.of(&job);
     assert!(with.iter().all(|id| noted.contains(id)), "{with:?} {noted:?}");
-    bench.scheduler.stop_all(&job);
+    bench.scheduler.stop_tasks_of_job(&job);
     for id in with {
         let entries = &bench.scheduler.fleet.machines[&id].attempts;
         assert!(entries.values().all(|e| e.stop.is_some() || e.state == TaskState::Exited));
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -3,7 +3,7 @@
 use super::fixture::TestLeader;
 use crate::admission::MACHINE_BYTES;
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
     bench.scheduler.autoscaler.max_machines = 12;
     bench.job("wk-1", JobKind::Array, 400);
     for _ in 0..20 {
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
     }
     let asked: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
     assert_eq!(asked, 3);
@@ -65,7 +65,7 @@
             });
             bench.report(&format!("i-{n:06}"), (0..8).map(task).collect());
         }
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         held = Some(bench);
     });
     let bench = held.unwrap();
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -6,7 +6,7 @@
 use crate::ids::MachineId;
 use crate::scheduler::autoscaling::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
 use crate::scheduler::direct_calls::OutgoingCall;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::settings::Settings;
 use crate::settings::fixtures::machine_type as flavor;
 use crate::wire::{JobKind, TaskState};
@@ -25,7 +25,7 @@
     let names: Vec<String> = (1..6).map(|n| format!("i-{n}")).collect();
     let rented = names.iter().map(|name| MachineId::new(name)).collect();
     let kind = MachinePool { flavor: 0, zone: 1, spot: true };
-    bench.pass(PLAN_EVERY);
+    bench.pass(MIN_PASS_INTERVAL);
     let hired = CloudEvent::MachinesRented(kind, rented);
     bench.scheduler.on_cloud(hired, &bench.store.cache, bench.now);
     let booting = |bench: &TestLeader| {
@@ -47,16 +47,16 @@
             .count()
     };
     assert_eq!(overdue(&bench), 0);
-    bench.pass(patience / 2 + PLAN_EVERY);
+    bench.pass(patience / 2 + MIN_PASS_INTERVAL);
     assert_eq!(booting(&bench), 5);
     // One that was rented later is up.
     bench.report("i-9", vec![]);
     assert_eq!(overdue(&bench), 5);
-    bench.pass(PLAN_EVERY * 2);
+    bench.pass(MIN_PASS_INTERVAL * 2);
     assert_eq!(booting(&bench), 0);
 }
 
-/// A machine with replicas that answers nobody is given back long before its lease is over, if the
+/// A machine with replicas that answers nobody is terminated long before its lease is over, if the
 /// way to its zone was open when it was asked; what was asked during a cut proves nothing.
 #[test]
 fn unreachable_machine_is_terminated_only_if_others_are_reachable() {
@@ -68,12 +68,12 @@
         let machines = ["i-1", "i-2", "i-3"];
         machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
         bench.job("wk-1", JobKind::Service, 1);
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         let orders = bench.report("i-1", vec![]);
         let running = task_statuses(&orders, TaskState::Running);
         assert_eq!(running.len(), 1);
         bench.report("i-1", running);
-        let late = bench.scheduler.late_after();
+        let late = bench.scheduler.heartbeat_late_after();
         let until = bench.now + late * 3;
         while bench.now < until {
             // Behind a cut nobody is heard, until it ends.
@@ -90,7 +90,7 @@
                 };
                 let gave_up = Err(crate::http::CallError::Unknown);
                 let (cache, now) = (&bench.store.cache, bench.now);
-                bench.scheduler.on_direct(&id, sent.as_ref(), gave_up, cache, now);
+                bench.scheduler.on_worker_response(&id, sent.as_ref(), gave_up, cache, now);
             }
         }
         let life = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -3,7 +3,7 @@
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::MachineId;
 use crate::jobs::JobBody;
-use crate::scheduler::planning_clock::{LATE, PACE_EVERY, PLAN_EVERY};
+use crate::scheduler::planning_clock::{LATE, MIN_PASS_INTERVAL, PACE_ADJUSTMENT_INTERVAL};
 use crate::wire::{JobKind, Priority, TaskState, WorkerCommand};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
         Arc::make_mut(&mut live.spec).urgency = Priority::Low;
         for _ in 0..20 {
             bench.scheduler.adjust_pace(late, bench.now);
-            bench.pass(PACE_EVERY);
+            bench.pass(PACE_ADJUSTMENT_INTERVAL);
         }
         bench.scheduler.statistics.starts
     };
@@ -43,7 +43,7 @@
         bench.report(name, vec![]);
     }
     let job = bench.job("wk-1", JobKind::Service, 60);
-    (0..3).for_each(|_| bench.pass(PLAN_EVERY * 5));
+    (0..3).for_each(|_| bench.pass(MIN_PASS_INTERVAL * 5));
     assert_eq!(bench.scheduler.jobs.progress[&job].placed.len(), 60);
     let mut running = HashMap::new();
     for state in [TaskState::Fetching, TaskState::Running] {
@@ -60,7 +60,7 @@
             bench.report(name, running[name].clone());
         }
     }
-    bench.pass(PLAN_EVERY * 5);
+    bench.pass(MIN_PASS_INTERVAL * 5);
     assert!(
         !bench.scheduler.direct_calls.all_dirty
             && bench.scheduler.direct_calls.dirty_machines.is_empty()
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -3,7 +3,7 @@
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::MachineId;
 use crate::jobs::JobBody;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::scheduler::preemption::MISSING_IMAGE_COST_S;
 use crate::wire::{JobKind, Priority, TaskState};
 use crate::workers::machine::Machine;
@@ -17,7 +17,7 @@
     let fill = |bench: &mut TestLeader, machine: &str, id: &str, image: &str| {
         bench.report(machine, vec![]);
         bench.job(id, JobKind::Array, 4);
-        bench.pass(PLAN_EVERY * 5);
+        bench.pass(MIN_PASS_INTERVAL * 5);
         let orders = bench.report(machine, vec![]);
         let shown = task_statuses(&orders, TaskState::Running);
         assert_eq!(shown.len(), 4);
@@ -38,7 +38,7 @@
     let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
-    bench.pass(PLAN_EVERY * 5);
+    bench.pass(MIN_PASS_INTERVAL * 5);
     let stopped = |machine: &Machine| machine.attempts.values().any(|e| e.stop.is_some());
     let stopped: Vec<_> = bench.scheduler.fleet.machines.values().map(stopped).collect();
     assert_eq!(stopped, [false, true]);
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -3,7 +3,7 @@
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::{JobId, Revision};
 use crate::jobs::Job;
-use crate::scheduler::planning_clock::PLAN_EVERY;
+use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::schema::{encoding, records};
 use crate::store::{Versioned, WriteOrigin, WriteOutcome, WritePriority};
 use crate::wire::{JobKind, TaskState, TaskStatus, Write};
@@ -22,7 +22,7 @@
 fn run_array(bench: &mut TestLeader, id: &str, run_s: u64) -> Vec<TaskStatus> {
     bench.report("i-1", vec![]);
     bench.job(id, JobKind::Array, 4);
-    bench.pass(PLAN_EVERY * 5);
+    bench.pass(MIN_PASS_INTERVAL * 5);
     let orders = bench.report("i-1", vec![]);
     assert_eq!(task_statuses(&orders, TaskState::Fetching).len(), 4);
     bench.report("i-1", task_statuses(&orders, TaskState::Fetching));
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A report is late after so many of its intervals: PROTOCOL varies each by a quarter.
-const REPORT_LATE: f64 = 1.25;
+/// A heartbeat is late after so many of its intervals: PROTOCOL varies each by a quarter.
+const HEARTBEAT_LATE_FACTOR: f64 = 1.25;
 /// Added to the above: a lost packet and its resend.
-const REPORT_LATE_MORE: Duration = Duration::from_millis(1000);
-/// A machine that answers nobody is given back at once if waiting for the end of its lease would take
+const HEARTBEAT_LATE_MARGIN: Duration = Duration::from_millis(1000);
+/// A machine that answers nobody is terminated at once if waiting for the end of its lease would take
 /// longer than this: about twice what its tasks take to start elsewhere, with an image.
-const LOST_WORTH: Duration = Duration::from_secs(8);
+const EARLY_TERMINATION_GAIN: Duration = Duration::from_secs(8);
 /// The same for replicas on a machine that may be cut off alone: they run on until its lease ends, and
-/// being given back costs them a start. Where leases are short, waiting is the smaller loss.
-const LOST_REPLICAS_WORTH: Duration = Duration::from_secs(15);
+/// being terminated costs them a start. Where leases are short, waiting is the smaller loss.
+const EARLY_TERMINATION_GAIN_OF_REPLICAS: Duration = Duration::from_secs(15);
 
 impl Scheduler {
     /// A worker whose report is later than its interval allows is asked whether it lives.
-    pub(super) fn late_after(&self) -> Duration {
-        self.settings.heartbeat_interval().mul_f64(REPORT_LATE) + REPORT_LATE_MORE
+    pub(super) fn heartbeat_late_after(&self) -> Duration {
+        self.settings.heartbeat_interval().mul_f64(HEARTBEAT_LATE_FACTOR) + HEARTBEAT_LATE_MARGIN
     }
 
     /// What all machines together show now.
@@ -35,14 +35,14 @@
     }
 
     /// Gives back machines that hang, are dead or cut off alone, where waiting for the end of their
-    /// lease would cost more: replicas that are down until then, and after a take-over every older
+    /// lease would cost more: replicas that are down until then, and after a failover every older
     /// job, of which something may run there. What is cut off with its zone is waited for, and
     /// nobody is given up by a process that falls behind itself.
     pub(super) fn terminate_unreachable(&mut self, cut_off: &[bool], cache: &Cache, now: Instant) {
         if self.start_pacer.is_behind(now) {
             return;
         }
-        let late = self.late_after();
+        let late = self.heartbeat_late_after();
         let zones = cut_off.len();
         // How many machines of each zone are late.
         let (mut up, mut silent) = (vec![0usize; zones], vec![0usize; zones]);
@@ -64,7 +64,11 @@
             let told = self.delegations.last_answered(&machine.id);
             let elsewhere =
                 told.is_some_and(|at| machine.last_heartbeat.is_none_or(|heard| at > heard));
-            let worth = if machine.confirmed { LOST_REPLICAS_WORTH } else { LOST_WORTH };
+            let worth = if machine.confirmed {
+                EARLY_TERMINATION_GAIN_OF_REPLICAS
+            } else {
+                EARLY_TERMINATION_GAIN
+            };
             let waits = lease.saturating_sub(silence) > worth;
             if machine.state == MachineState::Up
                 && silence > late
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -141,7 +141,7 @@
     assert!(machine.attempts.is_empty());
 }
 
-/// After a take-over most of a fleet was fetched anew: no report says which images a machine has.
+/// After a failover most of a fleet was fetched anew: no heartbeat says which images a machine has.
 #[test]
 fn an_adopted_attempt_shows_its_image_once_it_runs() {
     let mut machine = machine();
@@ -172,7 +172,7 @@
     ));
 }
 
-/// A report that says nothing new counts as heard only where all of the one before it is known: a worker that ended its
+/// A heartbeat that says nothing new counts as heard only where all of the one before it is known: a worker that ended its
 /// session, was heard otherwise meanwhile, has shown a task that ended, or one whose start was still on its way, has
 /// to be heard in full.
 #[test]
@@ -196,7 +196,7 @@
             now
         ));
     }
-    // Nor under another token than the one that the report was heard with.
+    // Nor under another token than the one that the heartbeat was heard with.
     assert!(!reported().record_unchanged_heartbeat(
         &unchanged(1, 5, 6),
         FencingToken(OURS.0 + 1),
@@ -205,7 +205,7 @@
     let mut ended = machine();
     ended.record_heartbeat(&heartbeat(1, 5, &[(0, 9, TaskState::Exited)]), OURS, now);
     assert!(!ended.record_unchanged_heartbeat(&unchanged(1, 5, 6), OURS, now));
-    // Seen once and left out while a copy of its start has no answer: it stays booked until a report after that answer.
+    // Seen once and left out while a copy of its start has no answer: it stays booked until a heartbeat after that answer.
     let mut in_flight = reported();
     let start = WorkerCommand::Start { task: task(0), attempt: Attempt(9) };
     in_flight.track_starts_in_flight(std::slice::from_ref(&start), 1);
