--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -389,10 +389,11 @@
             self.apply_own_commit(&batch.transaction, *rev);
         }
         let random = &mut self.random;
-        let settled = self.group_commit.on_response(batch, response, || now + retry_pause(random));
-        let outcomes = settled.into_iter().map(|write| (write.origin, write.outcome));
-        self.events
-            .extend(outcomes.map(|(origin, outcome)| StoreEvent::WriteSettled(origin, outcome)));
+        let retry_at = || now + retry_pause(random);
+        let events = &mut self.events;
+        self.group_commit.on_response(batch, response, retry_at, |origin, outcome| {
+            events.push_back(StoreEvent::WriteSettled(origin, outcome));
+        });
     }
 
     fn on_snapshot_page(&mut self, response: StoreResponse, now: Instant) {
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -73,13 +73,6 @@
     Unknown,
 }
 
-/// A write that waits no longer.
-#[derive(Debug)]
-pub(super) struct SettledWrite {
-    pub(super) origin: WriteOrigin,
-    pub(super) outcome: WriteOutcome,
-}
-
 /// Writes that go in one transaction.
 #[derive(Debug)]
 pub(super) struct Batch {
@@ -176,23 +169,27 @@
         Some(batch)
     }
 
-    /// Which writes are settled; those that another one's failure held up are queued again.
-    /// `retry_at` says when the next transaction may go if the store couldn't execute this one.
+    /// Reports each write that is settled to `on_settled`; those that another one's failure held up are queued
+    /// again. `retry_at` says when the next transaction may go if the store couldn't execute this one.
     pub(super) fn on_response(
         &mut self,
         batch: Batch,
         response: StoreResponse,
         retry_at: impl FnOnce() -> Instant,
-    ) -> Vec<SettledWrite> {
+        mut on_settled: impl FnMut(WriteOrigin, WriteOutcome),
+    ) {
         self.in_flight = false;
         match response {
-            StoreResponse::Committed(_) => self.settle_all(batch, WriteOutcome::Committed),
-            StoreResponse::Conflict(failed) => self.settle_conflicts(batch, &failed),
+            StoreResponse::Committed(_) => {
+                self.settle_all(batch, WriteOutcome::Committed, &mut on_settled)
+            }
+            StoreResponse::Conflict(failed) => {
+                self.settle_conflicts(batch, &failed, &mut on_settled)
+            }
             StoreResponse::Invalid if batch.writes.len() > 1 => {
                 // Malformed as a whole: whichever write it is must not hold up the others.
                 self.isolated = batch.writes.len();
                 batch.writes.into_iter().for_each(|write| self.enqueue(write));
-                Vec::new()
             }
             other => {
                 self.next_at = retry_at();
@@ -205,31 +202,38 @@
                     let keys: Vec<&str> = batch.transaction.writes.iter().map(Write::key).collect();
                     tracing::error!(?keys, "the store rejects this write permanently");
                 }
-                self.settle_all(batch, outcome)
+                self.settle_all(batch, outcome, &mut on_settled);
             }
         }
     }
 
-    fn settle_all(&mut self, batch: Batch, outcome: WriteOutcome) -> Vec<SettledWrite> {
-        batch.writes.into_iter().map(|write| self.settle(write.origin, outcome)).collect()
+    fn settle_all(
+        &mut self,
+        batch: Batch,
+        outcome: WriteOutcome,
+        on_settled: &mut impl FnMut(WriteOrigin, WriteOutcome),
+    ) {
+        for write in batch.writes {
+            self.pending.remove(&write.origin);
+            on_settled(write.origin, outcome);
+        }
     }
 
-    fn settle_conflicts(&mut self, batch: Batch, failed_keys: &[String]) -> Vec<SettledWrite> {
-        let mut settled = Vec::new();
+    fn settle_conflicts(
+        &mut self,
+        batch: Batch,
+        failed_keys: &[String],
+        on_settled: &mut impl FnMut(WriteOrigin, WriteOutcome),
+    ) {
         for write in batch.writes {
             let preconditions = &write.transaction.preconditions;
             if preconditions.iter().any(|guard| failed_keys.contains(&guard.key)) {
-                settled.push(self.settle(write.origin, WriteOutcome::Conflict));
+                self.pending.remove(&write.origin);
+                on_settled(write.origin, WriteOutcome::Conflict);
             } else {
                 self.enqueue(write);
             }
         }
-        settled
-    }
-
-    fn settle(&mut self, origin: WriteOrigin, outcome: WriteOutcome) -> SettledWrite {
-        self.pending.remove(&origin);
-        SettledWrite { origin, outcome }
     }
 }
 
