--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
-//! One controller: its cores put together, and the actor that carries out what they want done.
+//! One controller of the cluster: the state machine that combines all components, and the actor that performs its I/O.
 //!
-//! [`Controller`] is a core itself, without clock or I/O: it is handed [`Event`]s and leaves [`Effect`]s. Its files
-//! follow what happens: requests, workers' heartbeats, peers' messages, the store's responses and ticks.
+//! [`Controller`] has no clock and does no I/O: it handles [`Event`]s and queues [`Effect`]s for the actor. The
+//! submodules are divided by source of event: requests, workers' heartbeats, peers' messages, store responses, ticks.
 
 mod actor;
 mod cancellations;
@@ -56,40 +56,40 @@
 use ticks::Schedule;
 use tokio::time::Instant;
 
-/// A controller's cores, and what it knows beside them.
+/// The state machine of a controller: its components and the state they share.
 pub struct Controller {
     settings: Arc<Settings>,
-    /// The client of the store, with the cache of its keys.
+    /// Client of the store, with the cache of the store's keys.
     pub store: StoreClient,
     election: Election,
     cloud: CloudClient,
-    /// The leader's scheduler; none in a follower.
+    /// Scheduler of the leader; `None` in a follower.
     pub scheduler: Option<Scheduler>,
     api: Api,
     peers: PeerTable,
     peer_requests: PeerRequests,
     delegated_lease: DelegatedLease,
     controller_lease: ControllerLease,
-    /// Messages by way of the store of which some chunks have come.
+    /// Partly received messages that peers send through the store in chunks, by sender.
     chunks: HashMap<ControllerId, ChunkAssembler>,
     sharding: HeartbeatSharding,
     limits: ResourceLimits,
     stalls: StallDetector,
     schedule: Schedule,
     started_at: Instant,
-    /// When a worker last sent its heartbeat here.
+    /// Time of the last heartbeat that a worker sent directly to this controller.
     last_worker_heartbeat: Option<Instant>,
-    /// Whether this controller held leadership when it last looked.
-    held_leadership: bool,
-    /// The cluster's version that was last logged.
+    /// Leadership state that was last logged.
+    logged_leadership: bool,
+    /// Cluster version that was last logged.
     logged_format: Option<u32>,
     is_probing_store: bool,
-    /// What this controller wants done.
+    /// Effects that the actor has not executed yet.
     pub out: Vec<Effect>,
 }
 
 impl Controller {
-    /// A follower that has read nothing yet. The `seed` decides on its random delays and first message numbers.
+    /// Creates a follower with an empty cache. The `seed` determines its random delays and first message numbers.
     pub fn new(
         settings: Arc<Settings>,
         seed: u64,
@@ -99,7 +99,7 @@
         let now = wall.at;
         let others = platform.others.iter().map(|peer| peer.host_name.clone());
         let names = std::iter::once(platform.host_name.clone()).chain(others).collect();
-        // Responses to an earlier incarnation of this process match no message of this one.
+        // Starts at a random number, so that late responses to an earlier incarnation of this process match no message.
         let first_number = seed >> 2;
         let api = Api::new(settings.clone(), wall).map_err(ControllerError::LatencyHistogram)?;
         Ok(Controller {
@@ -119,7 +119,7 @@
             schedule: Schedule::new(now),
             started_at: now,
             last_worker_heartbeat: None,
-            held_leadership: false,
+            logged_leadership: false,
             logged_format: None,
             is_probing_store: false,
             out: Vec::new(),
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Sets the time of day anew, since the monotonic clock drifts.
+    /// Updates the mapping to the time of day, from which the monotonic clock drifts.
     pub fn set_wall_clock(&mut self, wall: WallClock) {
         self.api.wall = wall;
         if let Some(scheduler) = &mut self.scheduler {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Records how long the last event took to handle.
+    /// Records the time that the last event took to handle.
     pub fn record_handling_time(&mut self, took: Duration, now: Instant) {
         self.limits.load.record_event(took);
         if let Some(scheduler) = &mut self.scheduler {
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Sets how many public connections are open.
+    /// Sets the number of open public connections.
     pub fn set_open_connections(&mut self, open: usize) {
         self.limits.open_connections = open;
     }
 
-    /// Handles an event; what is to be done then stands in [`Controller::out`].
+    /// Handles an event and appends the resulting effects to [`Controller::out`].
     pub fn handle(&mut self, event: Event, now: Instant) {
         self.stalls.record_event(now);
         match event {
@@ -172,7 +172,7 @@
         self.advance(now);
     }
 
-    /// Lets the cores act on what has happened until nothing more follows.
+    /// Runs all components until no store event is left to process.
     fn advance(&mut self, now: Instant) {
         loop {
             while let Some(event) = self.store.next_event() {
@@ -180,14 +180,14 @@
             }
             self.receive_relayed_messages(now);
             self.advance_leadership(now);
-            let leads = self.holds_leadership(now);
-            self.log_leadership(leads);
-            if leads {
+            let is_leader = self.holds_leadership(now);
+            self.log_leadership(is_leader);
+            if is_leader {
                 self.advance_scheduler(now);
             }
             self.advance_sharding(now);
             self.store.poll(now);
-            self.cloud.poll(leads && self.scheduler.is_some(), now);
+            self.cloud.poll(is_leader && self.scheduler.is_some(), now);
             self.collect_calls();
             if !self.store.has_events() {
                 return;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Takes over what the clients of store and cloud want sent.
+    /// Moves the outgoing requests of the store and cloud clients to the effects.
     fn collect_calls(&mut self) {
         while let Some(OutgoingRequest { id, request }) = self.store.next_request() {
             self.out.push(Effect::CallStore { id, request });
@@ -205,15 +205,15 @@
     }
 
     fn on_cloud_event(&mut self, event: CloudEvent, now: Instant) {
-        if let CloudEvent::MachineTypes(found) = &event {
-            self.on_machine_types(found.clone());
+        if let CloudEvent::MachineTypes(machine_types) = &event {
+            self.on_machine_types(machine_types.clone());
         }
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.on_cloud(event, &self.store.cache, now);
         }
     }
 
-    /// The end of a call to a worker, made here or by a peer.
+    /// Handles the result of a direct call to a worker, made by this controller or by a peer.
     fn on_worker_response(&mut self, call: CompletedCall, now: Instant) {
         let CompletedCall { machine, commands, result } = call;
         let Some(scheduler) = &mut self.scheduler else { return };
@@ -227,7 +227,7 @@
             &self.store.cache,
             now,
         ) {
-            tracing::info!(%machine, "a worker has seen a higher fencing token");
+            tracing::info!(%machine, "worker has seen a higher fencing token, resigning");
             self.resign(now);
         }
     }
@@ -236,18 +236,18 @@
         self.out.push(Effect::Respond { ticket, response });
     }
 
-    /// Sends a message over the connection to a peer.
+    /// Queues a message for the direct connection to a peer.
     fn send_to_peer(&mut self, to: ControllerId, message: PeerMessage) {
         self.out.push(Effect::SendToPeer { to, message });
     }
 
-    /// The name of this controller.
+    /// Returns the host name of this controller.
     fn name(&self) -> &ControllerId {
         &self.settings.platform.host_name
     }
 }
 
-/// Milliseconds that have passed since then.
+/// Returns the milliseconds from `at` to `now`; 0 if `at` is later.
 fn age_ms(at: Instant, now: Instant) -> u64 {
     now.saturating_duration_since(at).as_millis() as u64
 }
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,4 +1,4 @@
-//! The actor around a controller's cores: it owns sockets, timers and calls in flight.
+//! Actor that runs a [`Controller`]: it owns the sockets, the timer and the outgoing calls.
 
 mod outgoing_calls;
 mod peer_links;
@@ -21,9 +21,9 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// An event whose handling takes this long is logged: a leader's lease lasts seconds.
-const SLOW_EVENT: Duration = Duration::from_millis(250);
-/// Pause between two readings of the time of day, from which the monotonic clock drifts.
+/// Handling time from which an event is logged. Slow events endanger the leader lease, which lasts only seconds.
+const SLOW_EVENT_THRESHOLD: Duration = Duration::from_millis(250);
+/// Pause between two readings of the time of day. The monotonic clock drifts from it.
 const WALL_CLOCK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Runs a controller until its task is cancelled.
@@ -36,7 +36,7 @@
     }
 }
 
-/// A controller and all that it holds of the system. Its tasks end with it.
+/// A controller with its system resources. Dropping the actor ends its background tasks.
 struct Actor {
     controller: Controller,
     sockets: SocketBudget,
@@ -48,7 +48,7 @@
     calls: OutgoingCalls,
     wall: WallClock,
     tick_at: Instant,
-    /// Listeners and connections to peers.
+    /// Tasks of the listeners and of the connections to peers.
     _background: JoinSet<()>,
 }
 
@@ -90,10 +90,10 @@
         })
     }
 
-    /// Waits for the next event. None: requests were queued or rejected, and there is nothing to handle yet.
+    /// Waits for the next event. Returns `None` if requests were only queued or rejected.
     ///
-    /// What keeps leadership is rare and goes first: behind the responses of hundreds of workers after a failover, a
-    /// renewal's would come too late.
+    /// Events that maintain leadership are rare and have priority: after a failover, the response to a lease renewal
+    /// would otherwise wait behind the responses of hundreds of workers and be handled too late.
     async fn next_event(&mut self) -> Option<Event> {
         tokio::select! {
             biased;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// All requests that have come are queued before one is handled: the most important goes first.
+    /// Queues all received requests and returns the most important one.
     fn next_request(&mut self) -> Option<Event> {
         let now = Instant::now();
         while let Ok(incoming) = self.incoming.try_recv() {
@@ -134,16 +134,16 @@
         self.controller.handle(event, now);
         let took = now.elapsed();
         self.controller.record_handling_time(took, now);
-        if took > SLOW_EVENT {
+        if took > SLOW_EVENT_THRESHOLD {
             tracing::info!(kind, took_ms = took.as_millis() as u64, "slow event");
         }
         let next_tick = self.controller.next_tick(now);
         self.tick_at = if self.tick_at <= now { next_tick } else { self.tick_at.min(next_tick) };
         let mut effects = std::mem::take(&mut self.controller.out);
         for effect in effects.drain(..) {
-            self.carry_out(effect, open, now);
+            self.execute(effect, open, now);
         }
-        // Its allocation is used again.
+        // Reuses the allocation.
         self.controller.out = effects;
     }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, open_connections: usize, now: Instant) {
+    fn execute(&mut self, effect: Effect, open_connections: usize, now: Instant) {
         match effect {
             Effect::Respond { ticket, response } => {
                 let pressure = self.sockets.pressure(open_connections);
@@ -170,13 +170,13 @@
     }
 
     fn respond(&mut self, ticket: u64, mut response: Response, pressure: SocketPressure) {
-        let Some(waiting) = self.requests.take_waiting(ticket) else { return };
+        let Some(pending) = self.requests.take_pending(ticket) else { return };
         response.close = match pressure {
             SocketPressure::Normal => false,
-            SocketPressure::High => waiting.class > RequestClass::Critical,
+            SocketPressure::High => pending.class > RequestClass::Critical,
             SocketPressure::Critical => true,
         };
-        // Whoever has closed the connection meanwhile gets no response.
-        let _ = waiting.reply.send(response);
+        // Sending fails if the client has closed the connection meanwhile.
+        let _ = pending.reply.send(response);
     }
 }
--- a/src/controller/actor/outgoing_calls.rs
+++ b/src/controller/actor/outgoing_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, the cloud and workers.
+//! HTTP calls to the store, the cloud and workers.
 
 use super::Event;
 use crate::cloud::CloudRequest;
@@ -13,34 +13,35 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Timeout of the question for a worker's status.
+/// Timeout of a query for a worker's status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Timeout of a call to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Calls in flight, each a task of this actor that ends with the event of its response.
+/// Concurrent calls. Each is a task of the actor that returns the event with its response.
 pub(super) struct OutgoingCalls {
     client: Client,
     store_address: SocketAddr,
     cloud_address: SocketAddr,
     max_idle: usize,
-    /// Calls to the store, whose responses go before all others.
+    /// Calls to the store, whose responses have priority over all others.
     pub(super) store: JoinSet<Event>,
+    /// Calls to the cloud and to workers.
     pub(super) others: JoinSet<Event>,
 }
 
-/// The event of the next call that ends; None without calls.
+/// Waits for the next call that completes and returns its event; `None` if there are no calls.
 pub(super) async fn next_completed(calls: &mut JoinSet<Event>) -> Option<Event> {
     loop {
         match calls.join_next().await? {
             Ok(event) => return Some(event),
-            Err(error) => tracing::error!(%error, "a call's task ended early"),
+            Err(error) => tracing::error!(%error, "task of an outgoing call failed"),
         }
     }
 }
 
 impl OutgoingCalls {
-    /// Keeps at most `max_idle` idle connections to workers.
+    /// Starts the HTTP client, which keeps at most `max_idle` idle connections to workers.
     pub(super) fn start(external: &ExternalServices, max_idle: usize) -> OutgoingCalls {
         OutgoingCalls {
             client: Client::start(max_idle, vec![external.state, external.cloud]),
@@ -116,7 +117,7 @@
 ) -> Result<Heartbeat, CallError> {
     let response = client.call(address, request, deadline).await?;
     match response.status {
-        // A worker that refuses commands shows its status as well.
+        // A worker that rejects commands (409) returns its status as well.
         200 | 409 => wire::decode(&response.body).map_err(|_| CallError::Unknown),
         _ => Err(CallError::NotSent),
     }
--- a/src/controller/actor/peer_links.rs
+++ b/src/controller/actor/peer_links.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, and how much is written to them.
+//! Connections to peers, and metrics of their traffic.
 
 use crate::controller::ticks::METRICS_INTERVAL;
 use crate::ids::ControllerId;
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Count. Messages that wait for one peer's connection; beyond it they are dropped.
+/// Maximum number of queued messages for one peer; further messages are dropped.
 const PEER_QUEUE_CAPACITY: usize = 32;
 
 /// One connection to each peer.
@@ -21,7 +21,7 @@
 }
 
 impl PeerLinks {
-    /// Opens the connections, as tasks of `background`.
+    /// Starts the connections to all peers as tasks of `background`.
     pub(super) fn start(
         peers: &[PeerSettings],
         background: &mut JoinSet<()>,
@@ -43,14 +43,14 @@
         links
     }
 
-    /// Sends a message, or drops it where the connection is down or full.
+    /// Queues a message for a peer. Drops it if the connection is down or the queue is full.
     pub(super) fn send(&self, to: &ControllerId, message: PeerMessage) {
         if let Some(sender) = self.senders.get(to) {
             let _ = sender.try_send(message);
         }
     }
 
-    /// Logs the traffic, if it is due.
+    /// Logs the traffic since the last log entry, if an entry is due.
     pub(super) fn log_traffic(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.logged_at);
         if elapsed < METRICS_INTERVAL {
--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait to be handled, and those whose response is awaited.
+//! Queue of received requests, and the clients that wait for responses.
 
 use super::Event;
 use crate::admission::{AdmissionQueue, RequestClass, retry_after_s};
@@ -9,11 +9,11 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 use tokio::time::Instant;
 
-/// Count. Requests waiting in one process; beyond it they are rejected at once.
+/// Maximum number of queued requests per process; further requests are rejected at once.
 pub(super) const REQUEST_QUEUE_CAPACITY: usize = crate::api::USER_QUEUE_MAX;
 
-/// Who waits for a response.
-pub(super) struct Waiting {
+/// A response that a client waits for.
+pub(super) struct PendingResponse {
     pub(super) reply: oneshot::Sender<Response>,
     pub(super) class: RequestClass,
 }
@@ -22,16 +22,17 @@
 struct Queued {
     ticket: u64,
     request: Request,
-    /// Held until the request is handled: only so many are read at once.
-    _turn: OwnedSemaphorePermit,
+    /// Permit that is released when the request is handled; it bounds the number of requests read at once.
+    _permit: OwnedSemaphorePermit,
 }
 
-/// Requests that have come, by ticket.
+/// Received requests and pending responses.
 pub(super) struct RequestQueue {
-    /// Those that are not in the queue yet.
+    /// Requests that are not in the queue yet.
     received: Vec<Incoming>,
     queue: AdmissionQueue<Queued>,
-    waiting: HashMap<u64, Waiting>,
+    /// Pending responses by ticket.
+    pending: HashMap<u64, PendingResponse>,
     last_ticket: u64,
 }
 
@@ -40,7 +41,7 @@
         RequestQueue {
             received: Vec::new(),
             queue: AdmissionQueue::new(REQUEST_QUEUE_CAPACITY),
-            waiting: HashMap::default(),
+            pending: HashMap::default(),
             last_ticket: FIRST_TICKET,
         }
     }
@@ -53,24 +54,24 @@
         self.received.push(incoming);
     }
 
-    /// Queues what was received; what goes over is rejected.
+    /// Moves the received requests to the queue and rejects those that exceed its capacity.
     pub(super) fn admit(&mut self, now: Instant) {
         let mut received = std::mem::take(&mut self.received);
         for Incoming { request, reply, turn } in received.drain(..) {
             self.last_ticket += 1;
             let ticket = self.last_ticket;
             let class = request_class(&request);
-            self.waiting.insert(ticket, Waiting { reply, class });
-            let queued = Queued { ticket, request, _turn: turn };
+            self.pending.insert(ticket, PendingResponse { reply, class });
+            let queued = Queued { ticket, request, _permit: turn };
             if let Some(rejected) = self.queue.push(class, queued, now) {
                 self.reject(rejected.ticket);
             }
         }
-        // Its allocation is used again.
+        // Reuses the allocation.
         self.received = received;
     }
 
-    /// The next request to handle. One whose sender has given up is rejected instead.
+    /// Returns the next request to handle. Rejects it and returns `None` if its client has presumably given up.
     pub(super) fn next(&mut self, now: Instant) -> Option<Event> {
         let next = self.queue.pop(now)?;
         let Queued { ticket, request, .. } = next.request;
@@ -81,15 +82,15 @@
         Some(Event::Request { ticket, request })
     }
 
-    pub(super) fn take_waiting(&mut self, ticket: u64) -> Option<Waiting> {
-        self.waiting.remove(&ticket)
+    pub(super) fn take_pending(&mut self, ticket: u64) -> Option<PendingResponse> {
+        self.pending.remove(&ticket)
     }
 
-    /// Tells a sender when to retry.
+    /// Rejects a request with a Retry-After time that depends on the length of the queue.
     fn reject(&mut self, ticket: u64) {
-        if let Some(waiting) = self.take_waiting(ticket) {
+        if let Some(pending) = self.take_pending(ticket) {
             let retry_after = retry_after_s(self.queue.len(), ticket);
-            let _ = waiting.reply.send(Response::later_in(503, retry_after));
+            let _ = pending.reply.send(Response::later_in(503, retry_after));
         }
     }
 }
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -1,4 +1,4 @@
-//! Acknowledgements of cancellations among controllers.
+//! Acknowledgement of job cancellations between controllers.
 
 use super::Controller;
 use crate::api::Answer;
@@ -8,29 +8,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// Where jobs may have tasks, as the leader says.
+/// Zones in which jobs may have tasks, according to the leader.
 pub(super) struct JobPlacements {
-    /// The revision of the leader key.
+    /// Revision of the leader key, which identifies the leader.
     pub(super) leader_revision: Revision,
-    /// The zones of each job.
+    /// Zones of each job, in the order of the acknowledged jobs.
     pub(super) zones: Vec<Vec<String>>,
 }
 
 /// A peer's acknowledgement of cancellations.
 pub(super) struct CancellationAck {
     pub(super) from: ControllerId,
-    /// The number of the request.
+    /// Number of the request that is acknowledged.
     pub(super) seq: u64,
-    /// The revision of the peer's lease key.
+    /// Revision of the peer's controller lease key.
     pub(super) lease_revision: Revision,
     pub(super) jobs: Vec<JobId>,
-    /// Given by the leader.
+    /// Present if the peer is the leader.
     pub(super) placements: Option<JobPlacements>,
 }
 
 impl Controller {
-    /// Sends the requests for acknowledgements that users' cancellations need, and tells the scheduler what this
-    /// controller has acknowledged itself.
+    /// Requests the acknowledgements that users' cancellations need, and passes the cancellations that this controller
+    /// has acknowledged itself to the scheduler.
     pub(super) fn advance_cancellations(&mut self, now: Instant) {
         if !self.api.ack_requests.is_empty() {
             self.request_acks(now);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Asks peers to acknowledge, over the connection or, where that is cut, by way of the store.
+    /// Requests acknowledgements from peers, directly or, if a peer is unreachable, through the store.
     fn request_acks(&mut self, now: Instant) {
         let mut by_peer: BTreeMap<ControllerId, Vec<JobId>> = BTreeMap::new();
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
@@ -52,7 +52,7 @@
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
             if !self.store.cache.controller_leases.contains_key(&peer) {
-                // It has no lease, so nothing reaches it that it would understand for certain.
+                // A peer without a controller lease may run a version that doesn't understand the request.
                 continue;
             }
             let is_reachable = self.peers.is_reachable(&peer, now);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A leader need not ask itself where the jobs' tasks are.
+    /// Records the zones of the jobs' tasks from this controller's own scheduler, if it leads.
     fn record_own_zones(&mut self, jobs: &BTreeSet<JobId>, now: Instant) {
         if !self.holds_leadership(now) {
             return;
@@ -80,8 +80,8 @@
         self.retry_cancellations(now);
     }
 
-    /// Users of a peer ask to cancel these jobs. From here on nobody has any use for them (PROTOCOL), so to
-    /// acknowledge costs nothing even if the cancellation never comes.
+    /// Acknowledges the cancellation of jobs that users requested from a peer. According to PROTOCOL the jobs' results
+    /// aren't needed after such a request, so acknowledging is harmless even if the cancellation is never committed.
     pub(super) fn on_cancellation_request(
         &mut self,
         from: &ControllerId,
@@ -96,12 +96,16 @@
             let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.store.cache)).collect();
             (scheduler.leader_revision(), zones)
         });
-        let me = self.name().clone();
+        let own_name = self.name().clone();
         let under = self.controller_lease.revision();
-        self.send(from, PeerMessage::CancellationAck { from: me, seq, under, jobs, placed }, route);
+        self.send(
+            from,
+            PeerMessage::CancellationAck { from: own_name, seq, under, jobs, placed },
+            route,
+        );
     }
 
-    /// A peer acknowledges cancellations.
+    /// Handles a peer's acknowledgement of cancellations.
     pub(super) fn on_cancellation_ack(&mut self, ack: CancellationAck, now: Instant) {
         let CancellationAck { from, seq, lease_revision, jobs, placements } = ack;
         let acks = &mut self.api.cancellation_acks;
@@ -114,7 +118,7 @@
         self.retry_cancellations(now);
     }
 
-    /// Looks again at cancellations that wait for acknowledgements.
+    /// Retries users' cancellations that wait for acknowledgements.
     pub(super) fn retry_cancellations(&mut self, now: Instant) {
         for Answer { ticket, response } in self.api.retry_cancellations(&mut self.store, now) {
             self.respond(ticket, response);
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -1,4 +1,4 @@
-//! A follower's responses to workers, on behalf of a leader that is out of reach.
+//! Responses to workers on behalf of a leader that is unreachable.
 
 use super::Controller;
 use super::worker_heartbeats::redirect;
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl Controller {
-    /// A controller that doesn't lead and can't relay the heartbeat responds for the leader, or names it.
+    /// Responds to a heartbeat that can't be relayed: on behalf of the leader, or with a redirect to it.
     pub(super) fn respond_without_leader(
         &mut self,
         heartbeat: &Heartbeat,
@@ -27,18 +27,19 @@
         }
     }
 
-    /// Whether news of the store are so recent that any worker may be answered: whatever was cancelled since still
-    /// has its time.
-    pub(super) fn has_news(&self, now: Instant) -> bool {
+    /// Returns whether the store data is recent enough to answer any worker: a task that was cancelled since then still
+    /// stops within `cancel_s`, even if its worker keeps its lease for another `lease_s`.
+    pub(super) fn has_recent_store_data(&self, now: Instant) -> bool {
         let workers = &self.settings.platform.params.workers;
-        let spare = Duration::from_secs_f64((workers.cancel_s - workers.lease_s).max(0.0));
-        let max_age = spare.saturating_sub(CANCELLATION_MARGIN);
+        let slack = Duration::from_secs_f64((workers.cancel_s - workers.lease_s).max(0.0));
+        let max_age = slack.saturating_sub(CANCELLATION_MARGIN);
         self.store.synced_at.is_some_and(|at| now.saturating_duration_since(at) <= max_age)
     }
 
-    /// The commands for a worker whose leader is out of reach, which keep its lease. They start nothing, and stop what
-    /// is known to be cancelled: else tasks could outlive their cancellation. So this takes recent news of the store
-    /// or, for the workers of this zone, a controller lease: nothing was cancelled since without our acknowledgement.
+    /// Returns the commands that renew the lease of a worker whose leader is unreachable. They start no tasks, and stop
+    /// tasks that are known to be cancelled or finished, so that no task outlives its cancellation. This requires recent
+    /// data from the store or, for workers of this zone, a valid controller lease: while it is valid, no job is
+    /// cancelled without this controller's acknowledgement.
     pub(super) fn answer_for_leader(
         &mut self,
         heartbeat: &Heartbeat,
@@ -53,24 +54,25 @@
             attempt: task.attempt,
             grace_s: 0.0,
         };
-        let is_stopped = |task: &&TaskStatus| {
+        let must_stop = |task: &&TaskStatus| {
             task.state != TaskState::Exited && self.is_finished_or_cancelling(task)
         };
-        let orders = heartbeat
+        let stops = heartbeat
             .tasks
             .iter()
-            .filter(is_stopped)
+            .filter(must_stop)
             .take(MAX_COMMANDS_PER_ANSWER)
             .map(stop)
             .collect();
-        tracing::debug!(machine = %heartbeat.machine, fencing_token = %token, "answered for the leader");
-        Some(CommandBatch { token, agent_epoch: None, orders })
+        tracing::debug!(machine = %heartbeat.machine, fencing_token = %token, "answered on behalf of the leader");
+        Some(CommandBatch { token, agent_epoch: None, orders: stops })
     }
 
     fn knows_cancellations_of(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let lease_until = self.controller_lease.may_answer_until(self.store.synced_at);
         let has_lease = lease_until.is_some_and(|until| now < until);
-        self.has_news(now) || has_lease && heartbeat.zone == self.settings.platform.location
+        self.has_recent_store_data(now)
+            || has_lease && heartbeat.zone == self.settings.platform.location
     }
 
     fn is_finished_or_cancelling(&self, task: &TaskStatus) -> bool {
@@ -79,26 +81,26 @@
         self.api.acknowledged_cancellations.contains(job) || is_finished(job)
     }
 
-    /// The fencing token under which this controller may answer the machine without leadership.
+    /// Returns the fencing token under which this controller may answer the machine without being the leader.
     fn delegated_token(&mut self, machine: &MachineId, now: Instant) -> Option<FencingToken> {
-        let newest = self.store.cache.token.value;
-        let is_alone = !self.peers.is_any_reachable(now)
+        let newest_token = self.store.cache.token.value;
+        let is_isolated = !self.peers.is_any_peer_reachable(now)
             || self.store.is_unavailable(now) && self.later_leader(now).is_none();
-        // Whoever holds a later leader's grant keeps to it, and to its revocations, though it led itself.
-        let latest = newest.max(self.delegated_lease.acknowledged().token);
+        // A former leader that has acknowledged a later leader's grant follows that grant and its revocations.
+        let latest_token = newest_token.max(self.delegated_lease.acknowledged().token);
         match &mut self.scheduler {
-            // A leader that lost leadership answers as its followers do, but only where it is alone or out of the
-            // store's reach: else it would hold workers that others can serve.
-            Some(scheduler) if scheduler.token() >= latest => {
-                if !is_alone {
+            // A leader that lost leadership answers like its followers, but only if no peer is reachable or the store
+            // is unavailable: otherwise it would keep workers from controllers that can serve them.
+            Some(scheduler) if scheduler.token() >= latest_token => {
+                if !is_isolated {
                     return None;
                 }
                 let token = scheduler.answer_for_leader(machine, now)?;
-                // A successor has to learn of it.
+                // A successor learns from this record that the machine's lease was renewed.
                 self.delegated_lease.record_answer(machine, now);
                 Some(token)
             }
-            _ => self.delegated_lease.answer(machine, newest, now),
+            _ => self.delegated_lease.answer(machine, newest_token, now),
         }
     }
 }
--- a/src/controller/error.rs
+++ b/src/controller/error.rs
@@ -1,25 +1,25 @@
-//! Why a controller can't run.
+//! Error type of a controller.
 
 use std::net::SocketAddr;
 
-/// Why a controller can't run, or has ended early.
+/// An error that prevents a controller from starting or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// An address of its settings can't be listened on.
+    /// Binding a listener to an address of the settings failed.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Public address or peer address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The histogram of response times can't be created.
+    /// Creating the histogram of response times failed.
     #[error("cannot create the latency histogram: {0}")]
     LatencyHistogram(#[source] hdrhistogram::CreationError),
-    /// The runtime can't be started.
+    /// Starting the asynchronous runtime failed.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The controller's task has panicked.
+    /// The controller's task panicked.
     #[error("the controller's task ended early: {0}")]
     Task(#[source] tokio::task::JoinError),
 }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a controller, and what it wants done: the interface between its cores and their actor.
+//! Interface between a controller and its actor: events that it handles and effects that it requests.
 
 use crate::cloud::CloudRequest;
 use crate::http::{CallError, Request, Response};
@@ -9,50 +9,50 @@
 use crate::workers::command_delivery::DirectCall;
 use std::net::SocketAddr;
 
-/// Tickets of requests begin here; the store knows those below by their use.
+/// Lower bound of the tickets of requests. Lower tickets identify the controller's own syncs with the store.
 pub const FIRST_TICKET: u64 = 10;
 
-/// What happens to a controller.
+/// An input that a controller handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A request came in; its response carries the ticket.
+    /// A public HTTP request was received.
     Request {
-        /// Identifies the request.
+        /// Number that the response repeats.
         ticket: u64,
-        /// The request.
+        /// Request of a user, worker or operator.
         request: Request,
     },
-    /// The store has responded, or has not in time.
+    /// The store responded, or a request to it failed or timed out.
     StoreResponse {
-        /// The id of the request.
+        /// Id of the [`Effect::CallStore`].
         id: u64,
-        /// The response.
+        /// Decoded response or failure.
         response: StoreResponse,
     },
-    /// The cloud has responded, or has not in time.
+    /// The cloud responded, or a request to it failed or timed out.
     CloudResponse {
-        /// The id of the request.
+        /// Id of the [`Effect::CallCloud`].
         id: u64,
-        /// The response.
+        /// HTTP response or failure.
         result: Result<Response, CallError>,
     },
-    /// A call to a worker has ended.
+    /// A direct call to a worker completed or failed.
     WorkerResponse {
-        /// The worker's machine.
+        /// Machine of the worker.
         machine: MachineId,
-        /// The commands that were sent; none with a question for its status.
+        /// Commands that were sent; `None` for a status query.
         sent: Option<CommandBatch>,
-        /// The worker's status.
+        /// Status of the worker, or failure of the call.
         result: Result<Heartbeat, CallError>,
     },
-    /// A peer has sent a message over its connection.
+    /// A peer sent a message over its connection.
     PeerMessage(PeerMessage),
-    /// Time has passed.
+    /// The time of the next tick was reached.
     Tick,
 }
 
 impl Event {
-    /// What the event is about, for the log.
+    /// Returns the name of the event's kind, for the log.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             Event::Request { .. } => "request",
@@ -65,44 +65,44 @@
     }
 }
 
-/// What a controller wants done.
+/// An action that a controller requests from its actor.
 #[derive(Debug)]
 pub enum Effect {
-    /// Respond to a request.
+    /// Respond to a public HTTP request.
     Respond {
-        /// Identifies the request.
+        /// Ticket of the [`Event::Request`].
         ticket: u64,
-        /// The response.
+        /// Response to send.
         response: Response,
     },
     /// Send a request to the store.
     CallStore {
-        /// The id for its response.
+        /// Id that the [`Event::StoreResponse`] repeats.
         id: u64,
-        /// The request.
+        /// Request to send.
         request: StoreRequest,
     },
     /// Send a request to the cloud.
     CallCloud {
-        /// The id for its response.
+        /// Id that the [`Event::CloudResponse`] repeats.
         id: u64,
-        /// The request.
+        /// Request to send.
         request: CloudRequest,
     },
-    /// Call a worker.
+    /// Call a worker directly.
     CallWorker {
-        /// The worker's machine.
+        /// Machine of the worker.
         machine: MachineId,
-        /// Where the worker listens.
+        /// Address on which the worker listens.
         address: SocketAddr,
-        /// The commands, or a question for its status.
+        /// Commands to send, or a status query.
         call: DirectCall,
     },
-    /// Send a message to a peer over the connection to it.
+    /// Send a message over the direct connection to a peer.
     SendToPeer {
-        /// The peer.
+        /// Host name of the receiving peer.
         to: ControllerId,
-        /// The message.
+        /// Message to send; dropped if the connection is down or its queue is full.
         message: PeerMessage,
     },
 }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,4 +1,4 @@
-//! Leadership: how a controller gains it, acts on it, and gives it up.
+//! Leadership of a controller: gaining it, running the scheduler, and resigning.
 
 use super::Controller;
 use super::ticks::TICK_MIN;
@@ -9,43 +9,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ticket of the sync after which a new leader takes over.
-pub(super) const TAKEOVER_TICKET: u64 = 0;
-/// How long a worker that is redirected to the leader takes to reach it: PROTOCOL's pause and its connection, with a
-/// resend.
+/// Ticket of the store sync after which a newly elected leader starts to schedule.
+pub(super) const LEADERSHIP_SYNC_TICKET: u64 = 0;
+/// Maximum time that a redirected worker takes to reach the leader: the pause that PROTOCOL prescribes, and a
+/// connection with one retransmission.
 const REDIRECT_TIME_MAX: Duration = Duration::from_millis(1200);
-/// PROTOCOL's time after which a worker whose controller doesn't respond tries the next.
+/// Time after which a worker tries the next controller if its controller doesn't respond, as PROTOCOL prescribes.
 const WORKER_FAILOVER_TIME: Duration = Duration::from_millis(5000);
-/// A leader without heartbeats for this long, or for half a heartbeat interval, resigns if workers reach a peer.
+/// Minimum time without heartbeats after which a leader resigns if workers reach a peer. Half a heartbeat interval
+/// applies instead if it is longer.
 const RESIGN_AFTER_SILENCE: Duration = Duration::from_millis(2000);
-/// Count. Known machines below which silence is no reason to resign.
+/// Number of known machines below which a leader without heartbeats doesn't resign.
 const MIN_MACHINES_TO_RESIGN: usize = 3;
 /// Pause between two runs of the scheduler.
 const SCHEDULER_INTERVAL: Duration = TICK_MIN.saturating_mul(4);
 
 impl Controller {
-    /// Whether this process may act as the leader now. While the store is out of reach, the leader knows of every
-    /// earlier cancellation if its own controller lease covers them, since peers acknowledge cancellations only
-    /// while that stands; without the lease it needs recent news.
+    /// Returns whether this process may act as the leader now. While the store is unreachable, the leader must know
+    /// every earlier cancellation. Its own controller lease ensures that, since no cancellation is committed without
+    /// its acknowledgement while that lease is valid; without the lease, it needs recent data from the store.
     pub(super) fn holds_leadership(&self, now: Instant) -> bool {
-        let knows_cancellations =
-            self.controller_lease.knows_cancellations(self.store.synced_at) || self.has_news(now);
+        let knows_cancellations = self.controller_lease.knows_cancellations(self.store.synced_at)
+            || self.has_recent_store_data(now);
         self.election.holds_leadership(knows_cancellations, now)
     }
 
-    pub(super) fn log_leadership(&mut self, leads: bool) {
-        if leads == self.held_leadership {
+    pub(super) fn log_leadership(&mut self, is_leader: bool) {
+        if is_leader == self.logged_leadership {
             return;
         }
-        self.held_leadership = leads;
-        match (self.scheduler.is_some(), leads) {
+        self.logged_leadership = is_leader;
+        match (self.scheduler.is_some(), is_leader) {
             (true, true) => tracing::info!("leadership lease gained"),
             (true, false) => tracing::info!("leadership lease lost"),
             (false, _) => {}
         }
     }
 
-    /// Keeps this controller's own lease, and takes part in the election.
+    /// Renews this controller's lease, processes cancellations and sends the election request that is due.
     pub(super) fn advance_leadership(&mut self, now: Instant) {
         if let Some(ElectionEvent::Lost(reason)) = self.election.detect_successor(&self.store.cache)
         {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Keeps this controller's lease at the store, once all controllers know what it means.
+    /// Obtains and renews this controller's lease at the store, once all controllers understand controller leases.
     fn keep_controller_lease(&mut self, now: Instant) {
         let cache = &self.store.cache;
         self.api.cancellation_acks.observe(cache, now);
@@ -78,7 +79,7 @@
             ElectionEvent::Won(token) => {
                 tracing::info!(fencing_token = %token, "elected as leader");
                 self.store.set_leading(true, now);
-                self.store.sync_soon(TAKEOVER_TICKET);
+                self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
             }
             ElectionEvent::Lost(reason) => self.on_leadership_lost(reason, now),
         }
@@ -90,7 +91,7 @@
         self.store.set_leading(false, now);
     }
 
-    /// Gives up leadership.
+    /// Gives up leadership and releases it in the election.
     pub(super) fn resign(&mut self, now: Instant) {
         self.scheduler = None;
         self.store.set_leading(false, now);
@@ -99,8 +100,9 @@
         }
     }
 
-    /// The cache now holds everything that any predecessor committed: the new leader begins to schedule.
-    pub(super) fn take_over(&mut self, now: Instant) {
+    /// Creates the new leader's scheduler. Called after a sync, when the cache holds everything that any predecessor
+    /// committed.
+    pub(super) fn start_leading(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
         let Some(Versioned { value: leader, revision: leader_revision }) = &self.store.cache.leader
         else {
@@ -110,8 +112,9 @@
             return;
         }
         if self.store.cache.machine_types.value.is_empty() {
-            // Without machine types nothing can be placed; they come from the cloud soon.
-            self.store.sync_soon(TAKEOVER_TICKET);
+            // Nothing can be placed without machine types, which the cloud is about to deliver: tries again after
+            // another sync.
+            self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
             return;
         }
         let cache = &self.store.cache;
@@ -119,15 +122,15 @@
         let mut scheduler = Scheduler::new(token, *leader_revision, settings, cache, wall, now);
         scheduler.on_cancellation_acknowledged(&self.api.acknowledged_cancellations.all(), cache);
         let machines = scheduler.machine_count();
-        tracing::info!(fencing_token = %token, machines, "leading");
+        tracing::info!(fencing_token = %token, machines, "leadership started");
         self.cloud.begin_leadership(token, now);
         self.scheduler = Some(scheduler);
         self.sharding.begin_leadership();
-        // The peers hold heartbeats back until they hear of it.
+        // Peers delay heartbeats until they receive the new leader's announcement.
         self.announce_shards(now);
     }
 
-    /// Lets the leader's scheduler act, if it is due.
+    /// Runs the leader's scheduler and sends its direct calls, if a run is due.
     pub(super) fn advance_scheduler(&mut self, now: Instant) {
         if now < self.schedule.scheduler_at {
             return;
@@ -138,37 +141,37 @@
         self.send_worker_calls(now);
     }
 
-    /// A leader that no worker reaches resigns, if workers reach a peer. Silence alone is no reason: where the peers
-    /// are down, workers take seconds to find the controller that is left, and once nobody led for so long that every
-    /// lease expired.
-    pub(super) fn resign_if_cut_off(&mut self, now: Instant) {
+    /// Resigns if workers reach a peer but not this leader. Missing heartbeats alone don't suffice: if the peers are
+    /// down, workers take seconds to find the remaining controller, and resigning meanwhile could leave the cluster
+    /// without a leader until all leases have expired.
+    pub(super) fn resign_if_unreachable(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
         let silent_since = scheduler.last_heartbeat().max(self.stalls.resumed_at());
         let silence = now.saturating_duration_since(silent_since);
-        let patience = if scheduler.heartbeats() > 0 {
-            let usual = RESIGN_AFTER_SILENCE.max(self.settings.heartbeat_interval() / 2);
-            usual + self.sharding.extra_patience(now)
+        let max_silence = if scheduler.heartbeats() > 0 {
+            let base = RESIGN_AFTER_SILENCE.max(self.settings.heartbeat_interval() / 2);
+            base + self.sharding.extra_silence_allowed(now)
         } else {
-            // Those that asked its predecessor first give that up.
+            // Workers that tried the predecessor first need the failover time to try another controller.
             RESIGN_AFTER_SILENCE + WORKER_FAILOVER_TIME
         };
-        // A worker that reaches a peer is redirected here at once.
-        let redirected_by = scheduler.last_heartbeat() + REDIRECT_TIME_MAX;
-        let is_missing_workers =
-            self.peers.last_worker_heartbeat().is_some_and(|at| at > redirected_by);
-        if !is_missing_workers || silence <= patience || self.store.is_unavailable(now) {
+        // A peer redirects each worker to this leader at once, so a heartbeat is due here soon after one at a peer.
+        let redirect_deadline = scheduler.last_heartbeat() + REDIRECT_TIME_MAX;
+        let workers_reach_only_peers =
+            self.peers.last_worker_heartbeat().is_some_and(|at| at > redirect_deadline);
+        if !workers_reach_only_peers || silence <= max_silence || self.store.is_unavailable(now) {
             return;
         }
         let known =
             scheduler.fleet.machines.values().filter(|m| m.up_since.is_some() || m.recorded);
         let machines = known.count();
         if machines >= MIN_MACHINES_TO_RESIGN {
-            tracing::info!(machines, "workers reach peers and not this leader, resigning");
+            tracing::info!(machines, "workers reach peers but not this leader, resigning");
             self.resign(now);
         }
     }
 
-    /// A drained controller leaves leadership to a peer.
+    /// Resigns and withholds candidacy if this controller is drained and a peer can lead.
     pub(super) fn resign_if_drained(&mut self, now: Instant) {
         if !self.defers_to_peers(now) {
             return;
--- a/src/controller/limits.rs
+++ b/src/controller/limits.rs
@@ -1,20 +1,20 @@
-//! How much this controller can take now.
+//! Capacity limits of this controller.
 
 use crate::admission::{LoadEstimator, MachineLimit, SocketBudget};
 use crate::scheduler::planning_clock::LATE;
 use crate::settings::Resources;
 use tokio::time::Instant;
 
-/// What this controller can take, by its settings and by how busy it is.
+/// Limits of this controller, derived from its settings and its current load.
 #[derive(Debug)]
 pub(super) struct ResourceLimits {
     pub(super) sockets: SocketBudget,
     pub(super) machine_limit: MachineLimit,
-    /// The load since it was last logged.
+    /// Load since the load metrics were last logged.
     pub(super) load: LoadEstimator,
-    /// Public connections that are open.
+    /// Number of open public connections.
     pub(super) open_connections: usize,
-    /// Workers' connections take up so much that users should go elsewhere.
+    /// Whether workers' connections use so many sockets that users should be sent to peers.
     pub(super) sheds_users: bool,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Records how late this process is with that many machines.
+    /// Adjusts the limits to the lateness of this process while the scheduler knows that many machines.
     pub(super) fn observe(&mut self, machines: usize, lateness: std::time::Duration, now: Instant) {
         self.sheds_users = self.sockets.sheds_users(machines, self.sheds_users);
         let machines = u32::try_from(machines).unwrap_or(u32::MAX);
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -1,4 +1,4 @@
-//! The catalogue of machine types, kept at the store.
+//! Catalogue of machine types in the store.
 
 use super::Controller;
 use crate::ids::Revision;
@@ -9,13 +9,13 @@
 use crate::wire::{self, MachineType, Precondition, StoreValue, Transaction, Write};
 
 impl Controller {
-    /// Stores machine types that the cloud has shown, so that a controller started while the cloud is out can still
-    /// judge submissions. The catalogue only grows, since records refer to it.
-    pub(super) fn on_machine_types(&mut self, found: Vec<MachineType>) {
+    /// Stores the machine types that the cloud offers, so that a controller started during a cloud outage can validate
+    /// submissions. Entries are never removed, since records refer to them.
+    pub(super) fn on_machine_types(&mut self, offered: Vec<MachineType>) {
         let Versioned { value: known, revision } = self.store.cache.machine_types.clone();
         let mut all = known.clone();
-        wire::merge(&mut all, found);
-        // Only a leader writes it, or whoever finds none there yet.
+        wire::merge(&mut all, offered);
+        // Only a leader adds to the catalogue; while it is empty, any controller may write it.
         if all == known || !(self.scheduler.is_some() || known.is_empty()) {
             return;
         }
@@ -25,7 +25,7 @@
             return;
         }
         for machine_type in all.iter().filter(|machine_type| !known.contains(machine_type)) {
-            // Names may be of any text, keys may not.
+            // Names may contain any characters but keys may not, so the key contains a hash of the name.
             let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&machine_type.name));
             let revision =
                 self.store.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Operators' queries and drains.
+//! Handling of operators' queries and drains.
 
 use super::Controller;
 use crate::drains::{self, DrainRecord};
@@ -14,18 +14,22 @@
 use tokio::time::Instant;
 use troutspindle_protocol::operator_api;
 
-/// Bytes. A text in an operator's request.
-const NOTE_MAX: usize = 200;
-/// Seconds. The longest time in which a drain may be done.
+/// Maximum length in bytes of the author and the reason in a drain request.
+const NOTE_BYTES_MAX: usize = 200;
+/// Exclusive upper bound, in seconds, of the time in which a drain is to finish.
 const DRAIN_TIME_MAX_S: f64 = 1e8;
 
 impl Controller {
-    /// An operator's request, if it shows the key. Whoever doesn't know the key learns not even that there is such a
-    /// path.
-    fn authorize<T: DeserializeOwned>(&self, body: &[u8], shown: impl Fn(&T) -> &str) -> Option<T> {
+    /// Returns the request if it contains the operator key. Callers respond with 404 otherwise, so that a client without
+    /// the key can't find out that the path exists.
+    fn authorize<T: DeserializeOwned>(
+        &self,
+        body: &[u8],
+        key_of: impl Fn(&T) -> &str,
+    ) -> Option<T> {
         let key = self.settings.operator.operator_key.0.as_bytes();
         let request: T = serde_json::from_slice(body).ok()?;
-        let is_authorized = !key.is_empty() && bool::from(shown(&request).as_bytes().ct_eq(key));
+        let is_authorized = !key.is_empty() && bool::from(key_of(&request).as_bytes().ct_eq(key));
         is_authorized.then_some(request)
     }
 
@@ -39,14 +43,14 @@
         self.respond_from_scheduler(body, now, |scheduler| scheduler.starving(now))
     }
 
-    /// What only the leader can tell an operator.
+    /// Responds to a query that only the leader can answer; other controllers respond with 421.
     fn respond_from_scheduler<T: Serialize>(
         &self,
         body: &[u8],
         now: Instant,
         query: impl Fn(&Scheduler) -> T,
     ) -> Response {
-        if self.authorize(body, |question: &operator_api::OperatorQuery| &question.key).is_none() {
+        if self.authorize(body, |request: &operator_api::OperatorQuery| &request.key).is_none() {
             return Response::empty(404);
         }
         match &self.scheduler {
@@ -56,25 +60,25 @@
     }
 
     pub(super) fn on_list_drains(&self, body: &[u8], now: Instant) -> Response {
-        if self.authorize(body, |question: &operator_api::OperatorQuery| &question.key).is_none() {
+        if self.authorize(body, |request: &operator_api::OperatorQuery| &request.key).is_none() {
             return Response::empty(404);
         }
         let cache = &self.store.cache;
-        let found = match &self.scheduler {
+        let listed = match &self.scheduler {
             Some(scheduler) if self.holds_leadership(now) => scheduler.drains(cache, now),
             _ => crate::scheduler::drains::list(cache, self.api.wall, now),
         };
-        json_response(&found)
+        json_response(&listed)
     }
 
-    /// Any controller stores a drain; the response comes when it is committed.
+    /// Stores a drain, on any controller. The response follows once the drain is committed.
     pub(super) fn on_drain(&mut self, ticket: u64, body: &[u8], now: Instant) -> Option<Response> {
         let Some(request) =
             self.authorize(body, |request: &operator_api::DrainRequest| &request.key)
         else {
             return Some(Response::empty(404));
         };
-        if !self.is_known(&request) || !is_well_formed(&request) {
+        if !self.target_exists(&request) || !is_well_formed(&request) {
             return Some(Response::empty(422));
         }
         let at_ms = self.api.wall.ms(now);
@@ -103,8 +107,8 @@
         self.store_drain(ticket, key, drains::TAKEN_BACK)
     }
 
-    /// Whether what is to be drained exists.
-    fn is_known(&self, request: &operator_api::DrainRequest) -> bool {
+    /// Returns whether the target of the drain exists.
+    fn target_exists(&self, request: &operator_api::DrainRequest) -> bool {
         let platform = &self.settings.platform;
         match request.kind {
             operator_api::DrainKind::Zone => platform.params.zones.contains(&request.name),
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Stores a drain, or that it is taken back, by compare-and-swap with what this controller knows of it: of two
-    /// operators at once, one is told of the conflict.
+    /// Writes a drain or its withdrawal if the key still has the revision that this controller knows. If two operators
+    /// write at the same time, one of them gets a conflict.
     fn store_drain(&mut self, ticket: u64, key: String, data: StoreValue) -> Option<Response> {
         if !self.store.cache.loaded {
             return Some(Response::later(503));
@@ -150,7 +154,7 @@
 }
 
 fn is_well_formed(request: &operator_api::DrainRequest) -> bool {
-    [&request.author, &request.reason].iter().all(|text| text.len() <= NOTE_MAX)
+    [&request.author, &request.reason].iter().all(|text| text.len() <= NOTE_BYTES_MAX)
         && request.by_s.is_none_or(|by_s| (0.0..DRAIN_TIME_MAX_S).contains(&by_s))
 }
 
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of peers, straight from them or by way of the store.
+//! Handling of peers' messages, received directly or through the store.
 
 use super::Controller;
 use super::cancellations::{CancellationAck, JobPlacements};
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Count. Cancellations of the recent past in one extension of a lease.
+/// Maximum number of recently cancelled jobs in one lease extension.
 const EXTENSION_CANCELLATIONS_MAX: usize = 1000;
 
-/// A peer's status message.
+/// Decoded status message of a peer.
 struct PeerStatus {
     from: ControllerId,
     seq: u64,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Grants a follower its lease to answer workers for this leader.
+    /// Grants a follower a delegated lease to answer workers on behalf of this leader.
     fn grant_lease(&mut self, status: &PeerStatus, route: MessageRoute, now: Instant) {
         let Some(scheduler) = &mut self.scheduler else { return };
         let follower = FollowerStatus {
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Extends the leader's lease, if this controller knows that it still stands.
+    /// Extends a leader's lease, if this controller knows that the lease is still valid.
     fn extend_leader_lease(&mut self, status: &PeerStatus, token: FencingToken, now: Instant) {
         let cache = &self.store.cache;
-        // Before all controllers keep leases, a leader isn't asked for its own.
+        // A leader needs no controller lease of its own until all controllers support controller leases.
         let has_controller_lease = self.store.layout().format < FORMAT_HEARTBEAT
             || cache.controller_leases.contains_key(&status.from);
         if !self.election.extend_lease(token, cache, has_controller_lease, now) {
@@ -154,7 +154,7 @@
         self.send_to_peer(status.from.clone(), extension);
     }
 
-    /// A peer extends this leader's lease, and says what it told its users to be cancelled.
+    /// Handles a peer's extension of this leader's lease, with the jobs that the peer confirmed to users as cancelled.
     fn on_lease_extension(
         &mut self,
         from: &ControllerId,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The leader grants this follower a lease to answer workers.
+    /// Handles a delegated lease that the leader grants to this follower.
     fn on_lease_grant(
         &mut self,
         seq: u64,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// A later leader than the store has shown, which was heard a moment ago.
+    /// Returns the reachable peer that announces a later leadership than this controller has read from the store.
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         self.peers.later_leader(self.store.cache.token.value, now)
     }
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -1,9 +1,9 @@
-//! Numbers of messages to peers, and when those that peers respond to were sent.
+//! Sequence numbers of messages to peers, and send times of the status messages that peers respond to.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Count. Status messages whose responses still count.
+/// Number of most recent status messages to which responses are accepted.
 const REMEMBERED_REQUESTS: usize = 20;
 
 #[derive(Debug)]
@@ -12,7 +12,7 @@
     at: Instant,
 }
 
-/// Numbers this controller's messages.
+/// Assigns the sequence numbers of this controller's messages.
 #[derive(Debug)]
 pub(super) struct PeerRequests {
     last_seq: u64,
@@ -20,19 +20,19 @@
 }
 
 impl PeerRequests {
-    /// A restarted process begins with another `first` number, so that late responses to an earlier incarnation match
-    /// no request.
+    /// Starts numbering after `first`. A restarted process must use a different `first`, so that late responses to an
+    /// earlier incarnation match no request.
     pub(super) fn new(first: u64) -> PeerRequests {
         PeerRequests { last_seq: first, sent: VecDeque::new() }
     }
 
-    /// The number of a message that is sent next.
+    /// Returns the number for the next message.
     pub(super) fn next_seq(&mut self) -> u64 {
         self.last_seq += 1;
         self.last_seq
     }
 
-    /// The number of a status message that is sent now, to which peers respond.
+    /// Returns the number for a status message that is sent now, and records its send time.
     pub(super) fn next_status(&mut self, now: Instant) -> u64 {
         let seq = self.next_seq();
         self.sent.push_back(SentRequest { seq, at: now });
@@ -42,7 +42,7 @@
         seq
     }
 
-    /// When the status message with that number was sent.
+    /// Returns the send time of the status message with that number, if it is still remembered.
     pub(super) fn sent_at(&self, seq: u64) -> Option<Instant> {
         self.sent.iter().find(|sent| sent.seq == seq).map(|sent| sent.at)
     }
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of its peers by their status messages.
+//! State of the peers, from their status messages.
 
 use crate::ids::{ControllerId, FencingToken};
 use crate::leadership::delegation::PEER_UNREACHABLE_AFTER;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The newest status that came straight from a peer.
+/// Newest status that a peer sent directly.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerStatusView {
     pub(super) last_heard: Instant,
@@ -18,56 +18,56 @@
 }
 
 impl PeerStatusView {
-    pub(super) fn is_heard_within(&self, period: Duration, now: Instant) -> bool {
+    pub(super) fn was_heard_within(&self, period: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.last_heard) < period
     }
 
     fn is_reachable(&self, now: Instant) -> bool {
-        self.is_heard_within(PEER_UNREACHABLE_AFTER, now)
+        self.was_heard_within(PEER_UNREACHABLE_AFTER, now)
     }
 
-    /// Whether it can serve users: it is there and has the store.
+    /// Returns whether the peer can serve users, that is, was recently heard and reaches the store.
     pub(super) fn has_store(&self, now: Instant) -> bool {
-        self.is_heard_within(STORE_UNAVAILABLE_AFTER, now) && !self.store_lost
+        self.was_heard_within(STORE_UNAVAILABLE_AFTER, now) && !self.store_lost
     }
 }
 
-/// A peer that says that it leads.
+/// A peer that announces its leadership.
 #[derive(Debug)]
 struct AnnouncedLeader {
     token: FencingToken,
     controller: ControllerId,
 }
 
-/// The peers that were heard since this process started.
+/// Peers that were heard since this process started.
 #[derive(Debug, Default)]
 pub(super) struct PeerTable {
     views: HashMap<ControllerId, PeerStatusView>,
-    /// The one with the highest fencing token.
+    /// Announced leader with the highest fencing token.
     announced_leader: Option<AnnouncedLeader>,
-    /// When a worker last sent its heartbeat to any peer, as far as peers have said.
+    /// Time of the last heartbeat that any peer reported to have received from a worker.
     last_worker_heartbeat: Option<Instant>,
 }
 
 impl PeerTable {
-    /// Records a status that came straight from the peer.
+    /// Records a status that the peer sent directly.
     pub(super) fn record_status(&mut self, peer: ControllerId, view: PeerStatusView) {
         self.views.insert(peer, view);
     }
 
-    /// Records that a peer says that it leads.
+    /// Records that a peer announces its leadership under a fencing token.
     pub(super) fn record_leader(&mut self, peer: &ControllerId, token: FencingToken) {
         if self.announced_leader.as_ref().is_none_or(|known| known.token < token) {
             self.announced_leader = Some(AnnouncedLeader { token, controller: peer.clone() });
         }
     }
 
-    /// Records when a worker last sent its heartbeat to a peer.
+    /// Records the time at which a peer last received a worker's heartbeat.
     pub(super) fn record_worker_heartbeat(&mut self, at: Option<Instant>) {
         self.last_worker_heartbeat = self.last_worker_heartbeat.max(at);
     }
 
-    /// When a worker last sent its heartbeat to any peer.
+    /// Returns the time at which any peer last received a worker's heartbeat.
     pub(super) fn last_worker_heartbeat(&self) -> Option<Instant> {
         self.last_worker_heartbeat
     }
@@ -84,25 +84,30 @@
         self.views.iter()
     }
 
-    /// When the peer was last heard.
+    /// Returns the time of the last status that the peer sent directly.
     pub(super) fn last_heard(&self, peer: &ControllerId) -> Option<Instant> {
         self.views.get(peer).map(|view| view.last_heard)
     }
 
-    /// Whether the peer was heard a moment ago.
+    /// Returns whether the peer was heard within [`PEER_UNREACHABLE_AFTER`].
     pub(super) fn is_reachable(&self, peer: &ControllerId, now: Instant) -> bool {
         self.views.get(peer).is_some_and(|view| view.is_reachable(now))
     }
 
-    /// Whether any peer was heard a moment ago.
-    pub(super) fn is_any_reachable(&self, now: Instant) -> bool {
+    /// Returns whether any peer was heard within [`PEER_UNREACHABLE_AFTER`].
+    pub(super) fn is_any_peer_reachable(&self, now: Instant) -> bool {
         self.views.values().any(|view| view.is_reachable(now))
     }
 
-    /// A later leader than the store has shown (`newest`), which was heard a moment ago.
-    pub(super) fn later_leader(&self, newest: FencingToken, now: Instant) -> Option<&ControllerId> {
+    /// Returns the announced leader if it is reachable and its fencing token is higher than `stored_token`, the highest
+    /// one that was read from the store.
+    pub(super) fn later_leader(
+        &self,
+        stored_token: FencingToken,
+        now: Instant,
+    ) -> Option<&ControllerId> {
         let leader = self.announced_leader.as_ref()?;
-        (leader.token > newest && self.is_reachable(&leader.controller, now))
+        (leader.token > stored_token && self.is_reachable(&leader.controller, now))
             .then_some(&leader.controller)
     }
 }
--- a/src/controller/readiness.rs
+++ b/src/controller/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this controller is ready to serve users, or leaves them to peers.
+//! Readiness of this controller to serve users, as the health check reports it to the load balancer.
 
 use super::Controller;
 use super::peer_table::PeerStatusView;
@@ -6,23 +6,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Count. Peers that must be able to serve users before a leader sheds its own.
+/// Minimum number of peers able to serve users before a leader sheds its users to them.
 const MIN_PEERS_TO_SHED_USERS: usize = 2;
-/// How long each of those must have been running: the load balancer sends no users to one that has just started.
+/// Minimum uptime of each of those peers: the load balancer sends no users to a controller that has just started.
 const MIN_PEER_UPTIME: Duration = Duration::from_secs(15);
 
 impl Controller {
-    /// Whether requests can be taken. A controller that alone has lost the store is not ready, so that users go where
-    /// they are served.
+    /// Returns whether this controller accepts users' requests. One that has lost the store while a peer still reaches
+    /// it is not ready, so that users are sent to that peer.
     pub(super) fn is_ready(&self, now: Instant) -> bool {
         let is_cut_off =
             self.store.is_unavailable(now) && self.peers.views().any(|peer| peer.has_store(now));
-        let leaves_users = self.defers_to_peers(now) || self.sheds_users(now);
-        self.store.cache.loaded && !is_cut_off && !leaves_users
+        let prefers_peers = self.defers_to_peers(now) || self.sheds_users(now);
+        self.store.cache.loaded && !is_cut_off && !prefers_peers
     }
 
-    /// A leader whose sockets are mostly workers' leaves users to its peers, if enough of them have been there for a
-    /// while.
+    /// Returns whether a leader whose sockets are mostly used by workers leaves users to its peers. This requires enough
+    /// peers that can serve users and have been running for a while.
     fn sheds_users(&self, now: Instant) -> bool {
         let can_serve =
             |peer: &&PeerStatusView| peer.has_store(now) && peer.uptime > MIN_PEER_UPTIME;
@@ -30,8 +30,8 @@
             && self.peers.views().filter(can_serve).count() >= MIN_PEERS_TO_SHED_USERS
     }
 
-    /// Whether an operator has this controller drained and a peer that is not drained has the store: then the peer
-    /// leads and users go there. The last controller that can serve goes on, drained or not.
+    /// Returns whether an operator has drained this controller and a peer that is not drained reaches the store. The peer
+    /// then leads and serves users. The last controller that can serve users continues even if it is drained.
     pub(super) fn defers_to_peers(&self, now: Instant) -> bool {
         let cache = &self.store.cache;
         let is_drained = |name: &ControllerId| cache.is_controller_drained(name);
--- a/src/controller/relayed_commands.rs
+++ b/src/controller/relayed_commands.rs
@@ -1,4 +1,4 @@
-//! Calls to workers that a leader has its peers make.
+//! Direct calls to workers that peers make on behalf of the leader.
 
 use super::{Controller, Effect};
 use crate::ids::{ControllerId, FencingToken};
@@ -7,21 +7,21 @@
 use crate::workers::command_delivery::{CommandResultFrame, Delivery, DeliveryResult};
 use tokio::time::Instant;
 
-/// Count. Calls that peers may be making for a leader.
+/// Maximum number of concurrent calls that peers make for a leader.
 const RELAYED_CALLS_IN_FLIGHT_MAX: usize = 4000;
 
 impl Controller {
-    /// Sends the leader's calls to workers: by the controller that takes the worker's heartbeats, or straight to the
-    /// worker.
+    /// Sends the leader's calls to workers, either directly or through the peer that takes the worker's heartbeats.
     pub(super) fn send_worker_calls(&mut self, now: Instant) {
         let Some(scheduler) = &mut self.scheduler else { return };
         let token = scheduler.token();
         let calls = scheduler.take_direct_calls();
         for OutgoingCall { machine, address, call } in calls {
-            let relay = self.scheduler.as_ref().and_then(|found| found.relay_of(&machine, now));
-            let has_room = self.sharding.deliveries.in_flight() < RELAYED_CALLS_IN_FLIGHT_MAX;
             let relay =
-                relay.filter(|name| has_room && self.takes_part_in_sharding(name, now)).cloned();
+                self.scheduler.as_ref().and_then(|scheduler| scheduler.relay_of(&machine, now));
+            let below_limit = self.sharding.deliveries.in_flight() < RELAYED_CALLS_IN_FLIGHT_MAX;
+            let relay =
+                relay.filter(|name| below_limit && self.can_take_heartbeats(name, now)).cloned();
             match relay {
                 Some(peer) => {
                     self.sharding.deliveries.push(&peer, machine, address, call, now);
@@ -29,14 +29,14 @@
                 None => self.out.push(Effect::CallWorker { machine, address, call }),
             }
         }
-        let me = self.name().clone();
+        let own_name = self.name().clone();
         for frame in self.sharding.deliveries.take_frames() {
-            let (from, commands) = (me.clone(), frame.deliveries);
+            let (from, commands) = (own_name.clone(), frame.deliveries);
             self.send_to_peer(frame.to, PeerMessage::RelayedCommands { from, token, commands });
         }
     }
 
-    /// A leader has this controller call workers.
+    /// Calls workers on behalf of a leader.
     pub(super) fn on_relayed_commands(
         &mut self,
         from: &ControllerId,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The results of calls that a peer made for this leader, by their numbers.
+    /// Handles the results of calls that a peer made for this leader, identified by their numbers.
     pub(super) fn on_command_results(
         &mut self,
         token: FencingToken,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sends the results of calls that are due, and gives up calls that are overdue.
+    /// Sends the call results that are due to their leader, and gives up this leader's calls that are overdue.
     pub(super) fn advance_relayed_commands(&mut self, now: Instant) {
         for CommandResultFrame { to, token, results } in self.sharding.forwarded.take_results(now) {
             self.send_to_peer(to, PeerMessage::CommandResults { token, results });
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that pass through a follower to the leader, and the results that come back.
+//! Heartbeats that a follower relays to the leader, and the results that the leader returns.
 
 use super::Controller;
 use super::worker_heartbeats::redirect;
@@ -13,33 +13,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A leader that was not heard for this long and whose key still stands is out of reach of this controller alone: the
-/// key outlives its leader by less.
-const LEADER_CUT_OFF_AFTER: Duration = Duration::from_millis(4500);
-/// For so long after its last message by way of the store a leader counts as alive though it is not heard otherwise.
-const STORE_CONTACT_LASTS: Duration = Duration::from_millis(5000);
-/// Count. Relayed heartbeats that are remembered for each public socket.
-const REMEMBERED_PER_SOCKET: usize = 2;
+/// Time without contact after which a leader whose key still exists counts as alive but unreachable for this controller:
+/// the key of a failed leader expires sooner.
+const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_millis(4500);
+/// Time after its last message through the store for which a leader counts as alive without direct contact.
+const STORE_CONTACT_VALIDITY: Duration = Duration::from_millis(5000);
+/// Number of relayed heartbeats that are remembered per public socket.
+const REMEMBERED_HEARTBEATS_PER_SOCKET: usize = 2;
 
 impl Controller {
-    /// A controller that doesn't lead takes a heartbeat: it relays it if the leader allows that, or responds as one
-    /// that can't.
+    /// Handles a heartbeat as a follower: relays it if the leader allows that, and else redirects the worker or responds
+    /// on behalf of the leader. Returns the response, or `None` if it follows later.
     pub(super) fn respond_as_follower(
         &mut self,
         ticket: u64,
         heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<Response> {
-        let newest = self.store.cache.token.value;
-        if self.sharding.relay.members(newest, now).is_some() {
-            if let Some(owner) = self.other_owner(&heartbeat, now) {
+        let newest_token = self.store.cache.token.value;
+        if self.sharding.relay.members(newest_token, now).is_some() {
+            if let Some(owner) = self.redirect_target(&heartbeat, now) {
                 return Some(redirect(&owner));
             }
             return self.relay_heartbeat(ticket, heartbeat, now);
         }
-        // The leader starts nothing on a worker that it doesn't hear from: who can reach it goes there, as far as it
-        // has sockets, and who comes back is kept alive here.
-        if let Some(leader) = self.cut_off_leader(now)
+        // The leader starts no tasks on a worker whose heartbeats it doesn't receive. So the worker is redirected to
+        // the leader; if it can't connect there or the leader has no free socket, it returns and its lease is renewed
+        // here.
+        if let Some(leader) = self.unreachable_leader(now)
             && self.sharding.redirects.try_redirect(&heartbeat.machine, now)
         {
             return Some(redirect(&leader));
@@ -47,14 +48,14 @@
         if let Some(commands) = self.answer_for_leader(&heartbeat, now) {
             return Some(Response::with(200, wire::encode(&commands)));
         }
-        // The leader has changed, or its last message was lost: its next comes within a second.
+        // Either the leader has changed or its last announcement was lost; the next one comes within a second.
         if self.sharding.relay.may_resume(now) && self.scheduler.is_none() {
             return self.relay_heartbeat(ticket, heartbeat, now);
         }
         Some(self.respond_without_leader(&heartbeat, now))
     }
 
-    /// Holds a heartbeat to relay it. One that is too large is responded to as if it could not be relayed.
+    /// Queues a heartbeat to be relayed. Responds at once to one that is too large to be relayed.
     fn relay_heartbeat(
         &mut self,
         ticket: u64,
@@ -66,16 +67,16 @@
         Some(self.respond_without_leader(&heartbeat, now))
     }
 
-    /// The leader to which heartbeats were relayed, where it is cut off from this controller and not from the store.
-    fn cut_off_leader(&self, now: Instant) -> Option<ControllerId> {
+    /// Returns the leader to which heartbeats were relayed, if it can't be reached from here but still reaches the store.
+    fn unreachable_leader(&self, now: Instant) -> Option<ControllerId> {
         let leader = &self.store.cache.leader.as_ref()?.value;
-        let lapsed = self.sharding.relay.time_since_assignment(leader.token, now)?;
+        let since_assignment = self.sharding.relay.time_since_assignment(leader.token, now)?;
         let silence = match self.peers.last_heard(&leader.controller) {
-            Some(at) => now.saturating_duration_since(at).min(lapsed),
-            None => lapsed,
+            Some(at) => now.saturating_duration_since(at).min(since_assignment),
+            None => since_assignment,
         };
-        let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_LASTS, now);
-        let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_CUT_OFF_AFTER };
+        let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_VALIDITY, now);
+        let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_UNREACHABLE_AFTER };
         let synced_at = self.store.synced_at;
         let is_synced =
             synced_at.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
@@ -83,7 +84,7 @@
             .then(|| leader.controller.clone())
     }
 
-    /// A batch of relayed heartbeats for this leader.
+    /// Handles a batch of heartbeats that a follower relays to this leader.
     pub(super) fn on_relayed_heartbeats(
         &mut self,
         from: &ControllerId,
@@ -95,7 +96,9 @@
         if !self.holds_leadership(now) {
             return;
         }
-        let Some(scheduler) = self.scheduler.as_mut().filter(|found| found.token() == token) else {
+        let Some(scheduler) =
+            self.scheduler.as_mut().filter(|scheduler| scheduler.token() == token)
+        else {
             return;
         };
         match scheduler.on_relayed_heartbeats(from, heartbeats, &self.store.cache, now) {
@@ -106,13 +109,13 @@
                 );
             }
             None => {
-                tracing::info!(controller = %from, "a worker has seen a higher fencing token");
+                tracing::info!(controller = %from, "worker has seen a higher fencing token, resigning");
                 self.resign(now);
             }
         }
     }
 
-    /// The leader's results for a batch, by the heartbeats' places in it.
+    /// Handles the leader's results for a batch, each with the index of its heartbeat in the batch.
     pub(super) fn on_heartbeat_results(
         &mut self,
         token: FencingToken,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Sends what is due of relayed heartbeats and commands, and gives up what is overdue.
+    /// Sends the relayed heartbeats and commands that are due, and stops waiting for results that are overdue.
     pub(super) fn advance_sharding(&mut self, now: Instant) {
         self.send_heartbeat_batches(now);
         for overdue in self.sharding.relay.take_overdue(now) {
@@ -136,7 +139,9 @@
             };
             self.respond(overdue.ticket, response);
         }
-        self.sharding.relay.evict_beyond(self.limits.sockets.public * REMEMBERED_PER_SOCKET);
+        self.sharding
+            .relay
+            .evict_beyond(self.limits.sockets.public * REMEMBERED_HEARTBEATS_PER_SOCKET);
         self.advance_relayed_commands(now);
     }
 
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -1,4 +1,4 @@
-//! Who relays heartbeats, and whose relayed heartbeats are responded to.
+//! Choice of members, and conditions for relaying heartbeats and responding to them.
 
 use crate::clock::WallClock;
 use crate::controller::Controller;
@@ -17,12 +17,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A controller with four peers.
+/// Creates a controller with four peers that always shards heartbeats.
 fn controller(now: Instant) -> Controller {
-    controller_that("always", now)
+    controller_with_sharding("always", now)
 }
 
-fn controller_that(shares: &str, now: Instant) -> Controller {
+fn controller_with_sharding(share_reports: &str, now: Instant) -> Controller {
     let other = |n: u16| {
         let port = 10 + n;
         format!(r#"{{"host_name":"m-{n}","location":"a","peer_addr":"127.0.0.1:{port}"}}"#)
@@ -38,7 +38,7 @@
         others.join(",")
     );
     let settings =
-        Arc::new(Settings::parse(&text, Some(&format!("share_reports: {shares}"))).unwrap());
+        Arc::new(Settings::parse(&text, Some(&format!("share_reports: {share_reports}"))).unwrap());
     let mut controller = Controller::new(settings, 1, WallClock { at: now, ms: 5 }).unwrap();
     controller.store.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
     controller
@@ -76,10 +76,10 @@
     controller.peers.record_status(name(n), view);
 }
 
-/// A peer that is heard and understands relayed heartbeats takes some, also without the store: in an outage nobody has
-/// it, and all workers would be sent to the leader.
+/// A peer that can be reached and understands relayed heartbeats is a member even if it has lost the store. If access
+/// to the store were required, an outage of the store would send all workers to the leader.
 #[test]
-fn members_are_reachable_and_capable_also_in_an_outage() {
+fn peers_without_the_store_remain_members_if_reachable_and_capable() {
     let start = Instant::now();
     let now = start + MEMBER_UNREACHABLE_AFTER * 2;
     let mut controller = controller(start);
@@ -90,18 +90,17 @@
     let members = controller.choose_members(5, now);
     let names: Vec<&ControllerId> = members.members().iter().map(|member| &member.name).collect();
     assert_eq!(names, [&name(0), &name(1)]);
-    // A peer that is away for a moment counts among those that could hold workers; one that doesn't understand relayed
-    // heartbeats does not.
+    // A peer that is briefly unreachable counts toward sharding capacity; one that doesn't understand relayed heartbeats
+    // doesn't.
     assert_eq!(controller.count_sharding_peers(now), 3);
 }
 
-/// Machines are rented up to what all controllers but one can hold, and where heartbeats are not sharded, up to what
-/// one can.
+/// Machines are rented up to the capacity of all controllers but one or, without heartbeat sharding, of one controller.
 #[test]
-fn the_machine_limit_grows_with_the_controllers_that_hold_workers() {
+fn machine_limit_grows_with_the_number_of_sharding_peers() {
     let now = Instant::now();
-    let limit = |shares: &str| {
-        let mut controller = controller_that(shares, now);
+    let limit = |share_reports: &str| {
+        let mut controller = controller_with_sharding(share_reports, now);
         (0..3).for_each(|n| record_peer(&mut controller, n, now, false, MESH_PROTOCOL));
         record_peer(&mut controller, 3, now, false, 0);
         controller.update_limits(now);
@@ -110,10 +109,10 @@
     assert_eq!(limit("auto"), limit("never") * 3);
 }
 
-/// A leader whose lease has expired responds to no relayed heartbeat: its commands would reach workers that a successor
-/// takes for its own. Nor does it announce members.
+/// A leader whose lease has expired neither responds to relayed heartbeats nor announces members: its commands would
+/// reach workers that a successor already manages.
 #[test]
-fn without_leadership_no_relayed_heartbeat_is_responded_to() {
+fn expired_leader_ignores_relayed_heartbeats_and_announces_no_members() {
     let now = Instant::now();
     let mut controller = controller(now);
     let (settings, wall) = (controller.settings.clone(), WallClock { at: now, ms: 5 });
@@ -130,9 +129,9 @@
     assert!(controller.out.is_empty(), "{:?}", controller.out);
 }
 
-/// A relayed command of a leader that has a successor is not carried out.
+/// A relayed command of a leader that has a successor is not executed, and a repeated command is executed once.
 #[test]
-fn a_relayed_command_of_an_earlier_leader_is_ignored() {
+fn relayed_command_of_an_earlier_leader_is_ignored() {
     let now = Instant::now();
     let mut controller = controller(now);
     controller.store.cache.token = Versioned::new(FencingToken(5), Revision(3));
@@ -149,10 +148,10 @@
     assert_eq!(controller.out.len(), 1);
 }
 
-/// A heartbeat too large to be relayed is responded to at once, also while a new leader is waited for: held and not
-/// sent it would leave its worker without a response.
+/// A heartbeat that is too large to be relayed gets a response at once, also while a new leader is awaited. If it were
+/// queued, it would never be sent and its worker would get no response.
 #[test]
-fn a_heartbeat_too_large_to_be_relayed_is_responded_to() {
+fn oversized_heartbeat_gets_an_immediate_response() {
     let now = Instant::now();
     let mut controller = controller(now);
     let member = Member { name: name(0), zone: "a".into(), weight: 1000 };
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! Requests by their routes.
+//! Dispatch of public HTTP requests by route.
 
 use super::Controller;
 use crate::api::{Route, route};
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,4 +1,5 @@
-//! Which controllers take workers' heartbeats: the leader decides, and announces it for a short term at a time.
+//! Assignment of workers' heartbeats to controllers: the leader chooses the members and announces them, each time for
+//! a short term.
 
 use super::Controller;
 use crate::admission::ShardingPolicy;
@@ -14,42 +15,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much longer a leader waits for workers before it resigns, if peers relayed their heartbeats: those notice that
-/// they can't reach it and send workers to it, by way of the store in some seconds.
-const EXTRA_PATIENCE: Duration = Duration::from_millis(4000);
-/// A peer counts as one that can take heartbeats for this long after it was last heard.
-const PEER_KNOWN_FOR: Duration = Duration::from_secs(120);
-/// A peer that was not heard for this long takes no heartbeats.
+/// Additional time without heartbeats before a leader resigns, if peers recently relayed heartbeats. The peers need it
+/// to detect that they can't reach the leader and to redirect workers to it; through the store this takes seconds.
+const EXTRA_SILENCE_ALLOWED: Duration = Duration::from_millis(4000);
+/// Time after its last status for which a peer still counts as able to take heartbeats.
+const PEER_CAPACITY_RETENTION: Duration = Duration::from_secs(120);
+/// Time after its last status from which on a peer is assigned no heartbeats.
 pub(super) const MEMBER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
-/// Thousandths. The whole of the public sockets.
-const ALL_SOCKETS: usize = 1000;
+/// All public sockets, in thousandths.
+const PERMILLE: usize = 1000;
 
-/// A leader's message by way of the store.
+/// Receipt of a leader's message through the store.
 #[derive(Debug)]
 struct StoreContact {
     token: FencingToken,
     at: Instant,
 }
 
-/// What this controller knows of sharded heartbeats, in whatever role.
+/// State of heartbeat sharding, for the leader and for members.
 pub(super) struct HeartbeatSharding {
     pub(super) relay: HeartbeatRelay,
     pub(super) deliveries: PendingDeliveries,
     pub(super) forwarded: ForwardedCalls,
     pub(super) redirects: Redirects,
     policy: ShardingPolicy,
-    /// As the leader: who takes heartbeats; nobody else if it is empty.
+    /// Members that this leader chose to take heartbeats. If empty, only the leader takes them.
     members: Membership,
-    /// As the leader: it takes some itself, since the peers have little room.
-    leader_takes_part: bool,
-    /// As the leader: when peers last relayed heartbeats, as far as it allowed that.
+    /// Whether this leader is a member itself, because the peers have little free capacity.
+    leader_is_member: bool,
+    /// Time at which this leader last allowed peers to relay heartbeats.
     last_sharded: Option<Instant>,
-    /// The newest message of a leader by way of the store.
+    /// Newest message of a leader through the store.
     store_contact: Option<StoreContact>,
 }
 
 impl HeartbeatSharding {
-    /// Batches and commands are numbered from `first_number` on.
+    /// Creates the state of a follower that numbers its batches and commands from `first_number` on.
     pub(super) fn new(first_number: u64, settings: &Settings) -> HeartbeatSharding {
         HeartbeatSharding {
             relay: HeartbeatRelay::new(first_number),
@@ -58,29 +59,29 @@
             redirects: Redirects::default(),
             policy: ShardingPolicy::new(settings),
             members: Membership::default(),
-            leader_takes_part: false,
+            leader_is_member: false,
             last_sharded: None,
             store_contact: None,
         }
     }
 
-    /// This controller begins to lead.
+    /// Drops all forwarded and pending calls at the start of this controller's leadership.
     pub(super) fn begin_leadership(&mut self) {
         self.forwarded.clear();
         self.deliveries.clear();
     }
 
-    /// Whether peers take heartbeats for this leader.
+    /// Returns whether peers take heartbeats for this leader.
     pub(super) fn is_sharded(&self) -> bool {
         !self.members.is_empty()
     }
 
-    /// A leader sent something by way of the store: it lives, and doesn't reach this controller otherwise.
+    /// Records a leader's message through the store: the leader is alive, but can't reach this controller directly.
     pub(super) fn record_store_contact(&mut self, token: FencingToken, now: Instant) {
         self.store_contact = Some(StoreContact { token, at: now });
     }
 
-    /// Whether that leader sent something by way of the store within a period.
+    /// Returns whether the leader with that token sent a message through the store within the period.
     pub(super) fn has_store_contact(
         &self,
         token: FencingToken,
@@ -92,56 +93,62 @@
         })
     }
 
-    /// How much longer than usual a leader waits for workers' heartbeats.
-    pub(super) fn extra_patience(&self, now: Instant) -> Duration {
+    /// Returns the additional time without heartbeats before this leader resigns.
+    pub(super) fn extra_silence_allowed(&self, now: Instant) -> Duration {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUMES_WITHIN;
-        if self.last_sharded.is_some_and(is_recent) { EXTRA_PATIENCE } else { Duration::ZERO }
+        if self.last_sharded.is_some_and(is_recent) {
+            EXTRA_SILENCE_ALLOWED
+        } else {
+            Duration::ZERO
+        }
     }
 
     pub(super) fn next_due(&self) -> Option<Instant> {
-        let dues = [self.relay.next_due(), self.deliveries.next_due(), self.forwarded.next_due()];
-        dues.into_iter().flatten().min()
+        let deadlines =
+            [self.relay.next_due(), self.deliveries.next_due(), self.forwarded.next_due()];
+        deadlines.into_iter().flatten().min()
     }
 }
 
 impl Controller {
-    /// What this controller tells peers of itself beside its status.
+    /// Returns the capabilities that this controller adds to its status messages.
     pub(super) fn capabilities(&self) -> PeerCapabilities {
         if self.settings.operator.hold_format {
             return PeerCapabilities::default();
         }
         let public = self.limits.sockets.public.max(1);
         let free = public.saturating_sub(self.limits.open_connections);
-        let free_sockets_permille = (free * ALL_SOCKETS / public) as u16;
+        let free_sockets_permille = (free * PERMILLE / public) as u16;
         PeerCapabilities { protocol: MESH_PROTOCOL, free_sockets_permille }
     }
 
-    /// Whether a peer understands messages of sharded heartbeats, and was heard a moment ago.
-    pub(super) fn takes_part_in_sharding(&self, name: &ControllerId, now: Instant) -> bool {
+    /// Returns whether a peer understands heartbeat sharding and was heard within [`MEMBER_UNREACHABLE_AFTER`].
+    pub(super) fn can_take_heartbeats(&self, name: &ControllerId, now: Instant) -> bool {
         self.peers.get(name).is_some_and(|peer| {
             peer.capabilities.protocol >= MESH_PROTOCOL
-                && peer.is_heard_within(MEMBER_UNREACHABLE_AFTER, now)
+                && peer.was_heard_within(MEMBER_UNREACHABLE_AFTER, now)
         })
     }
 
-    /// Whether this controller may shard heartbeats at all.
-    fn may_shard(&self) -> bool {
+    /// Returns whether the operator's settings allow heartbeat sharding.
+    fn is_sharding_allowed(&self) -> bool {
         let operator = &self.settings.operator;
         !operator.hold_format && operator.share_reports != ShardHeartbeats::Never
     }
 
-    /// How many peers could take heartbeats, those included that are away for a moment.
+    /// Returns the number of peers that can take heartbeats, including those that are briefly unreachable.
     pub(super) fn count_sharding_peers(&self, now: Instant) -> usize {
-        if !self.may_shard() {
+        if !self.is_sharding_allowed() {
             return 0;
         }
         let peers = self.peers.views().filter(|peer| {
-            peer.capabilities.protocol >= MESH_PROTOCOL && peer.is_heard_within(PEER_KNOWN_FOR, now)
+            peer.capabilities.protocol >= MESH_PROTOCOL
+                && peer.was_heard_within(PEER_CAPACITY_RETENTION, now)
         });
         peers.count()
     }
 
-    /// The leader decides whether heartbeats are sharded, and tells its peers.
+    /// Decides, as the leader, whether heartbeats are sharded, and announces the members to the peers.
     pub(super) fn announce_shards(&mut self, now: Instant) {
         self.sharding.redirects.expire(now);
         if !self.holds_leadership(now) {
@@ -150,9 +157,9 @@
         let Some(scheduler) = &self.scheduler else { return };
         let (token, machines) = (scheduler.token(), scheduler.machine_count());
         let was_sharded = self.sharding.is_sharded();
-        let is_wanted = self.sharding.policy.update(machines) && self.may_shard();
+        let should_shard = self.sharding.policy.update(machines) && self.is_sharding_allowed();
         self.sharding.members =
-            if is_wanted { self.choose_members(machines, now) } else { Membership::default() };
+            if should_shard { self.choose_members(machines, now) } else { Membership::default() };
         let sharded = self.sharding.is_sharded();
         if sharded {
             self.sharding.last_sharded = Some(now);
@@ -171,20 +178,20 @@
         let message = PeerMessage::ShardAssignment { from, token, members };
         let settings = self.settings.clone();
         for peer in &settings.platform.others {
-            if self.takes_part_in_sharding(&peer.host_name, now) {
+            if self.can_take_heartbeats(&peer.host_name, now) {
                 self.send_to_peer(peer.host_name.clone(), message.clone());
             }
         }
     }
 
-    /// Who takes heartbeats.
+    /// Returns the controllers that are to take heartbeats.
     pub(super) fn choose_members(&mut self, machines: usize, now: Instant) -> Membership {
         let platform = &self.settings.platform;
         let candidates = platform.others.iter().filter_map(|peer| {
             let view = self.peers.get(&peer.host_name)?;
             let name = peer.host_name.clone();
-            // Whether it has the store doesn't matter, since what it passes back is the leader's word.
-            let is_available = self.takes_part_in_sharding(&name, now)
+            // A member needs no access to the store, since it only passes the leader's results to workers.
+            let is_available = self.can_take_heartbeats(&name, now)
                 && !self.store.cache.is_controller_drained(&name);
             let zone = peer.location.clone();
             let free_sockets_permille = view.capabilities.free_sockets_permille;
@@ -196,15 +203,15 @@
             zone: platform.location.clone(),
             workers: machines,
             workers_per_controller: self.limits.sockets.max_machines,
-            is_member: self.sharding.leader_takes_part,
+            is_member: self.sharding.leader_is_member,
         };
         let choice = choose_members(&candidates, &leader);
-        self.sharding.leader_takes_part = choice.includes_leader;
+        self.sharding.leader_is_member = choice.includes_leader;
         choice.membership
     }
 
-    /// The other controller that a worker is to be redirected to.
-    pub(super) fn other_owner(
+    /// Returns the other controller that takes this worker's heartbeats, if the worker is to be redirected there now.
+    pub(super) fn redirect_target(
         &mut self,
         heartbeat: &Heartbeat,
         now: Instant,
@@ -214,14 +221,14 @@
             None => self.sharding.relay.members(self.store.cache.token.value, now)?,
         };
         let owner = members.owner(&heartbeat.machine, &heartbeat.zone)?;
-        if owner == self.name() || !self.takes_part_in_sharding(owner, now) {
+        if owner == self.name() || !self.can_take_heartbeats(owner, now) {
             return None;
         }
         let owner = owner.clone();
         self.sharding.redirects.try_redirect(&heartbeat.machine, now).then_some(owner)
     }
 
-    /// A leader announces who takes heartbeats.
+    /// Handles a leader's announcement of the members that take heartbeats.
     pub(super) fn on_shard_assignment(
         &mut self,
         from: ControllerId,
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -1,14 +1,14 @@
-//! Whether this process was stopped for a while.
+//! Detection of periods in which this process didn't run.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A process that handled nothing for this long, several of the pauses between ticks, was stalled. For as long again
-/// what it handles may have waited for it.
-pub(super) const STALLED_AFTER: Duration = Duration::from_millis(1000);
+/// Time without any event, equal to several pauses between ticks, after which the process counts as stalled. For the
+/// same time after it resumes, the events that it handles may be outdated.
+pub(super) const STALL_THRESHOLD: Duration = Duration::from_millis(1000);
 
-/// Notices that the process was stopped: what it then finds in its queues is old, and that it has heard nothing
-/// meanwhile proves nothing about anyone.
+/// Detects that the process was stalled. Events in its queues are then outdated, and missing messages don't indicate a
+/// failure of their senders.
 #[derive(Debug)]
 pub(super) struct StallDetector {
     last_event: Instant,
@@ -20,23 +20,23 @@
         StallDetector { last_event: now, resumed_at: now }
     }
 
-    /// An event is about to be handled. Ticks come several times a second.
+    /// Records that an event is about to be handled. Ticks ensure several events per second.
     pub(super) fn record_event(&mut self, now: Instant) {
         let stalled = now.saturating_duration_since(self.last_event);
-        if stalled > STALLED_AFTER {
+        if stalled > STALL_THRESHOLD {
             tracing::info!(stalled_ms = stalled.as_millis() as u64, "process stalled");
             self.resumed_at = now;
         }
         self.last_event = now;
     }
 
-    /// When the process last went on after it was stalled, or started.
+    /// Returns the time at which the process last resumed after a stall, or started.
     pub(super) fn resumed_at(&self) -> Instant {
         self.resumed_at
     }
 
-    /// Whether what is handled now may have waited while the process was stalled.
+    /// Returns whether an event that is handled now may have been queued while the process was stalled.
     pub(super) fn may_be_stale(&self, now: Instant) -> bool {
-        now <= self.resumed_at + STALLED_AFTER
+        now <= self.resumed_at + STALL_THRESHOLD
     }
 }
--- a/src/controller/store_events.rs
+++ b/src/controller/store_events.rs
@@ -1,7 +1,7 @@
-//! What the store's client reports.
+//! Handling of events from the store client.
 
 use super::Controller;
-use super::leader::TAKEOVER_TICKET;
+use super::leader::LEADERSHIP_SYNC_TICKET;
 use super::ticks::PROBE_TICKET;
 use crate::http::Response;
 use crate::leadership::election::ElectionStep;
@@ -19,7 +19,7 @@
                     scheduler.on_jobs(&ids, &self.store.cache, now);
                 }
             }
-            StoreEvent::Synced(TAKEOVER_TICKET) => self.take_over(now),
+            StoreEvent::Synced(LEADERSHIP_SYNC_TICKET) => self.start_leading(now),
             StoreEvent::Synced(PROBE_TICKET) => self.is_probing_store = false,
             StoreEvent::Synced(ticket) => {
                 let response = self.api.on_synced(ticket, &mut self.store, now);
@@ -46,7 +46,7 @@
             }
             origin => {
                 if outcome != WriteOutcome::Committed {
-                    tracing::debug!(?origin, ?outcome, "commit failed");
+                    tracing::debug!(?origin, ?outcome, "transaction not committed");
                 }
                 if let Some(scheduler) = &mut self.scheduler {
                     scheduler.on_outcome(&origin, outcome, &mut self.store);
--- a/src/controller/store_relay.rs
+++ b/src/controller/store_relay.rs
@@ -1,4 +1,4 @@
-//! Messages to peers by way of the store, where the connection is cut.
+//! Messages between peers through the store, used while the direct connection is down.
 
 use super::Controller;
 use crate::ids::ControllerId;
@@ -10,21 +10,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two status messages by way of the store.
+/// Pause between two status messages through the store.
 const STORE_RELAY_INTERVAL: Duration = Duration::from_secs(3);
-/// The part number of a message that is written whole. Chunks are written in parts from 1 on.
+/// Part number of a message that is written as a single value. Chunked messages use part numbers from 1 on.
 const WHOLE_MESSAGE: usize = 0;
-/// The part number of the first chunks of a message.
+/// Part number of the first transaction with chunks of a message.
 const FIRST_CHUNKS: usize = 1;
 
-/// A key at the store and the text that is written there.
+/// A key of the store and the text to write to it.
 struct RelayedText {
     key: String,
     text: String,
 }
 
 impl Controller {
-    /// A follower that doesn't hear its leader sends it the status by way of the store, to ask for a grant.
+    /// Sends a follower's status to an unreachable leader through the store, to request a delegated lease.
     pub(super) fn relay_status(&mut self, status: &PeerMessage, now: Instant) {
         let Some(leader) = &self.store.cache.leader else { return };
         let leader = leader.value.controller.clone();
@@ -40,7 +40,7 @@
         self.send_by_store(&leader, status);
     }
 
-    /// Writes a message for a peer, in chunks if it is too large for one value.
+    /// Writes a message for a peer to the store, in chunks if it is too large for one value.
     pub(super) fn send_by_store(&mut self, to: &ControllerId, message: &PeerMessage) {
         let Ok(text) = mesh::encode_text(message) else { return };
         let layout = self.store.layout();
@@ -52,12 +52,12 @@
             }
             return;
         }
-        // Older versions know whole messages only.
+        // Older versions don't understand chunks.
         if !layout.is_second() || is_pending(FIRST_CHUNKS) {
             return;
         }
-        // A number of its own: chunks of two grants under one would be put together, and a revocation be acknowledged
-        // that is not in the list.
+        // Each message gets its own number. Otherwise the chunks of two grants could be combined, and a peer could
+        // acknowledge a revocation that is missing from its list.
         let seq = self.peer_requests.next_seq();
         let chunks = mesh::split_into_chunks(&text, seq, layout.value_max).into_iter().enumerate();
         let texts: Vec<RelayedText> =
@@ -69,7 +69,7 @@
 
     fn write_relayed_texts(&mut self, to: &ControllerId, part: usize, texts: &[RelayedText]) {
         let relays = &self.store.cache.relays;
-        let guard = |text: &RelayedText| Precondition {
+        let precondition = |text: &RelayedText| Precondition {
             key: text.key.clone(),
             rev: relays.get(&text.key).copied().unwrap_or_default(),
         };
@@ -79,14 +79,14 @@
             lease: None,
         };
         let transaction = Transaction {
-            preconditions: texts.iter().map(guard).collect(),
+            preconditions: texts.iter().map(precondition).collect(),
             writes: texts.iter().map(write).collect(),
         };
         let origin = WriteOrigin::Relay(to.clone(), part);
         self.store.enqueue(PendingWrite { priority: WritePriority::Blocking, origin, transaction });
     }
 
-    /// Takes in messages that came by way of the store.
+    /// Handles the messages that the cache has received through the store.
     pub(super) fn receive_relayed_messages(&mut self, now: Instant) {
         for RelayedMessage { route, text } in std::mem::take(&mut self.store.cache.relayed) {
             let Some((from, to)) = route.split_once('/') else { continue };
@@ -94,12 +94,12 @@
             if to != self.name().as_str() {
                 continue;
             }
-            let whole = if is_chunk {
+            let complete_text = if is_chunk {
                 self.chunks.entry(ControllerId::new(from)).or_default().push(&text)
             } else {
                 Some(text)
             };
-            if let Some(message) = whole.and_then(|text| mesh::decode_text(&text).ok()) {
+            if let Some(message) = complete_text.and_then(|text| mesh::decode_text(&text).ok()) {
                 self.on_peer_message(message, MessageRoute::Store, now);
             }
         }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,5 +1,7 @@
+//! Tests of the controller across its submodules.
+
 use super::peer_table::PeerStatusView;
-use super::ticks::WORKER_CALLS_BEHIND;
+use super::ticks::WORKER_CALLS_WHEN_BEHIND;
 use super::{Controller, Effect};
 use crate::clock::WallClock;
 use crate::http::{Method, Request};
@@ -25,10 +27,10 @@
     controller.store.on_response(id, StoreResponse::Range(page), now);
 }
 
-/// Two grants in chunks within one status interval under one number: the second's number would come with the
-/// first's list of revoked machines, and be acknowledged.
+/// Guards against two chunked grants within one status interval that share a message number. The receiver could then
+/// combine the second grant's number with the first grant's list of revoked machines, and acknowledge it.
 #[test]
-fn chunks_of_two_messages_by_way_of_the_store_are_never_put_together() {
+fn chunks_of_two_messages_through_the_store_are_never_combined() {
     let settings =
         Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
     let now = Instant::now();
@@ -62,13 +64,14 @@
         }
         while controller.store.next_event().is_some() {}
     }
-    let whole: Vec<_> = received.iter().map(|text| mesh::decode_text(text).ok()).collect();
-    assert_eq!(whole, [Some(grant(1)), Some(grant(2))]);
+    let decoded: Vec<_> = received.iter().map(|text| mesh::decode_text(text).ok()).collect();
+    assert_eq!(decoded, [Some(grant(1)), Some(grant(2))]);
 }
 
-/// A leader whose sockets are workers' sheds users, but only to peers that are there for certain.
+/// A leader whose sockets are mostly used by workers sheds users only if two peers have the store and aren't newly
+/// started.
 #[test]
-fn a_leader_sheds_users_to_peers_that_are_there() {
+fn leader_sheds_users_only_to_two_established_peers() {
     let now = Instant::now();
     let settings =
         Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
@@ -88,17 +91,18 @@
         }
         controller.is_ready(now)
     };
-    let there = (false, 100);
-    assert!(ready(false, &[there, there]));
-    assert!(!ready(true, &[there, there]));
-    assert!(ready(true, &[there]), "one might go");
-    assert!(ready(true, &[there, (false, 1)]), "one has just started");
-    assert!(ready(true, &[there, (true, 100)]), "one has lost the store");
+    let established = (false, 100);
+    assert!(ready(false, &[established, established]));
+    assert!(!ready(true, &[established, established]));
+    assert!(ready(true, &[established]), "a single peer might fail");
+    assert!(ready(true, &[established, (false, 1)]), "one peer has just started");
+    assert!(ready(true, &[established, (true, 100)]), "one peer has lost the store");
 }
 
-/// Thousands of machines that come up at once, each start a call of its own, would cost a leader its lease.
+/// Guards against a leader that loses its lease because thousands of machines boot at once and each start command is a
+/// separate direct call.
 #[test]
-fn a_leader_of_many_machines_that_falls_behind_calls_few_of_them() {
+fn leader_of_many_machines_limits_direct_calls_while_behind() {
     let now = Instant::now();
     let settings =
         Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
@@ -110,7 +114,7 @@
         let token = FencingToken(1);
         let mut scheduler = Scheduler::new(token, Revision(2), settings.clone(), cache, wall, now);
         for n in 0..machines {
-            let report = Heartbeat {
+            let heartbeat = Heartbeat {
                 machine: MachineId::new(&format!("i-{n}")),
                 address: "127.0.0.1:9000".into(),
                 flavor: "f".into(),
@@ -122,7 +126,7 @@
                 notice_s: None,
                 tasks: Vec::new(),
             };
-            scheduler.on_heartbeat(&report, cache, now);
+            scheduler.on_heartbeat(&heartbeat, cache, now);
         }
         scheduler.adjust_pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
         controller.scheduler = Some(scheduler);
@@ -130,23 +134,24 @@
         controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
     };
     let many = controller.limits.machine_limit.current() * 3 / 4;
-    assert_eq!(max_calls(&mut controller, many, true), WORKER_CALLS_BEHIND);
-    assert!(max_calls(&mut controller, many, false) > WORKER_CALLS_BEHIND);
-    assert!(max_calls(&mut controller, 9, true) > WORKER_CALLS_BEHIND);
+    assert_eq!(max_calls(&mut controller, many, true), WORKER_CALLS_WHEN_BEHIND);
+    assert!(max_calls(&mut controller, many, false) > WORKER_CALLS_WHEN_BEHIND);
+    assert!(max_calls(&mut controller, 9, true) > WORKER_CALLS_WHEN_BEHIND);
 }
 
-/// Users find no path there, whatever they show; whoever has the key and asks the wrong controller is
-/// redirected.
+/// Operators' paths respond with 404 to any request without the operator key or with the wrong method. With the key, a
+/// controller that doesn't lead responds with 421.
 #[test]
-fn operators_paths_are_hidden_without_their_key() {
+fn operator_paths_respond_with_404_without_the_operator_key() {
     let teams = r#"[{"name":"t","cpus_max":8.0}]"#;
     let now = Instant::now();
-    let ask = |own: &str, method: Method, shown: &str| {
+    let status = |configured_key: &str, method: Method, sent_key: &str| {
         let mut settings = crate::settings::fixtures::settings(teams);
-        settings.operator.operator_key = crate::settings::Secret(own.into());
+        settings.operator.operator_key = crate::settings::Secret(configured_key.into());
         let mut controller =
             Controller::new(Arc::new(settings), 1, WallClock { at: now, ms: 5 }).unwrap();
-        let body = serde_json::to_vec(&operator_api::OperatorQuery { key: shown.into() }).unwrap();
+        let body =
+            serde_json::to_vec(&operator_api::OperatorQuery { key: sent_key.into() }).unwrap();
         let request = Request { method, target: operator_api::AT_RISK_PATH.into(), body };
         controller.on_request(1, &request, now);
         match controller.out.pop() {
@@ -155,17 +160,17 @@
         }
     };
     let key = "a key of some length";
-    assert_eq!(ask("", Method::Post, ""), 404);
-    assert_eq!(ask(key, Method::Post, "a key of same length"), 404);
-    assert_eq!(ask(key, Method::Post, ""), 404);
-    assert_eq!(ask(key, Method::Get, key), 404);
-    assert_eq!(ask(key, Method::Post, key), 421);
+    assert_eq!(status("", Method::Post, ""), 404);
+    assert_eq!(status(key, Method::Post, "a key of same length"), 404);
+    assert_eq!(status(key, Method::Post, ""), 404);
+    assert_eq!(status(key, Method::Get, key), 404);
+    assert_eq!(status(key, Method::Post, key), 421);
 }
 
-/// A drain is responded to once it is committed; of two operators at once one is told of the conflict, and what
-/// doesn't exist is not drained.
+/// The response to a drain or its withdrawal follows the commit. Of two concurrent operators one gets a conflict, and
+/// a target that doesn't exist is rejected.
 #[test]
-fn a_drain_is_responded_to_once_it_is_committed() {
+fn drain_gets_its_response_once_it_is_committed() {
     let key = "a key of some length";
     let now = Instant::now();
     let mut settings = crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#);
@@ -184,7 +189,7 @@
         let request = Request { method: Method::Post, target: path.into(), body };
         controller.on_request(ticket, &request, now);
     };
-    let body = |order: &operator_api::DrainRequest| serde_json::to_vec(order).unwrap();
+    let body = |request: &operator_api::DrainRequest| serde_json::to_vec(request).unwrap();
     let responses = |controller: &mut Controller| -> Vec<(u64, u16)> {
         let replies = controller.out.drain(..).filter_map(|effect| match effect {
             Effect::Respond { ticket, response } => Some((ticket, response.status)),
@@ -193,7 +198,7 @@
         replies.collect()
     };
     send(&mut controller, 1, operator_api::DRAIN_PATH, body(&drain("a")));
-    assert_eq!(responses(&mut controller), [(1, 503)], "nothing is known of the store yet");
+    assert_eq!(responses(&mut controller), [(1, 503)], "the store has not been read yet");
     read_empty_store(&mut controller, now);
     send(&mut controller, 2, operator_api::DRAIN_PATH, body(&drain("nowhere")));
     let undrain = operator_api::UndrainRequest {
@@ -204,15 +209,15 @@
     let undrain = serde_json::to_vec(&undrain).unwrap();
     send(&mut controller, 3, operator_api::UNDRAIN_PATH, undrain.clone());
     assert_eq!(responses(&mut controller), [(2, 422), (3, 422)]);
-    let mut guarded = Vec::new();
-    for (ticket, path, order, reply, status) in [
+    let mut precondition_revisions = Vec::new();
+    for (ticket, path, request, committed_at, status) in [
         (4, operator_api::DRAIN_PATH, body(&drain("a")), None, 409),
         (5, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(7)), 200),
         (6, operator_api::UNDRAIN_PATH, undrain, Some(Revision(9)), 200),
         (7, operator_api::DRAIN_PATH, body(&drain("a")), Some(Revision(11)), 200),
     ] {
-        send(&mut controller, ticket, path, order);
-        assert_eq!(responses(&mut controller), [], "not before it is committed");
+        send(&mut controller, ticket, path, request);
+        assert_eq!(responses(&mut controller), [], "no response before the commit");
         controller.store.poll(now);
         let calls: Vec<_> = std::iter::from_fn(|| controller.store.next_request()).collect();
         let commit = calls.into_iter().find_map(|OutgoingRequest { id, request }| match request {
@@ -220,27 +225,27 @@
             _ => None,
         });
         let (id, txn) = commit.unwrap();
-        // The key stays when a drain is taken back: an earlier transaction that is applied late finds it changed.
+        // A withdrawal keeps the key, so that an earlier transaction that is applied late fails its precondition.
         assert!(txn.writes.iter().all(|write| matches!(write, Write::Put { .. })));
-        guarded.push(txn.preconditions[0].rev);
-        let reply = match reply {
+        precondition_revisions.push(txn.preconditions[0].rev);
+        let response = match committed_at {
             Some(rev) => StoreResponse::Committed(rev),
             None => StoreResponse::Conflict(vec![txn.preconditions[0].key.clone()]),
         };
-        controller.store.on_response(id, reply, now);
+        controller.store.on_response(id, response, now);
         while let Some(event) = controller.store.next_event() {
             controller.on_store_event(event, now);
         }
         assert_eq!(responses(&mut controller), [(ticket, status)]);
     }
-    assert_eq!(guarded, [Revision(0), Revision(0), Revision(7), Revision(9)]);
+    assert_eq!(precondition_revisions, [Revision(0), Revision(0), Revision(7), Revision(9)]);
     assert_eq!(controller.store.cache.drains.len(), 1);
 }
 
-/// A leader that lost leadership and has acknowledged a successor's grant keeps to the successor's revocations: that
-/// one reckons the lease of a machine that it revoked from what is acknowledged.
+/// A former leader that has acknowledged a successor's grant follows the successor's revocations. The successor computes
+/// when the lease of a revoked machine expires from such acknowledgements.
 #[test]
-fn a_leader_that_knows_of_its_successor_answers_as_its_follower() {
+fn former_leader_with_a_grant_of_its_successor_answers_as_its_follower() {
     let start = Instant::now();
     let settings =
         Arc::new(crate::settings::fixtures::settings(r#"[{"name":"t","cpus_max":8.0}]"#));
@@ -248,7 +253,7 @@
     let mut controller = Controller::new(settings.clone(), 1, wall).unwrap();
     read_empty_store(&mut controller, start);
     controller.store.cache.machine_types.value = vec![crate::settings::fixtures::machine_type()];
-    let report = |name: &str| Heartbeat {
+    let heartbeat = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
         flavor: "f".into(),
@@ -263,14 +268,14 @@
     let cache = &controller.store.cache;
     let mut scheduler = Scheduler::new(FencingToken(1), Revision(2), settings, cache, wall, start);
     for name in ["i-1", "i-2"] {
-        scheduler.on_heartbeat(&report(name), cache, start);
+        scheduler.on_heartbeat(&heartbeat(name), cache, start);
     }
     controller.scheduler = Some(scheduler);
-    // Nobody is heard, and what is known of the store is new.
+    // No peer is reachable, and the store data is recent.
     let now = start + PEER_UNREACHABLE_AFTER * 2;
     controller.store.synced_at = Some(now);
     let token = |controller: &mut Controller, name: &str| {
-        controller.answer_for_leader(&report(name), now).map(|o| o.token)
+        controller.answer_for_leader(&heartbeat(name), now).map(|commands| commands.token)
     };
     assert_eq!(token(&mut controller, "i-1"), Some(FencingToken(1)));
     let revoked = vec![MachineId::new("i-1")];
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes.
+//! Periodic work of a controller: status messages, store probes, limits and metrics.
 
 use super::{Controller, age_ms};
 use crate::admission::OutgoingSockets;
@@ -10,44 +10,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest pause between two ticks.
+/// Maximum pause between two ticks.
 pub const TICK_MAX: Duration = Duration::from_millis(200);
-/// Shortest pause between two ticks.
+/// Minimum pause between two ticks.
 pub(super) const TICK_MIN: Duration = Duration::from_millis(10);
 /// Pause between two status messages to each peer.
 pub const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between two lines of metrics in the log.
+/// Pause between two log entries of the same metrics.
 pub(super) const METRICS_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause between the leader's messages of how many tasks run.
+/// Pause between the leader's messages with the numbers of running tasks.
 const RUNNING_TASKS_INTERVAL: Duration = STATUS_INTERVAL.saturating_mul(2);
-/// Count. Jobs in one such message.
+/// Maximum number of jobs in one message with numbers of running tasks.
 const RUNNING_TASKS_JOBS_MAX: usize = 1500;
-/// Without news of the store for so long this controller asks whether it still responds.
+/// Time since the last sync with the store after which this controller checks whether the store still responds.
 const PROBE_STORE_AFTER: Duration =
     Duration::from_nanos(STORE_UNAVAILABLE_AFTER.as_nanos() as u64 / 3);
-/// Ticket of the sync that shows whether the store still responds.
+/// Ticket of the sync that checks whether the store still responds.
 pub(super) const PROBE_TICKET: u64 = 1;
-/// Count. Calls to workers in flight at the most while a leader of many machines falls behind. A call costs several
-/// times what a response to a heartbeat does, which carries the same commands some seconds later.
-pub(super) const WORKER_CALLS_BEHIND: usize = 16;
-/// Count. Calls to workers that a leader may have in flight beyond its own sockets where peers make them.
+/// Maximum number of concurrent direct calls to workers while a leader of many machines is behind. A call costs
+/// several times as much as a response to a heartbeat, which carries the same commands some seconds later.
+pub(super) const WORKER_CALLS_WHEN_BEHIND: usize = 16;
+/// Number of concurrent calls to workers that a leader is allowed beyond its own sockets if peers make them.
 const RELAYED_CALLS_MAX: usize = 1000;
 
-/// When what is done at intervals is due next.
+/// Due times of the periodic work.
 #[derive(Debug)]
 pub(super) struct Schedule {
-    /// When the next tick is expected.
+    /// Time at which the next tick is expected; a later tick means that this process is late.
     tick_at: Instant,
     status_at: Instant,
     metrics_at: Instant,
     running_tasks_at: Instant,
     pub(super) scheduler_at: Instant,
-    /// The next message by way of the store.
+    /// Earliest time of the next status message through the store.
     pub(super) store_relay_at: Instant,
 }
 
 impl Schedule {
-    /// All is due at once.
+    /// Creates a schedule in which all work is due immediately.
     pub(super) fn new(now: Instant) -> Schedule {
         Schedule {
             tick_at: now,
@@ -61,14 +61,15 @@
 }
 
 impl Controller {
-    /// When the next tick is due. Waking costs more than most of what is done then, so an idle controller wakes
-    /// seldom.
+    /// Returns the time of the next tick. A wake-up costs more than most of the work that it does, so an idle
+    /// controller wakes up rarely.
     pub fn next_tick(&mut self, now: Instant) -> Instant {
         let scheduler = self.scheduler.as_ref().and_then(Scheduler::next_due);
         let scheduler = scheduler.map(|at| at.max(self.schedule.scheduler_at));
         let store = self.store.next_due().into_iter();
-        let due = store.chain(scheduler).chain(self.sharding.next_due()).min();
-        let tick_at = due.map_or(now + TICK_MAX, |at| at.clamp(now + TICK_MIN, now + TICK_MAX));
+        let earliest = store.chain(scheduler).chain(self.sharding.next_due()).min();
+        let tick_at =
+            earliest.map_or(now + TICK_MAX, |at| at.clamp(now + TICK_MIN, now + TICK_MAX));
         self.schedule.tick_at = tick_at;
         tick_at
     }
@@ -93,11 +94,12 @@
             self.log_metrics(now);
         }
         self.send_running_tasks(now);
-        self.resign_if_cut_off(now);
+        self.resign_if_unreachable(now);
         self.resign_if_drained(now);
     }
 
-    /// Tells each peer how this controller is, and asks the leader for a grant or peers for an extension.
+    /// Sends this controller's status to each peer. It asks the leader for a delegated lease or, if this controller
+    /// leads, the peers to extend the leader lease.
     fn send_status(&mut self, now: Instant) {
         let GrantId { token, number } = self.delegated_lease.acknowledged();
         let status = PeerMessage::PeerStatus {
@@ -117,8 +119,8 @@
     }
 
     fn probe_store(&mut self, now: Instant) {
-        let is_quiet = |at: Instant| now.saturating_duration_since(at) > PROBE_STORE_AFTER;
-        if !self.is_probing_store && self.store.synced_at.is_none_or(is_quiet) {
+        let is_outdated = |at: Instant| now.saturating_duration_since(at) > PROBE_STORE_AFTER;
+        if !self.is_probing_store && self.store.synced_at.is_none_or(is_outdated) {
             self.is_probing_store = true;
             self.store.sync(PROBE_TICKET);
         }
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The leader tells peers how many tasks of each job run, for their responses to users.
+    /// Sends the number of running tasks of each job from the leader to its peers, for their responses to users.
     fn send_running_tasks(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
         if now < self.schedule.running_tasks_at {
@@ -147,11 +149,11 @@
         self.broadcast(&PeerMessage::RunningTasks { token, counts });
     }
 
-    /// Records how late this process is, and adapts what the scheduler may use.
+    /// Records the lateness of this process and adjusts the limits of the scheduler.
     pub(super) fn update_limits(&mut self, now: Instant) {
         let lateness = now.saturating_duration_since(self.schedule.tick_at);
         self.limits.load.record_lateness(lateness);
-        // With one of them away, those that are left still hold all workers.
+        // Only peers are counted, without this controller: if one controller fails, the others still hold all workers.
         let controllers = u32::try_from(self.count_sharding_peers(now)).unwrap_or(u32::MAX);
         self.limits.machine_limit.set_controllers(controllers.max(1));
         let outgoing = self.limits.sockets.outgoing(self.limits.open_connections);
@@ -159,7 +161,7 @@
         self.limits.observe(machines, lateness, now);
     }
 
-    /// Tells the scheduler what it may use, and returns how many machines it knows.
+    /// Sets the limits of the scheduler and returns the number of machines that it knows.
     fn update_scheduler_limits(
         &mut self,
         outgoing: OutgoingSockets,
@@ -175,7 +177,7 @@
         let calls = outgoing.worker_calls + if is_sharded { RELAYED_CALLS_MAX } else { 0 };
         let falls_behind =
             !is_sharded && scheduler.is_behind(now) && machine_limit.is_large_fleet(machines);
-        let max_calls = if falls_behind { calls.min(WORKER_CALLS_BEHIND) } else { calls };
+        let max_calls = if falls_behind { calls.min(WORKER_CALLS_WHEN_BEHIND) } else { calls };
         scheduler.set_max_direct_calls(max_calls);
         machines
     }
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats that come straight to this controller.
+//! Handling of heartbeats that workers send directly to this controller.
 
 use super::Controller;
 use crate::http::Response;
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl Controller {
-    /// Responds to a worker's heartbeat; None: the response comes later.
+    /// Handles a worker's heartbeat. Returns the response, or `None` if it follows later.
     pub(super) fn on_worker_heartbeat(
         &mut self,
         ticket: u64,
@@ -20,16 +20,16 @@
         if !self.stalls.may_be_stale(now) {
             self.last_worker_heartbeat = Some(now);
         }
-        // Checked anew for each response: time has passed since the last look.
+        // Checked for each response, because the leader lease may have expired since the last check.
         if self.scheduler.is_some() && self.holds_leadership(now) {
             return Some(self.respond_as_leader(&heartbeat, now));
         }
         self.respond_as_follower(ticket, heartbeat, now)
     }
 
-    /// The leader responds, or redirects the worker to the controller that takes its heartbeats.
+    /// Responds as the leader, or redirects the worker to the controller that takes its heartbeats.
     pub(super) fn respond_as_leader(&mut self, heartbeat: &Heartbeat, now: Instant) -> Response {
-        if let Some(owner) = self.other_owner(heartbeat, now) {
+        if let Some(owner) = self.redirect_target(heartbeat, now) {
             return redirect(&owner);
         }
         let Some(scheduler) = &mut self.scheduler else { return Response::later(503) };
@@ -38,7 +38,7 @@
             None => {
                 tracing::info!(
                     machine = %heartbeat.machine,
-                    "a worker has seen a higher fencing token"
+                    "worker has seen a higher fencing token, resigning"
                 );
                 self.resign(now);
                 Response::later(503)
@@ -47,7 +47,7 @@
     }
 }
 
-/// Redirects a worker to another controller.
+/// Returns the response that redirects a worker to another controller.
 pub(super) fn redirect(to: &ControllerId) -> Response {
     Response::with(421, wire::encode(&NotLeader { leader: to.to_string() }))
 }
