--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -37,8 +37,8 @@
     }
 
     /// Returns the commands that renew the lease of a worker whose leader is unreachable. They start no tasks, and stop
-    /// tasks that are known to be cancelled or finished, so that no task outlives its cancellation. This requires recent
-    /// data from the store or, for workers of this zone, a valid controller lease: while it is valid, no job is
+    /// tasks that are known to be cancelled or finished, so that no task outlives its cancellation. This requires
+    /// recent data from the store or, for workers of this zone, a valid controller lease: while it is valid, no job is
     /// cancelled without this controller's acknowledgement.
     pub(super) fn answer_for_leader(
         &mut self,
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -20,8 +20,8 @@
 const DRAIN_TIME_MAX_S: f64 = 1e8;
 
 impl Controller {
-    /// Returns the request if it contains the operator key. Callers respond with 404 otherwise, so that a client without
-    /// the key can't find out that the path exists.
+    /// Returns the request if it contains the operator key. Callers respond with 404 otherwise, so that a client
+    /// without the key can't find out that the path exists.
     fn authorize<T: DeserializeOwned>(
         &self,
         body: &[u8],
--- a/src/controller/readiness.rs
+++ b/src/controller/readiness.rs
@@ -15,14 +15,14 @@
     /// Returns whether this controller accepts users' requests. One that has lost the store while a peer still reaches
     /// it is not ready, so that users are sent to that peer.
     pub(super) fn is_ready(&self, now: Instant) -> bool {
-        let is_cut_off =
+        let has_lost_store =
             self.store.is_unavailable(now) && self.peers.views().any(|peer| peer.has_store(now));
         let prefers_peers = self.defers_to_peers(now) || self.sheds_users(now);
-        self.store.cache.loaded && !is_cut_off && !prefers_peers
+        self.store.cache.loaded && !has_lost_store && !prefers_peers
     }
 
-    /// Returns whether a leader whose sockets are mostly used by workers leaves users to its peers. This requires enough
-    /// peers that can serve users and have been running for a while.
+    /// Returns whether a leader whose sockets are mostly used by workers leaves users to its peers. This requires
+    /// enough peers that can serve users and have been running for a while.
     fn sheds_users(&self, now: Instant) -> bool {
         let can_serve =
             |peer: &&PeerStatusView| peer.has_store(now) && peer.uptime > MIN_PEER_UPTIME;
@@ -30,8 +30,8 @@
             && self.peers.views().filter(can_serve).count() >= MIN_PEERS_TO_SHED_USERS
     }
 
-    /// Returns whether an operator has drained this controller and a peer that is not drained reaches the store. The peer
-    /// then leads and serves users. The last controller that can serve users continues even if it is drained.
+    /// Returns whether an operator has drained this controller and a peer that is not drained reaches the store. That
+    /// peer then leads and serves users. The last controller that can serve users continues even if it is drained.
     pub(super) fn defers_to_peers(&self, now: Instant) -> bool {
         let cache = &self.store.cache;
         let is_drained = |name: &ControllerId| cache.is_controller_drained(name);
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without contact after which a leader whose key still exists counts as alive but unreachable for this controller:
-/// the key of a failed leader expires sooner.
+/// Time without contact after which a leader whose key still exists counts as alive, but unreachable for this
+/// controller: the key of a failed leader expires sooner.
 const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_millis(4500);
 /// Time after its last message through the store for which a leader counts as alive without direct contact.
 const STORE_CONTACT_VALIDITY: Duration = Duration::from_millis(5000);
@@ -22,8 +22,8 @@
 const REMEMBERED_HEARTBEATS_PER_SOCKET: usize = 2;
 
 impl Controller {
-    /// Handles a heartbeat as a follower: relays it if the leader allows that, and else redirects the worker or responds
-    /// on behalf of the leader. Returns the response, or `None` if it follows later.
+    /// Handles a heartbeat as a follower: relays it if the leader allows that, and otherwise redirects the worker or
+    /// responds on behalf of the leader. Returns the response, or `None` if it follows later.
     pub(super) fn respond_as_follower(
         &mut self,
         ticket: u64,
@@ -67,7 +67,8 @@
         Some(self.respond_without_leader(&heartbeat, now))
     }
 
-    /// Returns the leader to which heartbeats were relayed, if it can't be reached from here but still reaches the store.
+    /// Returns the leader to which heartbeats were relayed, if this controller can't reach it but it still reaches the
+    /// store.
     fn unreachable_leader(&self, now: Instant) -> Option<ControllerId> {
         let leader = &self.store.cache.leader.as_ref()?.value;
         let since_assignment = self.sharding.relay.time_since_assignment(leader.token, now)?;
@@ -76,11 +77,12 @@
             None => since_assignment,
         };
         let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_VALIDITY, now);
-        let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_UNREACHABLE_AFTER };
+        let is_unreachable =
+            silence >= if is_alive { RELAY_TERM } else { LEADER_UNREACHABLE_AFTER };
         let synced_at = self.store.synced_at;
         let is_synced =
             synced_at.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
-        (is_cut_off && is_synced && !self.store.is_unavailable(now))
+        (is_unreachable && is_synced && !self.store.is_unavailable(now))
             .then(|| leader.controller.clone())
     }
 
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,5 +1,5 @@
 //! Assignment of workers' heartbeats to controllers: the leader chooses the members and announces them, each time for
-//! a short term.
+//! a short period.
 
 use super::Controller;
 use crate::admission::ShardingPolicy;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -242,8 +242,8 @@
     assert_eq!(controller.store.cache.drains.len(), 1);
 }
 
-/// A former leader that has acknowledged a successor's grant follows the successor's revocations. The successor computes
-/// when the lease of a revoked machine expires from such acknowledgements.
+/// A former leader that has acknowledged a successor's grant follows the successor's revocations. From such
+/// acknowledgements the successor computes when the lease of a revoked machine expires.
 #[test]
 fn former_leader_with_a_grant_of_its_successor_answers_as_its_follower() {
     let start = Instant::now();
