--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -166,7 +166,7 @@
         let row = self.work.entry(kind).or_default();
         row.0 += 1;
         row.1 += info;
-        let out: Vec<Effect> = self.node.out.drain(..).collect();
+        let out: Vec<Effect> = self.node.effects.drain(..).collect();
         out.into_iter().for_each(|effect| self.carry_out(effect));
     }
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -37,7 +37,7 @@
         let now = self.now();
         let Some(core) = &mut self.nodes[node] else { return };
         core.handle(event, now);
-        let effects = std::mem::take(&mut core.out);
+        let effects = std::mem::take(&mut core.effects);
         let leads = core.scheduler.is_some();
         if leads && !self.targeted_faults.led.contains(&node) {
             self.on_leader_change();
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -85,7 +85,7 @@
     logged_format: Option<u32>,
     is_probing_store: bool,
     /// Effects that the actor has not executed yet.
-    pub out: Vec<Effect>,
+    pub effects: Vec<Effect>,
 }
 
 impl Controller {
@@ -122,7 +122,7 @@
             logged_leadership: false,
             logged_format: None,
             is_probing_store: false,
-            out: Vec::new(),
+            effects: Vec::new(),
             settings,
         })
     }
@@ -148,7 +148,7 @@
         self.limits.open_connections = open;
     }
 
-    /// Handles an event and appends the resulting effects to [`Controller::out`].
+    /// Handles an event and appends the resulting effects to [`Controller::effects`].
     pub fn handle(&mut self, event: Event, now: Instant) {
         self.stalls.record_event(now);
         match event {
@@ -198,10 +198,10 @@
     /// Moves the outgoing requests of the store and cloud clients to the effects.
     fn collect_calls(&mut self) {
         while let Some(OutgoingRequest { id, request }) = self.store.next_request() {
-            self.out.push(Effect::CallStore { id, request });
+            self.effects.push(Effect::CallStore { id, request });
         }
         let cloud = self.cloud.out.drain(..);
-        self.out.extend(cloud.map(|(id, request)| Effect::CallCloud { id, request }));
+        self.effects.extend(cloud.map(|(id, request)| Effect::CallCloud { id, request }));
     }
 
     fn on_cloud_event(&mut self, event: CloudEvent, now: Instant) {
@@ -233,12 +233,12 @@
     }
 
     fn respond(&mut self, ticket: u64, response: Response) {
-        self.out.push(Effect::Respond { ticket, response });
+        self.effects.push(Effect::Respond { ticket, response });
     }
 
     /// Queues a message for the direct connection to a peer.
     fn send_to_peer(&mut self, to: ControllerId, message: PeerMessage) {
-        self.out.push(Effect::SendToPeer { to, message });
+        self.effects.push(Effect::SendToPeer { to, message });
     }
 
     /// Returns the host name of this controller.
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -139,12 +139,12 @@
         }
         let next_tick = self.controller.next_tick(now);
         self.tick_at = if self.tick_at <= now { next_tick } else { self.tick_at.min(next_tick) };
-        let mut effects = std::mem::take(&mut self.controller.out);
+        let mut effects = std::mem::take(&mut self.controller.effects);
         for effect in effects.drain(..) {
             self.execute(effect, open, now);
         }
         // Reuses the allocation.
-        self.controller.out = effects;
+        self.controller.effects = effects;
     }
 
     fn read_wall_clock(&mut self, now: Instant) {
--- a/src/controller/relayed_commands.rs
+++ b/src/controller/relayed_commands.rs
@@ -26,7 +26,7 @@
                 Some(peer) => {
                     self.sharding.deliveries.push(&peer, machine, address, call, now);
                 }
-                None => self.out.push(Effect::CallWorker { machine, address, call }),
+                None => self.effects.push(Effect::CallWorker { machine, address, call }),
             }
         }
         let own_name = self.name().clone();
@@ -55,7 +55,7 @@
             let machine = delivery.machine.clone();
             let address = delivery.address;
             let call = delivery.into_direct_call(token);
-            self.out.push(Effect::CallWorker { machine, address, call });
+            self.effects.push(Effect::CallWorker { machine, address, call });
         }
     }
 
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -123,10 +123,10 @@
     assert!(!controller.holds_leadership(now));
     let heartbeats = vec![RelayedHeartbeat::Full(heartbeat(Vec::new()).into())];
     controller.on_relayed_heartbeats(&name(0), FencingToken(1), 7, heartbeats, now);
-    assert!(controller.out.is_empty(), "{:?}", controller.out);
+    assert!(controller.effects.is_empty(), "{:?}", controller.effects);
     assert!(controller.scheduler.as_ref().is_some_and(|scheduler| scheduler.heartbeats() == 0));
     controller.announce_shards(now);
-    assert!(controller.out.is_empty(), "{:?}", controller.out);
+    assert!(controller.effects.is_empty(), "{:?}", controller.effects);
 }
 
 /// A relayed command of a leader that has a successor is not executed, and a repeated command is executed once.
@@ -143,9 +143,9 @@
         commands: Vec::new(),
     };
     controller.on_relayed_commands(&name(0), FencingToken(4), vec![command(1)], now);
-    assert!(controller.out.is_empty());
+    assert!(controller.effects.is_empty());
     controller.on_relayed_commands(&name(0), FencingToken(5), vec![command(2), command(2)], now);
-    assert_eq!(controller.out.len(), 1);
+    assert_eq!(controller.effects.len(), 1);
 }
 
 /// A heartbeat that is too large to be relayed gets a response at once, also while a new leader is awaited. If it were
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -154,7 +154,7 @@
             serde_json::to_vec(&operator_api::OperatorQuery { key: sent_key.into() }).unwrap();
         let request = Request { method, target: operator_api::AT_RISK_PATH.into(), body };
         controller.on_request(1, &request, now);
-        match controller.out.pop() {
+        match controller.effects.pop() {
             Some(Effect::Respond { ticket: 1, response }) => response.status,
             other => panic!("{other:?}"),
         }
@@ -191,7 +191,7 @@
     };
     let body = |request: &operator_api::DrainRequest| serde_json::to_vec(request).unwrap();
     let responses = |controller: &mut Controller| -> Vec<(u64, u16)> {
-        let replies = controller.out.drain(..).filter_map(|effect| match effect {
+        let replies = controller.effects.drain(..).filter_map(|effect| match effect {
             Effect::Respond { ticket, response } => Some((ticket, response.status)),
             _ => None,
         });
