--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -112,8 +112,8 @@
             return;
         }
         if self.store.cache.machine_types.value.is_empty() {
-            // Nothing can be placed without machine types, which the cloud is about to deliver: tries again after
-            // another sync.
+            // Nothing can be placed without machine types. The cloud delivers them soon, so this retries after another
+            // sync.
             self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
             return;
         }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -16,7 +16,7 @@
 /// Time without contact after which a leader whose key still exists counts as alive, but unreachable for this
 /// controller: the key of a failed leader expires sooner.
 const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_millis(4500);
-/// Time after its last message through the store for which a leader counts as alive without direct contact.
+/// Time since its last message through the store within which a leader counts as alive without direct contact.
 const STORE_CONTACT_VALIDITY: Duration = Duration::from_millis(5000);
 /// Number of relayed heartbeats that are remembered per public socket.
 const REMEMBERED_HEARTBEATS_PER_SOCKET: usize = 2;
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -18,11 +18,12 @@
 /// Additional time without heartbeats before a leader resigns, if peers recently relayed heartbeats. The peers need it
 /// to detect that they can't reach the leader and to redirect workers to it; through the store this takes seconds.
 const EXTRA_SILENCE_ALLOWED: Duration = Duration::from_millis(4000);
-/// Time after its last status for which a peer still counts as able to take heartbeats.
+/// Time since its last status within which a peer counts as able to take heartbeats when machines are limited to what
+/// the controllers can hold.
 const PEER_CAPACITY_RETENTION: Duration = Duration::from_secs(120);
-/// Time after its last status from which on a peer is assigned no heartbeats.
+/// Time since its last status after which a peer is assigned no heartbeats.
 pub(super) const MEMBER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
-/// All public sockets, in thousandths.
+/// Denominator of shares in thousandths.
 const PERMILLE: usize = 1000;
 
 /// Receipt of a leader's message through the store.
