--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -16,8 +16,7 @@
 const REDIRECT_TIME_MAX: Duration = Duration::from_millis(1200);
 /// Time after which a worker tries the next controller if its controller doesn't respond, as PROTOCOL prescribes.
 const WORKER_FAILOVER_TIME: Duration = Duration::from_millis(5000);
-/// Minimum time without heartbeats after which a leader resigns if workers reach a peer. Half a heartbeat interval
-/// applies instead if it is longer.
+/// Time without heartbeats, or half a heartbeat interval if longer, after which a leader resigns if workers reach peers.
 const RESIGN_AFTER_SILENCE: Duration = Duration::from_millis(2000);
 /// Number of known machines below which a leader without heartbeats doesn't resign.
 const MIN_MACHINES_TO_RESIGN: usize = 3;
@@ -100,8 +99,7 @@
         }
     }
 
-    /// Creates the new leader's scheduler. Called after a sync, when the cache holds everything that any predecessor
-    /// committed.
+    /// Creates the new leader's scheduler, after a sync that brought all commits of its predecessors into the cache.
     pub(super) fn start_leading(&mut self, now: Instant) {
         let Some(token) = self.election.token() else { return };
         let Some(Versioned { value: leader, revision: leader_revision }) = &self.store.cache.leader
@@ -112,8 +110,7 @@
             return;
         }
         if self.store.cache.machine_types.value.is_empty() {
-            // Nothing can be placed without machine types. The cloud delivers them soon, so this retries after another
-            // sync.
+            // Nothing can be placed without machine types. The cloud delivers them soon; retries after another sync.
             self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
             return;
         }
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -37,9 +37,8 @@
             }
             return self.relay_heartbeat(ticket, heartbeat, now);
         }
-        // The leader starts no tasks on a worker whose heartbeats it doesn't receive. So the worker is redirected to
-        // the leader; if it can't connect there or the leader has no free socket, it returns and its lease is renewed
-        // here.
+        // The leader starts no tasks on a worker whose heartbeats it doesn't receive, so the worker is sent there.
+        // If the leader is unreachable or has no free socket, the worker returns and its lease is renewed here.
         if let Some(leader) = self.unreachable_leader(now)
             && self.sharding.redirects.try_redirect(&heartbeat.machine, now)
         {
@@ -67,8 +66,7 @@
         Some(self.respond_without_leader(&heartbeat, now))
     }
 
-    /// Returns the leader to which heartbeats were relayed, if this controller can't reach it but it still reaches the
-    /// store.
+    /// Returns the leader to which heartbeats were relayed, if it is unreachable from here but still reaches the store.
     fn unreachable_leader(&self, now: Instant) -> Option<ControllerId> {
         let leader = &self.store.cache.leader.as_ref()?.value;
         let since_assignment = self.sharding.relay.time_since_assignment(leader.token, now)?;
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -18,8 +18,7 @@
 /// Additional time without heartbeats before a leader resigns, if peers recently relayed heartbeats. The peers need it
 /// to detect that they can't reach the leader and to redirect workers to it; through the store this takes seconds.
 const EXTRA_SILENCE_ALLOWED: Duration = Duration::from_millis(4000);
-/// Time since its last status within which a peer counts as able to take heartbeats when machines are limited to what
-/// the controllers can hold.
+/// Time since its last status within which a peer counts toward the capacity that limits the number of machines.
 const PEER_CAPACITY_RETENTION: Duration = Duration::from_secs(120);
 /// Time since its last status after which a peer is assigned no heartbeats.
 pub(super) const MEMBER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -68,8 +68,7 @@
     assert_eq!(decoded, [Some(grant(1)), Some(grant(2))]);
 }
 
-/// A leader whose sockets are mostly used by workers sheds users only if two peers have the store and aren't newly
-/// started.
+/// A leader whose sockets are mostly used by workers sheds users only to two established peers that have the store.
 #[test]
 fn leader_sheds_users_only_to_two_established_peers() {
     let now = Instant::now();
@@ -99,8 +98,7 @@
     assert!(ready(true, &[established, (true, 100)]), "one peer has lost the store");
 }
 
-/// Guards against a leader that loses its lease because thousands of machines boot at once and each start command is a
-/// separate direct call.
+/// Direct calls to each of thousands of machines that boot at the same time would cost a leader its lease.
 #[test]
 fn leader_of_many_machines_limits_direct_calls_while_behind() {
     let now = Instant::now();
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -98,8 +98,7 @@
         self.resign_if_drained(now);
     }
 
-    /// Sends this controller's status to each peer. It asks the leader for a delegated lease or, if this controller
-    /// leads, the peers to extend the leader lease.
+    /// Sends the status to each peer, to request a delegated lease from the leader or lease extensions from the peers.
     fn send_status(&mut self, now: Instant) {
         let GrantId { token, number } = self.delegated_lease.acknowledged();
         let status = PeerMessage::PeerStatus {
