--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -16,7 +16,7 @@
 const REDIRECT_TIME_MAX: Duration = Duration::from_millis(1200);
 /// Time after which a worker tries the next controller if its controller doesn't respond, as PROTOCOL prescribes.
 const WORKER_FAILOVER_TIME: Duration = Duration::from_millis(5000);
-/// Time without heartbeats, or half a heartbeat interval if longer, after which a leader resigns if workers reach peers.
+/// Time without heartbeats after which a leader resigns if workers reach a peer; half a heartbeat interval if longer.
 const RESIGN_AFTER_SILENCE: Duration = Duration::from_millis(2000);
 /// Number of known machines below which a leader without heartbeats doesn't resign.
 const MIN_MACHINES_TO_RESIGN: usize = 3;
