--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -90,7 +90,7 @@
     let members = controller.choose_members(5, now);
     let names: Vec<&ControllerId> = members.members().iter().map(|member| &member.name).collect();
     assert_eq!(names, [&name(0), &name(1)]);
-    // A briefly unreachable peer counts toward sharding capacity; one that doesn't understand relayed heartbeats does not.
+    // A briefly unreachable peer counts toward sharding capacity; one without support for relaying does not.
     assert_eq!(controller.count_sharding_peers(now), 3);
 }
 
