--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -247,7 +247,7 @@
             self.planning_clock.next_watch = now + WATCH_INTERVAL;
             self.watch(store, cloud, now);
         }
-        self.store(store, now);
+        self.enqueue_due_writes(store, now);
         if self.planning_clock.start_round(now) {
             self.plan_if_useful(&store.cache, cloud, now);
         }
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -1,4 +1,4 @@
-//! How far each live job has come, beyond what its record at the store says.
+//! The leader's view of each live job's tasks, beyond the job's record in the store.
 
 use super::fair_share::DemandGroup;
 use super::job_machines::JobMachines;
@@ -10,29 +10,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// All live jobs of this leadership with their progress.
+/// All live jobs of this term with their progress.
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
-    /// Ordered, so that equal events have equal effects.
+    /// Progress by job. Ordered, so that the same events always have the same effects.
     pub(super) progress: BTreeMap<JobId, JobProgress>,
-    /// On which machines each job may have tasks.
+    /// Index of the machines on which each job may have tasks.
     pub(super) machines: JobMachines,
-    /// Jobs with tasks that are reported done and not committed. Those that no longer have any
-    /// leave when the set is next gone through.
+    /// Jobs with completed tasks that are not committed yet. Jobs without any left are removed at the next pass over
+    /// the set.
     pub(super) completing: BTreeSet<JobId>,
-    /// Jobs that this controller acknowledged to stop or that others acknowledged to users as
-    /// cancelled, while the cache still has them as live: none of their tasks is started any more.
+    /// Jobs whose cancellation this or another controller acknowledged to a user while the cache still has them as
+    /// live. None of their tasks is started any more.
     pub(super) cancelling: HashSet<JobId>,
     /// Capacity that tasks of finished jobs may still use.
     pub(super) orphaned_capacity: OrphanedCapacity,
 }
 
-/// Where a task runs or is to run.
+/// The machine and attempt with which a task runs or will run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Placement {
-    /// The machine.
+    /// The machine that the start command was or will be sent to.
     pub(super) machine: MachineId,
-    /// The attempt that was started there.
+    /// The attempt that was started on that machine.
     pub(super) attempt: Attempt,
 }
 
@@ -41,70 +41,69 @@
 pub(super) struct DuplicateAttempt {
     /// The index of the task within its job.
     pub(super) task: u32,
-    /// Where the attempt runs.
+    /// The machine that the heartbeat came from, and the attempt.
     pub(super) placement: Placement,
 }
 
-/// The pause before a failed task is tried again.
+/// The backoff of a task that failed or was stopped.
 #[derive(Debug)]
 pub(super) struct RetryBackoff {
-    /// The task is not started before this time.
+    /// Earliest time of the next attempt.
     pub(super) not_before: Instant,
-    /// How often the task failed.
+    /// Number of failures of the task so far; stops on command are not counted.
     pub(super) failures: u32,
 }
 
-/// When the pause of a task ends. Ordered by time.
+/// The end of a task's backoff. Ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BackoffExpiry {
-    /// When the pause ends.
+    /// Time from which the task may be started again.
     pub(super) at: Instant,
     /// The index of the task within its job.
     pub(super) task: u32,
 }
 
-/// What the leader knows of a live job's tasks beyond the store's record.
+/// The state of a live job's tasks that is not in the store's record.
 #[derive(Debug, Default)]
 pub(super) struct JobProgress {
-    /// Whether the job was there before this leadership began: a predecessor may have started its
-    /// tasks.
+    /// Whether the job was ready before this term began, so that a previous leader may have started its tasks.
     pub(super) predates_leadership: bool,
-    /// When this leader first saw the job ready to run.
+    /// Time at which this leader first saw the job ready to run.
     pub(super) first_seen: Option<Instant>,
-    /// Tasks that run or are to run, by their index.
+    /// Placements of the tasks that run or will run, by task index.
     pub(super) placed: BTreeMap<u32, Placement>,
-    /// Attempts that a stale heartbeat showed, or shows still, beside the placed one: such a task
-    /// is free only once none is left.
+    /// Attempts that a stale heartbeat showed in addition to the placed one. Such a task is free only once none of
+    /// its attempts is left.
     pub(super) duplicate_attempts: Vec<DuplicateAttempt>,
-    /// Tasks that are reported done and not committed yet.
+    /// Completed tasks that are not committed yet.
     pub(super) completing: BTreeSet<u32>,
-    /// Tasks that failed or were stopped before.
+    /// Backoffs of tasks that failed or were stopped, by task index.
     pub(super) retries: BTreeMap<u32, RetryBackoff>,
     /// Tasks below the cursor that may be started again at once.
     pub(super) requeued: BTreeSet<u32>,
-    /// Tasks below the cursor that may be started again after a pause.
+    /// Tasks below the cursor that may be started again after a backoff.
     pub(super) backing_off: BTreeSet<BackoffExpiry>,
-    /// Whether its failures are its own fault.
+    /// Evidence of whether failures are caused by the job or by machines.
     pub(super) failures: FailureAttribution,
-    /// How many of its tasks were stopped for more urgent work.
+    /// Number of preemptions of its tasks by jobs of higher priority.
     pub(super) preemptions: u32,
-    /// Whether its work was counted as demand when it arrived.
+    /// Whether its tasks were counted as demand on its arrival.
     pub(super) counted_as_demand: bool,
-    /// The group of demand that it belongs to.
+    /// Demand group that the job belongs to.
     pub(super) demand_group: Option<DemandGroup>,
-    /// Tasks from here on were not looked at yet; those below that wait are in `requeued` or
+    /// Index of the first task that `next_task` has not examined. Waiting tasks below it are in `requeued` or
     /// `backing_off`.
     cursor: u32,
 }
 
 impl JobProgress {
-    /// The progress of a job that was there before this leadership began.
+    /// Creates the progress of a job that was live before this term began.
     pub(super) fn of_predecessor(may_have_started: bool) -> JobProgress {
         JobProgress { predates_leadership: may_have_started, ..JobProgress::default() }
     }
 
-    /// How many of the job's tasks are neither done nor placed. Some may be both, until the
-    /// commit of a completion is known.
+    /// Returns the number of the job's tasks that are neither completed nor placed. Until the commit of a completion
+    /// is applied, a task may be both; it then counts twice and the result is too low.
     pub(super) fn waiting(&self, job: &LiveJob) -> u64 {
         job.spec
             .tasks
@@ -112,12 +111,12 @@
             .saturating_sub(self.placed.len() as u64)
     }
 
-    /// When the pause of a task ends, if it has not ended yet.
+    /// Returns the end of a task's backoff, if it lies in the future.
     fn backoff_of(&self, task: u32, now: Instant) -> Option<Instant> {
         self.retries.get(&task).map(|retry| retry.not_before).filter(|at| *at > now)
     }
 
-    /// Queues a task that is placed no longer and not done.
+    /// Queues a task that is no longer placed and not completed.
     pub(super) fn requeue(&mut self, task: u32, now: Instant) {
         if task >= self.cursor {
             return;
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Requeues tasks whose pauses are over.
+    /// Requeues tasks whose backoffs have expired.
     pub(super) fn expire_backoffs(&mut self, now: Instant) {
         while let Some(expiry) = self.backing_off.first().copied()
             && expiry.at <= now
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Ends the pauses of all tasks.
+    /// Ends the backoffs of all tasks.
     pub(super) fn reset_backoffs(&mut self, now: Instant) {
         for retry in self.retries.values_mut() {
             retry.not_before = retry.not_before.min(now);
@@ -147,18 +146,18 @@
         self.requeued.extend(backing_off.into_iter().map(|expiry| expiry.task));
     }
 
-    /// Takes the next task that may be started out of those that wait. Each task is passed once
-    /// and once more for each time it is requeued, however many there are.
+    /// Takes the next waiting task that may be started. Each task is examined once, plus once for each time it is
+    /// requeued, regardless of the size of the job.
     pub(super) fn next_task(&mut self, job: &LiveJob, now: Instant) -> Option<u32> {
         while let Some(task) = self.requeued.pop_first() {
-            if self.is_open(job, task) {
+            if self.is_unplaced(job, task) {
                 return Some(task);
             }
         }
         while self.cursor < job.tasks() {
             let task = self.cursor;
             self.cursor += 1;
-            if !self.is_open(job, task) {
+            if !self.is_unplaced(job, task) {
                 continue;
             }
             match self.backoff_of(task, now) {
@@ -169,7 +168,7 @@
         None
     }
 
-    fn is_open(&self, job: &LiveJob, task: u32) -> bool {
+    fn is_unplaced(&self, job: &LiveJob, task: u32) -> bool {
         !self.placed.contains_key(&task) && !job.is_completed(task)
     }
 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -1,8 +1,8 @@
-//! What a new leader can't see of jobs that are over.
+//! Counts capacity that tasks of finished jobs may still use after a failover.
 //!
-//! Tasks of a job that was cancelled run on until they are stopped, and on a machine out of reach until its lease
-//! ends. No live job asks for them any more, so whoever leads next would let their team use the room once more. What
-//! they may take up counts against their team as long as any machine has not confirmed what runs on it.
+//! Tasks of a cancelled job run until they are stopped; on an unreachable machine they run until its lease expires.
+//! They belong to no live job, so a new leader would let their team use that capacity a second time. Their requests
+//! therefore count against the team until every machine is confirmed.
 
 use crate::constants::DELEGATION_TERM;
 use crate::ids::{Amount, JobId, TaskId};
@@ -16,11 +16,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much longer than it may a task of a job that is over counts against its team under a new leader: two
-/// controllers' times of day differ by less, and a transaction waits less for its turn.
+/// Time added to the longest possible run of an orphaned task when a new leader counts it against its team. Covers the
+/// clock skew between two controllers and the time for which a transaction is queued.
 const ORPHANED_TASK_SLACK: Duration = Duration::from_secs(10);
 
-/// By team.
+/// Capacity that orphaned tasks may still use, by team index.
 #[derive(Debug, Default)]
 pub(super) struct OrphanedCapacity {
     teams: BTreeMap<usize, Amount>,
@@ -32,52 +32,58 @@
         *sum = sum.plus(&amount);
     }
 
-    /// What orphaned tasks of a team may still use.
+    /// Returns the capacity that orphaned tasks of a team may still use.
     pub(super) fn of(&self, team: usize) -> Amount {
         self.teams.get(&team).copied().unwrap_or_default()
     }
 
-    /// All machines have told what runs on them.
+    /// Resets all amounts, once every machine is confirmed.
     pub(super) fn clear(&mut self) {
         self.teams.clear();
     }
 }
 
-/// What so many tasks take up; all there is if their number was not told.
-fn room(rest: &OrphanedTasks, placed: u64) -> Amount {
-    rest.need.times(rest.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
+/// Returns the capacity of the orphaned tasks beyond those that are placed; unlimited if their number was not stored.
+fn orphaned_amount(orphaned: &OrphanedTasks, placed: u64) -> Amount {
+    orphaned.need.times(orphaned.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
 }
 
 impl Scheduler {
-    /// At the failover: jobs that ended so lately that something of them may run. Versions before this one don't
-    /// say when; of theirs those count that ended after any that surely ended long ago.
+    /// Counts the tasks of recently finished jobs that may still run, at the start of a term. Records of older
+    /// versions don't contain the finish time; such a job counts as recent if its revision is higher than that of
+    /// every job that is known to have finished long ago.
     pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
-        let within = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
+        let max_run = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
             + DELEGATION_TERM
             + ORPHANED_TASK_SLACK;
         let now_ms = self.wall_clock.ms(now);
-        let lately = |ended_ms: u64| now_ms < ended_ms.saturating_add(within.as_millis() as u64);
+        let is_recent =
+            |ended_ms: u64| now_ms < ended_ms.saturating_add(max_run.as_millis() as u64);
         let jobs = cache.jobs.all.values();
-        let long_over = jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !lately(ms)));
-        let long_over = long_over.map(|job| job.rev).max().unwrap_or_default();
+        let finished_long_ago =
+            jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !is_recent(ms)));
+        let last_old_revision = finished_long_ago.map(|job| job.rev).max().unwrap_or_default();
         for job in jobs {
-            let JobBody::Finished { orphaned_tasks: Some(rest), .. } = &job.body else { continue };
-            if rest.ended_ms.map_or(job.rev > long_over, lately) {
-                let team = self.team_of(&rest.team);
-                self.jobs.orphaned_capacity.add(team, room(rest, 0));
+            let JobBody::Finished { orphaned_tasks: Some(orphaned), .. } = &job.body else {
+                continue;
+            };
+            if orphaned.ended_ms.map_or(job.rev > last_old_revision, is_recent) {
+                let team = self.team_of(&orphaned.team);
+                self.jobs.orphaned_capacity.add(team, orphaned_amount(orphaned, 0));
             }
         }
     }
 
-    /// A job is over, or about to be, of which a predecessor may have started what no heartbeat has shown.
-    pub(super) fn count_orphaned_tasks(&mut self, work: &JobProgress, job: &Job) {
-        let placed = work.placed.len() as u64;
+    /// Counts tasks of a job that is finished or being cancelled that a previous leader may have started and no
+    /// heartbeat has shown yet.
+    pub(super) fn count_orphaned_tasks(&mut self, progress: &JobProgress, job: &Job) {
+        let placed = progress.placed.len() as u64;
         let (team, amount) = match &job.body {
-            _ if !work.predates_leadership => return,
-            JobBody::Live(live) => (&live.spec.team, live.need.times(work.waiting(live))),
-            JobBody::Finished { orphaned_tasks: Some(rest), .. } => {
-                (&rest.team, room(rest, placed))
+            _ if !progress.predates_leadership => return,
+            JobBody::Live(live) => (&live.spec.team, live.need.times(progress.waiting(live))),
+            JobBody::Finished { orphaned_tasks: Some(orphaned), .. } => {
+                (&orphaned.team, orphaned_amount(orphaned, placed))
             }
             JobBody::Finished { .. } => return,
         };
@@ -85,18 +91,24 @@
         self.jobs.orphaned_capacity.add(team, amount);
     }
 
-    /// How many tasks of a job may be on machines though all are done: one that was reported done by an old
-    /// report may run a second time.
-    pub(super) fn duplicate_runs(&self, id: &JobId, work: &JobProgress, live: &LiveJob) -> u64 {
+    /// Returns the maximum number of tasks of a job that may still be on machines although all are completed: a task
+    /// whose completion came from a stale heartbeat may run a second time.
+    pub(super) fn max_duplicate_runs(
+        &self,
+        id: &JobId,
+        progress: &JobProgress,
+        live: &LiveJob,
+    ) -> u64 {
         let runs = |(index, placed): (&u32, &Placement)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
             let entry = machine.attempts.get(&(task, placed.attempt))?;
             (entry.state != TaskState::Exited).then_some(())
         };
-        let known = work.placed.iter().filter_map(runs).count() + work.duplicate_attempts.len();
-        let unsure = work.predates_leadership
+        let known =
+            progress.placed.iter().filter_map(runs).count() + progress.duplicate_attempts.len();
+        let may_be_hidden = progress.predates_leadership
             && self.fleet.machines.values().any(|machine| !machine.confirmed);
-        known as u64 + if unsure { live.spec.tasks } else { 0 }
+        known as u64 + if may_be_hidden { live.spec.tasks } else { 0 }
     }
 }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -1,7 +1,6 @@
-//! What the store tells of jobs, and what is due to be written there: records of machines, completions.
+//! Applies changed job records of the store and enqueues the leader's writes: machine records and task completions.
 //!
-//! Owns what follows from a job's record (it is over, a task is done) and every write of the leader but those of
-//! learning and tidying. It places nothing and talks to no worker.
+//! Runtime estimates and garbage collection enqueue their own writes. This module places no task and calls no worker.
 
 use crate::ids::{JobId, MachineId, Revision, TaskId};
 use crate::jobs;
@@ -19,25 +18,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long marks of tasks of jobs that go on wait for others: one write carries all of a job's that
-/// have come, and each write is read by every controller.
+/// Interval between writes of completed tasks that finish no job: one write carries all completions of a job that
+/// arrived since the last one, and every controller reads each write.
 const PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1000);
-/// When progress of jobs that go on is written.
+/// The schedule of progress writes of jobs that have tasks left.
 #[derive(Debug)]
 pub(super) struct PersistenceSchedule {
-    /// The earliest time of the next write that ends no job.
+    /// The earliest time of the next write that finishes no job.
     pub(super) next_progress_write: Instant,
 }
 
 impl PersistenceSchedule {
-    /// A write is due now.
+    /// Creates a schedule whose first write is due now.
     pub(super) fn new(now: Instant) -> PersistenceSchedule {
         PersistenceSchedule { next_progress_write: now }
     }
 }
 
 impl Scheduler {
-    /// Records of these jobs may have changed.
+    /// Applies the records of these jobs, which may have changed.
     pub fn on_jobs(&mut self, ids: &[JobId], cache: &Cache, now: Instant) {
         self.dependencies.stale |= !self.dependencies.inherited.is_empty();
         for id in ids {
@@ -46,20 +45,20 @@
                 JobBody::Live(_) if self.jobs.cancelling.contains(id) => {}
                 JobBody::Live(live) => {
                     self.dependencies.stale |= !live.depends_on().is_empty();
-                    let work = self.jobs.progress.entry(id.clone()).or_default();
+                    let progress = self.jobs.progress.entry(id.clone()).or_default();
                     if live.is_ready() {
-                        work.first_seen.get_or_insert(now);
+                        progress.first_seen.get_or_insert(now);
                     }
-                    let done: Vec<u32> = work
+                    let completed: Vec<u32> = progress
                         .placed
                         .keys()
                         .filter(|task| live.is_completed(**task))
                         .copied()
                         .collect();
-                    for task in done {
-                        work.completing.remove(&task);
-                        work.retries.remove(&task);
-                        let Some(placed) = work.placed.remove(&task) else { continue };
+                    for task in completed {
+                        progress.completing.remove(&task);
+                        progress.retries.remove(&task);
+                        let Some(placed) = progress.placed.remove(&task) else { continue };
                         let machine = self.fleet.machines.get_mut(&placed.machine);
                         let Some(machine) = machine else { continue };
                         let key = (TaskId { job: id.clone(), index: task }, placed.attempt);
@@ -67,7 +66,7 @@
                             Some(entry) if entry.state == TaskState::Exited => {
                                 entry.exit_handled = true
                             }
-                            // A second run of a task that is done by now.
+                            // Another attempt at a task that is already completed.
                             _ => {
                                 machine.request_stop(
                                     &key,
@@ -81,9 +80,9 @@
                 JobBody::Finished { cancelled, .. } => {
                     self.record_job_end(id, *cancelled, now);
                     self.jobs.cancelling.remove(id);
-                    if let Some(work) = self.jobs.progress.remove(id) {
-                        tracing::debug!(job = %id, cancelled, "job is over");
-                        self.count_orphaned_tasks(&work, job);
+                    if let Some(progress) = self.jobs.progress.remove(id) {
+                        tracing::debug!(job = %id, cancelled, "job finished");
+                        self.count_orphaned_tasks(&progress, job);
                     }
                     self.stop_tasks_of_job(id);
                     self.jobs.machines.forget(id);
@@ -93,30 +92,32 @@
         self.planning_clock.pass_requested = true;
     }
 
-    /// Jobs that this process promised to stop. While the store is out of reach this is the only way to
-    /// learn of them; one that is not known yet was accepted a moment ago.
+    /// Stops the tasks of jobs whose cancellation was acknowledged to users. While the store is unreachable, this is
+    /// the only way in which the leader learns of these cancellations. A job that is not in the cache yet was
+    /// accepted a moment ago.
     pub fn on_cancellation_acknowledged(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
-            let open = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
-            if open && !self.jobs.cancelling.contains(id) {
+            let may_be_live = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
+            if may_be_live && !self.jobs.cancelling.contains(id) {
                 tracing::debug!(job = %id, "cancellation acknowledged, stopping tasks");
-                // Remembered, not only forgotten as work: the end of one of its tasks would
-                // otherwise make it new work, none of whose tasks seem to run anywhere.
+                // Dropping the job's progress is not enough: the exit of one of its tasks would create new
+                // progress without placements, and all its tasks would be started again.
                 self.jobs.cancelling.insert(id.clone());
-                if let Some((work, job)) = self.jobs.progress.remove(id).zip(cache.jobs.get(id)) {
-                    self.count_orphaned_tasks(&work, job);
+                let progress = self.jobs.progress.remove(id);
+                if let Some((progress, job)) = progress.zip(cache.jobs.get(id)) {
+                    self.count_orphaned_tasks(&progress, job);
                 }
                 self.stop_tasks_of_job(id);
             }
         }
     }
 
-    /// Stops whatever a job that is over has anywhere.
+    /// Stops all tasks of a finished job without a grace period.
     pub(super) fn stop_tasks_of_job(&mut self, id: &JobId) {
         let attempts = attempts_of(id);
         self.direct_calls.all_dirty = true;
-        for holder in self.jobs.machines.of(id) {
-            let Some(machine) = self.fleet.machines.get_mut(&holder) else { continue };
+        for machine_id in self.jobs.machines.of(id) {
+            let Some(machine) = self.fleet.machines.get_mut(&machine_id) else { continue };
             let mut keys = Vec::new();
             for (key, entry) in machine.attempts.range_mut(attempts.clone()) {
                 if entry.state == TaskState::Exited {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes in how a write to the store ended.
+    /// Applies the outcome of a write to the store.
     pub fn on_outcome(
         &mut self,
         origin: &WriteOrigin,
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Hands the store what is due: records of machines and completions.
-    pub(super) fn store(&mut self, store: &mut StoreClient, now: Instant) {
+    /// Enqueues the writes that are due: machine records and completions.
+    pub(super) fn enqueue_due_writes(&mut self, store: &mut StoreClient, now: Instant) {
         let machines = &self.fleet.machines;
         let due = |id: &MachineId| {
             machines
@@ -192,27 +193,28 @@
         self.store_completions(store, now);
     }
 
-    /// Removes the records of machines that are surely gone.
+    /// Removes the records of machines whose deletion is confirmed.
     pub(super) fn delete_machine_records(&self, store: &mut StoreClient) {
-        // Both are in the order of their names: one walk along both instead of a search for each.
-        let mut ours = self.fleet.machines.keys().peekable();
-        let mut is_ours = |id: &MachineId| {
-            while ours.next_if(|our| *our < id).is_some() {}
-            ours.peek().is_some_and(|our| *our == id)
+        // Both maps are ordered by id, so one merge pass replaces a lookup per record.
+        let mut known_machines = self.fleet.machines.keys().peekable();
+        let mut is_known = |id: &MachineId| {
+            while known_machines.next_if(|known| *known < id).is_some() {}
+            known_machines.peek().is_some_and(|known| *known == id)
         };
-        let gone: Vec<(MachineId, Revision)> = store
+        let deleted: Vec<(MachineId, Revision)> = store
             .cache
             .machines
             .iter()
-            .filter(|(id, _)| !is_ours(id))
-            // One of a kind that is not known is not known to be gone.
+            .filter(|(id, _)| !is_known(id))
+            // A machine of an unknown type or zone is never added to the fleet, so its absence there doesn't prove
+            // that it was deleted.
             .filter(|(_, known)| {
                 let record = &known.value;
                 self.fleet.pool(&record.machine_type, &record.zone, record.spot).is_some()
             })
             .map(|(id, known)| (id.clone(), known.revision))
             .collect();
-        for (id, rev) in gone {
+        for (id, rev) in deleted {
             let origin = WriteOrigin::MachineRemoved(id.clone());
             if store.is_pending(&origin) {
                 continue;
@@ -233,48 +235,53 @@
         }
     }
 
-    /// Writes tasks that are reported done, those that end a job first.
+    /// Writes completed tasks; writes that finish a job go first.
     pub(super) fn store_completions(&mut self, store: &mut StoreClient, now: Instant) {
-        let marks = now >= self.persistence.next_progress_write && !store.is_backlogged();
-        if marks {
+        let progress_due = now >= self.persistence.next_progress_write && !store.is_backlogged();
+        if progress_due {
             self.persistence.next_progress_write = now + PROGRESS_WRITE_INTERVAL;
         }
         let layout = store.layout();
         let now_ms = self.wall_clock.ms(now);
-        let guard = self.term.precondition();
-        let work = &self.jobs.progress;
-        let due = |id: &JobId| work.get(id).is_some_and(|work| !work.completing.is_empty());
-        self.jobs.completing.retain(due);
-        let reported = self.jobs.completing.iter().filter_map(|id| work.get_key_value(id));
-        let mut reported: Vec<(&JobId, &JobProgress)> = reported.collect();
-        // A write carries whatever marks of a job have come, so the longer marks wait the fewer writes
-        // they take. Where the budget is short, only what ends a job goes at once.
-        reported.sort_by_key(|(_, work)| Reverse(work.completing.len()));
-        for (id, work) in reported {
+        let leader_precondition = self.term.precondition();
+        let all_progress = &self.jobs.progress;
+        let has_completions = |id: &JobId| {
+            all_progress.get(id).is_some_and(|progress| !progress.completing.is_empty())
+        };
+        self.jobs.completing.retain(has_completions);
+        let completing =
+            self.jobs.completing.iter().filter_map(|id| all_progress.get_key_value(id));
+        let mut completing: Vec<(&JobId, &JobProgress)> = completing.collect();
+        // One write carries all completions of a job that arrived so far, so the longer they wait the fewer writes
+        // they take. While the store is backlogged, only writes that finish a job are enqueued.
+        completing.sort_by_key(|(_, progress)| Reverse(progress.completing.len()));
+        for (id, progress) in completing {
             let origin = WriteOrigin::Completion(id.clone());
             if store.is_pending(&origin) {
                 continue;
             }
             let Some(job) = store.cache.jobs.get(id) else { continue };
-            let goes_on = |live: &LiveJob| {
-                live.completed_count() + (work.completing.len() as u64) < live.spec.tasks
+            let has_tasks_left = |live: &LiveJob| {
+                live.completed_count() + (progress.completing.len() as u64) < live.spec.tasks
             };
-            if (!marks || store.is_backlogged()) && job.live().is_none_or(goes_on) {
+            if (!progress_due || store.is_backlogged()) && job.live().is_none_or(has_tasks_left) {
                 continue;
             }
-            let tasks: Vec<u32> = work.completing.iter().copied().collect();
-            let second = job.live().filter(|live| !goes_on(live));
-            let second = second.map_or(0, |live| self.duplicate_runs(id, work, live));
-            let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
+            let tasks: Vec<u32> = progress.completing.iter().copied().collect();
+            let finishing = job.live().filter(|live| !has_tasks_left(live));
+            let duplicates =
+                finishing.map_or(0, |live| self.max_duplicate_runs(id, progress, live));
+            let Some(completion) = jobs::complete(id, job, &tasks, duplicates, now_ms, &layout)
+            else {
                 continue;
             };
-            if !done.ends && (!marks || store.is_backlogged()) {
+            if !completion.ends && (!progress_due || store.is_backlogged()) {
                 continue;
             }
-            let mut transaction = done.transaction;
-            transaction.preconditions.push(guard.clone());
+            let mut transaction = completion.transaction;
+            transaction.preconditions.push(leader_precondition.clone());
             let priority =
-                if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
+                if completion.ends { WritePriority::Blocking } else { WritePriority::Progress };
             store.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -1,7 +1,7 @@
-//! What workers' heartbeats say, turned into what is known of machines and tasks.
+//! Applies workers' heartbeats to the leader's view of machines and tasks.
 //!
-//! Owns the way from a heartbeat's facts to `work` and to the entries of the machine that told. It starts nothing,
-//! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
+//! Updates job progress and the attempts of the reporting machine. It starts no task, rents no machine and writes
+//! nothing to the store: planning and persistence act on the updated state.
 
 use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
@@ -21,60 +21,63 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A task that ran this long shows that its job does well: mistakes show at once.
+/// Run time after which a running task counts as a success of its job: faulty jobs fail at once.
 pub(super) const SUCCESS_AFTER_RUNNING: Duration = Duration::from_secs(10);
 
 impl Scheduler {
-    /// A heartbeat on `/hello`; the answer renews the worker's lease. None: a later leader exists.
+    /// Applies a heartbeat received on `/hello` and returns the answer, which renews the worker's lease. Returns
+    /// `None` if a later leader exists.
     pub fn on_heartbeat(
         &mut self,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         cache: &Cache,
         now: Instant,
     ) -> Option<CommandBatch> {
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
-        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+        if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
             machine.relayed_by = None;
         }
-        if self.fleet.terminated.contains(&report.machine) {
-            // Held back by the network since before the machine was deleted.
+        if self.fleet.terminated.contains(&heartbeat.machine) {
+            // The network delayed this heartbeat since before the machine was deleted.
             return Some(self.answer(Vec::new()));
         }
-        if !self.fleet.machines.contains_key(&report.machine) {
-            let Some(kind) = self.fleet.pool(&report.flavor, &report.zone, report.spot) else {
+        if !self.fleet.machines.contains_key(&heartbeat.machine) {
+            let Some(kind) = self.fleet.pool(&heartbeat.flavor, &heartbeat.zone, heartbeat.spot)
+            else {
                 return Some(self.answer(Vec::new()));
             };
-            tracing::info!(machine = %report.machine, "heartbeat of an unknown machine");
-            self.fleet.add_machine(&report.machine, kind, now);
+            tracing::info!(machine = %heartbeat.machine, "heartbeat of an unknown machine");
+            self.fleet.add_machine(&heartbeat.machine, kind, now);
         }
-        if !self.apply_heartbeat(report, cache, now) {
+        if !self.apply_heartbeat(heartbeat, cache, now) {
             return None;
         }
-        let orders = self.commands_in_response(&report.machine, now)?;
-        Some(self.answer(orders))
+        let commands = self.commands_in_response(&heartbeat.machine, now)?;
+        Some(self.answer(commands))
     }
 
-    /// The end of a direct call: the worker's heartbeat, or whether it may still be executed.
+    /// Applies the result of a direct call: the worker's heartbeat, or an error that says whether the call may still
+    /// be executed. Returns false if the worker has seen a higher fencing token than ours.
     pub fn on_worker_response(
         &mut self,
         id: &MachineId,
         sent: Option<&CommandBatch>,
-        report: Result<Heartbeat, crate::http::CallError>,
+        heartbeat: Result<Heartbeat, crate::http::CallError>,
         cache: &Cache,
         now: Instant,
     ) -> bool {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return true };
         self.direct_calls.in_flight -= usize::from(std::mem::take(&mut machine.direct_in_flight));
         self.direct_calls.dirty_machines.insert(id.clone());
-        let answered = !matches!(report, Err(crate::http::CallError::Unknown));
-        if let (Some(orders), true) = (sent, answered) {
-            machine.track_starts_in_flight(&orders.orders, -1);
+        let answered = !matches!(heartbeat, Err(crate::http::CallError::Unknown));
+        if let (Some(batch), true) = (sent, answered) {
+            machine.track_starts_in_flight(&batch.orders, -1);
         }
-        match report {
-            Ok(report) if report.machine == *id => {
+        match heartbeat {
+            Ok(heartbeat) if heartbeat.machine == *id => {
                 machine.next_direct_at = now + Duration::from_millis(20);
-                self.apply_heartbeat(&report, cache, now)
+                self.apply_heartbeat(&heartbeat, cache, now)
             }
             _ => {
                 if machine.probe_zone_reachable {
@@ -86,89 +89,89 @@
         }
     }
 
-    /// The orders of an answer that is about to be sent, which renews the worker's lease.
+    /// Returns the commands of an answer that is about to be sent and records that it renews the worker's lease.
     pub(super) fn commands_in_response(
         &mut self,
         id: &MachineId,
         now: Instant,
     ) -> Option<Vec<WorkerCommand>> {
         let machine = self.fleet.machines.get_mut(id)?;
-        // The answer is about to be sent, so its lease may now last until a lease from here.
+        // The answer renews the lease, which may now last for one full lease from this time.
         machine.last_answered = now;
-        let orders = machine.commands_for_answer();
-        // Most reports leave nothing owed.
+        let commands = machine.commands_for_answer();
+        // After most heartbeats no command is due.
         machine.commands_due =
-            orders.iter().any(|order| !matches!(order, WorkerCommand::Forget { .. }));
+            commands.iter().any(|command| !matches!(command, WorkerCommand::Forget { .. }));
         if machine.commands_due || !machine.confirmed {
             self.direct_calls.dirty_machines.insert(id.clone());
         }
-        Some(orders)
+        Some(commands)
     }
 
-    /// The answer to a heartbeat with these commands.
-    pub(super) fn answer(&self, orders: Vec<WorkerCommand>) -> CommandBatch {
-        CommandBatch { token: self.term.token, agent_epoch: None, orders }
+    /// Returns the answer to a heartbeat that carries these commands.
+    pub(super) fn answer(&self, commands: Vec<WorkerCommand>) -> CommandBatch {
+        CommandBatch { token: self.term.token, agent_epoch: None, orders: commands }
     }
 
-    /// False: the worker has seen a higher token than ours.
+    /// Applies a heartbeat. Returns false if the worker has seen a higher fencing token than ours.
     pub(super) fn apply_heartbeat(
         &mut self,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         cache: &Cache,
         now: Instant,
     ) -> bool {
-        let Some(machine) = self.fleet.machines.get_mut(&report.machine) else { return true };
-        if let Ok(address) = report.address.parse() {
+        let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) else { return true };
+        if let Ok(address) = heartbeat.address.parse() {
             machine.address = Some(address);
         }
         if machine.up_since.is_none() && !machine.recorded {
             let boot_s = now.saturating_duration_since(machine.rented).as_secs_f64();
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
-        let quiet = self.settings.heartbeat_interval() * 2;
-        let usable = |m: &Machine| {
-            (m.state, m.confirmed, m.agent_epoch, m.time_since_heartbeat(now) > quiet)
+        let silent_after = self.settings.heartbeat_interval() * 2;
+        let planning_state = |m: &Machine| {
+            (m.state, m.confirmed, m.agent_epoch, m.time_since_heartbeat(now) > silent_after)
         };
-        let before = usable(machine);
+        let previous_state = planning_state(machine);
         let had_notice = machine.reclaim_at.is_some();
-        let facts = match machine.record_heartbeat(report, self.term.token, now) {
+        let events = match machine.record_heartbeat(heartbeat, self.term.token, now) {
             HeartbeatEffect::Superseded => return false,
             HeartbeatEffect::Stale => return true,
-            HeartbeatEffect::Recorded(facts) => facts,
+            HeartbeatEffect::Recorded(events) => events,
         };
         if !had_notice && machine.reclaim_at.is_some() {
-            tracing::info!(machine = %machine.id, notice_s = report.notice_s, "spot notice");
+            tracing::info!(machine = %machine.id, notice_s = heartbeat.notice_s, "spot reclaim notice");
         }
-        // Most reports say what is known already and change no plan.
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         if !machine.recorded {
             self.fleet.unrecorded.insert(machine.id.clone());
         }
-        let news = !facts.is_empty()
-            || usable(machine) != before
+        // Most heartbeats repeat what is already recorded; those need no planning pass.
+        let needs_pass = !events.is_empty()
+            || planning_state(machine) != previous_state
             || had_notice != machine.reclaim_at.is_some();
-        let id = report.machine.clone();
-        for fact in facts {
-            self.on_task_event(&id, fact, cache, now);
+        let id = heartbeat.machine.clone();
+        for event in events {
+            self.on_task_event(&id, event, cache, now);
         }
         self.evacuate_reclaimed(&id, cache, now);
-        self.planning_clock.pass_requested |= news;
+        self.planning_clock.pass_requested |= needs_pass;
         true
     }
 
-    /// Takes in what a heartbeat shows of one task.
+    /// Applies one task event of a heartbeat.
     pub(super) fn on_task_event(
         &mut self,
         machine: &MachineId,
-        fact: TaskEvent,
+        event: TaskEvent,
         cache: &Cache,
         now: Instant,
     ) {
-        match fact {
+        match event {
             TaskEvent::Running(task, attempt) => {
                 self.on_running(machine, &task, attempt, cache, now)
             }
-            TaskEvent::Found(task, attempt) => self.adopt(machine, task, attempt, cache),
+            TaskEvent::Found(task, attempt) => self.adopt_attempt(machine, task, attempt, cache),
             TaskEvent::Vanished(task, attempt, ran) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
                 let run = ObservedRun { duration: ran, done: false, saved: false };
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Logs how long a task took to start.
+    /// Logs how long a task took to start: since its job was first seen, and since it was placed.
     pub(super) fn on_running(
         &mut self,
         id: &MachineId,
@@ -197,20 +200,21 @@
         let Some(entry) = machine.attempts.get(&(task.clone(), attempt)) else { return };
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         let known_ms =
-            self.jobs.progress.get(&task.job).and_then(|work| work.first_seen).map(since);
+            self.jobs.progress.get(&task.job).and_then(|progress| progress.first_seen).map(since);
         let class = &live.spec.class;
         let fetch_ms = since(entry.placed);
         tracing::debug!(machine = %id, %task, class, known_ms, fetch_ms, image = %entry.image, "running");
     }
 
-    /// The job, if its tasks may still be started.
+    /// Returns the job if its tasks may still be started: it is live and its cancellation is not acknowledged.
     pub(super) fn live<'a>(&self, cache: &'a Cache, id: &JobId) -> Option<&'a LiveJob> {
         let live = cache.jobs.get(id).and_then(Job::live)?;
         (!self.jobs.cancelling.contains(id)).then_some(live)
     }
 
-    /// A task that a predecessor started.
-    pub(super) fn adopt(
+    /// Adopts an attempt that a previous leader started and a heartbeat shows. If its job is finished, the attempt
+    /// is stopped; if the task is already placed elsewhere, the earlier attempt is stopped as a duplicate.
+    pub(super) fn adopt_attempt(
         &mut self,
         machine: &MachineId,
         task: TaskId,
@@ -230,8 +234,8 @@
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
         self.jobs.machines.note(&task.job, machine, &self.fleet.machines);
-        let live = self.live(cache, &task.job).is_some();
-        let work = live.then(|| self.jobs.progress.entry(task.job.clone()).or_default());
+        let is_live = self.live(cache, &task.job).is_some();
+        let progress = is_live.then(|| self.jobs.progress.entry(task.job.clone()).or_default());
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.commands_due = true;
         let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
@@ -239,29 +243,30 @@
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
         machine.adopt_attempt(&key);
-        let Some(work) = work else {
+        let Some(progress) = progress else {
             return machine.request_stop(&key, StopRequest { grace_s: 0.0, reason: JOB_FINISHED });
         };
         let found = Placement { machine: machine.id.clone(), attempt };
-        let Some(placed) = work.placed.get(&task.index).cloned() else {
-            work.placed.insert(task.index, found);
+        let Some(placed) = progress.placed.get(&task.index).cloned() else {
+            progress.placed.insert(task.index, found);
             return;
         };
         if exited {
             return;
         }
-        // No attempt is started before all earlier ones are surely gone, so the heartbeat that shows the earlier
-        // one is an old one. The later one goes on; the task is free only when neither is shown any more.
-        tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "old heartbeat shows a duplicate attempt");
+        // No attempt is started until all earlier ones are confirmed to have terminated, so the heartbeat that shows
+        // the earlier attempt is stale. The later attempt continues; the task is free only when no heartbeat shows
+        // either of them.
+        tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "stale heartbeat shows a duplicate attempt");
         let duplicate = if attempt > placed.attempt {
-            work.placed.insert(task.index, found);
+            progress.placed.insert(task.index, found);
             placed
         } else {
             found
         };
         let (id, attempt) = (duplicate.machine.clone(), duplicate.attempt);
         let duplicate = DuplicateAttempt { task: task.index, placement: duplicate };
-        work.duplicate_attempts.push(duplicate);
+        progress.duplicate_attempts.push(duplicate);
         if let Some(machine) = self.fleet.machines.get_mut(&id) {
             machine.request_stop(
                 &(task, attempt),
@@ -270,48 +275,50 @@
         }
     }
 
-    /// Frees a task whose attempt is gone, unless another attempt is still shown.
+    /// Frees a task whose attempt has terminated, unless a heartbeat still shows another attempt at it.
     pub(super) fn release(&mut self, task: &TaskId, attempt: Attempt, now: Instant) {
-        if let Some(work) = self.jobs.progress.get_mut(&task.job) {
-            work.duplicate_attempts.retain(|duplicate| {
+        if let Some(progress) = self.jobs.progress.get_mut(&task.job) {
+            progress.duplicate_attempts.retain(|duplicate| {
                 (duplicate.task, duplicate.placement.attempt) != (task.index, attempt)
             });
-            let placed = work.placed.get(&task.index);
-            let placed = placed.is_some_and(|placed| placed.attempt == attempt);
-            if placed && !work.completing.contains(&task.index) {
-                work.placed.remove(&task.index);
-                let mut duplicates = work.duplicate_attempts.iter();
+            let placed = progress.placed.get(&task.index);
+            let was_placed = placed.is_some_and(|placed| placed.attempt == attempt);
+            if was_placed && !progress.completing.contains(&task.index) {
+                progress.placed.remove(&task.index);
+                let mut duplicates = progress.duplicate_attempts.iter();
                 match duplicates.position(|duplicate| duplicate.task == task.index) {
                     Some(at) => {
-                        let duplicate = work.duplicate_attempts.swap_remove(at);
-                        work.placed.insert(duplicate.task, duplicate.placement);
+                        let duplicate = progress.duplicate_attempts.swap_remove(at);
+                        progress.placed.insert(duplicate.task, duplicate.placement);
                     }
-                    None => work.requeue(task.index, now),
+                    None => progress.requeue(task.index, now),
                 }
             }
         }
         self.planning_clock.pass_requested = true;
     }
 
-    /// A task ended well or ran for a while: a job that seemed mistaken goes on at once.
+    /// Records that a task completed or ran for `SUCCESS_AFTER_RUNNING`. A job that was suspected to be faulty
+    /// resumes at once, without its retry backoffs.
     pub(super) fn record_success(&mut self, id: &JobId, now: Instant) {
-        let Some(work) = self.jobs.progress.get_mut(id) else { return };
-        if work.failures.record_success() {
+        let Some(progress) = self.jobs.progress.get_mut(id) else { return };
+        if progress.failures.record_success() {
             tracing::info!(job = %id, "job no longer suspected");
-            work.reset_backoffs(now);
+            progress.reset_backoffs(now);
             self.planning_clock.pass_requested = true;
         }
     }
 
-    /// Looks whether jobs that failed have tasks by now that ran for a while, and which machines
-    /// failed jobs that do well elsewhere. A job that is done did, one cancelled tells nothing.
+    /// Clears suspected jobs that now have a task that ran for `SUCCESS_AFTER_RUNNING`, and marks machines as faulty
+    /// on which enough jobs failed that succeed elsewhere. A completed job counts as successful; a cancelled one is
+    /// no evidence.
     pub(super) fn attribute_failures(
         &mut self,
-        survey: &FleetSummary,
+        summary: &FleetSummary,
         cache: &Cache,
         now: Instant,
     ) {
-        let ran = |placed: &Placement, job: &JobId, index: u32| {
+        let ran_long_enough = |placed: &Placement, job: &JobId, index: u32| {
             let machine = self.fleet.machines.get(&placed.machine)?;
             let key = (TaskId { job: job.clone(), index }, placed.attempt);
             let entry = machine.attempts.get(&key)?;
@@ -319,50 +326,60 @@
                 && now >= entry.running_since? + SUCCESS_AFTER_RUNNING)
                 .then_some(())
         };
-        let open = self.jobs.progress.iter().filter(|(_, work)| work.failures.is_undecided());
-        let proven: Vec<JobId> = open
-            .filter(|(id, work)| work.placed.iter().any(|(n, at)| ran(at, id, *n).is_some()))
+        let undecided =
+            self.jobs.progress.iter().filter(|(_, progress)| progress.failures.is_undecided());
+        let successful: Vec<JobId> = undecided
+            .filter(|(id, progress)| {
+                let mut placements = progress.placed.iter();
+                placements.any(|(index, placed)| ran_long_enough(placed, id, *index).is_some())
+            })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in proven {
+        for id in successful {
             self.record_success(&id, now);
         }
-        if !survey.failing {
+        if !summary.failing {
             return;
         }
         for machine in
             self.fleet.machines.values_mut().filter(|m| m.failed_jobs.len() >= MACHINE_FAULT_JOBS)
         {
-            let sound = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
+            let succeeds_elsewhere = |id: &&JobId| match cache.jobs.get(id).map(|job| &job.body) {
                 Some(JobBody::Finished { cancelled, .. }) => !cancelled,
-                _ => self.jobs.progress.get(*id).is_some_and(|work| work.failures.has_succeeded()),
+                _ => self
+                    .jobs
+                    .progress
+                    .get(*id)
+                    .is_some_and(|progress| progress.failures.has_succeeded()),
             };
-            machine.faulty = machine.failed_jobs.iter().filter(sound).count() >= MACHINE_FAULT_JOBS;
+            machine.faulty =
+                machine.failed_jobs.iter().filter(succeeds_elsewhere).count() >= MACHINE_FAULT_JOBS;
         }
     }
 
-    /// A spot machine that will be taken: what can save does, what cannot finish moves.
+    /// Stops the tasks of a spot machine that will be reclaimed, with a grace period to save their progress. Tasks
+    /// of arrays that are expected to finish before the reclaim keep running.
     pub(super) fn evacuate_reclaimed(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
-        let known_rest = self.settings.operator.estimates.drain;
+        let use_estimates = self.settings.operator.estimates.drain;
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let Some(at) = machine.reclaim_at else { return };
-        let left = at.saturating_duration_since(now).as_secs_f64();
-        let drained = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
+        let left_s = at.saturating_duration_since(now).as_secs_f64();
+        let must_leave = |((task, _), entry): &(&TaskAttempt, &PlacedAttempt)| {
             if entry.stop.is_some() || entry.state == TaskState::Exited {
                 return false;
             }
             let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
-            let ran = entry.running_since.map(|t| now.saturating_duration_since(t).as_secs_f64());
-            let known = ran
-                .filter(|_| known_rest)
-                .and_then(|ran| self.runtime_predictor.remaining_s(&task.job, ran));
-            let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
-            live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
+            let ran_s = entry.running_since.map(|t| now.saturating_duration_since(t).as_secs_f64());
+            let estimated_s = ran_s
+                .filter(|_| use_estimates)
+                .and_then(|ran_s| self.runtime_predictor.remaining_s(&task.job, ran_s));
+            let remaining_s = estimated_s.unwrap_or(live.spec.expect_s - ran_s.unwrap_or(0.0));
+            live.spec.shape != JobKind::Array || ran_s.is_none() || remaining_s >= left_s - 1.0
         };
         let keys: Vec<_> =
-            machine.attempts.iter().filter(drained).map(|(k, _)| k.clone()).collect();
+            machine.attempts.iter().filter(must_leave).map(|(k, _)| k.clone()).collect();
         for key in keys {
-            let stop = StopRequest { grace_s: (left - 1.0).max(0.0), reason: "spot notice" };
+            let stop = StopRequest { grace_s: (left_s - 1.0).max(0.0), reason: "spot notice" };
             machine.request_stop(&key, stop);
             self.statistics.stops += 1;
         }
