--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! The leader's work: what it knows of machines and tasks, turned into commands.
+//! The leader's scheduler: turns its view of machines and tasks into commands, machine rentals and store writes.
 //!
-//! A core without clock or I/O. It exists only while its process leads, is built anew for each
-//! leadership from the store's records and the workers' heartbeats, and stores no placements.
+//! It has no clock and does no I/O itself. A scheduler exists only while its process leads. It is rebuilt for each
+//! term from the store's records and the workers' heartbeats, and stores no placements.
 
 mod autoscaling;
 mod consolidation;
@@ -59,56 +59,56 @@
 use tokio::time::Instant;
 use troutspindle_elastic_width::WidthPlanner;
 
-/// Pause between two looks at what silence and age do to machines.
-const WATCH_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest pause between two passes that are asked for while no task waits: they keep room warm, book what is drained
-/// and look whether room is scarce.
+/// Interval between two runs of the periodic checks, such as those for silent and aged machines.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum interval between two requested planning passes while no task waits: these passes maintain warm capacity,
+/// book drained machines and determine scarcity.
 const UNCONDITIONAL_PASS_INTERVAL: Duration = Duration::from_millis(480);
 /// The leader's view of machines and tasks, and everything that it decides from it.
 pub struct Scheduler {
-    /// This leadership: its fencing token and what is numbered within it.
+    /// Current term: the fencing token and the attempt numbers created under it.
     term: LeaderTerm,
     settings: Arc<Settings>,
-    /// Ties the monotonic clock to the time of day.
+    /// Mapping from the monotonic clock to the time of day.
     wall_clock: WallClock,
-    /// The teams' indices by their names.
+    /// Team indices by name.
     teams: HashMap<String, usize>,
-    /// The machines and their zones.
+    /// Machines and zones that the leader knows.
     pub fleet: Fleet,
-    /// The live jobs.
+    /// Live jobs and their progress.
     jobs: JobTable,
-    /// When to plan.
+    /// Schedule of planning passes.
     planning_clock: PlanningClock,
-    /// How fast low-priority tasks are started.
+    /// Rate limit of low-priority starts, and whether this process is behind.
     start_pacer: StartPacer,
-    /// Calls to workers.
+    /// Direct calls to workers.
     direct_calls: DirectCalls,
-    /// Scaling out and in.
+    /// State of scaling out and in.
     autoscaler: Autoscaler,
-    /// When work is moved together next.
+    /// State of consolidation, which empties machines by moving their tasks.
     consolidation: Consolidation,
-    /// What is placed first while capacity is scarce.
+    /// Order of placement while capacity is scarce.
     fair_share: FairShare,
-    /// Run times as they were learned.
+    /// Learned run times.
     runtime_predictor: RuntimePredictor,
-    /// What is removed at the store.
+    /// Removal of unused records from the store.
     garbage_collector: GarbageCollector,
-    /// When progress is written to the store.
+    /// Schedule of progress writes to the store.
     persistence: PersistenceSchedule,
-    /// What jobs inherit from those that depend on them.
+    /// Priorities and deadlines that jobs inherit from their dependents.
     dependencies: InheritedPriorities,
-    /// What operators drain.
+    /// Drains of operators.
     drains: DrainState,
-    /// What is remembered of elastic jobs.
+    /// Planned widths of elastic jobs.
     elastic_widths: WidthPlanner<JobId>,
-    /// Which other controllers may answer heartbeats for this leader.
+    /// Delegated leases, under which other controllers may answer heartbeats for this leader.
     pub delegations: Delegations,
-    /// Counts for logs.
+    /// Counters for logs and metrics.
     statistics: Statistics,
 }
 
 impl Scheduler {
-    /// A leader's scheduler as it begins, from what its predecessors stored.
+    /// Creates a new leader's scheduler from the records that previous leaders stored.
     pub fn new(
         token: FencingToken,
         leader_revision: Revision,
@@ -156,8 +156,8 @@
         }
         for (id, job) in &cache.jobs.all {
             if let Some(live) = job.live() {
-                // A predecessor started nothing that still waits for other jobs: the cache holds
-                // all that it committed.
+                // Previous leaders started no task of a job whose dependencies are unfinished: the cache contains
+                // everything that they committed.
                 let progress = JobProgress::of_predecessor(live.is_ready());
                 scheduler.jobs.progress.insert(id.clone(), progress);
             }
@@ -166,86 +166,87 @@
         scheduler
     }
 
-    /// The index of a team; one that no team has if the name is not known.
+    /// Returns the index of a team; `usize::MAX`, which no team has, for an unknown name.
     fn team_of(&self, name: &str) -> usize {
         self.teams.get(name).copied().unwrap_or(usize::MAX)
     }
 
-    /// The fencing token of this leadership.
+    /// Returns the fencing token of this term.
     pub fn token(&self) -> FencingToken {
         self.term.token
     }
 
-    /// The revision of the leader key that this leadership holds.
+    /// Returns the revision of the leader key under which this term was won.
     pub fn leader_revision(&self) -> Revision {
         self.term.leader_revision()
     }
 
-    /// How many machines are known.
+    /// Returns the number of machines that are rented, booting or being terminated.
     pub fn machine_count(&self) -> usize {
         self.fleet.machines.len()
     }
 
-    /// How many heartbeats were taken in.
+    /// Returns the number of heartbeats received during this term.
     pub fn heartbeats(&self) -> u64 {
         self.statistics.heartbeats
     }
 
-    /// When a worker last sent a heartbeat, or when this leadership began.
+    /// Returns the time of the last heartbeat of any worker, or the start of the term if there was none.
     pub fn last_heartbeat(&self) -> Instant {
         self.statistics.last_heartbeat
     }
 
-    /// Sets the time of day anew.
+    /// Replaces the mapping from the monotonic clock to the time of day.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.wall_clock = wall_clock;
     }
 
-    /// Bounds how many machines are rented, by what controllers can serve.
+    /// Sets the maximum number of rented machines, which the capacity of the controllers determines.
     pub fn set_max_machines(&mut self, max_machines: u32) {
         self.autoscaler.max_machines = max_machines;
     }
 
-    /// Bounds how many calls to workers may be under way at once.
+    /// Sets the maximum number of direct calls in flight.
     pub fn set_max_direct_calls(&mut self, max_in_flight: usize) {
         self.direct_calls.max_in_flight = max_in_flight;
     }
 
-    /// How many calls to workers may be under way at once.
+    /// Returns the maximum number of direct calls in flight.
     pub fn max_direct_calls(&self) -> usize {
         self.direct_calls.max_in_flight
     }
 
-    /// The calls to workers that are to be sent, taken out.
+    /// Takes the direct calls that are ready to be sent.
     pub fn take_direct_calls(&mut self) -> Vec<OutgoingCall> {
         self.direct_calls.take_outgoing()
     }
 
-    /// When the next planning pass is due, if one is requested.
+    /// Returns the time at which the next planning pass is due, if one is requested.
     pub fn next_due(&self) -> Option<Instant> {
         self.planning_clock.next_due()
     }
 
-    /// Adjusts the pace of low-priority starts by how late this process is.
+    /// Adjusts the rate of low-priority starts to the lateness of this process.
     pub fn adjust_pace(&mut self, late: Duration, now: Instant) {
         self.start_pacer.adjust(late, now);
     }
 
-    /// Whether this process fell behind a moment ago.
+    /// Returns whether this process was behind recently.
     pub fn is_behind(&self, now: Instant) -> bool {
         self.start_pacer.is_behind(now)
     }
 
-    /// Records how long the last event took to handle.
+    /// Records the time that it took to handle the last event.
     pub fn record_event_duration(&mut self, took: Duration, now: Instant) {
         self.planning_clock.record_duration(took, now);
     }
 
-    /// Does what is due by now. Called often, and only while this process holds the lease.
+    /// Runs everything that is due: checks, writes, planning and direct calls. Called frequently, and only while this
+    /// process holds the leader lease.
     pub fn tick(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         if now >= self.planning_clock.next_watch {
-            self.planning_clock.next_watch = now + WATCH_INTERVAL;
-            self.watch(store, cloud, now);
+            self.planning_clock.next_watch = now + CHECK_INTERVAL;
+            self.run_periodic_checks(store, cloud, now);
         }
         self.enqueue_due_writes(store, now);
         if self.planning_clock.start_round(now) {
@@ -254,8 +255,13 @@
         self.send_direct_calls(now);
     }
 
-    /// What is looked at now and then rather than on each event.
-    fn watch(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
+    /// Runs the checks that are due once per interval rather than on each event.
+    fn run_periodic_checks(
+        &mut self,
+        store: &mut StoreClient,
+        cloud: &mut CloudClient,
+        now: Instant,
+    ) {
         self.direct_calls.all_dirty = true;
         self.watch_machines(&store.cache, cloud, now);
         self.delete_machine_records(store);
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -1,7 +1,7 @@
-//! Calls that the leader makes to workers of its own accord, beside the answers to their heartbeats.
+//! Direct calls from the leader to workers, in addition to the answers to their heartbeats.
 //!
-//! Few machines have anything pending at a time, so only those are looked at whose state changed
-//! since the last round, or all of them where more changed.
+//! Few machines have anything pending at a time, so a round examines only machines whose state changed since the
+//! last one, or all of them after larger changes.
 
 use super::fleet::Fleet;
 use crate::ids::{FencingToken, MachineId};
@@ -15,58 +15,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a call to a worker takes of a whole core, with the connection that it may need.
+/// CPU time of one call to a worker on a whole core, including the connection that it may have to open.
 const CALL_COST: Duration = Duration::from_micros(200);
-/// Share of its allowance with which a new leader asks machines whether they have seen its token: most report by
-/// themselves meanwhile, and each that does need not be asked.
+/// Share of its CPU allowance that a new leader spends on calls to unconfirmed machines. Most machines send a
+/// heartbeat in the meantime, which makes the call unnecessary.
 const CONFIRM_SHARE: f64 = 0.4;
-/// Seconds. Such calls that may go at once.
+/// Burst of these calls, in seconds of their rate.
 const CONFIRM_BURST_S: f64 = 0.2;
-/// Count. PROTOCOL starts a worker's sessions at this.
+/// Agent epoch of a worker that has never lost its lease: PROTOCOL starts a worker's epochs at this number.
 const FIRST_AGENT_EPOCH: u64 = 1;
 
-/// A call to a worker that is to be sent.
+/// A call to a worker that is ready to be sent.
 #[derive(Debug)]
 pub struct OutgoingCall {
     /// The machine that the worker runs on.
     pub machine: MachineId,
-    /// Where it listens.
+    /// Address at which the worker takes direct calls.
     pub address: SocketAddr,
-    /// What it is asked or told.
+    /// Commands or a status request.
     pub call: DirectCall,
 }
 
-/// What calls to workers depend on beside the machines themselves.
+/// Inputs of the decision which workers to call, apart from the machines themselves.
 pub(super) struct CallRules {
-    /// The leader's fencing token.
+    /// Fencing token that commands carry.
     pub(super) token: FencingToken,
-    /// How long after its last heartbeat a worker is asked for its status.
+    /// Time since a worker's last heartbeat after which its status is requested.
     pub(super) heartbeat_late_after: Duration,
-    /// The interval between heartbeats.
+    /// Interval between a worker's heartbeats.
     pub(super) heartbeat_interval: Duration,
 }
 
-/// Decides which workers are called, and bounds how many calls are under way.
+/// Decides which workers are called and bounds the number of calls in flight.
 #[derive(Debug)]
 pub(super) struct DirectCalls {
-    /// Calls that are to be sent.
+    /// Calls that are ready to be sent.
     outgoing: Vec<OutgoingCall>,
-    /// How many calls may be under way at once.
+    /// Maximum number of calls in flight.
     pub(super) max_in_flight: usize,
-    /// How many are.
+    /// Number of calls in flight.
     pub(super) in_flight: usize,
-    /// Calls to machines that have not confirmed what runs there to this leader yet.
+    /// Rate limit of calls to unconfirmed machines.
     confirmation_budget: TokenBucket,
-    /// Machines for which something may be pending.
+    /// Machines for which a call may be pending.
     pub(super) dirty_machines: BTreeSet<MachineId>,
-    /// Whether something may be pending for any machine.
+    /// Whether a call may be pending for any machine.
     pub(super) all_dirty: bool,
-    /// The machine at which the next round goes on, where not all calls could be under way at once.
+    /// Machine at which the next round resumes, if the last one reached `max_in_flight`.
     resume_from: Option<MachineId>,
 }
 
 impl DirectCalls {
-    /// Nothing is under way, and any machine may be called.
+    /// Creates a state without calls in flight in which any machine may be called.
     pub(super) fn new(settings: &Settings, now: Instant) -> DirectCalls {
         let allowed = &settings.platform.params.resources;
         let confirmations = allowed.fits(Duration::from_secs(1), CALL_COST) * CONFIRM_SHARE;
@@ -81,19 +81,19 @@
         }
     }
 
-    /// The calls that are to be sent, taken out.
+    /// Takes the calls that are ready to be sent.
     pub(super) fn take_outgoing(&mut self) -> Vec<OutgoingCall> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Looks at this machine in the next round.
+    /// Marks a machine to be examined in the next round.
     pub(super) fn mark_dirty(&mut self, machine: &MachineId) {
         self.dirty_machines.insert(machine.clone());
     }
 
-    /// One round: makes the calls that are pending, as far as more may be under way.
+    /// Runs one round: prepares the pending calls, up to `max_in_flight`.
     pub(super) fn dispatch(&mut self, fleet: &mut Fleet, rules: &CallRules, now: Instant) {
-        // Machines that were left out the last time come first, and the others after them.
+        // Machines that the last round did not reach come first; the others are examined in a later round.
         let resume_from = self.resume_from.take();
         let all = std::mem::replace(&mut self.all_dirty, resume_from.is_some());
         let dirty = std::mem::take(&mut self.dirty_machines);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Calls the machine if anything is pending for it. False: no more calls may be under way.
+    /// Prepares a call to the machine if one is pending. Returns false if `max_in_flight` is reached.
     fn call_if_pending(
         &mut self,
         machine: &mut Machine,
@@ -160,13 +160,13 @@
     }
 }
 
-/// What is to be sent straight to a machine.
+/// The next direct call to a machine.
 enum NextDirectCall {
-    /// Nothing is pending.
+    /// No call is pending.
     Nothing,
-    /// Something is, after a pause.
+    /// A call is pending, but not before `next_direct_at`.
     Later,
-    /// A call to this address.
+    /// A call to this address is pending.
     Call(SocketAddr, DirectCall),
 }
 
@@ -183,29 +183,29 @@
                 NextDirectCall::Nothing
             };
         }
-        let command = |agent_epoch: u64, orders: Vec<WorkerCommand>| {
+        let send_commands = |agent_epoch: u64, commands: Vec<WorkerCommand>| {
             let agent_epoch = Some(agent_epoch);
-            let batch = CommandBatch { token: rules.token, agent_epoch, orders };
+            let batch = CommandBatch { token: rules.token, agent_epoch, orders: commands };
             NextDirectCall::Call(address, DirectCall::Do(batch))
         };
         if machine.agent_epoch == 0 {
-            // Few leases ever expire, so most machines are in their first agent epoch and confirm
-            // themselves with this one answer. Any other refuses, and its refusal tells the epoch:
-            // a question before would cost a failover most of a second.
+            // The machine's agent epoch is not known yet. Few leases ever expire, so most workers are in their first
+            // epoch and are confirmed by the response to this call. Any other worker rejects it, and the rejection
+            // contains its epoch. Requesting the epoch first would delay a failover by most of a second.
             return if machine.confirmed {
                 NextDirectCall::Nothing
             } else {
-                command(FIRST_AGENT_EPOCH, Vec::new())
+                send_commands(FIRST_AGENT_EPOCH, Vec::new())
             };
         }
-        let orders = if machine.commands_due { machine.direct_commands() } else { Vec::new() };
-        machine.commands_due = !orders.is_empty();
-        if !orders.is_empty() || !machine.confirmed {
-            command(machine.agent_epoch, orders)
+        let commands = if machine.commands_due { machine.direct_commands() } else { Vec::new() };
+        machine.commands_due = !commands.is_empty();
+        if !commands.is_empty() || !machine.confirmed {
+            send_commands(machine.agent_epoch, commands)
         } else if machine.delegated
             || machine.time_since_heartbeat(now) > rules.heartbeat_late_after
         {
-            // Its answer shows that it is within our reach again, or that it lives.
+            // A response shows that the machine is reachable from this leader again, or that its worker is alive.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
             NextDirectCall::Nothing
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -1,7 +1,8 @@
-//! Emptying what operators drain: nothing new starts there, replicas move one of a service at a time and only
-//! where there is room for them, tasks that save move too, others end or are stopped when the time is up.
+//! Empties the machines and zones that operators drain.
 //!
-//! Nothing of this is kept but the order itself: a new leader goes on from what it finds running.
+//! Nothing new is placed there. Replicas move one at a time per service, and only if there is free capacity for them
+//! elsewhere; tasks that save their progress move too; all other tasks finish, or are stopped at the drain's deadline.
+//! Only the drain itself is stored: a new leader continues with the tasks that it finds running.
 
 use crate::clock::WallClock;
 use crate::drains::{DrainRecord, DrainSet};
@@ -20,29 +21,31 @@
 use tokio::time::Instant;
 use troutspindle_protocol::operator_api::{Drain, DrainKind, Drains};
 
-/// Pause between two rounds of moves off what is drained.
+/// Interval between two rounds of moves off drained machines.
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(1);
-/// Seconds. A task that saves is told so much earlier than its time is up: for the command and its heartbeat.
+/// Time in seconds by which a task that saves its progress is stopped earlier than its save time requires: covers the
+/// stop command and the heartbeat that reports the exit.
 const DRAIN_MARGIN_S: f64 = 5.0;
 
-/// What operators drain, and when tasks are moved off next.
+/// The drains of operators and the schedule of evacuation rounds.
 #[derive(Debug, Default)]
 pub(super) struct DrainState {
-    /// The zones and machines that are drained.
+    /// Zones and machines that are drained.
     pub drained: DrainSet,
-    at: Option<Instant>,
+    /// Earliest time of the next evacuation round.
+    next_evacuation: Option<Instant>,
 }
 
 impl Scheduler {
-    /// Whether anything is still to leave: no other moves are made meanwhile, that might take a second
-    /// replica of a service.
+    /// Returns whether any drained machine still has tasks. Other moves are suspended meanwhile, because they could
+    /// stop a second replica of the same service.
     pub(super) fn is_draining(&self) -> bool {
         !self.drains.drained.is_empty()
             && self.fleet.machines.values().any(|m| !m.is_empty() && self.is_drained(m))
     }
 }
 
-/// A task that could leave, and what it needs elsewhere.
+/// A task to be stopped on a drained machine.
 struct Evacuation {
     key: TaskAttempt,
     machine: MachineId,
@@ -50,7 +53,7 @@
 }
 
 impl Scheduler {
-    /// Takes in the drains that are stored by now.
+    /// Reads the drains from the cache and requests a planning pass if they changed.
     pub(super) fn read_drains(&mut self, cache: &Cache) {
         let drained = cache.drained().collect::<DrainSet>();
         if drained != self.drains.drained {
@@ -65,23 +68,23 @@
             .drain_of_machine(machine.id.as_str(), self.fleet.zone_name(machine.zone))
     }
 
-    /// Whether a machine is drained, by itself or with its zone.
+    /// Returns whether a machine is drained, by itself or with its zone.
     pub(super) fn is_drained(&self, machine: &Machine) -> bool {
         self.drain_of(machine).is_some()
     }
 
-    /// By zone: whether it is drained.
+    /// Returns, by zone, whether it is drained.
     pub(super) fn drained_zones(&self) -> Vec<bool> {
         let zones = &self.settings.platform.params.zones;
         zones.iter().map(|zone| self.drains.drained.covers_zone(zone)).collect()
     }
 
-    /// Seconds until a machine has to be empty; none if it is not drained, or by no time.
+    /// Returns the seconds until a machine has to be empty; `None` if it is not drained or its drain has no deadline.
     fn drain_left_s(&self, machine: &Machine, now: Instant) -> Option<f64> {
         Some((self.drain_of(machine)?.by_ms? as f64 - self.wall_clock.ms(now) as f64) / 1000.0)
     }
 
-    /// One round of moves and stops. `bins` are the machines that may take tasks: none that is drained.
+    /// Runs one round of moves and stops. `bins` are the machines that may take tasks; drained ones are not among them.
     pub(super) fn evacuate_drained(
         &mut self,
         bins: &[Bin],
@@ -89,10 +92,11 @@
         cache: &Cache,
         now: Instant,
     ) {
-        if self.drains.drained.is_empty() || self.drains.at.is_some_and(|at| now < at) {
+        if self.drains.drained.is_empty() || self.drains.next_evacuation.is_some_and(|at| now < at)
+        {
             return;
         }
-        self.drains.at = Some(now + EVACUATION_INTERVAL);
+        self.drains.next_evacuation = Some(now + EVACUATION_INTERVAL);
         let mut evacuations = self.tasks_to_move(bins, names, cache, now);
         evacuations.extend(self.tasks_to_stop(cache, now));
         for Evacuation { key, machine, grace_s } in evacuations {
@@ -103,8 +107,8 @@
         }
     }
 
-    /// Replicas of services, one of each at a time and none while another is down, and tasks that save; as
-    /// many as find room elsewhere.
+    /// Returns the tasks to move off drained machines: replicas, one per service at a time and none while another is
+    /// down, and tasks that save their progress; as many as there is free capacity for elsewhere.
     fn tasks_to_move(
         &self,
         bins: &[Bin],
@@ -114,51 +118,56 @@
     ) -> Vec<Evacuation> {
         let mut free: Vec<Amount> = bins.iter().map(|bin| bin.free).collect();
         let mut evacuations = Vec::new();
-        let (mut here, mut all, mut hurry_s) = (0u64, 0u64, f64::INFINITY);
+        let (mut drained, mut total, mut deadline_s) = (0u64, 0u64, f64::INFINITY);
         for machine in self.fleet.machines.values().filter(|m| m.state == MachineState::Up) {
             let tasks = machine.attempts.values().filter(|e| e.state == TaskState::Running);
             let tasks = tasks.count() as u64;
-            all += tasks;
+            total += tasks;
             if self.is_drained(machine) {
-                here += tasks;
-                hurry_s = hurry_s.min(self.drain_left_s(machine, now).unwrap_or(f64::INFINITY));
+                drained += tasks;
+                deadline_s =
+                    deadline_s.min(self.drain_left_s(machine, now).unwrap_or(f64::INFINITY));
             }
         }
-        // As gently as other moves, unless there is no time for that.
-        let gentle = all as f64 * MAX_MOVED_REPLICA_SHARE;
-        let hurried = here as f64 * EVACUATION_INTERVAL.as_secs_f64() / (hurry_s / 2.0).max(1.0);
-        let most = gentle.max(hurried).ceil() as usize;
-        for (id, work) in &self.jobs.progress {
-            if evacuations.len() >= most {
+        // The same rate as other moves, or a higher one if half of the time to the nearest deadline requires it.
+        let usual = total as f64 * MAX_MOVED_REPLICA_SHARE;
+        let urgent =
+            drained as f64 * EVACUATION_INTERVAL.as_secs_f64() / (deadline_s / 2.0).max(1.0);
+        let max_evacuations = usual.max(urgent).ceil() as usize;
+        for (id, progress) in &self.jobs.progress {
+            if evacuations.len() >= max_evacuations {
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
-            let service = live.spec.shape == JobKind::Service;
+            let is_service = live.spec.shape == JobKind::Service;
             let saves = live.spec.shape == JobKind::Array && live.spec.checkpoint_s > 0.0;
-            let entry = |index: u32, placed: &Placement| {
+            let running_task = |index: u32, placed: &Placement| {
                 let machine = self.fleet.machines.get(&placed.machine)?;
                 let key = (TaskId { job: id.clone(), index }, placed.attempt);
                 let entry = machine.attempts.get(&key)?;
-                let runs = entry.state == TaskState::Running && entry.stop.is_none();
-                runs.then_some((key, machine))
+                let is_running = entry.state == TaskState::Running && entry.stop.is_none();
+                is_running.then_some((key, machine))
             };
-            let whole = || work.placed.iter().all(|(n, at)| entry(*n, at).is_some());
-            if !(service || saves) || (service && (work.waiting(live) > 0 || !whole())) {
+            let all_running =
+                || progress.placed.iter().all(|(index, at)| running_task(*index, at).is_some());
+            if !(is_service || saves)
+                || (is_service && (progress.waiting(live) > 0 || !all_running()))
+            {
                 continue;
             }
-            for (index, at) in &work.placed {
-                let Some((key, machine)) = entry(*index, at) else { continue };
+            for (index, at) in &progress.placed {
+                let Some((key, machine)) = running_task(*index, at) else { continue };
                 if !self.is_drained(machine) {
                     continue;
                 }
-                let Some(target) = self.room_for(live, work, *index, machine, bins, names, &free)
-                else {
+                let target = self.find_target(live, progress, *index, machine, bins, names, &free);
+                let Some(target) = target else {
                     continue;
                 };
                 free[target] = free[target].minus(&live.need);
                 let grace_s = if saves { live.spec.save_s } else { 0.0 };
                 evacuations.push(Evacuation { key, machine: machine.id.clone(), grace_s });
-                if service || evacuations.len() >= most {
+                if is_service || evacuations.len() >= max_evacuations {
                     break;
                 }
             }
@@ -166,12 +175,13 @@
         evacuations
     }
 
-    /// A machine that would take the task in place of where it is, one with its image before others.
+    /// Returns the index in `bins` of a machine that can take the task instead of its current machine, preferring one
+    /// that has its image.
     #[allow(clippy::too_many_arguments)]
-    fn room_for(
+    fn find_target(
         &self,
         live: &LiveJob,
-        work: &JobProgress,
+        progress: &JobProgress,
         index: u32,
         from: &Machine,
         bins: &[Bin],
@@ -179,31 +189,32 @@
         free: &[Amount],
     ) -> Option<usize> {
         let spec = &live.spec;
-        let half = (spec.tasks as u32).div_ceil(2);
-        let mut there = vec![0u32; self.settings.platform.params.zones.len()];
-        for (_, placed) in work.placed.iter().filter(|(n, _)| **n != index) {
+        let max_per_zone = (spec.tasks as u32).div_ceil(2);
+        let mut others_in_zone = vec![0u32; self.settings.platform.params.zones.len()];
+        for (_, placed) in progress.placed.iter().filter(|(other, _)| **other != index) {
             if let Some(machine) = self.fleet.machines.get(&placed.machine) {
-                there[machine.zone] += 1;
+                others_in_zone[machine.zone] += 1;
             }
         }
-        let may = |bin: &Bin| {
+        let allowed = |bin: &Bin| {
             let zone = bin.zone.index();
             bin.ready
                 && self.allows_bin(spec, bin)
-                && (!spec.spread || there[zone] < half)
-                // What has to be in one zone stays there as long as any of it does.
-                && (!spec.one_zone || zone == from.zone || there[from.zone] == 0)
+                && (!spec.spread || others_in_zone[zone] < max_per_zone)
+                // A job that has to be in one zone stays in that zone as long as any of its tasks does.
+                && (!spec.one_zone || zone == from.zone || others_in_zone[from.zone] == 0)
         };
-        let fits = |at: &usize| may(&bins[*at]) && live.need.fits(&free[*at]);
-        let warm = |at: usize| {
+        let fits = |at: &usize| allowed(&bins[*at]) && live.need.fits(&free[*at]);
+        let has_image = |at: usize| {
             let machine = names[at].as_ref().and_then(|id| self.fleet.machines.get(id));
             machine.is_some_and(|m| m.images.iter().any(|image| **image == *spec.image))
         };
-        (0..bins.len()).filter(fits).min_by_key(|at| (!warm(*at), bins[*at].index))
+        (0..bins.len()).filter(fits).min_by_key(|at| (!has_image(*at), bins[*at].index))
     }
 
-    /// Tasks of arrays and gangs whose time on what is drained is up; those that save are told early enough.
-    /// Replicas that have no other place run on: nobody gains by stopping them.
+    /// Returns tasks of arrays and gangs on machines whose drain deadline is reached; tasks that save their progress
+    /// are included early enough to save before it. Replicas that can't be placed elsewhere keep running, since
+    /// stopping them helps nobody.
     fn tasks_to_stop(&self, cache: &Cache, now: Instant) -> Vec<Evacuation> {
         let mut evacuations = Vec::new();
         for machine in self.fleet.machines.values().filter(|m| m.state == MachineState::Up) {
@@ -225,19 +236,19 @@
         evacuations
     }
 
-    /// What is drained, and what is left there.
+    /// Lists the drains with the number of tasks that are left and the number of those that are stuck.
     pub fn drains(&self, cache: &Cache, now: Instant) -> Drains {
         let mut drains = list(cache, self.wall_clock, now);
         for drain in &mut drains.drains {
             let (mut left, mut stuck) = (0, 0);
             for machine in self.fleet.machines.values() {
-                let here = match drain.kind {
+                let covered = match drain.kind {
                     DrainKind::Zone => self.fleet.zone_name(machine.zone) == drain.name,
                     DrainKind::Machine => machine.id.as_str() == drain.name,
                     DrainKind::Controller => false,
                 };
                 let tasks = machine.attempts.iter().filter(|(_, e)| e.state != TaskState::Exited);
-                for ((task, _), entry) in tasks.filter(|_| here) {
+                for ((task, _), entry) in tasks.filter(|_| covered) {
                     left += 1;
                     stuck += u64::from(self.is_stuck(task, entry, drain.by_in_s, cache, now));
                 }
@@ -247,7 +258,7 @@
         drains
     }
 
-    /// Whether a task can neither move nor, as far as is known, end in time.
+    /// Returns whether a task can neither move nor is expected to finish before the drain's deadline.
     fn is_stuck(
         &self,
         task: &TaskId,
@@ -260,8 +271,8 @@
         let spec = &live.spec;
         let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.covers_zone(zone));
         if spec.shape == JobKind::Service {
-            let open = self.drained_zones().iter().filter(|drained| !**drained).count();
-            return pinned || open == 0 || (spec.spread && open == 1);
+            let open_zones = self.drained_zones().iter().filter(|drained| !**drained).count();
+            return pinned || open_zones == 0 || (spec.spread && open_zones == 1);
         }
         let ran_s =
             entry.running_since.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
@@ -271,7 +282,7 @@
     }
 }
 
-/// What is drained, as any controller knows it.
+/// Lists the drains from the cache, without task counts; any controller can do this.
 pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
     let drains = cache.drained().map(|record| Drain {
