--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that others wait for: what they inherit, and how much time is left for them.
+//! Priorities and deadlines that jobs inherit from their dependents, and jobs that will be ready soon.
 
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::dag::InheritedPriority;
@@ -11,15 +11,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What each stage of a pipeline takes besides its run time and its image: a heartbeat, a commit, a
-/// plan and a start, with room for a lost packet.
+/// Time that each stage of a pipeline takes in addition to its run time and image fetch: a heartbeat, a commit, a
+/// planning pass and a start, with a margin for a lost packet.
 pub(super) const STAGE_OVERHEAD: Duration = Duration::from_secs(3);
-/// What live jobs inherit from those that depend on them.
+/// Priorities and deadlines of live jobs that have dependencies or dependents.
 #[derive(Debug)]
 pub(super) struct InheritedPriorities {
-    /// By job; what a job has of its own is counted in.
+    /// Inherited values by job, combined with the job's own.
     pub(super) inherited: HashMap<JobId, InheritedPriority>,
-    /// Whether jobs changed since this was worked out.
+    /// Whether jobs changed since the values were computed.
     pub(super) stale: bool,
 }
 
@@ -30,133 +30,153 @@
 }
 
 impl Scheduler {
-    /// The urgency by which a job is ordered, stops others and is spared: the highest of its own and
-    /// of all that need it.
+    /// Returns the priority by which a job is ordered, preempts others and is preempted: the highest of its own and
+    /// those of all its dependents.
     pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Priority {
-        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |carried| carried.urgency)
+        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.urgency)
     }
 
-    /// Whether anybody looks at when it starts or ends.
+    /// Returns whether there is an objective for the start or the end of a job: one of its class, or a deadline that
+    /// it has or inherits.
     pub(super) fn has_objective(&self, id: &JobId, job: &LiveJob) -> bool {
         self.settings.has_objective(&job.spec.class)
-            || self.dependencies.inherited.get(id).is_some_and(|carried| carried.due_ms.is_some())
+            || self
+                .dependencies
+                .inherited
+                .get(id)
+                .is_some_and(|inherited| inherited.due_ms.is_some())
     }
 
-    /// What a job takes once it may run: its run time as its owner estimates it or, where that is known and
-    /// switched on, as it was learned; the fetch of its image and the time between reports and plans.
-    fn length(&self, id: &JobId, job: &LiveJob, learned: bool) -> Duration {
-        let rates =
-            self.fleet.machine_types.iter().map(|f| f.fetch_gb_per_s).filter(|rate| *rate > 0.0);
+    /// Returns the time that a job takes once it is ready: its run time, the fetch of its image and the stage
+    /// overhead. The run time is the learned one if `use_learned` is set and one is known, otherwise the estimate of
+    /// the job's owner.
+    fn stage_duration(&self, id: &JobId, job: &LiveJob, use_learned: bool) -> Duration {
+        let rates = self
+            .fleet
+            .machine_types
+            .iter()
+            .map(|known| known.fetch_gb_per_s)
+            .filter(|rate| *rate > 0.0);
         let fetch_s = rates.reduce(f64::min).map_or(0.0, |rate| job.spec.image_gb / rate);
-        let run_s = self.run_s(id, job, learned);
+        let run_s = self.run_s(id, job, use_learned);
         Duration::from_secs_f64((run_s + fetch_s).clamp(0.0, 1e7)) + STAGE_OVERHEAD
     }
 
-    /// Finds out what jobs inherit, if any that counts has changed.
+    /// Recomputes inherited priorities and deadlines if they are stale, and applies changed priorities to placed tasks.
     pub(super) fn inherit_priorities(&mut self, live: &[(&JobId, &LiveJob)]) {
         if !std::mem::take(&mut self.dependencies.stale) {
             return;
         }
-        let alone = |job: &LiveJob| {
-            // Other due times are their owners' guesses at what nobody waits for.
-            let counts =
+        let own_priority = |job: &LiveJob| {
+            // Any other due time is only the owner's guess at a time that nobody waits for.
+            let has_deadline =
                 !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
-            let due = job.spec.due_s.filter(|_| counts);
+            let due = job.spec.due_s.filter(|_| has_deadline);
             let due_ms = due.map(|due_s| job.accepted_ms.saturating_add((due_s * 1000.0) as u64));
             InheritedPriority { urgency: job.spec.urgency, due_ms }
         };
         let jobs = live.iter().copied().collect();
-        let learned = self.settings.operator.estimates.due;
-        let length_ms =
-            |id: &JobId, job: &LiveJob| self.length(id, job, learned).as_millis() as u64;
-        let carried = dag::inherit_priorities(&jobs, alone, length_ms);
-        let before = std::mem::replace(&mut self.dependencies.inherited, carried);
+        let use_learned = self.settings.operator.estimates.due;
+        let duration_ms = |id: &JobId, job: &LiveJob| {
+            self.stage_duration(id, job, use_learned).as_millis() as u64
+        };
+        let inherited = dag::inherit_priorities(&jobs, own_priority, duration_ms);
+        let previous = std::mem::replace(&mut self.dependencies.inherited, inherited);
         for (id, job) in live {
-            let old = before.get(*id).map_or(job.spec.urgency, |carried| carried.urgency);
-            let urgency = self.urgency(id, job);
-            let Some(work) = self.jobs.progress.get(*id).filter(|_| urgency != old) else {
+            let previous_priority =
+                previous.get(*id).map_or(job.spec.urgency, |inherited| inherited.urgency);
+            let priority = self.urgency(id, job);
+            let progress = self.jobs.progress.get(*id);
+            let Some(progress) = progress.filter(|_| priority != previous_priority) else {
                 continue;
             };
-            for (index, placed) in &work.placed {
+            for (index, placed) in &progress.placed {
                 let key = (TaskId { job: (*id).clone(), index: *index }, placed.attempt);
                 let Some(machine) = self.fleet.machines.get_mut(&placed.machine) else { continue };
                 if let Some(entry) = machine.attempts.get_mut(&key) {
-                    entry.urgency = urgency;
+                    entry.urgency = priority;
                     machine.invalidate_usage();
                 }
             }
         }
     }
 
-    /// Seconds until a job has to start so that whatever needs it is done in time; less than
-    /// nothing if it is too late.
+    /// Returns the seconds until a job has to start so that it and all its dependents meet their deadlines; negative if
+    /// that time has passed, `None` without a deadline.
     pub(super) fn due_left(&self, id: &JobId, job: &LiveJob, now: Instant) -> Option<f64> {
         let due_ms = self.dependencies.inherited.get(id)?.due_ms?;
-        let left = due_ms as f64 - self.wall_clock.ms(now) as f64;
-        let learned = self.settings.operator.estimates.due;
-        Some(left / 1000.0 - self.length(id, job, learned).as_secs_f64())
+        let left_ms = due_ms as f64 - self.wall_clock.ms(now) as f64;
+        let use_learned = self.settings.operator.estimates.due;
+        Some(left_ms / 1000.0 - self.stage_duration(id, job, use_learned).as_secs_f64())
     }
 
-    /// How many aims a due time stands for, and how many of them are missed.
+    /// Returns the number of objectives that a job's deadline represents (0 or 1) and the number of those that are
+    /// missed.
     pub(super) fn due_objectives(&self, id: &JobId, job: &LiveJob, now: Instant) -> (usize, usize) {
         match self.due_left(id, job, now) {
-            Some(left) => (1, usize::from(left < 0.0)),
+            Some(left_s) => (1, usize::from(left_s < 0.0)),
             None => (0, 0),
         }
     }
 
-    /// Jobs that wait for others and will be ready by the time that a machine rented now is up, the
-    /// soonest first.
+    /// Returns the jobs with unfinished dependencies that will be ready by the time that a machine rented now is up,
+    /// ordered by when they will be ready.
     pub(super) fn coming(&self, live: &[(&JobId, &LiveJob)], now: Instant) -> Vec<JobId> {
         let mut waiting: Vec<_> = live.iter().filter(|(_, job)| !job.is_ready()).collect();
         if waiting.is_empty() {
             return Vec::new();
         }
-        let horizon = self.typical_boot_s();
+        let horizon_s = self.typical_boot_s();
         let jobs: HashMap<&JobId, &LiveJob> = live.iter().copied().collect();
-        // By age, since a job only needs those that were accepted before it.
+        // In order of acceptance, since a job only depends on jobs that were accepted before it.
         waiting.sort_by_key(|(id, job)| (job.accepted_ms, *id));
-        let mut ends: HashMap<&JobId, f64> = HashMap::new();
-        let mut found = Vec::new();
+        let mut ends_s: HashMap<&JobId, f64> = HashMap::new();
+        let mut upcoming = Vec::new();
         for (id, job) in waiting {
             let mut ready_s = 0.0f64;
-            for need in job.depends_on() {
-                let Some((need, needed)) = jobs.get_key_value(need) else { continue };
-                let rest = || self.remaining_s(need, needed, now);
-                // What is not known to be ready yet may be of the same millisecond.
-                ready_s = ready_s.max(match ends.get(*need) {
-                    Some(end) => *end,
-                    None if needed.is_ready() => rest(),
-                    None => horizon + 1.0,
+            for dependency_id in job.depends_on() {
+                let Some((dependency_id, dependency)) = jobs.get_key_value(dependency_id) else {
+                    continue;
+                };
+                let remaining_s = || self.remaining_s(dependency_id, dependency, now);
+                // A waiting dependency without a computed end was accepted in the same millisecond and comes later
+                // in the order; it counts as beyond the horizon.
+                ready_s = ready_s.max(match ends_s.get(*dependency_id) {
+                    Some(end_s) => *end_s,
+                    None if dependency.is_ready() => remaining_s(),
+                    None => horizon_s + 1.0,
                 });
             }
-            let learned = self.settings.operator.estimates.ahead;
-            ends.insert(*id, ready_s + self.length(id, job, learned).as_secs_f64());
-            if ready_s <= horizon {
-                found.push((ready_s, *id));
+            let use_learned = self.settings.operator.estimates.ahead;
+            let duration_s = self.stage_duration(id, job, use_learned).as_secs_f64();
+            ends_s.insert(*id, ready_s + duration_s);
+            if ready_s <= horizon_s {
+                upcoming.push((ready_s, *id));
             }
         }
-        found.sort_by(|a, b| a.0.total_cmp(&b.0));
-        found.into_iter().map(|(_, id)| id.clone()).collect()
+        upcoming.sort_by(|a, b| a.0.total_cmp(&b.0));
+        upcoming.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Seconds that a ready job still takes, by its owner's estimate: from when the last of its tasks
-    /// began, or all of it while any waits.
+    /// Returns the seconds that a ready job still takes: its stage duration since the latest placement of a task, or
+    /// the whole duration while any task waits.
     fn remaining_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> f64 {
-        let length = self.length(id, job, self.settings.operator.estimates.ahead);
-        let Some(work) = self.jobs.progress.get(id).filter(|work| work.waiting(job) == 0) else {
-            return length.as_secs_f64();
+        let duration = self.stage_duration(id, job, self.settings.operator.estimates.ahead);
+        let progress = self.jobs.progress.get(id);
+        let Some(progress) = progress.filter(|progress| progress.waiting(job) == 0) else {
+            return duration.as_secs_f64();
         };
-        let began = work.placed.iter().filter_map(|(index, placed)| {
+        let placed_at = progress.placed.iter().filter_map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
             Some(machine.attempts.get(&(task, placed.attempt))?.placed)
         });
-        let ran = began.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        length.saturating_sub(ran).as_secs_f64()
+        let elapsed =
+            placed_at.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        duration.saturating_sub(elapsed).as_secs_f64()
     }
 
-    /// Adds requests for room for jobs that will be ready soon.
+    /// Adds reservation requests for jobs that will be ready soon.
     pub(super) fn reserve_for_upcoming(
         &mut self,
         reservations: &mut Vec<PlacementRequest>,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! The machines that the leader knows, and what their zones show.
+//! The machines that the leader knows, their types and the state of their zones.
 
 use super::interner::Interner;
 use crate::cloud::MachinePool;
@@ -11,34 +11,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// All machines of this leadership with the catalogue of their types.
+/// All machines of this term and the catalogue of their types.
 pub struct Fleet {
-    /// Every machine that is rented or booting, or whose deletion is not confirmed yet. Ordered,
-    /// so that equal events have equal effects.
+    /// Machines that are rented or booting, or whose deletion is not confirmed yet. Ordered, so that the same events
+    /// always have the same effects.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// The names of the zones; a zone's index is its place here.
+    /// Zone names; a zone's index is its position in this list.
     zone_names: Vec<String>,
-    /// By zone: the indices of machines within it.
+    /// Allocators of machine indices, by zone.
     zone_indices: Vec<ZoneIndexAllocator>,
-    /// The catalogue of machine types; a type's index is its place here.
+    /// Catalogue of machine types; a type's index is its position in this list.
     pub(super) machine_types: Vec<MachineType>,
-    /// Container images, numbered as they were first seen.
+    /// Numbers of container images, in the order in which they were first seen.
     pub(super) image_ids: Interner,
-    /// Machines whose deletion is confirmed: a list that lags behind may still show them.
+    /// Machines whose deletion is confirmed. A stale listing of the cloud may still contain them.
     pub(super) terminated: HashSet<MachineId>,
     /// Whether the cloud has listed its machines to this leader.
     pub(super) listed_once: bool,
-    /// Machines that came up and whose records are not committed yet. Those that no longer are
-    /// leave when the set is next gone through.
+    /// Machines that are up and whose records are not committed yet. Other machines are removed at the next pass over
+    /// the set.
     pub(super) unrecorded: BTreeSet<MachineId>,
-    /// By zone: when it was last found unreachable as a whole.
+    /// Time at which each zone was last found unreachable as a whole.
     pub(super) zone_unreachable_at: Vec<Option<Instant>>,
-    /// By zone: when any of its workers last sent a heartbeat.
+    /// Time of the last heartbeat of any worker of each zone.
     pub(super) zone_last_heartbeat: Vec<Option<Instant>>,
 }
 
 impl Fleet {
-    /// A fleet without machines.
+    /// Creates a fleet without machines.
     pub(super) fn new(zone_names: Vec<String>, machine_types: Vec<MachineType>) -> Fleet {
         let zones = zone_names.len();
         Fleet {
@@ -55,36 +55,35 @@
         }
     }
 
-    /// The index of a zone.
+    /// Returns the index of a zone, if there is one of this name.
     pub(super) fn zone(&self, name: &str) -> Option<usize> {
         self.zone_names.iter().position(|zone| zone == name)
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone. Panics if the index is out of range.
     pub(super) fn zone_name(&self, zone: usize) -> &str {
         &self.zone_names[zone]
     }
 
-    /// How many zones there are.
+    /// Returns the number of zones.
     pub(super) fn zone_count(&self) -> usize {
         self.zone_names.len()
     }
 
-    /// The pool of machines of a type in a zone, if both are known.
+    /// Returns the pool of machines of a type in a zone, if both are known.
     pub(super) fn pool(&self, machine_type: &str, zone: &str, spot: bool) -> Option<MachinePool> {
         let flavor = self.machine_types.iter().position(|known| known.name == machine_type)?;
         Some(MachinePool { flavor, zone: self.zone(zone)?, spot })
     }
 
-    /// What a machine of this type holds.
+    /// Returns the capacity of a machine of this type; zero for an unknown type.
     pub(super) fn capacity(&self, machine_type: usize) -> Amount {
         let found = self.machine_types.get(machine_type);
         found.map(|found| Amount::room(found.cpus, found.gpus, found.ram_gb)).unwrap_or_default()
     }
 
-    /// Adds a machine, or finds it if it is known. Indices are dealt round-robin over the zones: a
-    /// machine gets the lowest index free in its zone, so the loss of a zone never takes most of a
-    /// basket.
+    /// Adds a machine, or returns it if it is known. Indices alternate between the zones, and a machine gets the lowest
+    /// free index of its zone, so the loss of a zone never affects most of a basket.
     pub(super) fn add_machine(
         &mut self,
         id: &MachineId,
@@ -99,7 +98,7 @@
         known.or_insert_with(|| Machine::new(id.clone(), pool, index, now))
     }
 
-    /// Removes a machine and frees its index.
+    /// Removes a machine and releases its index.
     pub(super) fn remove_machine(&mut self, id: &MachineId) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
         let zones = self.zone_count() as u64;
@@ -107,9 +106,9 @@
         Some(machine)
     }
 
-    /// One look at all machines, for all that a planning pass or a watch asks of them as a whole.
-    /// A machine counts as reachable if its last heartbeat is younger than `quiet`.
-    pub(super) fn summary(&self, quiet: Duration, now: Instant) -> FleetSummary {
+    /// Summarizes all machines in one pass, for planning and for the periodic checks. A machine counts as reachable if
+    /// its last heartbeat is younger than `silent_after`.
+    pub(super) fn summary(&self, silent_after: Duration, now: Instant) -> FleetSummary {
         let zones = self.zone_count();
         let (up, reachable) = (vec![0; zones], vec![0; zones]);
         let mut summary = FleetSummary { up, reachable, ..FleetSummary::default() };
@@ -117,7 +116,7 @@
             if machine.state == MachineState::Up {
                 summary.up[machine.zone] += 1;
                 summary.reachable[machine.zone] +=
-                    usize::from(machine.time_since_heartbeat(now) < quiet);
+                    usize::from(machine.time_since_heartbeat(now) < silent_after);
             }
             summary.booting |= machine.state == MachineState::Booting;
             summary.status_unanswered |= machine.unanswered_probe.is_some();
@@ -130,32 +129,32 @@
     }
 }
 
-/// What all machines together show at one moment.
+/// Summary of all machines at one time.
 #[derive(Debug, Default)]
 pub(super) struct FleetSummary {
-    /// By zone: how many machines are up.
+    /// Number of machines that are up, by zone.
     pub(super) up: Vec<usize>,
-    /// By zone: how many of those sent a heartbeat lately.
+    /// Number of those that sent a heartbeat recently, by zone.
     pub(super) reachable: Vec<usize>,
     /// Whether any machine is booting.
     pub(super) booting: bool,
-    /// Whether some worker did not answer a status call.
+    /// Whether any worker did not respond to its last direct call.
     pub(super) status_unanswered: bool,
-    /// Whether some machine failed several jobs.
+    /// Whether several jobs failed on the same machine.
     pub(super) failing: bool,
-    /// When the newest of the machines that came up was rented.
+    /// Time at which the newest machine that is up was rented.
     newest: Option<Instant>,
 }
 
 impl FleetSummary {
-    /// Whether a machine that was rented later than this one is up.
+    /// Returns a predicate: whether a machine that was rented later than the given one is up.
     pub(super) fn overtaken(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
         move |machine| newest.is_some_and(|at| at > machine.rented)
     }
 }
 
-/// Indices of machines within a zone: the lowest free one is given to the next.
+/// Allocates the indices of machines within a zone, the lowest free one first.
 #[derive(Debug, Default)]
 struct ZoneIndexAllocator {
     free: BTreeSet<u64>,
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -1,7 +1,8 @@
-//! Tidying up at the state service, a few writes at a time and after all else: what jobs that are
-//! over left beside their records, records of jobs that are cancelled by what they need, and parts
-//! of descriptions whose submission was never finished. A failover loses nothing: what is left is
-//! found again in the store.
+//! Removes unused entries from the store, a few at a time and at the lowest write priority.
+//!
+//! These are leftovers of finished jobs besides their records, records of jobs that are cancelled because a dependency
+//! was, and spec chunks whose submission was never completed. A failover loses nothing: a new leader finds the
+//! remaining garbage in the store.
 
 use crate::ids::JobId;
 use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
@@ -12,28 +13,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Count. Writes of tidying up in one transaction: few, so that they hold up nothing.
+/// Maximum number of garbage writes in one transaction; small, so that they delay no other write.
 const GARBAGE_WRITES_PER_TRANSACTION: usize = 4;
-/// Pause between two such transactions.
+/// Interval between two such transactions.
 const GARBAGE_COLLECTION_INTERVAL: Duration = Duration::from_millis(1000);
-/// A submission of many parts that was not finished within this time is given up, and its parts are
-/// removed: users repeat a submission for a minute.
+/// Time after which the chunks of an incomplete submission are removed. Users retry a submission for one minute.
 const ORPHANED_SPEC_AGE: Duration = Duration::from_secs(180);
 
-/// What is known of garbage between two rounds.
+/// State of garbage collection between two rounds.
 pub(super) struct GarbageCollector {
-    at: Instant,
-    /// Keys of the transaction under way.
+    /// Earliest time of the next round.
+    next_round: Instant,
+    /// Keys of the transaction in flight.
     keys: Vec<String>,
-    /// Since when parts are known that no job uses.
+    /// Time at which chunks that no job uses were first seen, by job.
     orphans: HashMap<JobId, Instant>,
 }
 
 impl GarbageCollector {
-    /// A collector whose first round is one interval away.
+    /// Creates a collector whose first round is due after one interval.
     pub(super) fn new(now: Instant) -> GarbageCollector {
         GarbageCollector {
-            at: now + GARBAGE_COLLECTION_INTERVAL,
+            next_round: now + GARBAGE_COLLECTION_INTERVAL,
             keys: Vec::new(),
             orphans: HashMap::new(),
         }
@@ -41,23 +42,25 @@
 }
 
 impl Scheduler {
-    /// Removes some garbage, if a round is due and the last one has ended.
+    /// Enqueues the removal of some garbage if a round is due and the last transaction is complete.
     pub(super) fn collect_garbage(&mut self, store: &mut StoreClient, now: Instant) {
-        if now < self.garbage_collector.at || store.is_pending(&WriteOrigin::GarbageCollection) {
+        if now < self.garbage_collector.next_round
+            || store.is_pending(&WriteOrigin::GarbageCollection)
+        {
             return;
         }
-        self.garbage_collector.at = now + GARBAGE_COLLECTION_INTERVAL;
-        let most = GARBAGE_WRITES_PER_TRANSACTION.min(store.layout().max_operations);
-        let mut writes = store.cache.jobs.garbage(most);
-        let mut waiting = HashMap::new();
+        self.garbage_collector.next_round = now + GARBAGE_COLLECTION_INTERVAL;
+        let max_writes = GARBAGE_WRITES_PER_TRANSACTION.min(store.layout().max_operations);
+        let mut writes = store.cache.jobs.garbage(max_writes);
+        let mut orphans = HashMap::new();
         for OrphanedSpecChunk { job, key, revision } in store.cache.jobs.orphaned_spec_chunks() {
             let since = self.garbage_collector.orphans.get(&job).copied().unwrap_or(now);
-            waiting.insert(job, since);
-            if now >= since + ORPHANED_SPEC_AGE && writes.len() < most {
+            orphans.insert(job, since);
+            if now >= since + ORPHANED_SPEC_AGE && writes.len() < max_writes {
                 writes.push(GarbageWrite { write: Write::Delete { key }, revision });
             }
         }
-        self.garbage_collector.orphans = waiting;
+        self.garbage_collector.orphans = orphans;
         if writes.is_empty() {
             return;
         }
@@ -79,10 +82,10 @@
         });
     }
 
-    /// Takes in how a round ended.
+    /// Applies the outcome of a round's transaction.
     pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, store: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
-            // Something there is not as it was known; the next full reading shows how it is.
+            // One of the keys differs from the cache. They are dropped from it; the next full read shows their state.
             self.garbage_collector.keys.iter().for_each(|key| store.cache.jobs.forget_garbage(key));
         }
     }
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -1,50 +1,51 @@
-//! On which machines a job may have tasks.
+//! Index of the machines on which each job may have tasks.
 //!
-//! An index that may name too many machines and never too few: every entry of a machine comes from a start that was
-//! decided here or from a heartbeat that showed it, and both are noted. Without it the end of each job took a look at
-//! every machine, which was a sixth of a leader's time at 5,600 machines and 60 jobs a second.
+//! It may contain too many machines but never too few: every attempt on a machine comes from a start decided by this
+//! leader or from a heartbeat, and both are recorded. Without the index, the end of each job would scan every machine,
+//! which took one sixth of a leader's time at 5,600 machines and 60 jobs a second.
 
 use crate::ids::{JobId, MachineId};
 use crate::workers::machine::Machine;
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines by job.
+/// Machines that may have tasks of a job, by job.
 #[derive(Debug, Default)]
 pub(super) struct JobMachines {
     machines: HashMap<JobId, BTreeSet<MachineId>>,
 }
 
-/// Count. Machines noted for a job up to which nothing is tidied.
-const FEW: usize = 64;
+/// Number of recorded machines of a job below which stale ones are not removed.
+const PRUNE_THRESHOLD: usize = 64;
 
 impl JobMachines {
-    /// A machine has a task of the job, or may have one from now on.
-    pub(super) fn note(
+    /// Records that a machine has, or from now on may have, a task of the job.
+    pub(super) fn record(
         &mut self,
         job: &JobId,
         machine: &MachineId,
         all: &BTreeMap<MachineId, Machine>,
     ) {
-        let noted = self.machines.entry(job.clone()).or_default();
-        // A service that goes on for months leaves many machines behind: tidied whenever there are twice as many.
-        if noted.len() >= FEW && noted.len().is_power_of_two() {
-            noted.retain(|id| all.get(id).is_some_and(|machine| holds(machine, job)));
+        let recorded = self.machines.entry(job.clone()).or_default();
+        // A service that runs for months leaves many machines behind. Stale ones are removed whenever the number has
+        // doubled.
+        if recorded.len() >= PRUNE_THRESHOLD && recorded.len().is_power_of_two() {
+            recorded.retain(|id| all.get(id).is_some_and(|machine| has_attempt(machine, job)));
         }
-        noted.insert(machine.clone());
+        recorded.insert(machine.clone());
     }
 
-    /// The machines on which the job may have tasks, in order of their names.
+    /// Returns the machines on which the job may have tasks, ordered by id.
     pub(super) fn of(&self, job: &JobId) -> Vec<MachineId> {
         self.machines.get(job).into_iter().flatten().cloned().collect()
     }
 
-    /// The job is over: what a heartbeat shows of it later is dealt with when it is shown.
-    pub(super) fn forget(&mut self, job: &JobId) {
+    /// Removes a finished job. Tasks of it that a later heartbeat shows are handled with that heartbeat.
+    pub(super) fn remove(&mut self, job: &JobId) {
         self.machines.remove(job);
     }
 }
 
-fn holds(machine: &Machine, job: &JobId) -> bool {
+fn has_attempt(machine: &Machine, job: &JobId) -> bool {
     machine.attempts.range(super::task_attempt::attempts_of(job)).next().is_some()
 }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -85,7 +85,7 @@
                         self.count_orphaned_tasks(&progress, job);
                     }
                     self.stop_tasks_of_job(id);
-                    self.jobs.machines.forget(id);
+                    self.jobs.machines.remove(id);
                 }
             }
         }
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -45,7 +45,7 @@
         };
         let mut jobs: Vec<(&JobId, &LiveJob)> =
             self.jobs.progress.keys().filter_map(live_job).collect();
-        self.estimate_all(&jobs, now);
+        self.refresh_estimates(&jobs, now);
         self.inherit_priorities(&jobs);
         let upcoming = self.coming(&jobs, now);
         jobs.retain(|(_, job)| job.is_ready());
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -96,7 +96,7 @@
         }
         let team = self.team_of(&live.spec.team);
         let priority = self.urgency(&task.job, live);
-        self.jobs.machines.note(&task.job, id, &self.fleet.machines);
+        self.jobs.machines.record(&task.job, id, &self.fleet.machines);
         let (Some(machine), Some(progress)) =
             (self.fleet.machines.get_mut(id), self.jobs.progress.get_mut(&task.job))
         else {
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -174,7 +174,7 @@
             TaskEvent::Found(task, attempt) => self.adopt_attempt(machine, task, attempt, cache),
             TaskEvent::Vanished(task, attempt, ran) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
-                let run = ObservedRun { duration: ran, done: false, saved: false };
+                let run = ObservedRun { duration: ran, completed: false, saved: false };
                 self.record_task_run(&task, machine, live, &run);
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
@@ -233,7 +233,7 @@
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
-        self.jobs.machines.note(&task.job, machine, &self.fleet.machines);
+        self.jobs.machines.record(&task.job, machine, &self.fleet.machines);
         let is_live = self.live(cache, &task.job).is_some();
         let progress = is_live.then(|| self.jobs.progress.entry(task.job.clone()).or_default());
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats that other controllers passed on.
+//! Applies heartbeats that other controllers relay to the leader.
 //!
-//! Each is taken in and answered as if the worker had sent it here, at the time at which it arrives here. Nothing
-//! about a worker is decided anywhere else.
+//! Each is applied and answered as if the worker had sent it to the leader at the time of its arrival here. Only the
+//! leader makes decisions about a worker.
 
 use crate::ids::{ControllerId, MachineId};
 use crate::peers::heartbeat_relay::{
@@ -14,37 +14,38 @@
 use tokio::time::Instant;
 
 impl Scheduler {
-    /// A batch that came from that controller; what to say to its reports, by their place. None: a later leader exists.
+    /// Applies a batch of heartbeats that a controller relayed. Returns the results that differ from the default, with
+    /// the position of the heartbeat in the batch, or `None` if a later leader exists.
     pub fn on_relayed_heartbeats(
         &mut self,
         from: &ControllerId,
-        reports: Vec<RelayedHeartbeat>,
+        heartbeats: Vec<RelayedHeartbeat>,
         cache: &Cache,
         now: Instant,
     ) -> Option<Vec<(u32, HeartbeatResult)>> {
         let mut results = Vec::new();
-        for (place, relayed) in (0u32..).zip(reports) {
+        for (position, relayed) in (0u32..).zip(heartbeats) {
             let result = match relayed {
-                RelayedHeartbeat::Full(report) => {
-                    let report = Heartbeat::from(report);
-                    let orders = self.on_heartbeat(&report, cache, now)?.orders;
-                    if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+                RelayedHeartbeat::Full(heartbeat) => {
+                    let heartbeat = Heartbeat::from(heartbeat);
+                    let commands = self.on_heartbeat(&heartbeat, cache, now)?.orders;
+                    if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                         machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
                     HeartbeatResult::Accepted(
-                        orders.into_iter().map(RelayedCommand::from).collect(),
+                        commands.into_iter().map(RelayedCommand::from).collect(),
                     )
                 }
                 RelayedHeartbeat::Unchanged(unchanged) => self.on_unchanged(from, &unchanged, now),
             };
             if !result.is_default() {
-                results.push((place, result));
+                results.push((position, result));
             }
         }
         Some(results)
     }
 
-    /// A worker reports what it reported before.
+    /// Applies a heartbeat that repeats the worker's previous one.
     fn on_unchanged(
         &mut self,
         from: &ControllerId,
@@ -52,27 +53,27 @@
         now: Instant,
     ) -> HeartbeatResult {
         let id = &unchanged.machine;
-        let (token, quiet) = (self.term.token, self.settings.heartbeat_interval() * 2);
-        let known =
+        let (token, silent_after) = (self.term.token, self.settings.heartbeat_interval() * 2);
+        let record =
             |machine: &mut Machine| machine.record_unchanged_heartbeat(unchanged, token, now);
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return HeartbeatResult::ResendInFull;
         };
-        let was_silent = machine.time_since_heartbeat(now) > quiet;
-        if !known(machine) {
+        let was_silent = machine.time_since_heartbeat(now) > silent_after;
+        if !record(machine) {
             return HeartbeatResult::ResendInFull;
         }
-        // Nothing was placed on it meanwhile.
+        // Nothing was placed on the machine while it was silent.
         self.planning_clock.pass_requested |= was_silent;
         machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
-        let orders = self.commands_in_response(id, now).unwrap_or_default();
-        HeartbeatResult::Accepted(orders.into_iter().map(RelayedCommand::from).collect())
+        let commands = self.commands_in_response(id, now).unwrap_or_default();
+        HeartbeatResult::Accepted(commands.into_iter().map(RelayedCommand::from).collect())
     }
 
-    /// The controller that takes a worker's reports, if it passed one on lately.
+    /// Returns the controller that relayed the worker's last heartbeat, if that heartbeat is not late yet.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
         let is_recent = now.saturating_duration_since(relayer.at) < self.heartbeat_late_after();
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -1,5 +1,6 @@
-//! Run times: learned from tasks that end, told of jobs that will be late. Every use of them elsewhere
-//! has a switch of its own in the operators' settings.
+//! Learns run times from tasks that exit and warns of jobs that will probably miss their deadline.
+//!
+//! Each other use of the learned run times has its own switch in the operators' settings.
 
 use crate::ids::{Amount, JobId, MachineId, Revision, TaskId};
 use crate::jobs::{Job, LiveJob};
@@ -21,61 +22,65 @@
     Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
 };
 
-/// Count. Estimates found anew before a planning pass, some ten microseconds each: eight passes a second take
-/// a fortieth of a small controller's allowance.
+/// Maximum number of estimates refreshed before a planning pass. Each takes about ten microseconds, so eight passes a
+/// second use one fortieth of a small controller's CPU allowance.
 const ESTIMATES_PER_PASS: usize = 30;
-/// How old an estimate may be that decisions use.
+/// Maximum age of an estimate that decisions use.
 const ESTIMATE_MAX_AGE: Duration = Duration::from_secs(5);
-/// Seconds. A task that ran before and is done within this time only gave its result again.
+/// Run time in seconds within which a retried task that completes is taken to have only returned its previous result.
 const RESULT_REPLAY_MAX_S: f64 = 1.0;
-/// Count. Jobs looked at in one round, five a second, for whether they will be late: each takes up to a
-/// quarter of a millisecond.
+/// Maximum number of jobs checked for lateness in one round, with five rounds a second: each check takes up to a quarter
+/// of a millisecond.
 const WARNING_CHECKS_PER_ROUND: usize = 3;
-/// Probability of being late from which on a job is warned of: more than one in ten warnings would be
-/// wrong below it, in replayed histories.
+/// Probability of lateness from which a warning is issued. Below it, more than one in ten warnings were wrong in replayed
+/// histories.
 pub(crate) const WARNING_PROBABILITY: f64 = 0.9;
-/// Probability from which on it stands in the list that operators ask for.
+/// Probability of lateness from which a job is in the operators' list of jobs at risk.
 const AT_RISK_PROBABILITY: f64 = 0.5;
-/// Count. Tasks that must have ended before a job of which nothing else is known is warned of.
+/// Number of tasks that must have completed before a warning is issued for a job without any history.
 const WARNING_MIN_TASKS: u32 = 3;
 
-/// The run of one attempt, as far as it was seen.
+/// The run of one attempt, as far as heartbeats showed it.
 #[derive(Debug)]
 pub(super) struct ObservedRun {
-    /// How long it ran; not known if its start was not seen.
+    /// Run time; `None` if no heartbeat showed the start.
     pub(super) duration: Option<Duration>,
-    /// Whether it ran to its end.
-    pub(super) done: bool,
-    /// Whether it saved its progress.
+    /// Whether the task completed.
+    pub(super) completed: bool,
+    /// Whether the task saved its progress.
     pub(super) saved: bool,
 }
 
-/// What was seen of a job's run under this leader.
+/// Observations of a job's run under this leader, and its current estimate.
 #[derive(Debug)]
-struct Seen {
+struct JobObservations {
     spec: Arc<JobSpec>,
     need: Amount,
     accepted_ms: u64,
-    shown: Current,
-    /// Seconds of work that tasks which ran before have saved.
+    /// Run times of the job's tasks so far.
+    run_times: Current,
+    /// Seconds of work that earlier attempts have saved, by task index.
     saved_s: HashMap<u32, f64>,
-    /// What is known by now, and since when.
-    known: Option<(Estimate, Instant)>,
-    /// Probability of being late when it was last looked at.
-    late: f64,
+    /// Latest estimate and the time at which it was made.
+    estimate: Option<(Estimate, Instant)>,
+    /// Probability of lateness at the last check.
+    late_probability: f64,
+    /// Seconds from the last check to the median expected end of the job.
     done_in_s: f64,
+    /// Whether a warning was issued.
     warned: bool,
 }
 
-/// Run times as they were learned, and the jobs that are watched for lateness.
+/// Learned run times, and the jobs that are checked for lateness.
 #[derive(Debug, Default)]
 pub(super) struct RuntimePredictor {
     learner: Learner,
-    /// Ordered, so that equal events have equal effects.
-    seen: BTreeMap<JobId, Seen>,
-    /// Where the round of looks at jobs goes on, and that of estimates before a pass.
-    next: Option<JobId>,
-    pass_from: usize,
+    /// Observations by job. Ordered, so that the same events always have the same effects.
+    observations: BTreeMap<JobId, JobObservations>,
+    /// Job at which the next round of lateness checks resumes.
+    next_checked_job: Option<JobId>,
+    /// Position among the live jobs at which the next refresh of estimates resumes.
+    next_refresh: usize,
     warned: u64,
     warned_late: u64,
     warned_in_time: u64,
@@ -95,46 +100,47 @@
 }
 
 impl RuntimePredictor {
-    /// A predictor that knows what its predecessors stored.
+    /// Creates a predictor from the estimates that previous leaders stored.
     pub(super) fn new(cache: &Cache) -> RuntimePredictor {
-        let mut learning = RuntimePredictor::default();
-        learning.read(cache);
-        learning
+        let mut predictor = RuntimePredictor::default();
+        predictor.read_stored(cache);
+        predictor
     }
 
-    /// Takes in what is kept at the store by now.
-    fn read(&mut self, cache: &Cache) {
+    /// Reads the stored estimates from the cache.
+    fn read_stored(&mut self, cache: &Cache) {
         for (bucket, known) in &cache.estimates {
             let (value, revision) = (known.value.as_deref(), known.revision);
             if let Err(error) = self.learner.keeper.on_kept(*bucket, value, revision.0) {
-                // It costs what was learned there, and nothing else.
+                // Only the estimates of this bucket are lost.
                 tracing::info!(key = %key(*bucket), %error, "runtime estimates unreadable");
             }
         }
     }
 
-    /// Seconds that a task which has run so long still takes, if anything is known of it.
+    /// Returns the seconds that a task which has run for `ran_s` still takes, if there is an estimate that is based on
+    /// history.
     pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
-        let (estimate, _) = self.seen.get(id)?.known?;
+        let (estimate, _) = self.observations.get(id)?.estimate?;
         (estimate.grade > Grade::Unknown).then(|| estimate.centre.rest_s(ran_s))
     }
 
-    fn seen(&mut self, id: &JobId, live: &LiveJob) -> &mut Seen {
-        self.seen.entry(id.clone()).or_insert_with(|| Seen {
+    fn observations_of(&mut self, id: &JobId, live: &LiveJob) -> &mut JobObservations {
+        self.observations.entry(id.clone()).or_insert_with(|| JobObservations {
             spec: live.spec.clone(),
             need: live.need,
             accepted_ms: live.accepted_ms,
-            shown: Current::default(),
+            run_times: Current::default(),
             saved_s: HashMap::new(),
-            known: None,
-            late: 0.0,
+            estimate: None,
+            late_probability: 0.0,
             done_in_s: 0.0,
             warned: false,
         })
     }
 }
 
-/// The store key of a bucket of estimates.
+/// Returns the store key of a bucket of estimates.
 pub(crate) fn key(bucket: u8) -> String {
     format!("{ESTIMATES_PREFIX}{bucket:02x}")
 }
@@ -144,8 +150,8 @@
         self.settings.operator.estimates.learn
     }
 
-    /// A task ran so long, to its end or until it was stopped, killed or lost. None: it is not known when it
-    /// began.
+    /// Records the run of an attempt that completed or was stopped, killed or lost. A run whose duration is not known
+    /// is ignored.
     pub(super) fn record_task_run(
         &mut self,
         task: &TaskId,
@@ -154,48 +160,49 @@
         run: &ObservedRun,
     ) {
         let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
-        // A faulty machine shows nothing about its tasks.
-        let faulty = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
-        if !self.is_learning() || self.fleet.machines.get(machine).is_some_and(faulty) {
+        // Run times on a machine that may be faulty are not representative.
+        let suspect = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
+        if !self.is_learning() || self.fleet.machines.get(machine).is_some_and(suspect) {
             return;
         }
         let Some(run_s) = run.duration.map(|ran| ran.as_secs_f64()) else { return };
-        let work = self.jobs.progress.get(&task.job);
-        let first = work.is_none_or(|work| !work.retries.contains_key(&task.index));
-        let seen = self.runtime_predictor.seen(&task.job, live);
-        let before_s = seen.saved_s.get(&task.index).copied();
-        match (run.done, before_s) {
-            // It had run to its end before, and the machine only gave the result again.
-            (true, None) if !first && run_s < RESULT_REPLAY_MAX_S => {}
-            (true, before_s) => seen.shown.ended(run_s + before_s.unwrap_or(0.0)),
-            (false, before_s) => {
-                let all_s = run_s + before_s.unwrap_or(0.0);
-                seen.shown.cut(all_s);
-                // Only what was saved is not run again.
-                let every_s = live.spec.checkpoint_s;
+        let progress = self.jobs.progress.get(&task.job);
+        let is_first = progress.is_none_or(|progress| !progress.retries.contains_key(&task.index));
+        let job = self.runtime_predictor.observations_of(&task.job, live);
+        let saved_s = job.saved_s.get(&task.index).copied();
+        match (run.completed, saved_s) {
+            // An earlier attempt had completed, and the machine only returned its result again.
+            (true, None) if !is_first && run_s < RESULT_REPLAY_MAX_S => {}
+            (true, saved_s) => job.run_times.ended(run_s + saved_s.unwrap_or(0.0)),
+            (false, saved_s) => {
+                let total_s = run_s + saved_s.unwrap_or(0.0);
+                job.run_times.cut(total_s);
+                // The next attempt repeats everything but the saved work.
+                let checkpoint_s = live.spec.checkpoint_s;
                 if run.saved {
-                    seen.saved_s.insert(task.index, all_s);
-                } else if every_s > 0.0 {
-                    let kept_s = before_s.unwrap_or(0.0) + (run_s / every_s).floor() * every_s;
-                    seen.saved_s.insert(task.index, kept_s);
+                    job.saved_s.insert(task.index, total_s);
+                } else if checkpoint_s > 0.0 {
+                    let checkpointed_s =
+                        saved_s.unwrap_or(0.0) + (run_s / checkpoint_s).floor() * checkpoint_s;
+                    job.saved_s.insert(task.index, checkpointed_s);
                 }
             }
         }
     }
 
-    /// A job is over, done or cancelled: its run counts, and so does whether it was warned of.
+    /// Learns from the run of a finished job and, unless it was cancelled, counts whether its warning was right.
     pub(super) fn record_job_end(&mut self, id: &JobId, cancelled: bool, now: Instant) {
-        let Some(seen) = self.runtime_predictor.seen.remove(id) else { return };
+        let Some(job) = self.runtime_predictor.observations.remove(id) else { return };
         let hour = self.hour(now);
         self.runtime_predictor.learner.learn(
-            &profile(id, &seen.spec, &seen.need),
-            &seen.shown,
+            &profile(id, &job.spec, &job.need),
+            &job.run_times,
             hour,
         );
-        if !cancelled && let Some(due_ms) = self.due_ms(&seen.spec, seen.accepted_ms) {
+        if !cancelled && let Some(due_ms) = self.due_ms(&job.spec, job.accepted_ms) {
             let late = self.wall_clock.ms(now) > due_ms;
             let counts = &mut self.runtime_predictor;
-            match (seen.warned, late) {
+            match (job.warned, late) {
                 (true, true) => counts.warned_late += 1,
                 (true, false) => counts.warned_in_time += 1,
                 (false, true) => counts.late_unwarned += 1,
@@ -204,7 +211,7 @@
         }
     }
 
-    /// What is known of jobs like this one.
+    /// Returns the estimate for jobs with this profile.
     #[cfg(test)]
     pub(super) fn estimate_of(&self, profile: &Profile<'_>) -> Option<Estimate> {
         self.runtime_predictor.learner.estimate(profile, &Current::default(), 0)
@@ -214,84 +221,89 @@
         hour_of(self.wall_clock.ms(now) / 1000)
     }
 
-    /// By when a job should be done, by its own due time or the aim of its class, in milliseconds.
+    /// Returns the time of day in milliseconds by which a job should be done: the earlier of its own due time and the
+    /// objective of its class.
     fn due_ms(&self, spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
         let due_s = spec.due_s.filter(|_| self.settings.has_deadline(&spec.class));
         let due_s = due_s.into_iter().chain(self.settings.finish_objective(&spec.class));
-        due_s.min_by(f64::total_cmp).map(|s| accepted_ms.saturating_add((s * 1000.0) as u64))
+        due_s
+            .min_by(f64::total_cmp)
+            .map(|due_s| accepted_ms.saturating_add((due_s * 1000.0) as u64))
     }
 
-    /// What is known of a job's run times, not older than a few seconds.
+    /// Returns a job's estimate, recomputed if it is older than `ESTIMATE_MAX_AGE`. Services have none.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
         if live.spec.shape == JobKind::Service || !self.is_learning() {
             return None;
         }
-        let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
-        if let Some((estimate, at)) = known
+        let latest = self.runtime_predictor.observations.get(id).and_then(|job| job.estimate);
+        if let Some((estimate, at)) = latest
             && now < at + ESTIMATE_MAX_AGE
         {
             return Some(estimate);
         }
         let hour = self.hour(now);
         let running = self.running_s(id, now);
-        let seen = self.runtime_predictor.seen(id, live);
-        let shown = seen.shown.with_running(&running);
+        let job = self.runtime_predictor.observations_of(id, live);
+        let run_times = job.run_times.with_running(&running);
         let profile = profile(id, &live.spec, &live.need);
-        let estimate = self.runtime_predictor.learner.estimate(&profile, &shown, hour)?;
-        self.runtime_predictor.seen(id, live).known = Some((estimate, now));
+        let estimate = self.runtime_predictor.learner.estimate(&profile, &run_times, hour)?;
+        self.runtime_predictor.observations_of(id, live).estimate = Some((estimate, now));
         Some(estimate)
     }
 
-    /// Finds out about jobs that decisions ask for, before they are made: a few in each pass, in turn, so
-    /// that a guest's thousands of jobs make none long.
-    pub(super) fn estimate_all(&mut self, live: &[(&JobId, &LiveJob)], now: Instant) {
+    /// Refreshes the estimates that the decisions of a planning pass use. Each pass refreshes a limited number, in turn,
+    /// so that a user's thousands of jobs don't prolong any pass.
+    pub(super) fn refresh_estimates(&mut self, live: &[(&JobId, &LiveJob)], now: Instant) {
         let switches = &self.settings.operator.estimates;
         if !(switches.due || switches.ahead || switches.make_way || switches.drain) {
             return;
         }
-        let from = self.runtime_predictor.pass_from % live.len().max(1);
-        let stale = |id: &JobId| {
-            let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
-            known.is_none_or(|(_, at)| now >= at + ESTIMATE_MAX_AGE)
+        let start = self.runtime_predictor.next_refresh % live.len().max(1);
+        let is_stale = |id: &JobId| {
+            let latest = self.runtime_predictor.observations.get(id).and_then(|job| job.estimate);
+            latest.is_none_or(|(_, at)| now >= at + ESTIMATE_MAX_AGE)
         };
-        let turn = live[from..].iter().chain(&live[..from]).enumerate();
-        let arrays = turn.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
-        let due: Vec<_> =
-            arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_PER_PASS).collect();
-        self.runtime_predictor.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
-        for (_, (id, job)) in due {
+        let rotated = live[start..].iter().chain(&live[..start]).enumerate();
+        let batch_jobs = rotated.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
+        let stale: Vec<_> =
+            batch_jobs.filter(|(_, (id, _))| is_stale(id)).take(ESTIMATES_PER_PASS).collect();
+        self.runtime_predictor.next_refresh =
+            start + stale.last().map_or(0, |(position, _)| position + 1);
+        for (_, (id, job)) in stale {
             self.estimate(id, job, now);
         }
     }
 
-    /// Seconds that a task of the job takes, where that is known better than its owner says.
-    pub(super) fn run_s(&self, id: &JobId, job: &LiveJob, used: bool) -> f64 {
-        let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
-        match known.filter(|(estimate, _)| used && estimate.grade > Grade::Unknown) {
+    /// Returns the expected run time of a task in seconds: the learned median if `use_learned` is set and an estimate is
+    /// based on history, otherwise the estimate of the job's owner.
+    pub(super) fn run_s(&self, id: &JobId, job: &LiveJob, use_learned: bool) -> f64 {
+        let latest = self.runtime_predictor.observations.get(id).and_then(|job| job.estimate);
+        match latest.filter(|(estimate, _)| use_learned && estimate.grade > Grade::Unknown) {
             Some((estimate, _)) => estimate.p50_s,
             None => job.spec.expect_s,
         }
     }
 
-    /// For how long each task of the job has been running, in seconds.
+    /// Returns the seconds for which each running task of the job has been running.
     fn running_s(&self, id: &JobId, now: Instant) -> Vec<f64> {
-        let Some(work) = self.jobs.progress.get(id) else { return Vec::new() };
-        let began = |(index, placed): (&u32, &Placement)| {
+        let Some(progress) = self.jobs.progress.get(id) else { return Vec::new() };
+        let running_since = |(index, placed): (&u32, &Placement)| {
             let key = (TaskId { job: id.clone(), index: *index }, placed.attempt);
             let entry = self.fleet.machines.get(&placed.machine)?.attempts.get(&key)?;
             (entry.state == TaskState::Running).then_some(entry.running_since).flatten()
         };
-        let began = work.placed.iter().filter_map(began);
-        began.map(|at| now.saturating_duration_since(at).as_secs_f64()).collect()
+        let started = progress.placed.iter().filter_map(running_since);
+        started.map(|at| now.saturating_duration_since(at).as_secs_f64()).collect()
     }
 
-    /// Looks at a few jobs with a due time, in turn, and warns of those that will probably miss it.
+    /// Checks a few live jobs, in turn, and warns of those that will probably miss their deadline.
     pub(super) fn warn_of_late_jobs(&mut self, cache: &Cache, now: Instant) {
         if !self.settings.operator.estimates.warn {
             return;
         }
-        let after = self.runtime_predictor.next.take();
-        let ids: Vec<JobId> = match &after {
+        let resume_from = self.runtime_predictor.next_checked_job.take();
+        let ids: Vec<JobId> = match &resume_from {
             Some(id) => self
                 .jobs
                 .progress
@@ -304,7 +316,7 @@
         if ids.len() == WARNING_CHECKS_PER_ROUND
             && let Some(last) = ids.last()
         {
-            self.runtime_predictor.next =
+            self.runtime_predictor.next_checked_job =
                 self.jobs.progress.range(last.clone()..).nth(1).map(|(id, _)| id.clone());
         }
         for id in ids {
@@ -318,43 +330,44 @@
         let Some(estimate) = self.estimate(id, live, now) else { return };
         let left_s = (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0;
         let running = self.running_s(id, now);
-        let Some(work) = self.jobs.progress.get(id) else { return };
-        let waiting =
-            work.waiting(live) + (work.placed.len() - running.len().min(work.placed.len())) as u64;
-        // What waits is taken to find room as its team's limit allows.
+        let Some(progress) = self.jobs.progress.get(id) else { return };
+        let placed = progress.placed.len();
+        let waiting = progress.waiting(live) + (placed - running.len().min(placed)) as u64;
+        // Waiting tasks are assumed to start as soon as their team's limit allows.
         let team =
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
         let width = team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.need));
-        let rest = remaining(&estimate.centre, &running, waiting, width);
-        let late = rest.later_than(left_s);
-        let done_in_s = rest.point(0.5);
+        let remaining_run = remaining(&estimate.centre, &running, waiting, width);
+        let late = remaining_run.later_than(left_s);
+        let done_in_s = remaining_run.point(0.5);
         let ended = live.completed_count();
-        let seen = self.runtime_predictor.seen(id, live);
-        seen.late = late;
-        seen.done_in_s = done_in_s;
-        let known = estimate.grade > Grade::Unknown || seen.shown.count() >= WARNING_MIN_TASKS;
-        if known && left_s > 0.0 && late >= WARNING_PROBABILITY && !seen.warned {
-            seen.warned = true;
+        let job = self.runtime_predictor.observations_of(id, live);
+        job.late_probability = late;
+        job.done_in_s = done_in_s;
+        let has_evidence =
+            estimate.grade > Grade::Unknown || job.run_times.count() >= WARNING_MIN_TASKS;
+        if has_evidence && left_s > 0.0 && late >= WARNING_PROBABILITY && !job.warned {
+            job.warned = true;
             self.runtime_predictor.warned += 1;
             let grade = estimate.grade;
             tracing::info!(job = %id, class = live.spec.class, late, left_s, done_in_s, ended, ?grade, "job likely to miss its deadline");
         }
     }
 
-    /// Writes what was learned, after all else.
+    /// Enqueues a write of learned estimates at the lowest priority, if one is due and the store is not backlogged.
     pub(super) fn store_estimates(&mut self, store: &mut StoreClient, now: Instant) {
         if !self.is_learning() {
             return;
         }
-        self.runtime_predictor.read(&store.cache);
+        self.runtime_predictor.read_stored(&store.cache);
         if store.is_backlogged() {
             return;
         }
-        // The quotes of a text are part of its value.
-        let most = store.layout().value_max.saturating_sub(2);
+        // The two quotes around the text count towards the size of the value.
+        let max_bytes = store.layout().value_max.saturating_sub(2);
         let now_ms = now.saturating_duration_since(self.term.started_at).as_millis() as u64;
         let Some(write) =
-            self.runtime_predictor.learner.keeper.poll(self.term.token.0, most, now_ms)
+            self.runtime_predictor.learner.keeper.poll(self.term.token.0, max_bytes, now_ms)
         else {
             return;
         };
@@ -372,36 +385,37 @@
         });
     }
 
-    /// Takes in how a write of estimates ended.
+    /// Applies the outcome of a write of estimates.
     pub(super) fn on_estimates_written(&mut self, bucket: u8, outcome: WriteOutcome) {
-        let told = match outcome {
+        let write_outcome = match outcome {
             WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
             WriteOutcome::NotExecuted | WriteOutcome::Unknown => Told::Unsure,
             WriteOutcome::Invalid => Told::Invalid,
         };
-        self.runtime_predictor.learner.keeper.on_told(bucket, told);
+        self.runtime_predictor.learner.keeper.on_told(bucket, write_outcome);
     }
 
-    /// What operators are told.
+    /// Returns the operators' list of jobs that may miss their deadline, the most probable first, with the counts of
+    /// warnings.
     pub fn at_risk(&self, cache: &Cache, now: Instant) -> JobsAtRisk {
-        let risky = |(id, seen): (&JobId, &Seen)| {
+        let job_at_risk = |(id, job): (&JobId, &JobObservations)| {
             let live = cache.jobs.get(id).and_then(Job::live)?;
-            let due_ms = self.due_ms(&seen.spec, live.accepted_ms)?;
-            let (estimate, _) = seen.known?;
-            (seen.late >= AT_RISK_PROBABILITY).then(|| JobAtRisk {
+            let due_ms = self.due_ms(&job.spec, live.accepted_ms)?;
+            let (estimate, _) = job.estimate?;
+            (job.late_probability >= AT_RISK_PROBABILITY).then(|| JobAtRisk {
                 job: id.clone(),
-                class: seen.spec.class.clone(),
-                team: seen.spec.team.clone(),
-                late: seen.late,
+                class: job.spec.class.clone(),
+                team: job.spec.team.clone(),
+                late: job.late_probability,
                 due_in_s: (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0,
-                done_in_s: seen.done_in_s,
+                done_in_s: job.done_in_s,
                 done_tasks: live.completed_count(),
-                tasks: seen.spec.tasks,
+                tasks: job.spec.tasks,
                 grade: format!("{:?}", estimate.grade).to_lowercase(),
             })
         };
         let mut jobs: Vec<JobAtRisk> =
-            self.runtime_predictor.seen.iter().filter_map(risky).collect();
+            self.runtime_predictor.observations.iter().filter_map(job_at_risk).collect();
         jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
         let counts = &self.runtime_predictor;
         JobsAtRisk {
@@ -414,7 +428,8 @@
         }
     }
 
-    /// Warnings so far, and how they turned out: late, in time, and late ones not warned of.
+    /// Returns the number of warnings, of warned jobs that were late, of warned jobs that were in time, and of late jobs
+    /// without a warning.
     pub(super) fn warnings(&self) -> [u64; 4] {
         let counts = &self.runtime_predictor;
         [counts.warned, counts.warned_late, counts.warned_in_time, counts.late_unwarned]
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -1,25 +1,25 @@
-//! Counts for logs and for callers that watch the leader.
+//! Counters for logs and for the leader's monitoring.
 
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// What this leadership has done and seen so far.
+/// Counters of this term.
 #[derive(Debug)]
 pub(super) struct Statistics {
-    /// When a worker last sent a heartbeat.
+    /// Time of the last heartbeat of any worker; the start of the term before the first one.
     pub(super) last_heartbeat: Instant,
-    /// Heartbeats taken in.
+    /// Number of heartbeats received.
     pub(super) heartbeats: u64,
-    /// Tasks started.
+    /// Number of task starts.
     pub(super) starts: u64,
-    /// Tasks stopped.
+    /// Number of stop commands.
     pub(super) stops: u64,
-    /// Tasks that the last planning pass left waiting, by cause.
+    /// Number of tasks that the last planning pass left waiting, by cause.
     pub(super) waiting_by_cause: BTreeMap<&'static str, u64>,
 }
 
 impl Statistics {
-    /// Counts from zero.
+    /// Creates counters that start at zero.
     pub(super) fn new(now: Instant) -> Statistics {
         Statistics {
             last_heartbeat: now,
@@ -29,7 +29,8 @@
             waiting_by_cause: BTreeMap::new(),
         }
     }
-    /// Counts tasks that wait for a reason.
+
+    /// Adds tasks that wait for this cause.
     pub(super) fn add_waiting(&mut self, cause: &'static str, tasks: u64) {
         *self.waiting_by_cause.entry(cause).or_default() += tasks;
     }
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -1,4 +1,4 @@
-//! What the leader tells of its state: to users, to operators and to the log.
+//! The leader's state as shown to users, to operators and in the log.
 
 use crate::constants::MICRO;
 use crate::ids::{Amount, JobId};
@@ -10,66 +10,69 @@
 use crate::workers::machine::{Machine, MachineState, PlacedAttempt};
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
+
 impl Scheduler {
-    /// In which zones a job may have tasks. It is asked for with the promise to stop them, so none are started
-    /// elsewhere, and a user who cancels it need not wait for a zone that has none.
+    /// Returns the zones in which a job may have tasks. Callers have already committed to cancelling the job, so none of
+    /// its tasks is started in another zone, and the user who cancels it need not wait for zones without tasks.
     pub fn zones_of(&self, id: &JobId, cache: &Cache) -> Vec<String> {
-        let old = self.jobs.progress.get(id).is_none_or(|work| work.predates_leadership);
+        let predates_term =
+            self.jobs.progress.get(id).is_none_or(|progress| progress.predates_leadership);
         let attempts = attempts_of(id);
         let names = &self.settings.platform.params.zones;
         let spec = cache.jobs.get(id).and_then(Job::live).map(|job| &job.spec);
-        let may = |machine: &Machine| {
+        let allowed_on = |machine: &Machine| {
             spec.is_none_or(|spec| {
-                let zone = spec.zone.as_ref().is_none_or(|zone| *zone == names[machine.zone]);
-                zone && (spec.spot || !machine.spot)
+                let in_zone = spec.zone.as_ref().is_none_or(|zone| *zone == names[machine.zone]);
+                in_zone && (spec.spot || !machine.spot)
             })
         };
         let mut zones: BTreeSet<usize> = BTreeSet::new();
         for machine in self.fleet.machines.values() {
             let mut entries = machine.attempts.range(attempts.clone());
-            // What a predecessor started there no heartbeat may have shown yet.
-            let unsure = old && !machine.confirmed && may(machine);
-            if unsure || entries.any(|(_, e)| e.state != TaskState::Exited) {
+            // An unconfirmed machine may run tasks of a previous leader that no heartbeat has shown yet.
+            let may_run_unreported = predates_term && !machine.confirmed && allowed_on(machine);
+            if may_run_unreported || entries.any(|(_, e)| e.state != TaskState::Exited) {
                 zones.insert(machine.zone);
             }
         }
         zones.into_iter().map(|zone| names[zone].clone()).collect()
     }
 
-    /// How many tasks of each job run.
+    /// Returns the number of running tasks of each job; tasks that are saving their progress count as running.
     pub fn running(&self) -> BTreeMap<JobId, u32> {
         let mut counts = BTreeMap::new();
         for machine in self.fleet.machines.values() {
-            let runs = |entry: &PlacedAttempt| {
+            let is_running = |entry: &PlacedAttempt| {
                 matches!(entry.state, TaskState::Running | TaskState::Saving)
             };
-            let running = machine.attempts.iter().filter(|(_, entry)| runs(entry));
-            // Tasks of a job stand side by side: one look at the counts serves them all.
-            let mut last: Option<(&JobId, u32)> = None;
+            let running = machine.attempts.iter().filter(|(_, entry)| is_running(entry));
+            // Attempts are ordered by job, so the map is updated once per job and machine.
+            let mut current: Option<(&JobId, u32)> = None;
             for job in running.map(|((task, _), _)| &task.job) {
-                last = match last {
+                current = match current {
                     Some((same, n)) if same == job => Some((same, n + 1)),
-                    other => {
-                        add(&mut counts, other);
+                    previous => {
+                        add(&mut counts, previous);
                         Some((job, 1))
                     }
                 };
             }
-            add(&mut counts, last);
+            add(&mut counts, current);
         }
         counts
     }
 
-    /// One line of counts for the log.
+    /// Logs the counts of tasks, machines, starts and stops, and the demand by class and team.
     pub fn log_counts(&self, cache: &Cache, now: Instant) {
         let mut by_class: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
         let running = self.running();
         for id in self.jobs.progress.keys() {
             let Some(live) = cache.jobs.get(id).and_then(Job::live) else { continue };
-            let runs = u64::from(running.get(id).copied().unwrap_or(0));
+            let running_tasks = u64::from(running.get(id).copied().unwrap_or(0));
             let entry = by_class.entry(&live.spec.class).or_default();
-            entry.0 += runs;
-            entry.1 += live.spec.tasks.saturating_sub(live.completed_count()).saturating_sub(runs);
+            let unfinished = live.spec.tasks.saturating_sub(live.completed_count());
+            entry.0 += running_tasks;
+            entry.1 += unfinished.saturating_sub(running_tasks);
         }
         let zones = &self.settings.platform.params.zones;
         let mut by_kind: BTreeMap<String, u32> = BTreeMap::new();
@@ -109,8 +112,8 @@
     }
 }
 
-fn add(counts: &mut BTreeMap<JobId, u32>, found: Option<(&JobId, u32)>) {
-    if let Some((job, n)) = found {
-        *counts.entry(job.clone()).or_insert(0) += n;
+fn add(counts: &mut BTreeMap<JobId, u32>, running: Option<(&JobId, u32)>) {
+    if let Some((job, count)) = running {
+        *counts.entry(job.clone()).or_insert(0) += count;
     }
 }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of a task that a heartbeat reports.
+//! Handles task exits that heartbeats report.
 
 use crate::constants::{RETRY_FIRST, RETRY_MOST};
 use crate::ids::{Attempt, MachineId, TaskId};
@@ -13,30 +13,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A worker's word for a task that ended well.
+/// Exit cause of a task that completed.
 const DONE: &str = "done";
-/// A worker's word for a task that was stopped on command.
+/// Exit cause of a task that was stopped on command.
 const STOPPED: &str = "halted";
-/// A worker's word for a task that failed by itself.
+/// Exit cause of a task that failed by itself.
 const FAILED: &str = "error";
-/// A worker's words for a task that it could not start.
+/// Exit causes of a task that the worker could not start.
 const NOT_STARTED: [&str; 2] = ["no_room", "in_use"];
 
-/// The longest exponent of the growing pause between retries.
+/// Maximum number of doublings of the backoff between retries.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// The end of an attempt, as its worker reports it.
+/// The exit of an attempt, as its worker reports it.
 #[derive(Debug)]
 pub(super) struct TaskExit {
-    /// The machine on which it ran.
+    /// Machine on which the attempt ran.
     pub(super) machine: MachineId,
-    /// The task.
+    /// Task that the attempt was made at.
     pub(super) task: TaskId,
-    /// The attempt.
+    /// Attempt that exited.
     pub(super) attempt: Attempt,
-    /// The worker's word for how it ended.
+    /// Exit cause in the worker's words, such as `DONE`.
     pub(super) why: String,
-    /// Whether it saved its progress.
+    /// Whether the task saved its progress.
     pub(super) saved: bool,
 }
 
@@ -49,39 +49,40 @@
         self.why == STOPPED
     }
 
-    /// The pause before the next attempt, after so many failures before this one.
-    fn retry_pause(&self, failures: u32) -> Duration {
+    /// Returns the backoff before the next attempt, given the number of failures before this exit.
+    fn retry_backoff(&self, previous_failures: u32) -> Duration {
         if self.was_stopped() {
             Duration::ZERO
         } else if NOT_STARTED.contains(&self.why.as_str()) {
             RETRY_FIRST
         } else {
-            RETRY_MOST.min(RETRY_FIRST * 2u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS)))
+            RETRY_MOST.min(RETRY_FIRST * 2u32.pow(previous_failures.min(MAX_BACKOFF_DOUBLINGS)))
         }
     }
 
     fn log(&self) {
         let TaskExit { machine, task, attempt, why, saved } = self;
         if self.was_stopped() || why == DONE {
-            tracing::debug!(%machine, %task, %attempt, why, saved, "task ended");
+            tracing::debug!(%machine, %task, %attempt, why, saved, "task exited");
         } else {
-            tracing::info!(%machine, %task, %attempt, why, saved, "task ended");
+            tracing::info!(%machine, %task, %attempt, why, saved, "task exited");
         }
     }
 }
 
 impl Scheduler {
-    /// Takes in the end of a task: it is completed, or it is to be started again.
+    /// Applies a task exit: the task is completed, or it is requeued to be started again.
     pub(super) fn on_exit(&mut self, exit: &TaskExit, cache: &Cache, now: Instant) {
-        self.note_vacated(exit, now);
+        self.record_vacated(exit, now);
         let live = self.live(cache, &exit.task.job);
-        let done = exit.why == DONE && live.is_some_and(|l| l.spec.shape != JobKind::Service);
+        let completed =
+            exit.why == DONE && live.is_some_and(|live| live.spec.shape != JobKind::Service);
         let first_report = live.is_some_and(|live| !self.is_completing(&exit.task, live));
-        if (done && first_report) || exit.was_stopped() {
-            let run = self.observed_run(exit, done, now);
+        if (completed && first_report) || exit.was_stopped() {
+            let run = self.observed_run(exit, completed, now);
             self.record_task_run(&exit.task, &exit.machine, live, &run);
         }
-        if done && live.is_some_and(|live| !live.is_completed(exit.task.index)) {
+        if completed && live.is_some_and(|live| !live.is_completed(exit.task.index)) {
             // The machine keeps the exit until the completion is committed.
             self.await_completion(exit, now);
             return;
@@ -90,15 +91,16 @@
         if !self.fleet.machines.contains_key(&exit.machine) {
             return;
         }
-        let preempted = self.settle_exit(exit, now);
-        if live.is_some() && !done {
+        let preempted = self.mark_exit_handled(exit, now);
+        if live.is_some() && !completed {
             self.back_off(exit, preempted, now);
         }
         self.release(&exit.task, exit.attempt, now);
     }
 
-    /// Room that more urgent work left is kept from low-priority tasks for a while.
-    fn note_vacated(&mut self, exit: &TaskExit, now: Instant) {
+    /// Records that a task above low priority left its machine: its capacity is not given to low-priority tasks for a
+    /// while.
+    fn record_vacated(&mut self, exit: &TaskExit, now: Instant) {
         if let Some(machine) = self.fleet.machines.get_mut(&exit.machine)
             && let Some(entry) = machine.attempts.get(&exit.key())
             && entry.urgency < Priority::Low
@@ -107,12 +109,12 @@
         }
     }
 
-    fn observed_run(&self, exit: &TaskExit, done: bool, now: Instant) -> ObservedRun {
+    fn observed_run(&self, exit: &TaskExit, completed: bool, now: Instant) -> ObservedRun {
         let machine = self.fleet.machines.get(&exit.machine);
         let entry = machine.and_then(|machine| machine.attempts.get(&exit.key()));
-        let began = entry.and_then(|entry| entry.observed_start);
-        let duration = began.map(|at| now.saturating_duration_since(at));
-        ObservedRun { duration, done, saved: exit.saved }
+        let started_at = entry.and_then(|entry| entry.observed_start);
+        let duration = started_at.map(|at| now.saturating_duration_since(at));
+        ObservedRun { duration, completed, saved: exit.saved }
     }
 
     fn await_completion(&mut self, exit: &TaskExit, now: Instant) {
@@ -123,27 +125,29 @@
         self.record_success(job, now);
     }
 
-    /// Marks the exit as handled; whether the task was stopped for more urgent work.
-    fn settle_exit(&mut self, exit: &TaskExit, now: Instant) -> bool {
+    /// Marks the exit as handled and returns whether the task was preempted for a job of higher priority. If the task
+    /// was preempted or moved, the next planning pass is due at once.
+    fn mark_exit_handled(&mut self, exit: &TaskExit, now: Instant) -> bool {
         let machine = self.fleet.machines.get_mut(&exit.machine);
         let entry = machine.and_then(|machine| machine.attempts.get_mut(&exit.key()));
         let Some(entry) = entry else { return false };
         entry.exit_handled = true;
         let preempted = entry.stopped_for(PREEMPTED);
         if preempted || entry.stopped_for(MOVED) {
-            // Somebody waits: a service for its replica, or urgent work for this room.
+            // A service waits for its replica, or a job of higher priority waits for this capacity.
             self.planning_clock.next_pass = now;
         }
         preempted
     }
 
-    /// Notes a pause before the task is tried again, and whom a failure is attributed to.
+    /// Records the backoff before the next attempt, and attributes a failure to the job or the machine.
     fn back_off(&mut self, exit: &TaskExit, preempted: bool, now: Instant) {
         let progress = self.jobs.progress.entry(exit.task.job.clone()).or_default();
         progress.preemptions += u32::from(preempted);
-        let before = progress.retries.get(&exit.task.index).map_or(0, |retry| retry.failures);
-        let failures = before + u32::from(!exit.was_stopped());
-        let not_before = now + exit.retry_pause(before);
+        let previous_failures =
+            progress.retries.get(&exit.task.index).map_or(0, |retry| retry.failures);
+        let failures = previous_failures + u32::from(!exit.was_stopped());
+        let not_before = now + exit.retry_backoff(previous_failures);
         progress.retries.insert(exit.task.index, RetryBackoff { not_before, failures });
         if exit.why == FAILED {
             self.attribute_failure(exit, now);
@@ -160,11 +164,11 @@
         progress.failures.record_failure(&exit.machine, now);
         if progress.failures.is_job_faulty() && !was_faulty {
             let machines = progress.failures.failed_machines().len();
-            tracing::info!(%job, machines, "job suspected: fails on every machine, retried with backoff");
+            tracing::info!(%job, machines, "job suspected to be faulty: fails on every machine, retrying with backoff");
         }
     }
 
-    /// Whether the completion of the task is committed or was reported before.
+    /// Returns whether the completion of the task is committed or was reported before.
     fn is_completing(&self, task: &TaskId, live: &LiveJob) -> bool {
         let progress = self.jobs.progress.get(&task.job);
         live.is_completed(task.index)
--- a/src/scheduler/term.rs
+++ b/src/scheduler/term.rs
@@ -1,4 +1,4 @@
-//! The term of leadership for which a scheduler is built.
+//! The leader's term for which a scheduler is created.
 
 use crate::ids::{Attempt, FencingToken, Revision};
 use crate::store::LEADER_KEY;
@@ -6,48 +6,47 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One uninterrupted leadership: its fencing token and what is numbered within it.
+/// One uninterrupted term of a leader: its fencing token and the numbers of the attempts created under it.
 #[derive(Debug)]
 pub(super) struct LeaderTerm {
-    /// The fencing token of this leadership; workers refuse commands that carry a lower one.
+    /// Fencing token of this term; workers reject commands that carry a lower one than they have seen.
     pub(super) token: FencingToken,
-    /// The revision of the leader key that this leadership holds.
+    /// Revision of the leader key under which this term was won.
     leader_revision: Revision,
-    /// When this leadership began.
+    /// Start of the term.
     pub(super) started_at: Instant,
-    /// How many attempts this leadership has created.
+    /// Number of attempts that were created in this term.
     attempts_created: u64,
 }
 
 impl LeaderTerm {
-    /// A term that begins now.
+    /// Creates a term that begins now.
     pub(super) fn new(token: FencingToken, leader_revision: Revision, now: Instant) -> LeaderTerm {
         LeaderTerm { token, leader_revision, started_at: now, attempts_created: 0 }
     }
 
-    /// The revision of the leader key that this leadership holds.
+    /// Returns the revision of the leader key under which this term was won.
     pub(super) fn leader_revision(&self) -> Revision {
         self.leader_revision
     }
 
-    /// The precondition under which every write of this leader commits: nobody else became the
-    /// leader meanwhile.
+    /// Returns the precondition of every write of this leader: no other controller has become the leader since.
     pub(super) fn precondition(&self) -> Precondition {
         Precondition { key: LEADER_KEY.into(), rev: self.leader_revision }
     }
 
-    /// For how long this term has lasted.
+    /// Returns the time since the start of the term.
     pub(super) fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started_at)
     }
 
-    /// A new attempt, higher than all before it.
+    /// Creates an attempt that is higher than all earlier ones.
     pub(super) fn create_attempt(&mut self) -> Attempt {
         self.attempts_created += 1;
         self.latest_attempt()
     }
 
-    /// The highest attempt that this leadership has created.
+    /// Returns the highest attempt that was created in this term.
     pub(super) fn latest_attempt(&self) -> Attempt {
         Attempt::new(self.token, self.attempts_created)
     }
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler by subject.
+//! Unit tests of the scheduler, by subject.
 
 mod cancellation;
 mod elastic_width;
