--- a/src/scheduler/tests/cancellation.rs
+++ b/src/scheduler/tests/cancellation.rs
@@ -1,25 +1,26 @@
-//! Jobs whose cancellation is acknowledged and not committed yet.
+//! Jobs whose cancellation is acknowledged but not committed yet.
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::wire::{JobKind, TaskState};
 
-/// The end of a task of a job that is known to be cancelled only by word of mouth must not
-/// make the job new work: its other tasks, silent behind a cut, would be started twice.
+/// The leader may know of a cancellation only from an acknowledgement, before the store has it. The exit of one of the
+/// job's tasks must not create new progress for the job: its other tasks, on machines behind a network partition,
+/// would be started twice.
 #[test]
 fn job_with_acknowledged_cancellation_is_never_started_again() {
-    let mut bench = TestLeader::new();
-    let id = bench.job("wk-1", JobKind::Service, 4);
-    bench.report("i-1", vec![]);
-    bench.pass(MIN_PASS_INTERVAL * 5);
-    let orders = bench.report("i-1", vec![]);
-    assert_eq!(task_statuses(&orders, TaskState::Running).len(), 4);
-    bench.report("i-1", task_statuses(&orders, TaskState::Running));
-    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &bench.store.cache);
-    bench.report("i-1", task_statuses(&orders, TaskState::Exited));
-    bench.scheduler.on_jobs(&[id], &bench.store.cache, bench.now);
+    let mut leader = TestLeader::new();
+    let id = leader.job("wk-1", JobKind::Service, 4);
+    leader.report("i-1", vec![]);
+    leader.pass(MIN_PASS_INTERVAL * 5);
+    let commands = leader.report("i-1", vec![]);
+    assert_eq!(task_statuses(&commands, TaskState::Running).len(), 4);
+    leader.report("i-1", task_statuses(&commands, TaskState::Running));
+    leader.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &leader.store.cache);
+    leader.report("i-1", task_statuses(&commands, TaskState::Exited));
+    leader.scheduler.on_jobs(&[id], &leader.store.cache, leader.now);
     for _ in 0..20 {
-        bench.pass(MIN_PASS_INTERVAL);
+        leader.pass(MIN_PASS_INTERVAL);
     }
-    assert_eq!(bench.scheduler.statistics.starts, 4);
+    assert_eq!(leader.scheduler.statistics.starts, 4);
 }
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of jobs and of machines told apart.
+//! Attribution of task failures to jobs or to machines.
 
 use super::fixture::{TestLeader, failed_statuses, task_statuses};
 use crate::ids::JobId;
@@ -7,96 +7,97 @@
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Jobs submitted with a mistake once cost 247 good machines their place, and were tried 2,354
-/// times on them.
+/// Jobs that fail everywhere must not mark machines as faulty, and must not be retried without backoff. Otherwise faulty
+/// submissions cause good machines to be terminated (247 in one run, after 2,354 attempts on them).
 #[test]
-fn faulty_jobs_cost_no_machine_its_place_and_are_retried_rarely() {
-    let mut bench = TestLeader::new();
+fn faulty_jobs_mark_no_machine_as_faulty_and_are_retried_rarely() {
+    let mut leader = TestLeader::new();
     let machines = ["i-1", "i-2", "i-3", "i-4"];
-    machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
+    machines.iter().for_each(|machine| drop(leader.report(machine, vec![])));
     for id in ["wk-1", "wk-2", "wk-3"] {
-        bench.job(id, JobKind::Array, 16);
+        leader.job(id, JobKind::Array, 16);
     }
     for _ in 0..400 {
-        bench.pass(MIN_PASS_INTERVAL);
+        leader.pass(MIN_PASS_INTERVAL);
         for machine in machines {
-            let orders = bench.report(machine, vec![]);
-            bench.report(machine, failed_statuses(&orders));
+            let commands = leader.report(machine, vec![]);
+            leader.report(machine, failed_statuses(&commands));
         }
     }
-    assert!(bench.scheduler.fleet.machines.values().all(|m| !m.faulty));
+    assert!(leader.scheduler.fleet.machines.values().all(|m| !m.faulty));
     assert!(
-        (48..80).contains(&bench.scheduler.statistics.starts),
+        (48..80).contains(&leader.scheduler.statistics.starts),
         "{}",
-        bench.scheduler.statistics.starts
+        leader.scheduler.statistics.starts
     );
-    // One that does well after all goes on with all its tasks at once.
-    let before = bench.scheduler.statistics.starts;
+    // A suspected job that succeeds after all starts all its tasks at once.
+    let starts_before = leader.scheduler.statistics.starts;
     let mut running = Vec::new();
     while running.is_empty() {
-        bench.pass(MIN_PASS_INTERVAL);
-        running = task_statuses(&bench.report("i-1", vec![]), TaskState::Running);
+        leader.pass(MIN_PASS_INTERVAL);
+        running = task_statuses(&leader.report("i-1", vec![]), TaskState::Running);
     }
-    bench.report("i-1", running.clone());
-    bench.pass(SUCCESS_AFTER_RUNNING + MIN_PASS_INTERVAL);
-    bench.report("i-1", running);
+    leader.report("i-1", running.clone());
+    leader.pass(SUCCESS_AFTER_RUNNING + MIN_PASS_INTERVAL);
+    leader.report("i-1", running);
     for _ in 0..10 {
-        machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
-        bench.pass(MIN_PASS_INTERVAL);
+        machines[1..].iter().for_each(|machine| drop(leader.report(machine, vec![])));
+        leader.pass(MIN_PASS_INTERVAL);
     }
     assert!(
-        bench.scheduler.statistics.starts >= before + 15,
-        "{} {before}",
-        bench.scheduler.statistics.starts
+        leader.scheduler.statistics.starts >= starts_before + 15,
+        "{} {starts_before}",
+        leader.scheduler.statistics.starts
     );
 }
 
-/// While mistaken jobs are about, a faulty machine is still found: by what does well elsewhere.
+/// A faulty machine is detected even while faulty jobs fail everywhere, because other jobs succeed on other machines
+/// only.
 #[test]
 fn faulty_machine_is_found_by_jobs_that_succeed_elsewhere() {
-    let mut bench = TestLeader::new();
+    let mut leader = TestLeader::new();
     for (id, tasks) in [("wk-1", 8), ("wk-2", 24), ("wk-3", 8)] {
-        bench.job(id, JobKind::Array, tasks);
+        leader.job(id, JobKind::Array, tasks);
     }
     let is_job_faulty = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
-    let mut held: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
+    let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
-        bench.pass(MIN_PASS_INTERVAL);
+        leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
-            let tasks = held.remove(machine).unwrap_or_default();
-            let orders = bench.report(machine, tasks.clone());
-            let mut tasks = [tasks, task_statuses(&orders, TaskState::Running)].concat();
+            let tasks = running.remove(machine).unwrap_or_default();
+            let commands = leader.report(machine, tasks.clone());
+            let mut tasks = [tasks, task_statuses(&commands, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
             for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_job_faulty(task)) {
                 (task.state, task.why) = (TaskState::Exited, Some("error".into()));
             }
-            held.insert(machine, tasks);
+            running.insert(machine, tasks);
         }
         if step == 50 {
-            assert!(bench.scheduler.fleet.machines.values().all(|m| !m.faulty));
+            assert!(leader.scheduler.fleet.machines.values().all(|m| !m.faulty));
         }
     }
-    let faulty: Vec<bool> = bench.scheduler.fleet.machines.values().map(|m| m.faulty).collect();
+    let faulty: Vec<bool> = leader.scheduler.fleet.machines.values().map(|m| m.faulty).collect();
     assert_eq!(faulty, [true, false, false, false]);
 }
 
-/// A trial of one task would leave a gang's other tasks out.
+/// A suspected job is retried with a single task at first; a gang has to be retried with all its tasks.
 #[test]
 fn gang_that_fails_everywhere_is_retried_as_a_whole() {
-    let mut bench = TestLeader::new();
-    bench.job("wk-1", JobKind::Gang, 6);
+    let mut leader = TestLeader::new();
+    leader.job("wk-1", JobKind::Gang, 6);
     for step in 0..300 {
-        bench.pass(MIN_PASS_INTERVAL);
+        leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
-            let orders = bench.report(machine, vec![]);
-            bench.report(machine, failed_statuses(&orders));
+            let commands = leader.report(machine, vec![]);
+            leader.report(machine, failed_statuses(&commands));
         }
-        assert_eq!(bench.scheduler.statistics.starts % 6, 0, "step {step}");
+        assert_eq!(leader.scheduler.statistics.starts % 6, 0, "step {step}");
     }
-    let evidence = &bench.scheduler.jobs.progress[&JobId::new("wk-1")].failures;
+    let failures = &leader.scheduler.jobs.progress[&JobId::new("wk-1")].failures;
     assert!(
-        evidence.is_job_faulty() && bench.scheduler.statistics.starts >= 18,
+        failures.is_job_faulty() && leader.scheduler.statistics.starts >= 18,
         "{}",
-        bench.scheduler.statistics.starts
+        leader.scheduler.statistics.starts
     );
 }
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A leader without peers, and the cores that it works with.
+//! Fixture of the scheduler's unit tests: a leader without peers, with its store and cloud clients.
 
 use crate::clock::WallClock;
 use crate::cloud::CloudClient;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A leader without peers, and the cores that it works with.
+/// A leader without peers, with its store and cloud clients and a manual clock.
 pub(super) struct TestLeader {
     pub(super) scheduler: Scheduler,
     pub(super) store: StoreClient,
@@ -37,6 +37,7 @@
         TestLeader { scheduler, store, cloud, now, seq: 0 }
     }
 
+    /// Adds an accepted job to the cache and to the scheduler.
     pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
         let spec = JobSpec {
             shape,
@@ -57,10 +58,11 @@
         JobId::new(id)
     }
 
-    /// A heartbeat of the machine with these tasks; gives the answer's orders.
+    /// Applies a heartbeat of a machine with these tasks, marks all machines as recorded and returns the commands of the
+    /// answer.
     pub(super) fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
         self.seq += 1;
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
             flavor: "f".into(),
@@ -72,22 +74,24 @@
             notice_s: None,
             tasks,
         };
-        let orders = self.scheduler.on_heartbeat(&report, &self.store.cache, self.now).unwrap();
+        let answer = self.scheduler.on_heartbeat(&heartbeat, &self.store.cache, self.now).unwrap();
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
-        orders.orders
+        answer.orders
     }
 
+    /// Advances the clock by `time` and runs the scheduler once.
     pub(super) fn pass(&mut self, time: Duration) {
         self.now += time;
         self.scheduler.tick(&mut self.store, &mut self.cloud, self.now);
     }
 }
 
-/// What the worker shows of tasks that it was told to start.
-pub(super) fn task_statuses(orders: &[WorkerCommand], state: TaskState) -> Vec<TaskStatus> {
-    let show = |order: &WorkerCommand| match order {
+/// Returns the statuses of the tasks that these commands start, all in one state. Exited tasks were stopped on
+/// command.
+pub(super) fn task_statuses(commands: &[WorkerCommand], state: TaskState) -> Vec<TaskStatus> {
+    let status = |command: &WorkerCommand| match command {
         WorkerCommand::Start { task, attempt } => Some(TaskStatus {
             task: task.clone(),
             attempt: *attempt,
@@ -97,19 +101,19 @@
         }),
         _ => None,
     };
-    orders.iter().filter_map(show).collect()
+    commands.iter().filter_map(status).collect()
 }
 
-/// What the worker shows of tasks that it was told to start and that all failed.
-pub(super) fn failed_statuses(orders: &[WorkerCommand]) -> Vec<TaskStatus> {
-    let mut tasks = task_statuses(orders, TaskState::Exited);
+/// Returns the statuses of the tasks that these commands start, all of them failed.
+pub(super) fn failed_statuses(commands: &[WorkerCommand]) -> Vec<TaskStatus> {
+    let mut tasks = task_statuses(commands, TaskState::Exited);
     tasks.iter_mut().for_each(|task| task.why = Some("error".into()));
     tasks
 }
 
-/// A new leader of a job with so many tasks, and of two machines with records that it has not heard.
+/// Returns a new leader with a job of `tasks` tasks and two recorded machines that are unconfirmed.
 pub(super) fn after_failover(tasks: u64) -> (TestLeader, JobId) {
-    let mut bench = TestLeader::new();
+    let mut leader = TestLeader::new();
     for name in ["i-1", "i-2"] {
         let record = MachineRecord {
             address: "127.0.0.1:9000".into(),
@@ -117,19 +121,20 @@
             zone: "a".into(),
             spot: false,
         };
-        bench
+        leader
             .store
             .cache
             .machines
             .insert(MachineId::new(name), Versioned::new(record, Revision(3)));
     }
-    let job = bench.job("wk-1", JobKind::Array, tasks);
-    bench.lead_anew();
-    (bench, job)
+    let job = leader.job("wk-1", JobKind::Array, tasks);
+    leader.begin_new_term();
+    (leader, job)
 }
 
 impl TestLeader {
-    pub(super) fn lead_anew(&mut self) {
+    /// Replaces the scheduler with that of a new term, created from the cache.
+    pub(super) fn begin_new_term(&mut self) {
         let settings = self.scheduler.settings.clone();
         let wall = WallClock { at: self.now, ms: 1_000_000 };
         let cache = &self.store.cache;
@@ -138,6 +143,7 @@
     }
 }
 
+/// Returns the status of the job's task 0, running as this attempt.
 pub(super) fn running_status(job: &JobId, attempt: u64) -> TaskStatus {
     TaskStatus {
         task: TaskId { job: job.clone(), index: 0 },
--- a/src/scheduler/tests/job_machines.rs
+++ b/src/scheduler/tests/job_machines.rs
@@ -1,42 +1,42 @@
-//! The index of machines by job.
+//! Index of the machines on which each job may have tasks.
 
 use super::fixture::TestLeader;
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::time::Duration;
 
-/// Every machine with a task of a job is among those noted for it, whether the task was started here or found in a
-/// report; and the end of the job stops it there.
+/// The index contains every machine with a task of the job, whether the task was started by this leader or adopted from
+/// a heartbeat. The end of the job stops the tasks on all of them.
 #[test]
 fn every_machine_with_tasks_of_a_job_is_indexed() {
-    let mut bench = TestLeader::new();
-    let job = bench.job("wk-1", JobKind::Array, 6);
-    let found = TaskStatus {
+    let mut leader = TestLeader::new();
+    let job = leader.job("wk-1", JobKind::Array, 6);
+    let adopted = TaskStatus {
         task: TaskId::parse("wk-1/5").unwrap(),
         attempt: Attempt(7),
         state: TaskState::Running,
         why: None,
         saved: None,
     };
-    bench.report("i-1", vec![found]);
+    leader.report("i-1", vec![adopted]);
     for machine in ["i-2", "i-3"] {
-        bench.report(machine, Vec::new());
+        leader.report(machine, Vec::new());
     }
     for _ in 0..3 {
-        bench.pass(Duration::from_secs(1));
+        leader.pass(Duration::from_secs(1));
     }
-    let holding = |bench: &TestLeader| {
-        let machines = bench.scheduler.fleet.machines.values();
-        let with = machines.filter(|m| m.attempts.keys().any(|(task, _)| task.job == job));
-        with.map(|machine| machine.id.clone()).collect::<Vec<MachineId>>()
+    let machines_with_tasks = |leader: &TestLeader| {
+        let machines = leader.scheduler.fleet.machines.values();
+        let matching = machines.filter(|m| m.attempts.keys().any(|(task, _)| task.job == job));
+        matching.map(|machine| machine.id.clone()).collect::<Vec<MachineId>>()
     };
-    let with = holding(&bench);
-    assert!(with.len() > 1 && with.contains(&MachineId::new("i-1")), "{with:?}");
-    let noted = bench.scheduler.jobs.machines.of(&job);
-    assert!(with.iter().all(|id| noted.contains(id)), "{with:?} {noted:?}");
-    bench.scheduler.stop_tasks_of_job(&job);
-    for id in with {
-        let entries = &bench.scheduler.fleet.machines[&id].attempts;
+    let expected = machines_with_tasks(&leader);
+    assert!(expected.len() > 1 && expected.contains(&MachineId::new("i-1")), "{expected:?}");
+    let indexed = leader.scheduler.jobs.machines.of(&job);
+    assert!(expected.iter().all(|id| indexed.contains(id)), "{expected:?} {indexed:?}");
+    leader.scheduler.stop_tasks_of_job(&job);
+    for id in expected {
+        let entries = &leader.scheduler.fleet.machines[&id].attempts;
         assert!(entries.values().all(|e| e.stop.is_some() || e.state == TaskState::Exited));
     }
 }
