--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time added to the longest possible run of an orphaned task when a new leader counts it against its team. Covers the
-/// clock skew between two controllers and the time for which a transaction is queued.
+/// Time added to the longest possible run of an orphaned task when a new leader counts it against its team. It
+/// exceeds both the clock skew between two controllers and the time for which a transaction is queued.
 const ORPHANED_TASK_SLACK: Duration = Duration::from_secs(10);
 
 /// Capacity that orphaned tasks may still use, by team index.
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -212,8 +212,9 @@
         (!self.jobs.cancelling.contains(id)).then_some(live)
     }
 
-    /// Adopts an attempt that a previous leader started and a heartbeat shows. If its job is finished, the attempt
-    /// is stopped; if the task is already placed elsewhere, the earlier attempt is stopped as a duplicate.
+    /// Adopts an attempt that a previous leader started and a heartbeat shows. If its job is not live or its
+    /// cancellation is acknowledged, the attempt is stopped; if the task is already placed elsewhere, the earlier of the
+    /// two attempts is stopped as a duplicate.
     pub(super) fn adopt_attempt(
         &mut self,
         machine: &MachineId,
@@ -222,11 +223,11 @@
         cache: &Cache,
     ) {
         let job = cache.jobs.get(&task.job);
-        let (team, need, image, urgency) = match job.map(|job| &job.body) {
+        let (team, need, image, priority) = match job.map(|job| &job.body) {
             Some(JobBody::Live(live)) => {
                 let image = Arc::from(live.spec.image.as_str());
-                let urgency = self.urgency(&task.job, live);
-                (self.team_of(&live.spec.team), live.need, image, urgency)
+                let priority = self.urgency(&task.job, live);
+                (self.team_of(&live.spec.team), live.need, image, priority)
             }
             Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
                 (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
@@ -239,7 +240,7 @@
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.commands_due = true;
         let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
-        (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, urgency);
+        (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, priority);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
         machine.adopt_attempt(&key);
