--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -92,7 +92,7 @@
         let machine_type = &self.machine_types[machine.flavor];
         let mut patience = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
-        if !self.summary.overtaken()(machine) {
+        if !self.summary.newer_machine_is_up()(machine) {
             // None that was rented later is up either: all come late, and those that would replace
             // it come no sooner.
             patience *= 2;
@@ -173,7 +173,7 @@
                 + BOOT_OVERDUE_MARGIN;
             now.saturating_duration_since(machine.rented) >= usual
         };
-        let overtaken = summary.overtaken();
+        let overtaken = summary.newer_machine_is_up();
         let late = self.fleet.machines.values().filter(|machine| {
             machine.state == MachineState::Booting
                 && is_late(machine, &self.fleet.machine_types[machine.flavor])
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -32,7 +32,7 @@
 impl Scheduler {
     /// Returns the priority by which a job is ordered, preempts others and is preempted: the highest of its own and
     /// those of all its dependents.
-    pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Priority {
+    pub(super) fn effective_priority(&self, id: &JobId, job: &LiveJob) -> Priority {
         self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.urgency)
     }
 
@@ -85,7 +85,7 @@
         for (id, job) in live {
             let previous_priority =
                 previous.get(*id).map_or(job.spec.urgency, |inherited| inherited.urgency);
-            let priority = self.urgency(id, job);
+            let priority = self.effective_priority(id, job);
             let progress = self.jobs.progress.get(*id);
             let Some(progress) = progress.filter(|_| priority != previous_priority) else {
                 continue;
@@ -103,7 +103,7 @@
 
     /// Returns the seconds until a job has to start so that it and all its dependents meet their deadlines; negative if
     /// that time has passed, `None` without a deadline.
-    pub(super) fn due_left(&self, id: &JobId, job: &LiveJob, now: Instant) -> Option<f64> {
+    pub(super) fn latest_start_in_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> Option<f64> {
         let due_ms = self.dependencies.inherited.get(id)?.due_ms?;
         let left_ms = due_ms as f64 - self.wall_clock.ms(now) as f64;
         let use_learned = self.settings.operator.estimates.due;
@@ -113,7 +113,7 @@
     /// Returns the number of objectives that a job's deadline represents (0 or 1) and the number of those that are
     /// missed.
     pub(super) fn due_objectives(&self, id: &JobId, job: &LiveJob, now: Instant) -> (usize, usize) {
-        match self.due_left(id, job, now) {
+        match self.latest_start_in_s(id, job, now) {
             Some(left_s) => (1, usize::from(left_s < 0.0)),
             None => (0, 0),
         }
@@ -121,7 +121,7 @@
 
     /// Returns the jobs with unfinished dependencies that will be ready by the time that a machine rented now is up,
     /// ordered by when they will be ready.
-    pub(super) fn coming(&self, live: &[(&JobId, &LiveJob)], now: Instant) -> Vec<JobId> {
+    pub(super) fn upcoming_jobs(&self, live: &[(&JobId, &LiveJob)], now: Instant) -> Vec<JobId> {
         let mut waiting: Vec<_> = live.iter().filter(|(_, job)| !job.is_ready()).collect();
         if waiting.is_empty() {
             return Vec::new();
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -148,7 +148,7 @@
 
 impl FleetSummary {
     /// Returns a predicate: whether a machine that was rented later than the given one is up.
-    pub(super) fn overtaken(&self) -> impl Fn(&Machine) -> bool + use<> {
+    pub(super) fn newer_machine_is_up(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
         move |machine| newest.is_some_and(|at| at > machine.rented)
     }
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -48,7 +48,7 @@
             None => None,
         };
         let zone_limit = if spec.spread { (spec.tasks as u32).div_ceil(2) } else { u32::MAX };
-        let priority = self.urgency(id, job);
+        let priority = self.effective_priority(id, job);
         let is_best_effort = priority == Priority::Low && !self.has_objective(id, job);
         let heavy_threshold = self.settings.operator.heavy_threshold;
         Some(PlacementRequest {
@@ -189,7 +189,7 @@
         let waited_s = now.saturating_duration_since(first_seen).as_secs_f64();
         let quota_slo = self.settings.guarantee_start_objective().filter(|_| !over_quota);
         let slos = self.settings.start_objectives(&job.spec.class).chain(quota_slo);
-        let until_deadline = self.due_left(id, job, now).filter(|left| *left > 0.0);
+        let until_deadline = self.latest_start_in_s(id, job, now).filter(|left| *left > 0.0);
         let slack = slos.map(|within_s| within_s - waited_s).filter(|left| *left > 0.0);
         slack.chain(until_deadline).min_by(f64::total_cmp)
     }
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -47,7 +47,7 @@
             self.jobs.progress.keys().filter_map(live_job).collect();
         self.refresh_estimates(&jobs, now);
         self.inherit_priorities(&jobs);
-        let upcoming = self.coming(&jobs, now);
+        let upcoming = self.upcoming_jobs(&jobs, now);
         jobs.retain(|(_, job)| job.is_ready());
         jobs.sort_by(|a, b| (a.1.eligible_ms(), a.0).cmp(&(b.1.eligible_ms(), b.0)));
         let ServiceQueue { queue, maybe_used } =
@@ -99,7 +99,7 @@
             self.settings.missed_start_objectives(&spec.class, waited) + missed_deadlines;
         let missed_all = missed_slos > 0 && missed_slos == slos;
         QueuedJob {
-            priority: self.urgency(id, job),
+            priority: self.effective_priority(id, job),
             first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
             over_quota: false,
             without_slo: !self.has_objective(id, job),
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -50,7 +50,7 @@
                 preemptor.zone_limits.consume(zone, 1);
             }
             let live = cache.jobs.get(job).and_then(Job::live);
-            let priority = live.map(|live| self.urgency(job, live));
+            let priority = live.map(|live| self.effective_priority(job, live));
             if priority == Some(Priority::Low)
                 && !self.start_pacer.low_priority_starts.has(1.0, now)
             {
@@ -95,7 +95,7 @@
             return;
         }
         let team = self.team_of(&live.spec.team);
-        let priority = self.urgency(&task.job, live);
+        let priority = self.effective_priority(&task.job, live);
         self.jobs.machines.record(&task.job, id, &self.fleet.machines);
         let (Some(machine), Some(progress)) =
             (self.fleet.machines.get_mut(id), self.jobs.progress.get_mut(&task.job))
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -226,7 +226,7 @@
         let (team, need, image, priority) = match job.map(|job| &job.body) {
             Some(JobBody::Live(live)) => {
                 let image = Arc::from(live.spec.image.as_str());
-                let priority = self.urgency(&task.job, live);
+                let priority = self.effective_priority(&task.job, live);
                 (self.team_of(&live.spec.team), live.need, image, priority)
             }
             Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
