--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -130,7 +130,7 @@
             route,
         };
         scheduler.delegations.record_status(&status.from, &follower, now);
-        if let Some(grant) = scheduler.grant(&status.from, status.seq, now) {
+        if let Some(grant) = scheduler.delegate_leases(&status.from, status.seq, now) {
             self.send(&status.from, grant, route);
         }
     }
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -24,9 +24,14 @@
         Some(self.term.token)
     }
 
-    /// Returns a delegated lease for another controller: it may answer the heartbeats of all machines but the revoked
+    /// Creates a delegated lease for another controller: it may answer the heartbeats of all machines but the revoked
     /// ones.
-    pub fn grant(&mut self, to: &ControllerId, seq: u64, now: Instant) -> Option<PeerMessage> {
+    pub fn delegate_leases(
+        &mut self,
+        to: &ControllerId,
+        seq: u64,
+        now: Instant,
+    ) -> Option<PeerMessage> {
         let number = self.delegations.next_number();
         // Long enough for a worker to find a controller that receives its heartbeats, and short enough for the
         // revocation to be acknowledged before the worker's lease expires.
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -100,7 +100,7 @@
     };
     set_start_in_flight(&mut leader, false);
     leader.now += leader.scheduler.settings.worker_lease();
-    leader.scheduler.grant(&ControllerId::new("n-1"), 1, leader.now);
+    leader.scheduler.delegate_leases(&ControllerId::new("n-1"), 1, leader.now);
     assert!(leader.scheduler.fleet.machines[&machine].revoked_since.is_some());
     assert_eq!(leader.scheduler.answer_for_leader(&machine, leader.now), Some(FencingToken(1)));
     assert_eq!(leader.scheduler.fleet.machines[&machine].last_answered, leader.now);
