--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -156,8 +156,7 @@
         }
         for (id, job) in &cache.jobs.all {
             if let Some(live) = job.live() {
-                // Previous leaders started no task of a job whose dependencies are unfinished: the cache contains
-                // everything that they committed.
+                // The cache contains all that previous leaders committed, so they started no task of a waiting job.
                 let progress = JobProgress::of_predecessor(live.is_ready());
                 scheduler.jobs.progress.insert(id.clone(), progress);
             }
@@ -241,8 +240,7 @@
         self.planning_clock.record_duration(took, now);
     }
 
-    /// Runs everything that is due: checks, writes, planning and direct calls. Called frequently, and only while this
-    /// process holds the leader lease.
+    /// Runs all work that is due. Called frequently, and only while this process holds the leader lease.
     pub fn tick(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
         if now >= self.planning_clock.next_watch {
             self.planning_clock.next_watch = now + CHECK_INTERVAL;
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -36,8 +36,7 @@
         self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.urgency)
     }
 
-    /// Returns whether there is an objective for the start or the end of a job: one of its class, or a deadline that
-    /// it has or inherits.
+    /// Returns whether the start or end of a job has an objective: that of its class, or its own or inherited deadline.
     pub(super) fn has_objective(&self, id: &JobId, job: &LiveJob) -> bool {
         self.settings.has_objective(&job.spec.class)
             || self
@@ -110,8 +109,7 @@
         Some(left_ms / 1000.0 - self.stage_duration(id, job, use_learned).as_secs_f64())
     }
 
-    /// Returns the number of objectives that a job's deadline represents (0 or 1) and the number of those that are
-    /// missed.
+    /// Returns the number of objectives that a job's deadline represents (0 or 1) and how many of them are missed.
     pub(super) fn due_objectives(&self, id: &JobId, job: &LiveJob, now: Instant) -> (usize, usize) {
         match self.latest_start_in_s(id, job, now) {
             Some(left_s) => (1, usize::from(left_s < 0.0)),
@@ -119,8 +117,7 @@
         }
     }
 
-    /// Returns the jobs with unfinished dependencies that will be ready by the time that a machine rented now is up,
-    /// ordered by when they will be ready.
+    /// Returns the waiting jobs that will be ready by the time that a machine rented now is up, the soonest first.
     pub(super) fn upcoming_jobs(&self, live: &[(&JobId, &LiveJob)], now: Instant) -> Vec<JobId> {
         let mut waiting: Vec<_> = live.iter().filter(|(_, job)| !job.is_ready()).collect();
         if waiting.is_empty() {
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -38,11 +38,9 @@
 
 /// Inputs of the decision which workers to call, apart from the machines themselves.
 pub(super) struct CallRules {
-    /// Fencing token that commands carry.
     pub(super) token: FencingToken,
     /// Time since a worker's last heartbeat after which its status is requested.
     pub(super) heartbeat_late_after: Duration,
-    /// Interval between a worker's heartbeats.
     pub(super) heartbeat_interval: Duration,
 }
 
@@ -81,7 +79,6 @@
         }
     }
 
-    /// Takes the calls that are ready to be sent.
     pub(super) fn take_outgoing(&mut self) -> Vec<OutgoingCall> {
         std::mem::take(&mut self.outgoing)
     }
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -37,8 +37,8 @@
 }
 
 impl Scheduler {
-    /// Returns whether any drained machine still has tasks. Other moves are suspended meanwhile, because they could
-    /// stop a second replica of the same service.
+    /// Returns whether any drained machine still has tasks. Meanwhile other moves could stop a second replica of a
+    /// service, so they are suspended.
     pub(super) fn is_draining(&self) -> bool {
         !self.drains.drained.is_empty()
             && self.fleet.machines.values().any(|m| !m.is_empty() && self.is_drained(m))
@@ -175,8 +175,7 @@
         evacuations
     }
 
-    /// Returns the index in `bins` of a machine that can take the task instead of its current machine, preferring one
-    /// that has its image.
+    /// Returns the index in `bins` of another machine for the task, preferably one that has its image.
     #[allow(clippy::too_many_arguments)]
     fn find_target(
         &self,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -13,8 +13,7 @@
 
 /// All machines of this term and the catalogue of their types.
 pub struct Fleet {
-    /// Machines that are rented or booting, or whose deletion is not confirmed yet. Ordered, so that the same events
-    /// always have the same effects.
+    /// Rented machines until their deletion is confirmed. Ordered, so that the same events have the same effects.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Zone names; a zone's index is its position in this list.
     zone_names: Vec<String>,
@@ -28,8 +27,7 @@
     pub(super) terminated: HashSet<MachineId>,
     /// Whether the cloud has listed its machines to this leader.
     pub(super) listed_once: bool,
-    /// Machines that are up and whose records are not committed yet. Other machines are removed at the next pass over
-    /// the set.
+    /// Machines that are up and have no committed record yet. Others are removed at the next pass over the set.
     pub(super) unrecorded: BTreeSet<MachineId>,
     /// Time at which each zone was last found unreachable as a whole.
     pub(super) zone_unreachable_at: Vec<Option<Instant>>,
@@ -38,7 +36,6 @@
 }
 
 impl Fleet {
-    /// Creates a fleet without machines.
     pub(super) fn new(zone_names: Vec<String>, machine_types: Vec<MachineType>) -> Fleet {
         let zones = zone_names.len();
         Fleet {
@@ -55,17 +52,14 @@
         }
     }
 
-    /// Returns the index of a zone, if there is one of this name.
     pub(super) fn zone(&self, name: &str) -> Option<usize> {
         self.zone_names.iter().position(|zone| zone == name)
     }
 
-    /// Returns the name of a zone. Panics if the index is out of range.
     pub(super) fn zone_name(&self, zone: usize) -> &str {
         &self.zone_names[zone]
     }
 
-    /// Returns the number of zones.
     pub(super) fn zone_count(&self) -> usize {
         self.zone_names.len()
     }
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -1,8 +1,7 @@
 //! Removes unused entries from the store, a few at a time and at the lowest write priority.
 //!
-//! These are leftovers of finished jobs besides their records, records of jobs that are cancelled because a dependency
-//! was, and spec chunks whose submission was never completed. A failover loses nothing: a new leader finds the
-//! remaining garbage in the store.
+//! These are leftovers of finished jobs besides their records, records of jobs that are cancelled by a dependency, and
+//! spec chunks of incomplete submissions. A new leader finds the remaining garbage in the store.
 
 use crate::ids::JobId;
 use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -14,8 +14,7 @@
     pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
         let interval = self.settings.heartbeat_interval();
         let machine = self.fleet.machines.get_mut(id)?;
-        // A machine that was revoked because it was silent is still answered here, since this controller accounts for
-        // its own answers.
+        // A machine that was revoked for its silence is still answered: this controller accounts for its own answers.
         if machine.time_since_heartbeat(now) > interval && machine.must_lose_lease() {
             return None;
         }
@@ -24,8 +23,7 @@
         Some(self.term.token)
     }
 
-    /// Creates a delegated lease for another controller: it may answer the heartbeats of all machines but the revoked
-    /// ones.
+    /// Creates a delegated lease for another controller, for the heartbeats of all machines but the revoked ones.
     pub fn delegate_leases(
         &mut self,
         to: &ControllerId,
@@ -55,8 +53,7 @@
                 continue;
             }
             machine.revoked_since = None;
-            // The machine may be unreachable only from this controller, so peers answer its heartbeats even if they
-            // reach the leader.
+            // Only this controller may fail to reach the machine, so peers answer it even if they reach the leader.
             machine.delegated = machine.state == MachineState::Up
                 && machine.time_since_heartbeat(now) >= interval * 3 / 2;
             if machine.delegated {
--- a/src/scheduler/interner.rs
+++ b/src/scheduler/interner.rs
@@ -20,7 +20,6 @@
         number
     }
 
-    /// Returns the number of a name if it was seen before.
     pub(super) fn get(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -27,8 +27,7 @@
         all: &BTreeMap<MachineId, Machine>,
     ) {
         let recorded = self.machines.entry(job.clone()).or_default();
-        // A service that runs for months leaves many machines behind. Stale ones are removed whenever the number has
-        // doubled.
+        // A service that runs for months leaves stale machines behind; they are removed when the number has doubled.
         if recorded.len() >= PRUNE_THRESHOLD && recorded.len().is_power_of_two() {
             recorded.retain(|id| all.get(id).is_some_and(|machine| has_attempt(machine, job)));
         }
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -17,8 +17,7 @@
     pub(super) progress: BTreeMap<JobId, JobProgress>,
     /// Index of the machines on which each job may have tasks.
     pub(super) machines: JobMachines,
-    /// Jobs with completed tasks that are not committed yet. Jobs without any left are removed at the next pass over
-    /// the set.
+    /// Jobs with uncommitted completions. Jobs without any left are removed at the next pass over the set.
     pub(super) completing: BTreeSet<JobId>,
     /// Jobs whose cancellation this or another controller acknowledged to a user while the cache still has them as
     /// live. None of their tasks is started any more.
@@ -72,8 +71,7 @@
     pub(super) first_seen: Option<Instant>,
     /// Placements of the tasks that run or will run, by task index.
     pub(super) placed: BTreeMap<u32, Placement>,
-    /// Attempts that a stale heartbeat showed in addition to the placed one. Such a task is free only once none of
-    /// its attempts is left.
+    /// Attempts that a stale heartbeat showed beside the placed one. A task is free only once it has none left.
     pub(super) duplicate_attempts: Vec<DuplicateAttempt>,
     /// Completed tasks that are not committed yet.
     pub(super) completing: BTreeSet<u32>,
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -75,8 +75,7 @@
         }
     }
 
-    /// Counts tasks of a job that is finished or being cancelled that a previous leader may have started and no
-    /// heartbeat has shown yet.
+    /// Counts the unreported tasks that a previous leader may have started of a job that is finished or cancelled.
     pub(super) fn count_orphaned_tasks(&mut self, progress: &JobProgress, job: &Job) {
         let placed = progress.placed.len() as u64;
         let (team, amount) = match &job.body {
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -29,7 +29,6 @@
 }
 
 impl PersistenceSchedule {
-    /// Creates a schedule whose first write is due now.
     pub(super) fn new(now: Instant) -> PersistenceSchedule {
         PersistenceSchedule { next_progress_write: now }
     }
@@ -206,8 +205,7 @@
             .machines
             .iter()
             .filter(|(id, _)| !is_known(id))
-            // A machine of an unknown type or zone is never added to the fleet, so its absence there doesn't prove
-            // that it was deleted.
+            // Machines of an unknown type or zone are never in the fleet, so their absence doesn't prove a deletion.
             .filter(|(_, known)| {
                 let record = &known.value;
                 self.fleet.pool(&record.machine_type, &record.zone, record.spot).is_some()
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -99,7 +99,6 @@
         // The answer renews the lease, which may now last for one full lease from this time.
         machine.last_answered = now;
         let commands = machine.commands_for_answer();
-        // After most heartbeats no command is due.
         machine.commands_due =
             commands.iter().any(|command| !matches!(command, WorkerCommand::Forget { .. }));
         if machine.commands_due || !machine.confirmed {
@@ -159,7 +158,6 @@
         true
     }
 
-    /// Applies one task event of a heartbeat.
     pub(super) fn on_task_event(
         &mut self,
         machine: &MachineId,
@@ -255,9 +253,8 @@
         if exited {
             return;
         }
-        // No attempt is started until all earlier ones are confirmed to have terminated, so the heartbeat that shows
-        // the earlier attempt is stale. The later attempt continues; the task is free only when no heartbeat shows
-        // either of them.
+        // No attempt is started until all earlier ones have terminated, so the heartbeat of the earlier attempt is
+        // stale. The later attempt continues; the task is free only when no heartbeat shows either of them.
         tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "stale heartbeat shows a duplicate attempt");
         let duplicate = if attempt > placed.attempt {
             progress.placed.insert(task.index, found);
@@ -310,9 +307,8 @@
         }
     }
 
-    /// Clears suspected jobs that now have a task that ran for `SUCCESS_AFTER_RUNNING`, and marks machines as faulty
-    /// on which enough jobs failed that succeed elsewhere. A completed job counts as successful; a cancelled one is
-    /// no evidence.
+    /// Clears suspected jobs that have a task running for `SUCCESS_AFTER_RUNNING`, and marks machines as faulty on which
+    /// enough jobs failed that succeed elsewhere. A completed job counts as successful; a cancelled one does not count.
     pub(super) fn attribute_failures(
         &mut self,
         summary: &FleetSummary,
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -29,11 +29,10 @@
 const ESTIMATE_MAX_AGE: Duration = Duration::from_secs(5);
 /// Run time in seconds within which a retried task that completes is taken to have only returned its previous result.
 const RESULT_REPLAY_MAX_S: f64 = 1.0;
-/// Maximum number of jobs checked for lateness in one round, with five rounds a second: each check takes up to a quarter
-/// of a millisecond.
+/// Maximum number of lateness checks per round, with five rounds a second. Each takes up to a quarter of a millisecond.
 const WARNING_CHECKS_PER_ROUND: usize = 3;
-/// Probability of lateness from which a warning is issued. Below it, more than one in ten warnings were wrong in replayed
-/// histories.
+/// Probability of lateness from which a warning is issued. With lower values, more than one in ten warnings were wrong in
+/// replayed histories.
 pub(crate) const WARNING_PROBABILITY: f64 = 0.9;
 /// Probability of lateness from which a job is in the operators' list of jobs at risk.
 const AT_RISK_PROBABILITY: f64 = 0.5;
@@ -118,8 +117,7 @@
         }
     }
 
-    /// Returns the seconds that a task which has run for `ran_s` still takes, if there is an estimate that is based on
-    /// history.
+    /// Returns the seconds that a task which has run for `ran_s` still takes, if history gives an estimate.
     pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
         let (estimate, _) = self.observations.get(id)?.estimate?;
         (estimate.grade > Grade::Unknown).then(|| estimate.centre.rest_s(ran_s))
@@ -150,8 +148,7 @@
         self.settings.operator.estimates.learn
     }
 
-    /// Records the run of an attempt that completed or was stopped, killed or lost. A run whose duration is not known
-    /// is ignored.
+    /// Records the run of an attempt that completed or was stopped, killed or lost, if its duration is known.
     pub(super) fn record_task_run(
         &mut self,
         task: &TaskId,
@@ -221,8 +218,7 @@
         hour_of(self.wall_clock.ms(now) / 1000)
     }
 
-    /// Returns the time of day in milliseconds by which a job should be done: the earlier of its own due time and the
-    /// objective of its class.
+    /// Returns the deadline in milliseconds of the time of day: the earlier of the job's own and that of its class.
     fn due_ms(&self, spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
         let due_s = spec.due_s.filter(|_| self.settings.has_deadline(&spec.class));
         let due_s = due_s.into_iter().chain(self.settings.finish_objective(&spec.class));
@@ -395,8 +391,7 @@
         self.runtime_predictor.learner.keeper.on_told(bucket, write_outcome);
     }
 
-    /// Returns the operators' list of jobs that may miss their deadline, the most probable first, with the counts of
-    /// warnings.
+    /// Returns the jobs that may miss their deadline, the most probable first, and the counts of warnings.
     pub fn at_risk(&self, cache: &Cache, now: Instant) -> JobsAtRisk {
         let job_at_risk = |(id, job): (&JobId, &JobObservations)| {
             let live = cache.jobs.get(id).and_then(Job::live)?;
@@ -428,8 +423,7 @@
         }
     }
 
-    /// Returns the number of warnings, of warned jobs that were late, of warned jobs that were in time, and of late jobs
-    /// without a warning.
+    /// Returns the counts of warnings, warned jobs that were late, warned jobs in time, and late jobs without a warning.
     pub(super) fn warnings(&self) -> [u64; 4] {
         let counts = &self.runtime_predictor;
         [counts.warned, counts.warned_late, counts.warned_in_time, counts.late_unwarned]
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -8,7 +8,6 @@
 pub(super) struct Statistics {
     /// Time of the last heartbeat of any worker; the start of the term before the first one.
     pub(super) last_heartbeat: Instant,
-    /// Number of heartbeats received.
     pub(super) heartbeats: u64,
     /// Number of task starts.
     pub(super) starts: u64,
@@ -19,7 +18,6 @@
 }
 
 impl Statistics {
-    /// Creates counters that start at zero.
     pub(super) fn new(now: Instant) -> Statistics {
         Statistics {
             last_heartbeat: now,
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -28,11 +28,8 @@
 /// The exit of an attempt, as its worker reports it.
 #[derive(Debug)]
 pub(super) struct TaskExit {
-    /// Machine on which the attempt ran.
     pub(super) machine: MachineId,
-    /// Task that the attempt was made at.
     pub(super) task: TaskId,
-    /// Attempt that exited.
     pub(super) attempt: Attempt,
     /// Exit cause in the worker's words, such as `DONE`.
     pub(super) why: String,
@@ -98,8 +95,7 @@
         self.release(&exit.task, exit.attempt, now);
     }
 
-    /// Records that a task above low priority left its machine: its capacity is not given to low-priority tasks for a
-    /// while.
+    /// Records that a task above low priority left its machine: for a while, low-priority tasks don't get its capacity.
     fn record_vacated(&mut self, exit: &TaskExit, now: Instant) {
         if let Some(machine) = self.fleet.machines.get_mut(&exit.machine)
             && let Some(entry) = machine.attempts.get(&exit.key())
--- a/src/scheduler/term.rs
+++ b/src/scheduler/term.rs
@@ -20,12 +20,10 @@
 }
 
 impl LeaderTerm {
-    /// Creates a term that begins now.
     pub(super) fn new(token: FencingToken, leader_revision: Revision, now: Instant) -> LeaderTerm {
         LeaderTerm { token, leader_revision, started_at: now, attempts_created: 0 }
     }
 
-    /// Returns the revision of the leader key under which this term was won.
     pub(super) fn leader_revision(&self) -> Revision {
         self.leader_revision
     }
@@ -35,7 +33,6 @@
         Precondition { key: LEADER_KEY.into(), rev: self.leader_revision }
     }
 
-    /// Returns the time since the start of the term.
     pub(super) fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started_at)
     }
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -37,8 +37,7 @@
     }
 }
 
-/// Tasks of a job that was cancelled before the failover may still run on unconfirmed machines, so they count against
-/// the team's limit.
+/// Tasks of a job that was cancelled before the failover may still run on unconfirmed machines.
 #[test]
 fn orphaned_tasks_count_until_every_machine_is_confirmed() {
     let wall_ms = 1_000_000;
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -51,8 +51,7 @@
     );
 }
 
-/// A faulty machine is detected even while faulty jobs fail everywhere, because other jobs succeed on other machines
-/// only.
+/// Even while faulty jobs fail everywhere, a faulty machine is detected by the jobs that succeed elsewhere.
 #[test]
 fn faulty_machine_is_found_by_jobs_that_succeed_elsewhere() {
     let mut leader = TestLeader::new();
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -12,7 +12,6 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A leader without peers, with its store and cloud clients and a manual clock.
 pub(super) struct TestLeader {
     pub(super) scheduler: Scheduler,
     pub(super) store: StoreClient,
@@ -58,8 +57,7 @@
         JobId::new(id)
     }
 
-    /// Applies a heartbeat of a machine with these tasks, marks all machines as recorded and returns the commands of the
-    /// answer.
+    /// Applies a heartbeat with these tasks, marks all machines as recorded and returns the answer's commands.
     pub(super) fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
         self.seq += 1;
         let heartbeat = Heartbeat {
@@ -88,8 +86,7 @@
     }
 }
 
-/// Returns the statuses of the tasks that these commands start, all in one state. Exited tasks were stopped on
-/// command.
+/// Returns the statuses of the tasks that these commands start; exited ones were stopped on command.
 pub(super) fn task_statuses(commands: &[WorkerCommand], state: TaskState) -> Vec<TaskStatus> {
     let status = |command: &WorkerCommand| match command {
         WorkerCommand::Start { task, attempt } => Some(TaskStatus {
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -10,7 +10,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Returns a leader that learns run times.
 fn learning_leader() -> TestLeader {
     let mut leader = TestLeader::new();
     let settings = Arc::make_mut(&mut leader.scheduler.settings);
@@ -18,8 +17,7 @@
     leader
 }
 
-/// Starts an array of four tasks, lets them run for `run_s` seconds and returns their final statuses without reporting
-/// them.
+/// Runs an array of four tasks for `run_s` seconds and returns their completed statuses, not yet reported.
 fn run_array(leader: &mut TestLeader, id: &str, run_s: u64) -> Vec<TaskStatus> {
     leader.report("i-1", vec![]);
     leader.job(id, JobKind::Array, 4);
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -1,7 +1,6 @@
 //! Detects unreachable machines and zones, and terminates unreachable machines.
 //!
-//! A confirmed deletion proves that nothing runs on a machine any more, long before its lease is certain to have
-//! expired.
+//! A confirmed deletion proves that nothing runs on a machine, long before its lease is certain to have expired.
 
 use crate::constants::WORKER_MARGIN;
 use crate::jobs::Job;
@@ -30,7 +29,6 @@
         self.settings.heartbeat_interval().mul_f64(HEARTBEAT_LATE_FACTOR) + HEARTBEAT_LATE_MARGIN
     }
 
-    /// Returns the current summary of all machines.
     pub(super) fn fleet_summary(&self, now: Instant) -> FleetSummary {
         let silent_after = self.settings.heartbeat_interval() * 2 + Duration::from_secs(1);
         self.fleet.summary(silent_after, now)
