--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -96,7 +96,7 @@
     /// The task's group.
     pub(super) group: DemandGroup,
     /// The part of a machine that the task takes.
-    pub(super) room: Capacity,
+    pub(super) capacity: Capacity,
 }
 
 /// The part that an amount takes of a machine with the `largest` amount of each resource.
@@ -139,6 +139,9 @@
         resources: &Amount,
         largest: &Amount,
     ) -> Option<GroupShare> {
-        Some(GroupShare { group: self.known_demand_group(job)?, room: room(resources, largest) })
+        Some(GroupShare {
+            group: self.known_demand_group(job)?,
+            capacity: room(resources, largest),
+        })
     }
 }
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -100,7 +100,7 @@
         waiting.clear();
         let causes = [
             (waiting_cause::MACHINE_BOOTING, &plan.booked),
-            (waiting_cause::NO_ROOM, &plan.unplaceable),
+            (waiting_cause::NO_FREE_CAPACITY, &plan.unplaceable),
         ];
         for (cause, remaining) in causes {
             for RequestTasks { request, tasks: count } in remaining {
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -1,12 +1,12 @@
-//! The planning pass: observes jobs and fleet, decides by `placement`, and applies the decision.
+//! The planning pass: observes jobs and fleet, has `placement` compute a plan, and applies it.
 //!
-//! A pass has four steps, each in a file of its own: [`jobs_view`] and [`fleet_view`] collect what
-//! the pass decides by, [`demand`] turns waiting tasks into placement requests, [`decision`] asks
-//! `placement` for a plan and keeps it as a value, and [`starts`] carries it out. Nothing else
-//! starts a task. A pass writes nothing to the store.
+//! A pass has four steps, each in its own file: [`jobs_view`] and [`fleet_view`] collect the
+//! inputs, [`demand`] turns waiting tasks into placement requests, [`decision`] asks `placement`
+//! for a plan and keeps it as a value, and [`starts`] carries it out. Tasks are started nowhere
+//! else. A pass writes nothing to the store.
 //!
-//! Changes the planning clock, the statistics, the autoscaler's reservations and the machines'
-//! entries; the parts that it calls change what they own.
+//! Updates the planning clock, the statistics, the autoscaler's reservations and the machines'
+//! entries. The modules that it calls update their own state.
 
 mod decision;
 mod demand;
@@ -32,33 +32,35 @@
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
-/// Why tasks wait after a pass, as operators are told.
+/// Causes for which tasks still wait after a pass, as reported to operators.
 pub(super) mod waiting_cause {
-    /// The job fails on every machine.
+    /// The job's attempts fail on every machine.
     pub(in crate::scheduler) const FAILS_EVERYWHERE: &str = "fails everywhere";
-    /// The tasks are booked on machines that are booting or to be rented.
+    /// The tasks are reserved on machines that are booting or about to be rented.
     pub(in crate::scheduler) const MACHINE_BOOTING: &str = "machine to come";
-    /// Controllers can serve no more machines.
+    /// The controllers cannot serve more machines.
     pub(in crate::scheduler) const MACHINE_LIMIT: &str = "controllers hold no more machines";
-    /// There is neither room nor an offer.
-    pub(in crate::scheduler) const NO_ROOM: &str = "no room";
-    /// The tasks failed and are retried after a pause.
+    /// No machine has enough free capacity, and none that has can be rented.
+    pub(in crate::scheduler) const NO_FREE_CAPACITY: &str = "no room";
+    /// The tasks failed and are retried after a backoff.
     pub(in crate::scheduler) const RETRY_BACKOFF: &str = "pause after a failure";
-    /// Low-priority tasks are started at a bounded rate.
+    /// The rate limit for starts of low-priority tasks is reached.
     pub(in crate::scheduler) const START_RATE: &str = "pace of starts";
-    /// The team uses all that it may.
+    /// The team has reached its limit.
     pub(in crate::scheduler) const TEAM_LIMIT: &str = "team limit";
-    /// A predecessor may have started the tasks on a machine that has sent no heartbeat yet.
+    /// A previous leader may have started the tasks on a machine that has not yet sent a heartbeat
+    /// to this leader.
     pub(in crate::scheduler) const UNCONFIRMED_MACHINE: &str = "unconfirmed machine";
 }
 
-/// Pause before the next pass, in shortest pauses, if time alone may change the outcome.
-const RETRY_PAUSES: u32 = 4;
-/// The same if a task's retry backoff ends before that.
-const RETRY_PAUSES_AFTER_BACKOFF: u32 = 2;
+/// Delay before the next pass if the passage of time alone may change its outcome, as a multiple of
+/// [`MIN_PASS_INTERVAL`].
+const RETRY_PASS_INTERVALS: u32 = 4;
+/// Shorter delay that applies if a task's retry backoff expires within [`RETRY_PASS_INTERVALS`].
+const BACKOFF_PASS_INTERVALS: u32 = 2;
 
 impl Scheduler {
-    /// Whether tasks may be placed on a machine now, and will stay there.
+    /// Returns whether tasks may be placed on a machine now and are expected to stay there.
     pub(super) fn accepts_tasks(&self, machine: &Machine, now: Instant) -> bool {
         machine.state == MachineState::Up
             && machine.confirmed
@@ -69,20 +71,20 @@
             && !self.is_drained(machine)
     }
 
-    /// Whether a pass may do more than keep room warm and consolidate, which can wait for half a
-    /// second: some task waits, or something is drained. Most heartbeats that request a pass only
-    /// show tasks that run.
+    /// Returns whether a pass may do more than keep warm capacity and consolidate, which can wait
+    /// half a second: tasks are waiting, dependencies have changed, or something is being drained.
+    /// Most heartbeats that request a pass only confirm running tasks.
     pub(super) fn has_pending_work(&self, cache: &Cache) -> bool {
-        let waits = |(id, progress): (&JobId, &JobProgress)| {
+        let has_waiting_tasks = |(id, progress): (&JobId, &JobProgress)| {
             let live = cache.jobs.get(id).and_then(Job::live);
             live.is_some_and(|live| progress.waiting(live) > 0)
         };
-        self.jobs.progress.iter().any(waits)
+        self.jobs.progress.iter().any(has_waiting_tasks)
             || self.dependencies.stale
             || !self.drains.drained.is_empty()
     }
 
-    /// Makes a planning pass.
+    /// Runs one planning pass: observes, decides and applies.
     pub(super) fn plan(&mut self, cache: &Cache, cloud: &mut CloudClient, now: Instant) {
         let unconfirmed = self.unconfirmed_machines();
         let jobs = self.observe_jobs(&unconfirmed, cache, now);
@@ -95,23 +97,23 @@
         self.apply(decision, cache, cloud, now);
     }
 
-    /// Moves tasks together and off what is drained.
+    /// Consolidates tasks on fewer machines and moves tasks off drained machines.
     fn move_tasks(&mut self, fleet: &FleetView, demand: &DemandQueue, cache: &Cache, now: Instant) {
         if !fleet.unconfirmed.is_empty() {
             return;
         }
-        // Low-priority tasks that wait are no reason to leave others scattered: they can use what
-        // is emptied, and room that they need themselves isn't free.
+        // Waiting low-priority tasks don't prevent consolidation: they can use the machines that it
+        // empties, and tasks are never moved into capacity that these need because it isn't free.
         let requests = &demand.requests;
-        let only_low = requests.iter().all(|job| job.request.priority == Priority::Low);
-        if only_low && now >= self.consolidation.next_round && !self.is_draining() {
+        let only_low_priority = requests.iter().all(|job| job.request.priority == Priority::Low);
+        if only_low_priority && now >= self.consolidation.next_round && !self.is_draining() {
             self.consolidation.next_round = now + CONSOLIDATION_INTERVAL;
             self.consolidate(&fleet.machines, cache, now);
         }
         self.evacuate_drained(&fleet.machines.bins, &fleet.machines.ids, cache, now);
     }
 
-    /// Carries out what a pass has decided.
+    /// Carries out a decision: starts, preempts, rents, and schedules the next pass.
     fn apply(
         &mut self,
         mut decision: PlanningDecision,
@@ -155,10 +157,12 @@
         if retry.is_none() && placement.unplaceable.is_empty() && placement.booked.is_empty() {
             return;
         }
-        // Time alone may change the outcome: backoffs end, pools are asked again.
+        // The passage of time alone may change the outcome: backoffs expire and pools can be
+        // requested again.
         self.planning_clock.pass_requested = true;
-        let soon = retry.is_some_and(|at| at < now + MIN_PASS_INTERVAL * RETRY_PAUSES);
-        let pauses = if soon { RETRY_PAUSES_AFTER_BACKOFF } else { RETRY_PAUSES };
-        self.planning_clock.next_pass = now + MIN_PASS_INTERVAL * pauses;
+        let expires_soon =
+            retry.is_some_and(|at| at < now + MIN_PASS_INTERVAL * RETRY_PASS_INTERVALS);
+        let intervals = if expires_soon { BACKOFF_PASS_INTERVALS } else { RETRY_PASS_INTERVALS };
+        self.planning_clock.next_pass = now + MIN_PASS_INTERVAL * intervals;
     }
 }
--- a/src/scheduler/planning/decision.rs
+++ b/src/scheduler/planning/decision.rs
@@ -1,6 +1,6 @@
 //! The decision of a planning pass, as a value.
 //!
-//! Reads the autoscaler's offers; changes nothing.
+//! Reads the autoscaler's offers; changes no state.
 
 use super::{DemandQueue, FleetView, WaitingTasks, waiting_cause};
 use crate::cloud::PendingRental;
@@ -10,26 +10,26 @@
 use crate::scheduler::autoscaling::PoolOffer;
 use tokio::time::Instant;
 
-/// What a pass has decided, and what is needed to carry it out.
+/// Decision of a pass, with the data needed to carry it out.
 pub(in crate::scheduler) struct PlanningDecision {
-    /// What starts where, what is booked, and what finds no room.
+    /// Starts, reservations on machines that are not up yet, and tasks that fit nowhere.
     pub(in crate::scheduler) placement: PlacementPlan,
-    /// By request: the tasks. Requests beyond these are reservations.
+    /// Waiting tasks, indexed by request. Requests with indexes beyond these are reservations.
     pub(in crate::scheduler) tasks: Vec<WaitingTasks>,
-    /// By bin: the machine.
+    /// Machine of each bin; none for a machine that is still to be rented.
     pub(in crate::scheduler) machine_ids: Vec<Option<MachineId>>,
-    /// Machines to rent.
+    /// Machines to rent, by pool.
     pub(in crate::scheduler) rentals: Vec<PendingRental>,
-    /// By team: what it could use before the pass.
+    /// Unused part of each team's limit before the pass, indexed by team.
     pub(in crate::scheduler) team_headroom: Vec<Amount>,
-    /// Why the tasks wait that find no room.
+    /// Cause reported for tasks that fit nowhere.
     pub(in crate::scheduler) unplaceable_cause: &'static str,
-    /// When the first retry backoff ends.
+    /// Time at which the first retry backoff expires.
     pub(in crate::scheduler) next_backoff_expiry: Option<Instant>,
 }
 
 impl Scheduler {
-    /// Decides what starts and what is rented.
+    /// Decides which tasks start and which machines are rented.
     pub(super) fn decide(
         &self,
         fleet: FleetView,
@@ -59,7 +59,7 @@
             unplaceable_cause: if at_machine_limit {
                 waiting_cause::MACHINE_LIMIT
             } else {
-                waiting_cause::NO_ROOM
+                waiting_cause::NO_FREE_CAPACITY
             },
             next_backoff_expiry: demand.next_backoff_expiry,
         }
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -1,7 +1,7 @@
 //! Waiting tasks as placement requests, in order of service.
 //!
-//! Reads the jobs and what the pass has observed; counts in the statistics why tasks wait, and
-//! requests another pass where the start rate bounds them.
+//! Reads the jobs and the pass's observations. Counts in the statistics why tasks wait, and
+//! requests another pass if the start rate limits them.
 
 use super::{FleetView, JobsView, waiting_cause};
 use crate::ids::{JobId, TeamId};
@@ -14,18 +14,19 @@
 use crate::wire::{JobKind, Priority};
 use tokio::time::Instant;
 
-/// A job's request for room.
+/// A job's request for capacity.
 pub(in crate::scheduler) struct JobRequest {
-    /// The job.
+    /// Identifier of the requesting job.
     pub(in crate::scheduler) job: JobId,
-    /// What it requests.
+    /// Resources, constraints and number of tasks.
     pub(in crate::scheduler) request: PlacementRequest,
-    /// How it is ranked while capacity is scarce.
+    /// Rank of the request while capacity is scarce; none otherwise.
     pub(in crate::scheduler) weight: Option<FairShareWeight>,
 }
 
 impl JobRequest {
-    /// Splits off a request for `count` of the tasks.
+    /// Splits off a request for `count` of the tasks, which the remaining request no longer
+    /// contains.
     pub(in crate::scheduler) fn take(&mut self, count: u32) -> JobRequest {
         let request = PlacementRequest { count, ..self.request.clone() };
         self.request.count -= count;
@@ -33,20 +34,20 @@
     }
 }
 
-/// Tasks of a request that are still to be started.
+/// Tasks of a request that are not started yet.
 pub(in crate::scheduler) struct WaitingTasks {
-    /// The job.
+    /// Identifier of the job that the tasks belong to.
     pub(in crate::scheduler) job: JobId,
-    /// How many of its tasks.
+    /// Number of tasks not started yet.
     pub(in crate::scheduler) remaining: u32,
-    /// How the request was ranked while capacity is scarce.
+    /// Rank of the request while capacity is scarce; none otherwise.
     pub(in crate::scheduler) weight: Option<FairShareWeight>,
     /// The request, if other tasks may be preempted for it.
     pub(in crate::scheduler) preemptor: Option<PlacementRequest>,
 }
 
 impl WaitingTasks {
-    /// All tasks of a request.
+    /// Returns all tasks of a request as waiting.
     pub(super) fn of(job: &JobRequest) -> WaitingTasks {
         let request = &job.request;
         let may_preempt =
@@ -62,16 +63,17 @@
 
 /// All requests of a pass, in order of service.
 pub(in crate::scheduler) struct DemandQueue {
-    /// What jobs request.
+    /// Requests of jobs.
     pub(in crate::scheduler) requests: Vec<JobRequest>,
-    /// Room to be kept for tasks to come. It comes last and nothing is started in it.
+    /// Capacity to keep free for future tasks. It is placed after all jobs' requests, and no task
+    /// is started in it.
     pub(in crate::scheduler) reservations: Vec<PlacementRequest>,
-    /// When the first retry backoff ends.
+    /// Time at which the first retry backoff expires.
     pub(in crate::scheduler) next_backoff_expiry: Option<Instant>,
 }
 
 impl Scheduler {
-    /// Turns what waits into placement requests.
+    /// Turns waiting tasks into placement requests.
     pub(super) fn collect_demand(
         &mut self,
         jobs: &JobsView<'_>,
@@ -82,8 +84,8 @@
         let growth = self.elastic_growth(&jobs.ready, now);
         let mut context = RequestContext { fleet, next_backoff_expiry: None, now };
         let mut requests: Vec<JobRequest> = Vec::new();
-        // Elastic jobs beyond their minimum width come after all that is served as usual.
-        let mut grown: Vec<JobRequest> = Vec::new();
+        // Growth of elastic jobs beyond their minimum width, placed after all regular requests.
+        let mut growth_requests: Vec<JobRequest> = Vec::new();
         self.statistics.waiting_by_cause.clear();
         for QueuedJob { age_rank, over_quota, team, .. } in &jobs.queue {
             let (id, job) = jobs.ready[*age_rank];
@@ -96,7 +98,7 @@
             request.slo_slack_s = self.slo_slack_s(id, job, *over_quota, now);
             if width.is_growth {
                 request.scale_out = ScaleOutPolicy::Nothing;
-                grown.push(JobRequest { job: id.clone(), request, weight: None });
+                growth_requests.push(JobRequest { job: id.clone(), request, weight: None });
             } else {
                 let weight = self.fair_share_weight(id, job, &request);
                 requests.push(JobRequest { job: id.clone(), request, weight });
@@ -104,15 +106,15 @@
         }
         let next_backoff_expiry = context.next_backoff_expiry;
         self.prioritize_owed(&mut requests, &fleet.capacities);
-        requests.extend(grown);
+        requests.extend(growth_requests);
         let mut reservations = Vec::new();
         self.reserve_for_upcoming(&mut reservations, &jobs.upcoming, cache, &fleet.capacities);
         self.reserve_warm_room(&mut reservations, fleet);
         DemandQueue { requests, reservations, next_backoff_expiry }
     }
 
-    /// How many tasks of a job may start at most, by its team's limit and the rate of low-priority
-    /// starts.
+    /// Returns the maximum number of a job's tasks that may start, given its team's limit and the
+    /// start rate of low-priority tasks.
     fn start_limit(
         &mut self,
         id: &JobId,
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -1,5 +1,5 @@
-//! What a planning pass knows of the fleet: its machines, what teams may still use, and what may
-//! be rented.
+//! A planning pass's view of the fleet: its machines, each team's unused limit, and the limits on
+//! rentals.
 //!
 //! Reads the fleet, the drains and the cloud's pending rentals; updates the machines' baskets.
 
@@ -16,66 +16,68 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long best-effort tasks keep off a machine that tasks of higher priority left: the next of
-/// those would stop them again.
-const VACATED_HOLD: Duration = Duration::from_secs(5);
-/// How many settling times a new leader waits at most for the cloud's first list of machines.
-const LIST_PATIENCE: u32 = 4;
+/// Time during which best-effort tasks are not placed on a machine that tasks of higher priority
+/// just left: the next task of higher priority would stop them again.
+const VACATED_MACHINE_COOLDOWN: Duration = Duration::from_secs(5);
+/// Maximum time that a new leader waits for the cloud's first machine list, as a multiple of
+/// [`RENTAL_SETTLE_TIME`].
+const LIST_WAIT_SETTLE_TIMES: u32 = 4;
 
 /// The fleet as a pass sees it.
 pub(in crate::scheduler) struct FleetView {
-    /// By machine type: what one machine holds.
+    /// Capacity of one machine, indexed by machine type.
     pub(in crate::scheduler) capacities: Vec<Amount>,
-    /// Machines on which tasks may run that no heartbeat has shown yet.
+    /// Machines on which tasks may run that no heartbeat to this leader has shown yet.
     pub(in crate::scheduler) unconfirmed: UnconfirmedMachines,
-    /// By team: what it may use beyond what its tasks use. The last entry is unlimited: it is for
+    /// Unused part of each team's limit, indexed by team. The last entry is unlimited: it is for
     /// reservations, which belong to no team.
     pub(in crate::scheduler) team_headroom: Vec<Amount>,
-    /// What all machines together show.
+    /// Summary of the state of all machines.
     pub(in crate::scheduler) summary: FleetSummary,
-    /// By zone: whether nothing is reserved or rented there, because it is unreachable or drained.
+    /// Whether a zone is unreachable or drained, so that nothing is reserved or rented there;
+    /// indexed by zone.
     pub(in crate::scheduler) closed_zones: Vec<bool>,
-    /// The machines that placement may use.
+    /// Machines that placement may use.
     pub(in crate::scheduler) machines: MachineBins,
-    /// What may be rented.
+    /// Limits on rentals.
     pub(in crate::scheduler) rental: RentalState,
 }
 
-/// Machines that a predecessor used and that have sent no heartbeat to this leader.
+/// Machines that have a record from a previous leader but have not sent a heartbeat to this one.
 pub(in crate::scheduler) struct UnconfirmedMachines {
-    /// The pools that they belong to, one entry a machine.
+    /// Pool of each unconfirmed machine, one entry per machine.
     pub(in crate::scheduler) pools: Vec<MachinePool>,
-    /// What is free on them as far as this leader knows, in total.
+    /// Total free capacity on them, as far as this leader knows.
     pub(in crate::scheduler) free: Amount,
 }
 
 impl UnconfirmedMachines {
-    /// Whether there are none.
+    /// Returns whether all machines are confirmed.
     pub(in crate::scheduler) fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 }
 
-/// Machines as bins, each with its identifier: none for one that is still to be rented.
+/// Machines as bins for placement, with their identifiers.
 pub(in crate::scheduler) struct MachineBins {
-    /// The bins.
+    /// Free capacity and constraints of each machine.
     pub(in crate::scheduler) bins: Vec<Bin>,
-    /// By bin: the machine.
+    /// Machine of each bin; none for a machine that is still to be rented.
     pub(in crate::scheduler) ids: Vec<Option<MachineId>>,
 }
 
-/// What bounds rentals.
+/// Limits on rentals in a pass.
 pub(in crate::scheduler) struct RentalState {
     /// Rentals that the cloud has not answered yet.
     pub(in crate::scheduler) pending: Vec<PendingRental>,
-    /// Whether this leader knows enough of its predecessor's rentals to rent.
+    /// Whether this leader knows enough of previous leaders' rentals to rent machines itself.
     pub(in crate::scheduler) allowed: bool,
-    /// How many more machines controllers can serve.
+    /// Number of additional machines that the controllers can serve.
     pub(in crate::scheduler) remaining: u32,
 }
 
 impl FleetView {
-    /// Adds the machines of pending rentals to the bins.
+    /// Adds one bin for each machine of a pending rental.
     pub(super) fn add_pending_rentals(&mut self) {
         for PendingRental { pool, count } in &self.rental.pending {
             for _ in 0..*count {
@@ -92,7 +94,7 @@
 }
 
 impl Scheduler {
-    /// The machines that no heartbeat has confirmed yet.
+    /// Collects the machines that no heartbeat to this leader has confirmed yet.
     pub(super) fn unconfirmed_machines(&self) -> UnconfirmedMachines {
         let mut unconfirmed = UnconfirmedMachines { pools: Vec::new(), free: Amount::default() };
         for machine in self.fleet.machines.values().filter(|machine| !machine.confirmed) {
@@ -104,7 +106,7 @@
         unconfirmed
     }
 
-    /// Collects the machines that the pass may use.
+    /// Collects the machines and limits for the pass.
     pub(super) fn observe_fleet(
         &mut self,
         unconfirmed: UnconfirmedMachines,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// What each team may use beyond what its tasks use or may use on unconfirmed machines.
+    /// Returns each team's limit minus what its tasks use, or may use on unconfirmed machines.
     fn team_headroom(
         &mut self,
         capacities: &[Amount],
@@ -146,14 +148,14 @@
         let used = self.team_usage(capacities);
         let teams = self.settings.platform.params.teams.iter().enumerate();
         let headroom = teams.map(|(index, team)| {
-            let hidden = maybe_used[index].plus(&self.jobs.orphaned_capacity.of(index));
-            team.limit().minus(&used[index]).minus(&hidden.least(&unconfirmed.free))
+            let unconfirmed_usage = maybe_used[index].plus(&self.jobs.orphaned_capacity.of(index));
+            team.limit().minus(&used[index]).minus(&unconfirmed_usage.least(&unconfirmed.free))
         });
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
         headroom.chain([unlimited]).collect()
     }
 
-    /// What each team's tasks may be using.
+    /// Returns the resources that each team's tasks may be using.
     fn team_usage(&mut self, capacities: &[Amount]) -> Vec<Amount> {
         let threshold = self.settings.operator.heavy_threshold;
         let mut used = vec![Amount::default(); self.teams.len()];
@@ -168,7 +170,7 @@
         used
     }
 
-    /// The machines that placement may use, up or booting.
+    /// Collects the machines that placement may use, up or booting, and updates their baskets.
     fn collect_bins(
         &mut self,
         capacities: &[Amount],
@@ -177,8 +179,8 @@
     ) -> MachineBins {
         let settings = self.settings.clone();
         let threshold = settings.operator.heavy_threshold;
-        let hold = Duration::from_secs_f64(settings.operator.hold_s);
-        let quiet = settings.heartbeat_interval() * 2 + Duration::from_secs(1);
+        let basket_retention = Duration::from_secs_f64(settings.operator.hold_s);
+        let silence_limit = settings.heartbeat_interval() * 2 + Duration::from_secs(1);
         let overdue = self.overdue(summary, now);
         let drained = self.drains.drained.clone();
         let count = self.fleet.machines.len();
@@ -191,7 +193,7 @@
             }
             let machine_type = &self.fleet.machine_types[machine.flavor];
             let booting = machine.state == MachineState::Booting && !overdue(machine, machine_type);
-            let up = is_usable(machine, quiet, now);
+            let up = is_usable(machine, silence_limit, now);
             let unconfirmed = machine.state == MachineState::Up && !machine.confirmed;
             if !(booting || up || unconfirmed) {
                 continue;
@@ -199,8 +201,8 @@
             intern_images(machine, &mut self.fleet.image_ids);
             let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
             let (used, basket) = (usage.used, usage.basket);
-            let held_in_basket = machine.idle_since.is_some_and(|at| now < at + hold);
-            if basket.is_some() || !held_in_basket {
+            let retains_basket = machine.idle_since.is_some_and(|at| now < at + basket_retention);
+            if basket.is_some() || !retains_basket {
                 machine.basket = basket;
             }
             machines.bins.push(Bin {
@@ -212,7 +214,9 @@
                 basket: machine.basket,
                 ready: up && machine.confirmed && machine.recorded,
                 images: machine.image_ids.clone(),
-                recently_vacated: machine.vacated_at.is_some_and(|at| now < at + VACATED_HOLD),
+                recently_vacated: machine
+                    .vacated_at
+                    .is_some_and(|at| now < at + VACATED_MACHINE_COOLDOWN),
             });
             machines.ids.push(Some(machine.id.clone()));
         }
@@ -222,25 +226,26 @@
     fn rental_state(&self, cloud: &CloudClient, now: Instant) -> RentalState {
         let pending = cloud.pending_rentals();
         let settled_at = self.term.started_at + RENTAL_SETTLE_TIME;
-        let listed = self.fleet.listed_once
-            || now >= self.term.started_at + RENTAL_SETTLE_TIME * LIST_PATIENCE;
+        let list_wait_over = self.fleet.listed_once
+            || now >= self.term.started_at + RENTAL_SETTLE_TIME * LIST_WAIT_SETTLE_TIMES;
         let expected: u32 = pending.iter().map(|rental| rental.count).sum();
-        let held = u32::try_from(self.fleet.machines.len()).unwrap_or(u32::MAX);
-        let remaining = self.autoscaler.max_machines.saturating_sub(held.saturating_add(expected));
-        RentalState { pending, allowed: now >= settled_at && listed, remaining }
+        let machine_count = u32::try_from(self.fleet.machines.len()).unwrap_or(u32::MAX);
+        let remaining =
+            self.autoscaler.max_machines.saturating_sub(machine_count.saturating_add(expected));
+        RentalState { pending, allowed: now >= settled_at && list_wait_over, remaining }
     }
 }
 
-/// Whether tasks may be placed on a machine that is up.
-fn is_usable(machine: &Machine, quiet: Duration, now: Instant) -> bool {
-    // A machine that is being emptied takes nothing until it is empty.
+/// Returns whether tasks may be placed on a machine that is up.
+fn is_usable(machine: &Machine, silence_limit: Duration, now: Instant) -> bool {
+    // A machine that is being emptied takes no tasks until it is empty.
     let emptying = machine.last_consolidated.is_some_and(|at| now < at + CONSOLIDATION_INTERVAL);
     machine.state == MachineState::Up
         && (!emptying || machine.is_empty())
         && machine.reclaim_at.is_none()
         && !machine.faulty
         && machine.last_heartbeat.is_some()
-        && machine.time_since_heartbeat(now) < quiet
+        && machine.time_since_heartbeat(now) < silence_limit
 }
 
 fn intern_images(machine: &mut Machine, image_ids: &mut Interner) {
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -1,6 +1,6 @@
-//! What a planning pass knows of the jobs: which are ready, and in what order they are served.
+//! A planning pass's view of the jobs: which are ready, and their order of service.
 //!
-//! Reads the jobs and the settings; updates estimates and inherited priorities.
+//! Reads the jobs and the settings; updates run time estimates and inherited priorities.
 
 use super::UnconfirmedMachines;
 use crate::ids::{Amount, JobId, TeamId};
@@ -14,18 +14,20 @@
 
 /// The live jobs as a pass sees them.
 pub(in crate::scheduler) struct JobsView<'a> {
-    /// Jobs whose dependencies are met, oldest first. The others start nothing and take no part
-    /// of a limit or quota.
+    /// Jobs whose dependencies are met, oldest first. All other jobs start nothing and don't count
+    /// towards limits and quotas.
     pub(in crate::scheduler) ready: Vec<(&'a JobId, &'a LiveJob)>,
-    /// Jobs that will be ready by the time that a machine rented now is up, soonest first.
+    /// Jobs expected to be ready by the time a machine rented now is up, soonest first.
     pub(in crate::scheduler) upcoming: Vec<JobId>,
     /// The ready jobs in order of service.
     pub(in crate::scheduler) queue: Vec<QueuedJob>,
-    /// By team: what its waiting tasks would use if a predecessor had started all of them.
+    /// Resources that a team's waiting tasks would use if a previous leader had started all of
+    /// them, indexed by team.
     pub(super) maybe_used: Vec<Amount>,
 }
 
-/// The ready jobs in order of service, with what may be in use unseen.
+/// The ready jobs in order of service, with the resources that they may use on unconfirmed
+/// machines.
 struct ServiceQueue {
     queue: Vec<QueuedJob>,
     maybe_used: Vec<Amount>,
@@ -85,18 +87,19 @@
         ServiceQueue { queue, maybe_used }
     }
 
-    /// A job's place in the queue, as far as it follows from the job alone.
+    /// Returns a job's queue entry, without the parts that depend on other jobs: age rank and
+    /// quota.
     fn queued_job(&self, id: &JobId, job: &LiveJob, team: usize, now: Instant) -> QueuedJob {
         let spec = &job.spec;
         let progress = &self.jobs.progress[id];
         let started = job.completed_count() + progress.placed.len() as u64;
         let team_limit = self.settings.platform.params.teams[team].limit();
-        let waited =
+        let waiting_time =
             progress.first_seen.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let (deadlines, missed_deadlines) = self.due_objectives(id, job, now);
         let slos = self.settings.start_objectives(&spec.class).count() + deadlines;
         let missed_slos =
-            self.settings.missed_start_objectives(&spec.class, waited) + missed_deadlines;
+            self.settings.missed_start_objectives(&spec.class, waiting_time) + missed_deadlines;
         let missed_all = missed_slos > 0 && missed_slos == slos;
         QueuedJob {
             priority: self.urgency(id, job),
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -1,7 +1,7 @@
 //! Starting tasks where a pass has placed them.
 //!
-//! Changes the jobs' progress, the machines' entries and the autoscaler's reservations. This is
-//! the only place that starts a task.
+//! Updates the jobs' progress, the machines' entries and the autoscaler's reservations. This is the
+//! only module that starts tasks.
 
 use super::PlanningDecision;
 use crate::ids::{MachineId, TaskId, ZoneId};
@@ -18,9 +18,9 @@
 use tokio::time::Instant;
 
 impl Scheduler {
-    /// Starts what was placed, but not where a high-priority task would wait for an image while
-    /// tasks of lower priority can be preempted where the image is. Machines on which reservations
-    /// were placed are kept.
+    /// Starts the placed tasks. A production task is not started where it would wait too long for
+    /// its image if tasks of lower priority can be preempted on a machine that has the image. Marks
+    /// machines on which reservations were placed as reserved.
     pub(super) fn start_planned(
         &mut self,
         decision: &mut PlanningDecision,
@@ -44,7 +44,8 @@
                     && self.fetch_is_late(job, id, cache)
                     && self.preempt_for_image(preemptor, victims, cache, now)
                 {
-                    // It starts where its image is, as soon as that room is free.
+                    // The task starts on the machine with its image once the preempted tasks have
+                    // stopped.
                     continue;
                 }
                 preemptor.zone_limits.consume(zone, 1);
@@ -54,7 +55,7 @@
             if priority == Some(Priority::Low)
                 && !self.start_pacer.low_priority_starts.has(1.0, now)
             {
-                // Hundreds of jobs may request one start each.
+                // The limit was checked per job, but hundreds of jobs may request one start each.
                 self.planning_clock.pass_requested = true;
                 continue;
             }
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Tasks for which others may be preempted. What a booting machine serves in time preempts
-    /// nothing.
+    /// Returns the tasks for which others may be preempted. Tasks that a booting machine can serve
+    /// in time preempt nothing.
     pub(super) fn unplaced_tasks(&self, decision: &mut PlanningDecision) -> Vec<UnplacedTasks> {
         let booked = decision.placement.booked.iter();
         let booked: HashMap<usize, u32> =
@@ -77,12 +78,13 @@
         let mut unplaced = Vec::new();
         for (index, tasks) in decision.tasks.iter_mut().enumerate() {
             let Some(request) = tasks.preemptor.take() else { continue };
-            let served = if self.can_wait_for_boot(&request) {
+            let booting = if self.can_wait_for_boot(&request) {
                 booked.get(&index).copied().unwrap_or(0)
             } else {
                 0
             };
-            unplaced.push(UnplacedTasks { count: tasks.remaining.saturating_sub(served), request });
+            unplaced
+                .push(UnplacedTasks { count: tasks.remaining.saturating_sub(booting), request });
         }
         unplaced
     }
@@ -90,7 +92,8 @@
     fn start(&mut self, id: &MachineId, task: TaskId, cache: &Cache, now: Instant) {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         if !live.is_ready() {
-            // No request is made for it; this is the last place that could start it too early.
+            // Jobs that are not ready make no request; this check is the last guard against an
+            // early start.
             tracing::error!(%task, "not started: dependencies are not met");
             return;
         }
@@ -102,10 +105,10 @@
         else {
             return;
         };
-        // The tasks of a gang find each other by a common attempt: each generation has one.
+        // The tasks of a gang find each other by a common attempt, which each generation shares.
         let is_gang = live.spec.shape == JobKind::Gang;
-        let shared = || progress.placed.values().map(|placed| placed.attempt).max();
-        let attempt = match is_gang.then(shared).flatten() {
+        let gang_attempt = || progress.placed.values().map(|placed| placed.attempt).max();
+        let attempt = match is_gang.then(gang_attempt).flatten() {
             Some(shared) => shared,
             None => self.term.create_attempt(),
         };
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,7 +1,7 @@
-//! Preemption: stopping tasks of lower priority for tasks that find no room.
+//! Preemption: stopping tasks of lower priority for tasks that fit on no machine.
 //!
-//! Reads the fleet, the jobs, run times and fair shares; changes machines' entries by stops, and
-//! lets preempted elastic jobs rest before they grow again.
+//! Reads the fleet, the jobs, run times and fair shares. Marks attempts on machines to be stopped,
+//! and pauses the growth of elastic jobs whose tasks are preempted.
 
 mod budget;
 mod candidates;
@@ -23,60 +23,60 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Share of the tightest objective for a start that may go by while a victim saves its progress.
+/// Share of the tightest start objective that a victim may spend on saving its progress.
 const SAVE_SHARE_OF_SLO: f64 = 0.25;
-/// A fetch of an image that takes more than this share of the tightest objective for a start is
-/// worth preempting tasks for, where a machine has the image.
+/// Share of the tightest start objective. If fetching an image takes longer than this, tasks are
+/// preempted on a machine that has the image.
 const FETCH_SHARE_OF_SLO: f64 = 0.8;
 
-/// The reason of a stop that makes room for a task of higher priority.
+/// Stop reason for a task preempted in favor of one of higher priority.
 pub(super) const PREEMPTED: &str = "preempted";
-/// The reason of a stop that moves a task elsewhere.
+/// Stop reason for a task that is moved to another machine.
 pub(super) const MOVED: &str = "moved";
 
-/// Tasks that found no room.
+/// Tasks of a request that no machine had free capacity for.
 pub(super) struct UnplacedTasks {
-    /// How many.
+    /// Number of tasks.
     pub(super) count: u32,
-    /// What they request.
+    /// Resources and constraints of each task.
     pub(super) request: PlacementRequest,
 }
 
-/// What can be preempted, collected once for many requests and only if anything is to be stopped:
-/// machines hold dozens of small tasks each.
+/// Victims on all machines. Machines run dozens of small tasks each, so victims are collected only
+/// when something is to be preempted, and once for many requests.
 #[derive(Default)]
 pub(super) struct VictimCache {
     machines: Option<Vec<VictimMachine>>,
-    /// What may be preempted of each group, while capacity is scarce.
+    /// Amount that may be preempted from each group while capacity is scarce.
     budget: PreemptionBudget,
-    /// Requests for which nothing could be preempted. What can be preempted only shrinks within a
-    /// pass, so that an equivalent request needs no search.
+    /// Requests for which too few tasks could be preempted. The set of victims only shrinks
+    /// within a pass, so an equivalent request needs no search.
     exhausted: Vec<PlacementRequest>,
 }
 
-/// How many tasks of a request to make room for.
-struct RoomNeeded<'a> {
+/// Capacity to free by preemption: for `count` tasks of a request.
+struct CapacityNeeded<'a> {
     request: &'a PlacementRequest,
     count: u64,
-    /// Only on machines that have the image.
-    with_image_only: bool,
-    /// Seconds for which the task can wait while victims save their progress.
-    patience_s: f64,
+    /// Whether to search only machines that have the image.
+    requires_image: bool,
+    /// Maximum time that victims may take to save their progress, in seconds.
+    max_save_s: f64,
 }
 
-/// A task to be stopped.
+/// An attempt to stop.
 struct VictimStop {
     attempt: TaskAttempt,
     grace_s: f64,
 }
 
-/// Tasks to be stopped on a machine.
+/// Attempts to stop on one machine, which together make one task fit.
 struct Preemption {
     machine: MachineId,
     stops: Vec<VictimStop>,
 }
 
-/// Whether a search that was in vain for one request is in vain for the other.
+/// Returns whether a failed search for one request implies that it fails for the other.
 fn is_equivalent(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     (a.priority, a.resources, a.zone, a.allows_spot)
         == (b.priority, b.resources, b.zone, b.allows_spot)
@@ -86,8 +86,8 @@
 }
 
 impl Scheduler {
-    /// Stops tasks of lower priority where that makes room for tasks that found none: on a machine
-    /// that has the image if there is one, and those that lose least.
+    /// Stops tasks of lower priority where that frees enough capacity for unplaced tasks. Prefers
+    /// machines that have the image, and victims that lose the least work.
     pub(super) fn preempt(
         &mut self,
         unplaced: Vec<UnplacedTasks>,
@@ -98,8 +98,8 @@
         if unplaced.iter().all(|tasks| tasks.count == 0 || tasks.request.gang) {
             return;
         }
-        let mut freeing = self.resources_being_freed();
-        // Collected anew: the starts of this pass have taken room.
+        let mut being_freed = self.resources_being_freed();
+        // Not the victims collected before the starts of this pass: those have used free capacity.
         let mut victims = VictimCache::default();
         for UnplacedTasks { count, request } in unplaced {
             if request.gang {
@@ -107,14 +107,14 @@
             }
             let headroom = &team_headroom[request.team.index()];
             let count = u64::from(count).min(max_copies(headroom, &request.resources));
-            let served = count.min(max_copies(&freeing, &request.resources));
-            freeing = freeing.minus(&request.resources.times(served));
-            self.make_room(&request, count - served, false, &mut victims, cache, now);
+            let served = count.min(max_copies(&being_freed, &request.resources));
+            being_freed = being_freed.minus(&request.resources.times(served));
+            self.preempt_for(&request, count - served, false, &mut victims, cache, now);
         }
     }
 
-    /// What earlier preemptions are about to free. Its size counts, not the number of tasks:
-    /// sixteen small ones may make room for one.
+    /// Returns the resources that earlier preemptions are about to free. The amount counts, not the
+    /// number of tasks: one task may need the capacity of sixteen small ones.
     fn resources_being_freed(&self) -> Amount {
         self.fleet
             .machines
@@ -125,7 +125,8 @@
             .fold(Amount::default(), |sum, entry| sum.plus(&entry.need))
     }
 
-    /// Whether a start on a machine without the image misses the tightest objective of its class.
+    /// Returns whether fetching the image on this machine would use up too much of the tightest
+    /// start objective of the job's class.
     pub(super) fn fetch_is_late(&self, job: &JobId, machine: &MachineId, cache: &Cache) -> bool {
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
         let Some(machine) = self.fleet.machines.get(machine) else { return false };
@@ -138,7 +139,7 @@
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
 
-    /// Makes room for one task on a machine that has its image; whether it found any.
+    /// Preempts tasks for one task on a machine that has its image. Returns whether it found any.
     pub(super) fn preempt_for_image(
         &mut self,
         request: &PlacementRequest,
@@ -146,22 +147,22 @@
         cache: &Cache,
         now: Instant,
     ) -> bool {
-        self.make_room(request, 1, true, victims, cache, now) > 0
+        self.preempt_for(request, 1, true, victims, cache, now) > 0
     }
 
-    /// Makes room for up to `count` tasks, where it costs least first, and returns for how many.
-    fn make_room(
+    /// Preempts tasks for up to `count` tasks, cheapest first, and returns for how many it
+    /// succeeded.
+    fn preempt_for(
         &mut self,
         request: &PlacementRequest,
         count: u64,
-        with_image_only: bool,
+        requires_image: bool,
         victims: &mut VictimCache,
         cache: &Cache,
         now: Instant,
     ) -> u64 {
-        let searched_in_vain =
-            || victims.exhausted.iter().any(|other| is_equivalent(request, other));
-        if count == 0 || (!with_image_only && searched_in_vain()) {
+        let is_exhausted = || victims.exhausted.iter().any(|other| is_equivalent(request, other));
+        if count == 0 || (!requires_image && is_exhausted()) {
             return 0;
         }
         if victims.machines.is_none() {
@@ -169,15 +170,15 @@
             victims.machines = Some(self.victim_machines(&victims.budget, cache, now));
         }
         let VictimCache { machines: Some(machines), budget, .. } = victims else { return 0 };
-        let patience_s = request.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE_OF_SLO;
-        let needed = RoomNeeded { request, count, with_image_only, patience_s };
+        let max_save_s = request.start_slo_s.unwrap_or(f64::INFINITY) * SAVE_SHARE_OF_SLO;
+        let needed = CapacityNeeded { request, count, requires_image, max_save_s };
         let preemptions = needed.choose(machines, budget);
-        let made = preemptions.len() as u64;
-        if made < count && !with_image_only {
+        let preempted_for = preemptions.len() as u64;
+        if preempted_for < count && !requires_image {
             victims.exhausted.push(request.clone());
         }
         self.carry_out(preemptions, now);
-        made
+        preempted_for
     }
 
     fn carry_out(&mut self, preemptions: Vec<Preemption>, now: Instant) {
@@ -194,16 +195,16 @@
     }
 }
 
-/// The order in which options are taken: by cost, then by the machine's position.
+/// Order in which options are chosen: by cost, then by the machine's position.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OptionRank {
     cost_s: OrderedFloat<f64>,
     machine: usize,
 }
 
-impl RoomNeeded<'_> {
-    /// Chooses what to stop. Room that is made on one machine changes the costs there alone, so
-    /// each machine is searched once, and once more after each choice of it.
+impl CapacityNeeded<'_> {
+    /// Chooses the tasks to stop. A preemption changes the costs on its own machine only, so each
+    /// machine is searched once, and once more after each choice on it.
     fn choose(
         &self,
         machines: &mut [VictimMachine],
@@ -225,7 +226,7 @@
                 chosen.push(machine.preempt(&option, self));
                 machine.option(self)
             } else {
-                // Others were preempted down to that floor.
+                // Earlier choices have exhausted the budget of a victim's group.
                 machine.victims.retain(|v| v.share.is_none_or(|share| budget.covers(share)));
                 machine.option(self).filter(|next| next.victims != option.victims)
             };
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -1,7 +1,7 @@
-//! Which tasks can be preempted, and what that costs on each machine.
+//! Candidates for preemption, and the cost of preempting them on each machine.
 
 use super::budget::PreemptionBudget;
-use super::{Preemption, RoomNeeded, VictimStop};
+use super::{CapacityNeeded, Preemption, VictimStop};
 use crate::ids::{Amount, MachineId, MachineTypeId, ZoneId};
 use crate::jobs::Job;
 use crate::placement::Images;
@@ -14,10 +14,11 @@
 use ordered_float::OrderedFloat;
 use tokio::time::Instant;
 
-/// Seconds. A task that ends this soon is not preempted: a stop and its heartbeat take as long.
-const ENDS_SOON_S: f64 = 3.0;
-/// Seconds of work that may be repeated so that a task starts where its image is: a fetch takes a
-/// few seconds, and an array that repeats minutes of work ends late.
+/// Remaining run time in seconds below which a task is not preempted: a stop and the heartbeat that
+/// confirms it take as long.
+const MIN_REMAINING_RUN_S: f64 = 3.0;
+/// Seconds of work that may be repeated so that a task starts where its image is. A fetch takes a
+/// few seconds, while an array that repeats minutes of work finishes late.
 pub(in crate::scheduler) const MISSING_IMAGE_COST_S: f64 = 30.0;
 
 /// A task that can be preempted.
@@ -25,18 +26,18 @@
     attempt: TaskAttempt,
     priority: Priority,
     resources: Amount,
-    /// Seconds of work that are lost if it may save its progress; more for a job whose tasks were
-    /// preempted before.
+    /// Seconds of work lost if the task may save its progress, weighted up for jobs whose tasks
+    /// were preempted before.
     loss_with_save_s: f64,
-    /// The same if it may not.
+    /// Seconds of work lost if it may not save its progress, with the same weight.
     loss_without_save_s: f64,
-    /// Seconds that saving takes.
+    /// Time to save the progress, in seconds; 0 for a task that saves none.
     save_s: f64,
-    /// While capacity is scarce: what it takes of its group's share.
+    /// Share of the task's group that the task uses; set while capacity is scarce.
     pub(super) share: Option<GroupShare>,
 }
 
-/// A machine with tasks that can be preempted, those first that lose least.
+/// A machine with tasks that can be preempted, sorted by lost work, least first.
 pub(super) struct VictimMachine {
     id: MachineId,
     index: u64,
@@ -48,16 +49,17 @@
     pub(super) victims: Vec<Victim>,
 }
 
-/// Which tasks of a machine to preempt for one task.
+/// Tasks of a machine to preempt for one task.
 pub(super) struct PreemptionOption {
-    /// Seconds of work that are repeated, and what a missing image adds.
+    /// Seconds of work that are repeated, plus [`MISSING_IMAGE_COST_S`] if the machine lacks the
+    /// image.
     pub(super) cost_s: OrderedFloat<f64>,
     loss_s: f64,
-    /// Positions of the tasks among the machine's victims, ascending.
+    /// Ascending positions in the machine's list of victims.
     pub(super) victims: Vec<usize>,
 }
 
-/// What victims are chosen by.
+/// Inputs for the choice of victims.
 struct VictimRules<'a> {
     cache: &'a Cache,
     budget: &'a PreemptionBudget,
@@ -66,7 +68,7 @@
 }
 
 impl Scheduler {
-    /// The machines with tasks that can be preempted.
+    /// Collects the machines with tasks that can be preempted.
     pub(super) fn victim_machines(
         &self,
         budget: &PreemptionBudget,
@@ -125,7 +127,7 @@
         }
         let running = entry.running_since.map(|at| rules.now.saturating_duration_since(at));
         let ran_s = running.map_or(0.0, |ran| ran.as_secs_f64());
-        if self.ends_soon(attempt, ran_s) {
+        if self.completes_soon(attempt, ran_s) {
             return None;
         }
         let share = if rules.budget.is_limited() {
@@ -133,52 +135,54 @@
         } else {
             None
         };
-        // What a group holds up to its floor is not preempted.
+        // A group's tasks up to its floor are not preempted.
         if share.is_some_and(|share| !rules.budget.covers(share)) {
             return None;
         }
-        // A job that was preempted before has lost enough: else the same small jobs are stopped
-        // over and over until they end late.
+        // Victims of a job that was preempted before cost more: otherwise the same small jobs are
+        // stopped repeatedly until they finish late.
         let preemptions = self.jobs.progress.get(id).map_or(0, |progress| progress.preemptions);
-        let weight = 1.0 + f64::from(preemptions) / spec.tasks as f64;
-        let bonus_s = self.minimum_width_bonus_s(id, live);
+        let repeat_weight = 1.0 + f64::from(preemptions) / spec.tasks as f64;
+        let minimum_width_cost_s = self.minimum_width_bonus_s(id, live);
         let saves = spec.checkpoint_s > 0.0;
         Some(Victim {
             attempt: attempt.clone(),
             priority: entry.urgency,
             resources: entry.need,
-            loss_with_save_s: bonus_s + weight * if saves { spec.save_s } else { ran_s },
-            loss_without_save_s: bonus_s + weight * unsaved_work_s(spec, ran_s),
+            loss_with_save_s: minimum_width_cost_s
+                + repeat_weight * if saves { spec.save_s } else { ran_s },
+            loss_without_save_s: minimum_width_cost_s + repeat_weight * unsaved_work_s(spec, ran_s),
             save_s: if saves { spec.save_s } else { 0.0 },
             share,
         })
     }
 
-    /// Whether a task is known to end by itself so soon that it frees its room anyway, while a stop
-    /// would lose all its work.
-    fn ends_soon(&self, attempt: &TaskAttempt, ran_s: f64) -> bool {
+    /// Returns whether a task is predicted to complete so soon that it frees its capacity anyway,
+    /// while a stop would lose all its work.
+    fn completes_soon(&self, attempt: &TaskAttempt, ran_s: f64) -> bool {
         self.settings.operator.estimates.make_way
             && self
                 .runtime_predictor
                 .remaining_s(&attempt.0.job, ran_s)
-                .is_some_and(|remaining_s| remaining_s < ENDS_SOON_S)
+                .is_some_and(|remaining_s| remaining_s < MIN_REMAINING_RUN_S)
     }
 }
 
-/// Seconds of work since the last checkpoint: on average half of the pause between two.
+/// Returns the expected seconds of work since the last checkpoint: half a checkpoint interval on
+/// average.
 fn unsaved_work_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s / 2.0) } else { ran_s }
 }
 
 impl VictimMachine {
-    /// What to preempt here for one task, if that makes room for it.
-    pub(super) fn option(&self, needed: &RoomNeeded<'_>) -> Option<PreemptionOption> {
+    /// Returns the tasks to preempt on this machine for one task, if that frees enough capacity.
+    pub(super) fn option(&self, needed: &CapacityNeeded<'_>) -> Option<PreemptionOption> {
         let request = needed.request;
         let has_image = self.images.contains(&request.image);
         if !request.allows(self.zone, self.machine_type, self.spot)
             || !request.zone_limits.is_open(self.zone)
             || request.excluded_machines.contains(&self.index)
-            || (needed.with_image_only && !has_image)
+            || (needed.requires_image && !has_image)
         {
             return None;
         }
@@ -190,17 +194,18 @@
                 break;
             }
             if victim.priority > request.priority {
-                // What matters is the work that is lost, not how many tasks it came in.
+                // The loss is scaled by size: the lost work matters, not the number of tasks that
+                // it is divided into.
                 let share = victim.resources.cpu as f64 / request.resources.cpu.max(1) as f64;
-                loss_s += share * victim.loss_s(needed.patience_s);
+                loss_s += share * victim.loss_s(needed.max_save_s);
                 free = free.plus(&victim.resources);
                 victims.push(n);
             }
         }
-        // An image at hand is worth some repeated work, but not any amount of it.
+        // A machine that already has the image justifies a limited amount of repeated work.
         if !request.resources.fits(&free)
             || victims.is_empty()
-            || (needed.with_image_only && loss_s > MISSING_IMAGE_COST_S)
+            || (needed.requires_image && loss_s > MISSING_IMAGE_COST_S)
         {
             return None;
         }
@@ -208,11 +213,12 @@
         Some(PreemptionOption { cost_s, loss_s, victims })
     }
 
-    /// Takes the victims of an option out, and books the room for the task.
+    /// Removes the victims of an option from the list, and allocates the freed capacity to the
+    /// task.
     pub(super) fn preempt(
         &mut self,
         option: &PreemptionOption,
-        needed: &RoomNeeded<'_>,
+        needed: &CapacityNeeded<'_>,
     ) -> Preemption {
         let (tasks, loss_s) = (option.victims.len(), option.loss_s);
         tracing::info!(machine = %self.id, tasks, loss_s, "preempting tasks");
@@ -220,8 +226,8 @@
         for n in option.victims.iter().rev() {
             let victim = self.victims.remove(*n);
             self.free = self.free.plus(&victim.resources);
-            let has_time = victim.save_s <= needed.patience_s;
-            let grace_s = if has_time { victim.save_s } else { 0.0 };
+            let can_save = victim.save_s <= needed.max_save_s;
+            let grace_s = if can_save { victim.save_s } else { 0.0 };
             stops.push(VictimStop { attempt: victim.attempt, grace_s });
         }
         self.free = self.free.minus(&needed.request.resources);
@@ -230,8 +236,9 @@
 }
 
 impl Victim {
-    /// Seconds of work that are lost. Saving goes on for as long as the other task can wait.
-    fn loss_s(&self, patience_s: f64) -> f64 {
-        if self.save_s <= patience_s { self.loss_with_save_s } else { self.loss_without_save_s }
+    /// Returns the seconds of work lost. Victims may save their progress only within the time that
+    /// the preempting task can wait.
+    fn loss_s(&self, max_save_s: f64) -> f64 {
+        if self.save_s <= max_save_s { self.loss_with_save_s } else { self.loss_without_save_s }
     }
 }
