--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -1,7 +1,7 @@
-//! Scaling out and in: answers of the cloud, and what can be rented.
+//! Scaling out and in: responses of the cloud, and offers of machines that can be rented.
 //!
-//! Owns [`Autoscaler`], and a machine's life together with the fleet. It rents nothing by itself:
-//! the planner decides how many machines.
+//! Owns [`Autoscaler`], and changes machines' states together with the fleet. It rents nothing by
+//! itself: the planner decides how many machines to rent.
 
 mod machine_list;
 mod machine_watch;
@@ -22,25 +22,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a pool that refused a rental is left alone.
+/// Time during which a pool that refused a rental is not requested again.
 const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
-/// Machines requested at first of a pool that refused: what is booked on machines that the cloud
-/// doesn't have waits in vain while other pools have some.
+/// Number of machines in the first request to a pool that refused a rental: tasks reserved on
+/// machines that the cloud doesn't have would wait in vain while other pools have some.
 pub(super) const PROBE_REQUEST: u32 = 2;
-/// Factor by which that number grows with each request that is granted.
+/// Factor by which that number grows with each granted request.
 const PROBE_GROWTH: u32 = 4;
-/// A new leader waits this long before it rents, so that its first list can show what its
-/// predecessor rented.
+/// Delay before a new leader rents machines, so that its first machine list can show what previous
+/// leaders rented.
 pub(super) const RENTAL_SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// What bounds how many machines are rented.
+/// Limits on rentals.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
-    /// Pools that refused a rental.
+    /// Pools that refused a rental, with the limits on further requests to them.
     pub(super) capacity_backoff: HashMap<MachinePool, CapacityBackoff>,
-    /// Machines that are kept empty as warm room.
+    /// Machines that are kept empty as warm capacity.
     pub(super) reserved_machines: HashSet<MachineId>,
-    /// How many machines controllers can serve.
+    /// Maximum number of machines that the controllers can serve.
     pub(super) max_machines: u32,
 }
 
@@ -54,24 +54,24 @@
     }
 }
 
-/// How a pool is asked after it refused a rental.
+/// Limits on requests to a pool that refused a rental.
 #[derive(Debug)]
 pub(super) struct CapacityBackoff {
-    /// The pool is not asked before this time.
+    /// Time of the next allowed request.
     pub(super) not_before: Instant,
-    /// The most machines that are asked for at once.
+    /// Maximum number of machines per request.
     pub(super) max_request: u32,
 }
 
-/// A pool with what can be rented of it.
+/// A pool with the machines that can be rented from it.
 pub(super) struct PoolOffer {
-    /// The pool.
+    /// Machine type, zone, and whether the machines are spot machines.
     pub(super) pool: MachinePool,
-    /// The offer.
+    /// Price, capacity and number of available machines, as placement needs them.
     pub(super) offer: MachineTypeOffer,
 }
 
-/// How many machines are held in a zone.
+/// Number of machines that the fleet has in a zone.
 #[derive(Clone, Copy, Default)]
 struct MachineCount {
     on_demand: u32,
@@ -79,20 +79,20 @@
 }
 
 impl MachineCount {
-    fn of_kind(&mut self, spot: bool) -> &mut u32 {
+    fn by_pricing(&mut self, spot: bool) -> &mut u32 {
         if spot { &mut self.spot } else { &mut self.on_demand }
     }
 }
 
 impl Scheduler {
-    /// Takes in what the cloud answered.
+    /// Processes a response of the cloud.
     pub fn on_cloud(&mut self, event: CloudEvent, cache: &Cache, now: Instant) {
         self.planning_clock.pass_requested = true;
         self.direct_calls.all_dirty = true;
         match event {
             CloudEvent::MachineTypes(found) => {
                 crate::wire::merge(&mut self.fleet.machine_types, found);
-                // What counts as heavy follows from the largest type.
+                // The classification of tasks as heavy depends on the largest machine type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
             CloudEvent::MachinesRented(pool, machines) => self.on_rented(pool, &machines, now),
@@ -131,12 +131,12 @@
         self.autoscaler.capacity_backoff.insert(pool, backoff);
     }
 
-    /// What can be rented now: pools that refused are left alone for a while, and asked for few
-    /// machines then, one request at a time.
+    /// Returns what can be rented now. A pool that refused is skipped for a while; after that,
+    /// small requests are made, one at a time.
     pub(super) fn offers(&self, fleet: &FleetView, now: Instant) -> Vec<PoolOffer> {
         let mut held = vec![MachineCount::default(); self.fleet.zone_count()];
         for machine in self.fleet.machines.values() {
-            *held[machine.zone].of_kind(machine.spot) += 1;
+            *held[machine.zone].by_pricing(machine.spot) += 1;
         }
         let mut offers = Vec::new();
         for (flavor, machine_type) in self.fleet.machine_types.iter().enumerate() {
@@ -145,7 +145,7 @@
                 for spot in [true, false] {
                     let pool = MachinePool { flavor, zone, spot };
                     let Some(available) = self.available(&pool, fleet, now) else { continue };
-                    let held = *held[zone].of_kind(spot);
+                    let held = *held[zone].by_pricing(spot);
                     let offer = offer(&pool, machine_type, fleet, available, held);
                     offers.push(PoolOffer { pool, offer });
                 }
@@ -154,7 +154,7 @@
         offers
     }
 
-    /// How many machines may be requested of a pool; none while it is left alone.
+    /// Returns how many machines may be requested from a pool; none while it is in backoff.
     fn available(&self, pool: &MachinePool, fleet: &FleetView, now: Instant) -> Option<u32> {
         let Some(backoff) = self.autoscaler.capacity_backoff.get(pool) else {
             return Some(HIRE_MAX);
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines, and machines that are gone.
+//! The cloud's list of machines, and the removal of terminated machines.
 
 use crate::cloud::MachineListing;
 use crate::ids::MachineId;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds. A list may lag behind by so many times what the cloud states, and a second.
+/// Multiple of the cloud's stated list lag by which a list may actually be outdated.
 const LIST_LAG_FACTOR: f64 = 2.0;
-/// Seconds added to the above.
+/// Additional lag allowed for, in seconds.
 const LIST_LAG_MARGIN_S: f64 = 1.0;
-/// Seconds. Ages beyond this are taken for this.
+/// Maximum machine age in seconds; greater ages are reduced to it.
 const MAX_AGE_S: f64 = 1e7;
 
 impl Scheduler {
-    /// Takes in the cloud's list of machines.
+    /// Processes the cloud's list of machines.
     pub(super) fn on_machine_list(&mut self, listing: MachineListing, cache: &Cache, now: Instant) {
         let MachineListing { machines, requested_at } = listing;
         self.fleet.listed_once = true;
@@ -29,16 +29,16 @@
             }
             present.insert(row.machine.clone());
             if row.status == ListedMachineState::Failed {
-                self.return_failed_machine(&row, cache, now);
+                self.terminate_failed_machine(&row, cache, now);
             } else {
                 self.record_listed_machine(&row, now);
             }
         }
-        self.suspect_unlisted(&present, requested_at);
+        self.terminate_unlisted(&present, requested_at);
     }
 
-    /// A failed machine stays in the list until it is deleted.
-    fn return_failed_machine(&mut self, row: &ListedMachine, cache: &Cache, now: Instant) {
+    /// Requests the deletion of a failed machine, which stays in the list until it is deleted.
+    fn terminate_failed_machine(&mut self, row: &ListedMachine, cache: &Cache, now: Instant) {
         self.remove_machine(&row.machine, "failed", cache, now);
         self.autoscaler.reserved_machines.remove(&row.machine);
         if let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
@@ -53,7 +53,7 @@
             self.fleet.add_machine(&row.machine, pool, now);
         }
         let Some(machine) = self.fleet.machines.get_mut(&row.machine) else { return };
-        // A new leader knows from here how long a machine has been paid for.
+        // A new leader learns from this how long a machine has been paid for.
         let age = Duration::from_secs_f64(row.age_s.clamp(0.0, MAX_AGE_S));
         let rented = now.checked_sub(age).unwrap_or(machine.rented);
         machine.rented = machine.rented.min(rented);
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Returns machines that are silent and not listed. A machine once listed stays listed until
-    /// it is gone, but a list may be older than the one before, so a missing machine is only
-    /// suspected: its deletion gives the proof.
-    fn suspect_unlisted(&mut self, present: &HashSet<MachineId>, requested_at: Instant) {
+    /// Terminates machines that are silent and not listed. A machine once listed stays listed until
+    /// it is terminated, but a list may be older than the one before, so a missing machine is only
+    /// suspected to be terminated. Its deletion gives the proof.
+    fn terminate_unlisted(&mut self, present: &HashSet<MachineId>, requested_at: Instant) {
         let list_lag_s = self.settings.platform.params.cloud.list_lag_s;
-        let lag = Duration::from_secs_f64(list_lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S);
-        let quiet = self.settings.heartbeat_interval() * 2;
+        let list_lag = Duration::from_secs_f64(list_lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S);
+        let silence_limit = self.settings.heartbeat_interval() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
                 && machine.state != MachineState::Returning
-                && machine.time_since_heartbeat(requested_at) > quiet
-                && requested_at.saturating_duration_since(machine.rented) > lag
+                && machine.time_since_heartbeat(requested_at) > silence_limit
+                && requested_at.saturating_duration_since(machine.rented) > list_lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine unreachable and not listed, terminating");
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Removes a machine that is gone, with the tasks that it had.
+    /// Removes a terminated machine, and reports the tasks that it had as lost.
     pub(super) fn remove_machine(
         &mut self,
         id: &MachineId,
@@ -92,7 +92,7 @@
         let Some(mut machine) = self.fleet.remove_machine(id) else { return };
         self.direct_calls.in_flight -= usize::from(machine.direct_in_flight);
         let tasks = machine.attempts.len();
-        tracing::info!(machine = %id, reason, tasks, "machine is gone");
+        tracing::info!(machine = %id, reason, tasks, "machine removed");
         for event in machine.terminate_attempts() {
             self.on_task_event(id, event, cache, now);
         }
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -1,6 +1,6 @@
-//! What silence, age and idleness do to machines.
+//! Checks of machines for expired leases, failed boots, silence and idleness.
 //!
-//! Changes machines' lives; what ran on a machine whose lease has expired is reported as lost.
+//! Changes machines' states. The tasks of a machine whose lease has expired are reported as lost.
 
 use crate::cloud::CloudClient;
 use crate::leadership::delegation::Delegations;
@@ -15,22 +15,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A machine that is not up after this many times its nominal boot time is returned.
+/// Multiple of the nominal boot time after which a machine that is not up is terminated.
 pub(in crate::scheduler) const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
-/// Added to the above.
+/// Time added to the limit given by [`BOOT_TIMEOUT_FACTOR`].
 pub(in crate::scheduler) const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
-/// A machine that is not up after this many times its nominal boot time is overdue.
+/// Multiple of the nominal boot time after which a machine that is not up is overdue.
 const BOOT_OVERDUE_FACTOR: f64 = 1.8;
-/// Added to the above.
+/// Time added to the limit given by [`BOOT_OVERDUE_FACTOR`].
 const BOOT_OVERDUE_MARGIN: Duration = Duration::from_secs(2);
-/// From so many overdue machines on, all are taken to be delayed.
-const COMMON_DELAY_MACHINES: usize = 3;
-/// A machine is billed for a minute at the least, so that it is kept for nearly that long.
-const MINIMUM_BILLED: Duration = Duration::from_secs(55);
-/// How many settling times a new leader waits before it returns idle machines.
-const IDLE_SETTLE_TIMES: u32 = 4;
+/// Number of overdue machines from which all of them are presumed to be delayed by a common cause.
+const COMMON_DELAY_MIN_MACHINES: usize = 3;
+/// Minimum age at which an idle machine is terminated: at least a minute is billed, so it is kept
+/// for nearly that long.
+const MIN_BILLED_TIME: Duration = Duration::from_secs(55);
+/// Delay before a new leader terminates idle machines, as a multiple of [`RENTAL_SETTLE_TIME`].
+const IDLE_WAIT_SETTLE_TIMES: u32 = 4;
 
-/// What machines are checked by.
+/// Inputs for the checks of machines.
 struct MachineWatch<'a> {
     settings: &'a Settings,
     delegations: &'a Delegations,
@@ -38,93 +39,96 @@
     autoscaler: &'a Autoscaler,
     machine_types: &'a [MachineType],
     summary: &'a FleetSummary,
-    /// By zone: whether it is or was lately unreachable as a whole.
+    /// Whether a zone is or recently was unreachable as a whole, indexed by zone.
     unreachable_zones: &'a [bool],
     now: Instant,
 }
 
 impl MachineWatch<'_> {
-    /// Checks one machine and returns what is lost of its tasks.
+    /// Checks one machine and returns events for the tasks that are lost with it.
     fn check(&self, machine: &mut Machine) -> Vec<TaskEvent> {
-        let expired = self.is_beyond_any_lease(machine);
-        let lost = self.check_lease(machine, expired);
+        let presumed_expired = self.is_lease_presumed_expired(machine);
+        let lost = self.check_lease(machine, presumed_expired);
         self.check_boot(machine);
         if machine.state == MachineState::Up && machine.faulty && machine.is_empty() {
-            return_machine(machine, "machine is faulty, terminating");
+            terminate_machine(machine, "machine is faulty, terminating");
         }
-        self.check_silence(machine, expired);
+        self.check_silence(machine, presumed_expired);
         self.check_idle(machine);
         lost
     }
 
-    /// Whether the lease of a machine has expired, whoever may have renewed it, and its zone is
-    /// reachable otherwise.
-    fn is_beyond_any_lease(&self, machine: &Machine) -> bool {
-        let answered = self.delegations.last_answered(&machine.id);
+    /// Returns whether a machine's lease has expired as far as is known, including renewals that
+    /// followers have reported, and its zone is otherwise reachable.
+    fn is_lease_presumed_expired(&self, machine: &Machine) -> bool {
+        let last_acknowledged = self.delegations.last_answered(&machine.id);
         machine.state == MachineState::Up
-            && machine.is_lease_expired(answered, self.settings.worker_lease(), self.now)
+            && machine.is_lease_expired(last_acknowledged, self.settings.worker_lease(), self.now)
             && !self.unreachable_zones[machine.zone]
     }
 
-    fn check_lease(&self, machine: &mut Machine, expired: bool) -> Vec<TaskEvent> {
+    fn check_lease(&self, machine: &mut Machine, presumed_expired: bool) -> Vec<TaskEvent> {
         if machine.confirmed && machine.attempts.is_empty() {
-            // Nothing can be running there.
+            // No task can be running there.
             return Vec::new();
         }
-        // A predecessor's right had ended when ours began, and what others may answer on our behalf
-        // is bounded: once the lease has surely expired, the worker has killed what it had.
-        let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
-        if machine.is_lease_expired(others, self.settings.worker_lease(), self.now) {
+        // The previous leader's lease had expired before this term began, and heartbeats that other
+        // controllers acknowledge on behalf of this leader renew a lease for a bounded time only.
+        // Once the lease has certainly expired, the worker has killed its tasks.
+        let acknowledged_until =
+            self.delegations.answered_until(&machine.id, machine.revoked_since);
+        if machine.is_lease_expired(acknowledged_until, self.settings.worker_lease(), self.now) {
             tracing::info!(machine = %machine.id, "machine unreachable, lease expired");
             machine.confirmed = true;
             machine.terminated_up_to = self.term.latest_attempt();
             return machine.terminate_attempts();
         }
-        if expired {
-            // Another controller might still answer it. Its deletion proves that nothing runs
-            // there, unless its whole zone is unreachable: that one is waited for.
-            return_machine(machine, "machine unreachable beyond its lease, terminating");
+        if presumed_expired {
+            // Another controller might still renew the lease. Deleting the machine proves that
+            // nothing runs there. If its whole zone is unreachable, the machine is kept until the
+            // zone is reachable again.
+            terminate_machine(machine, "machine unreachable beyond its lease, terminating");
         }
         Vec::new()
     }
 
     fn check_boot(&self, machine: &mut Machine) {
         let machine_type = &self.machine_types[machine.flavor];
-        let mut patience = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
+        let mut boot_timeout = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
         if !self.summary.overtaken()(machine) {
-            // None that was rented later is up either: all come late, and those that would replace
-            // it come no sooner.
-            patience *= 2;
+            // No machine that was rented later is up either: all are delayed, and replacements
+            // would be too.
+            boot_timeout *= 2;
         }
         let age = self.now.saturating_duration_since(machine.rented);
-        if machine.state == MachineState::Booting && age > patience {
-            return_machine(machine, "machine did not boot in time, terminating");
+        if machine.state == MachineState::Booting && age > boot_timeout {
+            terminate_machine(machine, "machine did not boot in time, terminating");
         }
     }
 
-    fn check_silence(&self, machine: &mut Machine, expired: bool) {
+    fn check_silence(&self, machine: &mut Machine, presumed_expired: bool) {
         if machine.state == MachineState::Up
-            && expired
-            && self.is_quiet(machine)
+            && presumed_expired
+            && self.is_silent(machine)
             && machine.time_since_heartbeat(self.now) > self.settings.worker_lease() * 2
         {
-            return_machine(machine, "machine unreachable for long, terminating");
+            terminate_machine(machine, "machine unreachable for long, terminating");
         }
     }
 
-    fn is_quiet(&self, machine: &Machine) -> bool {
+    fn is_silent(&self, machine: &Machine) -> bool {
         machine.time_since_heartbeat(self.now) > self.settings.heartbeat_interval() * 2
     }
 
     fn check_idle(&self, machine: &mut Machine) {
-        // A silent machine is not idle: after a failover that finds a zone unreachable, all its
-        // machines would be returned.
-        let idle = machine.state == MachineState::Up
-            && !self.is_quiet(machine)
+        // A silent machine is not idle: otherwise a failover that finds a zone unreachable would
+        // terminate all machines of that zone.
+        let is_idle = machine.state == MachineState::Up
+            && !self.is_silent(machine)
             && machine.is_empty()
             && machine.reclaim_at.is_none();
-        if !idle {
+        if !is_idle {
             machine.idle_since = None;
             return;
         }
@@ -133,16 +137,16 @@
         let age = self.now.saturating_duration_since(machine.rented);
         if machine.confirmed
             && idle_for > self.idle_limit(machine)
-            && age >= MINIMUM_BILLED
+            && age >= MIN_BILLED_TIME
             && !self.autoscaler.reserved_machines.contains(&machine.id)
-            && self.now > self.term.started_at + RENTAL_SETTLE_TIME * IDLE_SETTLE_TIMES
+            && self.now > self.term.started_at + RENTAL_SETTLE_TIME * IDLE_WAIT_SETTLE_TIMES
         {
-            return_machine(machine, "machine idle, scaling in");
+            terminate_machine(machine, "machine idle, scaling in");
         }
     }
 
-    /// For how long a machine may be idle: idle time costs less on a spot machine, and a boot costs
-    /// its users the same.
+    /// Returns how long a machine may be idle. Idle time costs less on a spot machine, while a boot
+    /// delays its users just as long, so the limit grows with the price ratio.
     fn idle_limit(&self, machine: &Machine) -> Duration {
         let machine_type = &self.machine_types[machine.flavor];
         let price_ratio = if machine.spot && machine_type.spot_price > 0.0 {
@@ -154,38 +158,39 @@
     }
 }
 
-fn return_machine(machine: &mut Machine, message: &'static str) {
+fn terminate_machine(machine: &mut Machine, message: &'static str) {
     tracing::info!(machine = %machine.id, "{message}");
     machine.state = MachineState::Returning;
 }
 
 impl Scheduler {
-    /// From what age on nothing is booked any more on a machine that is still booting. Where
-    /// several are overdue at once and none that was rented later is up, all come late, and renting
-    /// as many again would pay twice for the same wait.
-    pub(in crate::scheduler) fn overdue(
+    /// Returns a predicate for overdue machines: those that have been booting for so long that no
+    /// more tasks are reserved on them. If several are overdue at once and no machine rented later
+    /// is up, all are delayed, and renting replacements would pay twice for the same wait.
+    pub(in crate::scheduler) fn boot_overdue(
         &self,
         summary: &FleetSummary,
         now: Instant,
     ) -> impl Fn(&Machine, &MachineType) -> bool + use<> {
-        let is_late = move |machine: &Machine, machine_type: &MachineType| {
-            let usual = Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE_FACTOR)
+        let is_beyond_limit = move |machine: &Machine, machine_type: &MachineType| {
+            let overdue_after = Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE_FACTOR)
                 + BOOT_OVERDUE_MARGIN;
-            now.saturating_duration_since(machine.rented) >= usual
+            now.saturating_duration_since(machine.rented) >= overdue_after
         };
         let overtaken = summary.overtaken();
-        let late = self.fleet.machines.values().filter(|machine| {
+        let late_machines = self.fleet.machines.values().filter(|machine| {
             machine.state == MachineState::Booting
-                && is_late(machine, &self.fleet.machine_types[machine.flavor])
+                && is_beyond_limit(machine, &self.fleet.machine_types[machine.flavor])
                 && !overtaken(machine)
         });
-        let all_late = summary.booting && late.count() >= COMMON_DELAY_MACHINES;
+        let has_common_delay =
+            summary.booting && late_machines.count() >= COMMON_DELAY_MIN_MACHINES;
         move |machine, machine_type| {
-            is_late(machine, machine_type) && (!all_late || overtaken(machine))
+            is_beyond_limit(machine, machine_type) && (!has_common_delay || overtaken(machine))
         }
     }
 
-    /// Checks all machines, and returns those that are faulty, lost or idle.
+    /// Checks all machines, and terminates those that are faulty, lost or idle.
     pub(in crate::scheduler) fn watch_machines(
         &mut self,
         cache: &Cache,
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -1,7 +1,7 @@
-//! Consolidation: moving tasks together, so that machines become empty and are returned.
+//! Consolidation: moves tasks to fewer machines, so that the emptied ones can be terminated.
 //!
-//! Owns [`Consolidation`]; reads the jobs, the fleet and a pass's bins; stops the tasks that move,
-//! which the planner then starts elsewhere.
+//! Owns [`Consolidation`]; reads the jobs, the fleet and a pass's bins. It stops the tasks that
+//! move; the planner then starts them elsewhere.
 
 use crate::ids::{Amount, JobId, MachineId, ZoneId};
 use crate::jobs::{Job, LiveJob};
@@ -19,35 +19,36 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two rounds, so that each shows its effect.
+/// Interval between rounds, so that each shows its effect before the next.
 pub(super) const CONSOLIDATION_INTERVAL: Duration = Duration::from_secs(10);
-/// Share of all running replicas that one round may move.
+/// Share of all running service replicas that one round may move.
 pub(super) const MAX_MOVED_REPLICA_SHARE: f64 = 0.02;
-/// The same for tasks that save their progress: they lose a few seconds.
+/// Share of all running tasks with checkpoints that one round may move. It is larger because these
+/// lose only a few seconds of work.
 const MAX_MOVED_CHECKPOINTING_SHARE: f64 = 0.1;
-/// Machines that one round searches, the least used ones, to bound its time.
+/// Maximum number of machines that one round searches, least used first, to bound its duration.
 const MAX_MACHINES_SEARCHED: usize = 60;
-/// A task is moved only after it ran this long: users count a start that is undone within half a
-/// minute as none.
+/// Minimum run time of a task before it is moved: users don't count a start that is undone within
+/// half a minute.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(45);
-/// A machine is emptied only if at most this share of it is used.
-const MAX_USED_SHARE: f64 = 0.55;
+/// Maximum used share of a machine's CPU for it to be emptied.
+const MAX_USED_CPU_SHARE: f64 = 0.55;
 
-/// When tasks are moved together.
+/// Schedule of consolidation rounds.
 #[derive(Debug)]
 pub(super) struct Consolidation {
-    /// When the next round may begin.
+    /// Earliest time of the next round.
     pub(super) next_round: Instant,
 }
 
 impl Consolidation {
-    /// Nothing is moved until the first tasks have run for a while.
+    /// Schedules the first round for when the first tasks have run long enough to be moved.
     pub(super) fn new(now: Instant) -> Consolidation {
         Consolidation { next_round: now + MIN_RUN_BEFORE_MOVE }
     }
 }
 
-/// How many tasks a round may still move.
+/// Number of tasks that a round may still move.
 struct MoveBudget {
     /// Replicas of services.
     replicas: f64,
@@ -55,56 +56,56 @@
     checkpointing: f64,
 }
 
-/// A task that would move.
+/// A task with its move's target.
 struct TaskMove {
-    /// The position of the bin that it would move to.
+    /// Position of the bin that the task would move to.
     target: usize,
     resources: Amount,
 }
 
-/// A machine that can be emptied, and where its tasks would go.
+/// A machine that can be emptied, with the moves of its tasks.
 struct Evacuation {
     machine: MachineId,
     moves: Vec<TaskMove>,
-    /// How many of the tasks are replicas of services.
+    /// Number of moved tasks that are replicas of services.
     replicas: usize,
 }
 
-/// What is free in a bin that tasks may move to.
-struct TargetRoom {
+/// Free capacity of a bin that tasks may move to.
+struct MoveTarget {
     bin: usize,
     free: Amount,
 }
 
-/// The tasks of a job that would move to a zone.
+/// Key for counting a job's tasks that would move to a zone.
 #[derive(PartialEq, Eq, Hash)]
-struct MovedKey {
+struct JobInZone {
     job: JobId,
     zone: ZoneId,
 }
 
-/// A search for places for all tasks of a machine.
+/// Search for a target for each task of a machine.
 struct EvacuationSearch<'a> {
     machine: &'a Machine,
-    /// The position of the machine's bin.
+    /// Position of the machine's bin.
     source: usize,
     bins: &'a [Bin],
     ids: &'a [Option<MachineId>],
     cache: &'a Cache,
-    moved: HashMap<MovedKey, u32>,
+    moved: HashMap<JobInZone, u32>,
 }
 
-/// Whether a task of the job can be moved: a replica of a service, which is down for the moment
-/// between two commands, or a task that saves its progress when it is stopped.
+/// Returns whether a task of the job can be moved: a replica of a service, which is down only
+/// between the stop and start commands, or a task that saves its progress when it is stopped.
 fn is_movable(job: &LiveJob) -> bool {
     let saves = job.spec.shape == JobKind::Array && job.spec.checkpoint_s > 0.0;
     (job.spec.shape == JobKind::Service || saves) && job.spec.flavors.is_none()
 }
 
 impl Scheduler {
-    /// Empties the least used machines whose tasks all fit on others that have their images. How
-    /// many moves are few beside what runs depends on how much does; one machine is emptied in any
-    /// case.
+    /// Empties the least used machines whose tasks all fit on others that have their images. The
+    /// maximum number of moves depends on the number of running tasks; one machine is emptied in
+    /// any case.
     pub(super) fn consolidate(&mut self, machines: &MachineBins, cache: &Cache, now: Instant) {
         for evacuation in self.choose_evacuations(machines, cache, now) {
             self.evacuate(&evacuation.machine, cache, now);
@@ -125,7 +126,7 @@
             if receiving.contains(&source) {
                 continue;
             }
-            if !self.is_little_used(&bins[source]) {
+            if !self.is_underused(&bins[source]) {
                 break;
             }
             let found = self.find_evacuation(source, &bins, &machines.ids, cache, now);
@@ -143,7 +144,7 @@
                 bins[*target].free = bins[*target].free.minus(resources);
                 receiving.insert(*target);
             }
-            // Nothing moves onto what was just emptied.
+            // No task moves onto the machine that was just emptied.
             bins[source].ready = false;
             let machine = &evacuation.machine;
             tracing::info!(%machine, replicas, checkpointing, "moving tasks to other machines");
@@ -163,9 +164,9 @@
         self.fleet.capacity(bin.machine_type.index()).cpu - bin.free.cpu
     }
 
-    fn is_little_used(&self, bin: &Bin) -> bool {
+    fn is_underused(&self, bin: &Bin) -> bool {
         let capacity = self.fleet.capacity(bin.machine_type.index()).cpu;
-        self.used_cpu(bin) as f64 <= capacity as f64 * MAX_USED_SHARE
+        self.used_cpu(bin) as f64 <= capacity as f64 * MAX_USED_CPU_SHARE
     }
 
     fn move_budget(&self, cache: &Cache) -> MoveBudget {
@@ -184,7 +185,8 @@
         budget
     }
 
-    /// Whether a job may use a machine of this zone, type and kind.
+    /// Returns whether a job may use this bin's machine, by its zone, its type, and whether it is a
+    /// spot machine.
     pub(super) fn allows_bin(&self, spec: &JobSpec, bin: &Bin) -> bool {
         let zone = self.fleet.zone_name(bin.zone.index());
         let machine_type = &self.fleet.machine_types[bin.machine_type.index()].name;
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Where each task of a machine would go, if all of them find room.
+    /// Returns a target for each task of a machine; none unless all of them fit elsewhere.
     fn find_evacuation(
         &self,
         source: usize,
@@ -219,15 +221,17 @@
     ) -> Option<Evacuation> {
         let id = ids[source].as_ref()?;
         let machine = self.fleet.machines.get(id)?;
-        if !all_tasks_movable(machine, cache, now) || !self.keeps_warm_room(machine, source, bins) {
+        if !all_tasks_movable(machine, cache, now)
+            || !self.keeps_warm_capacity(machine, source, bins)
+        {
             return None;
         }
         let moved = HashMap::new();
         EvacuationSearch { machine, source, bins, ids, cache, moved }.run(self)
     }
 
-    /// Whether the room that is kept warm in the machine's zone remains without it.
-    fn keeps_warm_room(&self, machine: &Machine, source: usize, bins: &[Bin]) -> bool {
+    /// Returns whether the warm capacity of the machine's zone remains available without it.
+    fn keeps_warm_capacity(&self, machine: &Machine, source: usize, bins: &[Bin]) -> bool {
         if machine.spot {
             return true;
         }
@@ -236,14 +240,14 @@
             .iter()
             .enumerate()
             .filter(|(i, bin)| *i != source && bin.ready && !bin.spot && bin.zone == zone);
-        let free: u64 = others.map(|(_, bin)| bin.free.cpu).sum();
+        let free_cpu: u64 = others.map(|(_, bin)| bin.free.cpu).sum();
         let capacity = self.fleet.capacity(machine.flavor).cpu;
-        let warm = capacity as f64 * self.settings.operator.warm_per_zone;
-        free.saturating_sub(machine.used().cpu) as f64 >= warm
+        let warm_cpu = capacity as f64 * self.settings.operator.warm_per_zone;
+        free_cpu.saturating_sub(machine.used().cpu) as f64 >= warm_cpu
     }
 }
 
-/// The tasks that have not ended.
+/// Returns the attempts that have not exited.
 fn remaining_tasks(
     machine: &Machine,
 ) -> impl Iterator<Item = (&TaskAttempt, &PlacedAttempt)> + use<'_> {
@@ -277,18 +281,18 @@
             evacuation.moves.push(TaskMove { target: target.bin, resources: entry.need });
             evacuation.replicas += usize::from(spec.shape == JobKind::Service);
             let zone = self.bins[target.bin].zone;
-            *self.moved.entry(MovedKey { job: task.job.clone(), zone }).or_default() += 1;
+            *self.moved.entry(JobInZone { job: task.job.clone(), zone }).or_default() += 1;
         }
         Some(evacuation)
     }
 
-    /// The bins that tasks may move to, by their index.
-    fn targets(&self) -> BTreeMap<u64, TargetRoom> {
+    /// Returns the bins that tasks may move to, by their index.
+    fn targets(&self) -> BTreeMap<u64, MoveTarget> {
         let basket = self.bins[self.source].basket;
         let is_target =
             |(i, bin): &(usize, &Bin)| *i != self.source && bin.ready && bin.basket == basket;
         let targets = self.bins.iter().enumerate().filter(is_target);
-        targets.map(|(bin, b)| (b.index, TargetRoom { bin, free: b.free })).collect()
+        targets.map(|(bin, b)| (b.index, MoveTarget { bin, free: b.free })).collect()
     }
 
     fn has_image(&self, scheduler: &Scheduler, bin: usize, entry: &PlacedAttempt) -> bool {
@@ -296,7 +300,7 @@
         machine.is_some_and(|machine| machine.images.contains(&entry.image))
     }
 
-    /// Whether a task of the job may run on a bin, with the job's others where they are.
+    /// Returns whether a task of the job may run on a bin, given where the job's other tasks are.
     fn may_move_to(&self, scheduler: &Scheduler, bin: &Bin, job: &JobId, spec: &JobSpec) -> bool {
         if !scheduler.allows_bin(spec, bin) {
             return false;
@@ -308,7 +312,8 @@
         !spec.spread || self.tasks_in_zone(scheduler, bin.zone, job) < zone_limit
     }
 
-    /// How many tasks of a job are in a zone or would move there, beside those on this machine.
+    /// Returns how many of a job's tasks are in a zone or would move there, not counting those on
+    /// this machine.
     fn tasks_in_zone(&self, scheduler: &Scheduler, zone: ZoneId, job: &JobId) -> u32 {
         let progress = scheduler.jobs.progress.get(job);
         let placed = progress.into_iter().flat_map(|progress| progress.placed.values());
@@ -317,7 +322,7 @@
             placed.machine != self.machine.id
                 && machine.is_some_and(|machine| machine.zone == zone.index())
         });
-        let key = MovedKey { job: job.clone(), zone };
+        let key = JobInZone { job: job.clone(), zone };
         others.count() as u32 + self.moved.get(&key).copied().unwrap_or(0)
     }
 }
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -1,6 +1,6 @@
-//! Elastic jobs: how many more of their tasks run than their minimum width.
+//! Elastic jobs: the number of their tasks that run beyond the minimum width.
 //!
-//! Changes `Scheduler::elastic_widths`; reads the jobs, the fleet and the settings.
+//! Updates `Scheduler::elastic_widths`; reads the jobs, the fleet and the settings.
 
 use crate::ids::JobId;
 use crate::jobs::LiveJob;
@@ -12,19 +12,20 @@
 use tokio::time::Instant;
 use troutspindle_elastic_width::ElasticJob;
 
-/// Seconds of repeated work by which a task of a job at its minimum width is spared.
-const MINIMUM_WIDTH_BONUS_S: f64 = 600.0;
+/// Cost of preempting a task of a job at its minimum width, in seconds of repeated work. It is
+/// added to the work that is actually lost, so that other tasks are preempted first.
+const MINIMUM_WIDTH_COST_S: f64 = 600.0;
 
-/// How many tasks of a job may start in a pass.
+/// Limit on a job's starts in a pass.
 pub(super) struct ElasticLimit {
-    /// The most tasks.
+    /// Maximum number of tasks to start.
     pub(super) max_starts: u64,
-    /// Whether they are beyond the minimum width of an elastic job.
+    /// Whether these starts grow an elastic job beyond its minimum width.
     pub(super) is_growth: bool,
 }
 
 impl Scheduler {
-    /// By how many tasks each elastic job may grow in this pass.
+    /// Returns by how many tasks each elastic job may grow in this pass.
     pub(super) fn elastic_growth(
         &mut self,
         jobs: &[(&JobId, &LiveJob)],
@@ -57,7 +58,7 @@
         (width >= elastic.least).then_some(elastic_job)
     }
 
-    /// The elasticity of an array's class, if it has any.
+    /// Returns the elastic widths of an array's class, if it has any.
     fn elastic_class(&self, job: &LiveJob) -> Option<&ElasticClass> {
         self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
     }
@@ -66,8 +67,8 @@
         self.jobs.progress.get(id).map_or(0, |progress| progress.placed.len() as u64)
     }
 
-    /// Bounds how many tasks of a job may start now: an elastic job below its minimum width starts
-    /// up to that, others as many as they may grow by.
+    /// Limits how many tasks of a job may start now: an elastic job below its minimum width may
+    /// start tasks up to that width, one at or above it the tasks that it may grow by.
     pub(super) fn elastic_limit(
         &self,
         id: &JobId,
@@ -86,13 +87,15 @@
         ElasticLimit { max_starts: limit.min(growth), is_growth: true }
     }
 
-    /// Seconds of repeated work by which a task of a job at its minimum width is spared.
-    pub(super) fn minimum_width_bonus_s(&self, id: &JobId, job: &LiveJob) -> f64 {
+    /// Returns the cost in seconds that is added to preempting a task of the job, if the job is at
+    /// or below its minimum width.
+    pub(super) fn minimum_width_cost_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
-        if self.width(id) <= elastic.least { MINIMUM_WIDTH_BONUS_S } else { 0.0 }
+        if self.width(id) <= elastic.least { MINIMUM_WIDTH_COST_S } else { 0.0 }
     }
 
-    /// Tasks of these jobs were preempted: the jobs rest before they grow again.
+    /// Records that tasks of these jobs were preempted, so that the jobs pause before they grow
+    /// again.
     pub(super) fn pause_elastic_growth(&mut self, jobs: &[JobId], now: Instant) {
         if self.settings.operator.elastic.is_empty() {
             return;
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -1,11 +1,11 @@
 //! Fair shares of a scarce fleet: which tasks are placed first, and which may be preempted.
 //!
-//! While capacity is scarce, each group of work (a job class of a team) has a floor. What is owed
-//! to a group below its floor is placed first, and what a group holds up to its floor is not
-//! preempted. While nothing is scarce this module changes nothing.
+//! While capacity is scarce, each group of work (a job class of a team) has a floor. Requests of a
+//! group below its floor are placed first, and a group's tasks are not preempted as long as it is
+//! at or below its floor. While capacity is not scarce this module changes nothing.
 //!
 //! Owns [`FairShare`]; reads the jobs, the fleet and the settings. It starts, stops and rents
-//! nothing. Nothing is stored: a new leader derives it from records and heartbeats.
+//! nothing. Its state is not stored: a new leader derives it from records and heartbeats.
 
 mod demand_report;
 mod priority;
@@ -25,39 +25,41 @@
 /// Work that shares a floor: the jobs of one class that one team owns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DemandGroup {
-    /// The class, as [`FairShare`] numbers it.
+    /// The job class, as an index into [`FairShare::classes`].
     class: u32,
     team: TeamId,
 }
 
-/// Why tasks of a group wait.
+/// A group, and a cause for which some of its tasks wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingCause {
     group: DemandGroup,
     cause: &'static str,
 }
 
-/// The leader's view of all accepted work beside the fleet.
+/// The leader's view of the demand of all accepted work, compared with the fleet's capacity.
 pub(super) struct FairShare {
     scarcity: ScarcityTracker<DemandGroup>,
-    /// The numbers of the job classes.
+    /// Indexes of the job classes.
     classes: Interner,
-    /// What each group demanded in the last planning pass.
+    /// Demand of each group in the last planning pass.
     demands: BTreeMap<DemandGroup, Demand>,
-    /// What there was in the last planning pass.
+    /// Capacity of the fleet in the last planning pass.
     supply: Supply,
-    /// Tasks that waited after the last planning pass while capacity was scarce.
+    /// Number of tasks that still waited after the last planning pass; kept while capacity is
+    /// scarce.
     waiting: BTreeMap<WaitingCause, u64>,
     /// Whether the cloud has granted or refused a rental to this leader.
     cloud_responded: bool,
-    /// Machine-seconds of each group's arrays that arrived under this leader.
+    /// Machine-seconds of work in each group's arrays that arrived under this leader.
     arrived: BTreeMap<DemandGroup, f64>,
     /// Groups that have services.
     service_groups: BTreeSet<DemandGroup>,
 }
 
 impl FairShare {
-    /// Nothing is scarce; `floor` is the share of an equal division that a group is entitled to.
+    /// Creates the state in which capacity is not scarce. `floor` is the share of its need that
+    /// each group is entitled to, as far as the supply covers it.
     pub(super) fn new(floor: f64) -> FairShare {
         FairShare {
             scarcity: ScarcityTracker::new(floor),
@@ -76,12 +78,12 @@
         self.cloud_responded = true;
     }
 
-    /// Whether capacity is scarce.
+    /// Returns whether capacity is scarce.
     pub(super) fn is_scarce(&self) -> bool {
         self.scarcity.since().is_some()
     }
 
-    /// What each group holds above its floor; none while nothing is scarce.
+    /// Returns the amount that each group holds above its floor; none while capacity is not scarce.
     pub(super) fn surplus(&self) -> Option<BTreeMap<DemandGroup, Capacity>> {
         let group_shares = self.scarcity.group_shares();
         self.is_scarce().then(|| {
@@ -90,30 +92,31 @@
     }
 }
 
-/// What a task takes of its group's share.
+/// Share of its group that one task uses.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GroupShare {
-    /// The task's group.
+    /// Group that the task belongs to.
     pub(super) group: DemandGroup,
-    /// The part of a machine that the task takes.
+    /// Capacity that the task uses, as a share of the largest machine.
     pub(super) capacity: Capacity,
 }
 
-/// The part that an amount takes of a machine with the `largest` amount of each resource.
-fn room(amount: &Amount, largest: &Amount) -> Capacity {
-    let part = |amount: u64, whole: u64| match u128::from(whole) {
+/// Returns the share of a machine that an amount uses, by its dominant resource. `largest` is the
+/// largest amount of each resource that any machine type has.
+fn machine_share(amount: &Amount, largest: &Amount) -> Capacity {
+    let share = |amount: u64, whole: u64| match u128::from(whole) {
         0 => 0,
         whole => (u128::from(amount) * u128::from(UNITS_PER_MACHINE) / whole) as Capacity,
     };
-    part(amount.cpu, largest.cpu)
-        .max(part(amount.gpu, largest.gpu))
-        .max(part(amount.ram, largest.ram))
+    share(amount.cpu, largest.cpu)
+        .max(share(amount.gpu, largest.gpu))
+        .max(share(amount.ram, largest.ram))
 }
 
-/// The most of each resource that any machine type has.
+/// Returns the largest amount of each resource that any machine type has.
 pub(super) fn largest_capacity(capacities: &[Amount]) -> Amount {
-    let most = |field: fn(&Amount) -> u64| capacities.iter().map(field).max().unwrap_or(0);
-    Amount { cpu: most(|a| a.cpu), gpu: most(|a| a.gpu), ram: most(|a| a.ram) }
+    let maximum = |field: fn(&Amount) -> u64| capacities.iter().map(field).max().unwrap_or(0);
+    Amount { cpu: maximum(|a| a.cpu), gpu: maximum(|a| a.gpu), ram: maximum(|a| a.ram) }
 }
 
 impl Scheduler {
@@ -127,12 +130,14 @@
         Some(DemandGroup { class, team: TeamId::new(self.team_of(&job.spec.team)) })
     }
 
-    /// Seconds for which a task of the job takes up its room, with the time between two tasks.
+    /// Returns the seconds for which a task of the job occupies its capacity, including the gap
+    /// before the next task.
     fn task_occupancy_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         self.run_s(id, job, self.settings.operator.estimates.learn) + STAGE_OVERHEAD.as_secs_f64()
     }
 
-    /// What stopping a task that needs `resources` would take from its group.
+    /// Returns the share of its group that a task with these resources uses; none for a class that
+    /// is not known yet.
     pub(super) fn group_share(
         &self,
         job: &LiveJob,
@@ -141,7 +146,7 @@
     ) -> Option<GroupShare> {
         Some(GroupShare {
             group: self.known_demand_group(job)?,
-            capacity: room(resources, largest),
+            capacity: machine_share(resources, largest),
         })
     }
 }
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -1,4 +1,4 @@
-//! What operators and the log are told of groups, their floors and their demand.
+//! Reports on groups, their floors and their demand, for operators and the log.
 
 use super::DemandGroup;
 use crate::scheduler::Scheduler;
@@ -10,22 +10,22 @@
     DemandLog, FairShareReport, GroupBelowFloor, GroupDemand,
 };
 
-/// The names of a group's class and team.
+/// Names of a group's class and team.
 struct GroupName {
     class: String,
     team: String,
 }
 
-fn machines(room: Capacity) -> f64 {
-    room as f64 / UNITS_PER_MACHINE as f64
+fn machines(capacity: Capacity) -> f64 {
+    capacity as f64 / UNITS_PER_MACHINE as f64
 }
 
-fn machines_to_hundredths(room: Capacity) -> f64 {
-    (machines(room) * 100.0).round() / 100.0
+fn machines_to_hundredths(capacity: Capacity) -> f64 {
+    (machines(capacity) * 100.0).round() / 100.0
 }
 
-fn machines_to_tenths(room: Capacity) -> f64 {
-    (machines(room) * 10.0).round() / 10.0
+fn machines_to_tenths(capacity: Capacity) -> f64 {
+    (machines(capacity) * 10.0).round() / 10.0
 }
 
 impl Scheduler {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// How many machines' worth each group holds, its floor, and what it needs.
+    /// Returns what each group holds, its floor, and its need, in machines, by the group's name.
     pub(super) fn group_shares(&self) -> BTreeMap<String, [f64; 3]> {
         let row = |(group, group_share): (&DemandGroup, &GroupShare)| {
             let GroupName { class, team } = self.group_name(group);
@@ -49,7 +49,7 @@
         self.fair_share.scarcity.group_shares().map(row).collect()
     }
 
-    /// Demand and supply for the log, as JSON; none while floors are switched off.
+    /// Returns demand and supply for the log, as JSON; none if floors are disabled.
     pub(in crate::scheduler) fn demand_line(&self, now: Instant) -> Option<String> {
         if self.settings.operator.floor <= 0.0 {
             return None;
@@ -65,7 +65,7 @@
             groups: fair_share
                 .demands
                 .iter()
-                .map(|(g, demand)| self.group_demand(g, demand))
+                .map(|(group, demand)| self.group_demand(group, demand))
                 .collect(),
         };
         serde_json::to_string(&line).ok()
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The groups below their floors, for operators.
+    /// Reports the groups below their floors to operators.
     pub fn starving(&self, now: Instant) -> FairShareReport {
         let fair_share = &self.fair_share;
         let since = fair_share.scarcity.since();
@@ -101,12 +101,12 @@
             machines: machines(fair_share.supply.all()),
             nothing_to_rent: fair_share.supply.exhausted,
             groups: below
-                .map(|(group, group_share)| self.starving_group(group, group_share))
+                .map(|(group, group_share)| self.group_below_floor(group, group_share))
                 .collect(),
         }
     }
 
-    fn starving_group(&self, group: &DemandGroup, group_share: &GroupShare) -> GroupBelowFloor {
+    fn group_below_floor(&self, group: &DemandGroup, group_share: &GroupShare) -> GroupBelowFloor {
         let GroupName { class, team } = self.group_name(group);
         let fair_share = &self.fair_share;
         let needed = fair_share.demands.get(group).map_or(0, Demand::needed);
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -1,6 +1,6 @@
-//! Placement requests of groups below their floors go first.
+//! Order of placement requests while capacity is scarce: groups below their floors come first.
 
-use super::{DemandGroup, WaitingCause, largest_capacity, room};
+use super::{DemandGroup, WaitingCause, largest_capacity, machine_share};
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
 use crate::placement::{PlacementPlan, PlacementRequest, RequestTasks};
@@ -11,26 +11,27 @@
 use std::collections::BTreeMap;
 use troutspindle_fair_share::Capacity;
 
-/// How a request is ranked while capacity is scarce.
+/// Rank of a request while capacity is scarce.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::scheduler) struct FairShareWeight {
     group: DemandGroup,
-    /// Machine-seconds that the job still takes. Arrays with least left go first, so that many are
-    /// finished rather than all half finished.
+    /// Estimated work left in the job, as CPU amount times seconds; 0 for a service. Arrays with
+    /// the least work left come first, so that many finish instead of all being half finished.
     remaining_work: u64,
-    /// It must not be divided: what its zones may still hold is counted in it.
+    /// Whether the request must not be split: its limits per zone count all of its tasks, and a
+    /// gang starts as a whole.
     indivisible: bool,
 }
 
-/// What a group below its floor is owed.
-struct Debt {
-    owed: Capacity,
-    /// How much of its floor the group has.
+/// Shortfall of a group below its floor.
+struct FloorDeficit {
+    capacity: Capacity,
+    /// Fraction of its floor that the group holds.
     reached: OrderedFloat<f64>,
 }
 
 impl Scheduler {
-    /// How a request is ranked, if capacity is scarce.
+    /// Returns a request's rank; none while capacity is not scarce.
     pub(in crate::scheduler) fn fair_share_weight(
         &mut self,
         id: &JobId,
@@ -55,9 +56,10 @@
         })
     }
 
-    /// Moves what is owed to groups below their floors to the front, the groups with the smallest
-    /// part of their floor first. A request of which only a part is owed is divided.
-    pub(in crate::scheduler) fn prioritize_owed(
+    /// Moves requests of groups below their floors to the front, groups with the smallest fraction
+    /// of their floor first. A request is split if only some of its tasks are needed to reach the
+    /// floor.
+    pub(in crate::scheduler) fn prioritize_below_floor(
         &self,
         requests: &mut Vec<JobRequest>,
         capacities: &[Amount],
@@ -66,28 +68,33 @@
             return;
         }
         let largest = largest_capacity(capacities);
-        let mut debts: BTreeMap<DemandGroup, Debt> = BTreeMap::new();
+        let mut deficits: BTreeMap<DemandGroup, FloorDeficit> = BTreeMap::new();
         for (group, group_share) in self.fair_share.scarcity.group_shares() {
-            debts.insert(*group, Debt { owed: group_share.owed, reached: group_share.reached() });
+            deficits.insert(
+                *group,
+                FloorDeficit { capacity: group_share.owed, reached: group_share.reached() },
+            );
         }
         let mut first: Vec<JobRequest> = Vec::new();
-        for n in owed_order(requests, &debts) {
+        for n in deficit_order(requests, &deficits) {
             let JobRequest { request, weight: Some(weight), .. } = &requests[n] else { continue };
-            let Some(debt) = debts.get_mut(&weight.group).filter(|debt| debt.owed > 0) else {
+            let Some(deficit) =
+                deficits.get_mut(&weight.group).filter(|deficit| deficit.capacity > 0)
+            else {
                 continue;
             };
-            let each = room(&request.resources, &largest).max(1);
-            let owed_tasks = u32::try_from(debt.owed.div_ceil(each)).unwrap_or(u32::MAX);
+            let each = machine_share(&request.resources, &largest).max(1);
+            let missing_tasks = u32::try_from(deficit.capacity.div_ceil(each)).unwrap_or(u32::MAX);
             let count =
-                if weight.indivisible { request.count } else { owed_tasks.min(request.count) };
-            debt.owed = debt.owed.saturating_sub(each * u64::from(count));
+                if weight.indivisible { request.count } else { missing_tasks.min(request.count) };
+            deficit.capacity = deficit.capacity.saturating_sub(each * u64::from(count));
             first.push(requests[n].take(count));
         }
         requests.retain(|request| request.request.count > 0);
         requests.splice(0..0, first);
     }
 
-    /// Notes for operators why tasks wait.
+    /// Records why tasks of each group wait, for operators.
     pub(in crate::scheduler) fn record_group_waiting(
         &mut self,
         tasks: &[WaitingTasks],
@@ -114,15 +121,18 @@
     }
 }
 
-/// The positions of requests whose groups are owed anything, in the order in which they are served.
-fn owed_order(requests: &[JobRequest], debts: &BTreeMap<DemandGroup, Debt>) -> Vec<usize> {
-    let debt_of = |n: usize| {
+/// Returns the positions of requests whose groups are below their floors, in order of service.
+fn deficit_order(
+    requests: &[JobRequest],
+    deficits: &BTreeMap<DemandGroup, FloorDeficit>,
+) -> Vec<usize> {
+    let deficit_of = |n: usize| {
         let weight = requests[n].weight?;
-        Some((weight, debts.get(&weight.group).filter(|debt| debt.owed > 0)?))
+        Some((weight, deficits.get(&weight.group).filter(|deficit| deficit.capacity > 0)?))
     };
-    let mut order: Vec<usize> = (0..requests.len()).filter(|n| debt_of(*n).is_some()).collect();
+    let mut order: Vec<usize> = (0..requests.len()).filter(|n| deficit_of(*n).is_some()).collect();
     order.sort_by_key(|n| {
-        debt_of(*n).map(|(weight, debt)| (debt.reached, weight.remaining_work, *n))
+        deficit_of(*n).map(|(weight, deficit)| (deficit.reached, weight.remaining_work, *n))
     });
     order
 }
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -1,6 +1,6 @@
-//! Whether capacity is scarce: what all jobs that may run demand beside what there is.
+//! Detection of scarcity: compares the demand of all jobs that may run with the fleet's capacity.
 
-use super::{DemandGroup, largest_capacity, room};
+use super::{DemandGroup, largest_capacity, machine_share};
 use crate::cloud::{CloudClient, MachinePool};
 use crate::ids::{Amount, JobId};
 use crate::jobs::LiveJob;
@@ -13,38 +13,39 @@
 use troutspindle_fair_share::constants::UNITS_PER_MACHINE;
 use troutspindle_fair_share::{Capacity, Demand, ScarcityChange, Supply};
 
-/// Seconds within which arrays without an objective for their end are to be finished.
+/// Target time to finish arrays without a completion objective, in seconds.
 const DEFAULT_FINISH_S: f64 = 300.0;
-/// A backlog is to be worked off within this many times the objective for the end of its jobs:
-/// within the objective itself it would take all room from services.
+/// Multiple of the jobs' completion objective within which a backlog is to be processed: a factor
+/// of 1 would take all capacity from services.
 const BACKLOG_TIME_FACTOR: f64 = 3.0;
-/// Share of what arrays need that counts as demand: what they miss now they can have later, what
-/// a service misses is lost.
+/// Share of the arrays' need that counts as demand: arrays can make up later for capacity that they
+/// lack now, services can't.
 const ARRAY_DEMAND_SHARE: f64 = 0.7;
-/// For how long at most a new leader presumes that capacity is scarce where demand exceeds supply
-/// and the cloud has not responded yet: its first list and its first rentals take so long.
+/// Maximum time during which a new leader presumes that capacity is scarce if demand exceeds supply
+/// and the cloud has not responded yet: its first machine list and first rentals take this long.
 const SCARCITY_PRESUMED_FOR: Duration = Duration::from_secs(15);
 
-/// The demand of all jobs, while it is summed up.
+/// Running totals of the demand of all jobs.
 struct DemandTotals {
-    /// The machine by which demand is measured.
+    /// Largest amount of each resource that any machine type has; the unit of demand.
     largest: Amount,
-    /// For how long this leadership has lasted.
+    /// Time since this leader's term began.
     elapsed: Duration,
-    /// The time of day.
+    /// Current time in milliseconds since the Unix epoch.
     now_ms: u64,
-    /// Whether there are machines that no heartbeat has confirmed yet.
+    /// Whether free capacity remains on machines that no heartbeat to this leader has confirmed
+    /// yet.
     has_unconfirmed: bool,
     demands: BTreeMap<DemandGroup, Demand>,
-    /// What is left of each group's arrays, spread over the time that it may take.
+    /// Capacity needed to finish each group's arrays within the backlog's target time.
     backlog: BTreeMap<DemandGroup, f64>,
-    /// Waiting tasks that a predecessor may have started.
+    /// Capacity for waiting tasks that a previous leader may have started.
     maybe_started: BTreeMap<DemandGroup, Capacity>,
 }
 
 impl Scheduler {
-    /// Compares what all jobs that may run demand with what there is, and notes whether capacity
-    /// has become scarce or no longer is.
+    /// Compares the demand of all jobs that may run with the fleet's capacity, and records whether
+    /// capacity has become scarce or is no longer scarce.
     pub(in crate::scheduler) fn update_scarcity(
         &mut self,
         jobs: &[(&JobId, &LiveJob)],
@@ -73,9 +74,9 @@
             self.exclude_stopping_tasks(&mut demands, &largest);
         }
         let supply = self.supply(fleet, &largest, cloud, elapsed);
-        let turn = self.fair_share.scarcity.update(&demands, &supply, elapsed);
+        let change = self.fair_share.scarcity.update(&demands, &supply, elapsed);
         (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
-        match turn {
+        match change {
             Some(ScarcityChange::Began) => tracing::info!(
                 machines = supply.all() as f64 / UNITS_PER_MACHINE as f64,
                 held_floor_needed = ?self.group_shares(),
@@ -91,12 +92,12 @@
     }
 
     fn add_job_demand(&mut self, id: &JobId, job: &LiveJob, totals: &mut DemandTotals) {
-        let known = self.jobs.progress.get(id).and_then(|progress| progress.demand_group);
-        let group = known.unwrap_or_else(|| self.demand_group(job));
+        let known_group = self.jobs.progress.get(id).and_then(|progress| progress.demand_group);
+        let group = known_group.unwrap_or_else(|| self.demand_group(job));
         let teams = &self.settings.platform.params.teams;
         let Some(team) = teams.get(group.team.index()) else { return };
         let guest = team.guarantee().is_zero();
-        let each = room(&job.need, &totals.largest);
+        let task_capacity = machine_share(&job.need, &totals.largest);
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
         progress.demand_group = Some(group);
@@ -107,22 +108,23 @@
         let empty = Demand { ordinary: true, guest, ..Demand::default() };
         let demand = totals.demands.entry(group).or_insert(empty);
         demand.ordinary &= !job.spec.spot;
-        demand.held += each * held;
-        demand.waiting += each * waiting;
+        demand.held += task_capacity * held;
+        demand.waiting += task_capacity * waiting;
         if progress.predates_leadership && totals.has_unconfirmed {
-            *totals.maybe_started.entry(group).or_default() += each * waiting;
+            *totals.maybe_started.entry(group).or_default() += task_capacity * waiting;
         }
         if job.spec.shape == JobKind::Service {
-            demand.offered += each * (held + waiting);
+            demand.offered += task_capacity * (held + waiting);
             self.fair_share.service_groups.insert(group);
             return;
         }
         let finish_s = self.settings.finish_objective(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
-        *totals.backlog.entry(group).or_default() +=
-            (each * (held + waiting)) as f64 * occupancy_s / (finish_s * BACKLOG_TIME_FACTOR);
+        *totals.backlog.entry(group).or_default() += (task_capacity * (held + waiting)) as f64
+            * occupancy_s
+            / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
             let tasks = job.spec.tasks - job.completed_count().min(job.spec.tasks);
-            let work = (each * tasks) as f64 * occupancy_s / UNITS_PER_MACHINE as f64;
+            let work = (task_capacity * tasks) as f64 * occupancy_s / UNITS_PER_MACHINE as f64;
             self.record_arrival(group, work, job, totals);
         }
     }
@@ -137,7 +139,7 @@
     ) {
         let age = Duration::from_millis(totals.now_ms.saturating_sub(job.eligible_ms()));
         self.fair_share.scarcity.record_arrival(&group, work, age, totals.elapsed);
-        // What arrived under a predecessor is in its log.
+        // Work that arrived under a previous leader is in that leader's log.
         if age <= totals.elapsed || self.term.token.0 <= 1 {
             *self.fair_share.arrived.entry(group).or_default() += work;
         }
@@ -149,26 +151,26 @@
         fleet: &FleetView,
     ) -> BTreeMap<DemandGroup, Demand> {
         let DemandTotals { largest, elapsed, mut demands, backlog, maybe_started, .. } = totals;
-        let all_maybe_started = maybe_started.values().sum::<Capacity>().max(1) as f64;
-        let unconfirmed = room(&fleet.unconfirmed.free, &largest) as f64;
-        let started_share = (unconfirmed / all_maybe_started).min(1.0);
+        let total_maybe_started = maybe_started.values().sum::<Capacity>().max(1) as f64;
+        let unconfirmed = machine_share(&fleet.unconfirmed.free, &largest) as f64;
+        let started_share = (unconfirmed / total_maybe_started).min(1.0);
         for (group, demand) in &mut demands {
             let maybe_started = maybe_started.get(group).copied().unwrap_or(0);
-            let started = (maybe_started as f64 * started_share) as Capacity;
-            demand.held += started;
-            demand.waiting -= started;
+            let presumed_started = (maybe_started as f64 * started_share) as Capacity;
+            demand.held += presumed_started;
+            demand.waiting -= presumed_started;
             let arrival_rate = self.fair_share.scarcity.arrival_rate(group, elapsed);
-            // What has waited long is still owed when nothing more arrives.
+            // A backlog still needs capacity when no more work arrives.
             let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Capacity);
             demand.offered += (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
             let headroom = fleet.team_headroom.get(group.team.index());
-            let limit = headroom.map_or(0, |headroom| room(headroom, &largest));
+            let limit = headroom.map_or(0, |headroom| machine_share(headroom, &largest));
             demand.waiting = demand.waiting.min(limit);
         }
         demands
     }
 
-    /// A task that was told to stop is no longer held.
+    /// Counts tasks that are being stopped as waiting instead of held.
     fn exclude_stopping_tasks(
         &self,
         demands: &mut BTreeMap<DemandGroup, Demand>,
@@ -186,9 +188,9 @@
                 }
                 let Some(group) = progress.demand_group else { continue };
                 if let Some(demand) = demands.get_mut(&group) {
-                    let each = room(&entry.need, largest);
-                    demand.held = demand.held.saturating_sub(each);
-                    demand.waiting += each;
+                    let task_capacity = machine_share(&entry.need, largest);
+                    demand.held = demand.held.saturating_sub(task_capacity);
+                    demand.waiting += task_capacity;
                 }
             }
         }
@@ -202,22 +204,23 @@
         elapsed: Duration,
     ) -> Supply {
         let rental = &fleet.rental;
-        let none_left = || rental.remaining == 0 || self.all_pools_refuse(fleet, cloud);
+        let is_exhausted = || rental.remaining == 0 || self.all_pools_refuse(fleet, cloud);
         let mut supply = Supply {
-            exhausted: rental.allowed && none_left(),
+            exhausted: rental.allowed && is_exhausted(),
             presumed: !self.fair_share.cloud_responded
                 && self.term.token.0 > 1
                 && elapsed < SCARCITY_PRESUMED_FOR,
             ..Supply::default()
         };
         for bin in &fleet.machines.bins {
-            let size = room(&fleet.capacities[bin.machine_type.index()], largest);
+            let size = machine_share(&fleet.capacities[bin.machine_type.index()], largest);
             *(if bin.spot { &mut supply.spot } else { &mut supply.ordinary }) += size;
         }
         supply
     }
 
-    /// Whether nothing more can be rented now, as far as refusals show.
+    /// Returns whether no more machines can be rented now: each pool has refused a request or is
+    /// closed, or the cloud is unavailable.
     fn all_pools_refuse(&self, fleet: &FleetView, cloud: &CloudClient) -> bool {
         let refuses = |pool: MachinePool| {
             fleet.closed_zones[pool.zone] || self.autoscaler.capacity_backoff.contains_key(&pool)
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -1,7 +1,7 @@
-//! What jobs request of placement, and the room that is reserved beside.
+//! Placement requests of jobs, and reservations of warm capacity.
 //!
-//! Reads the jobs, the fleet and the settings; ends retry backoffs that are over, and counts in
-//! the statistics why tasks wait.
+//! Reads the jobs, the fleet and the settings; removes expired retry backoffs, and counts in the
+//! statistics why tasks wait.
 
 use crate::ids::{Amount, JobId, MachineTypeId, TeamId, ZoneId};
 use crate::jobs::LiveJob;
@@ -12,18 +12,19 @@
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
-/// Most machines are up, with an image, within this many times their nominal boot time.
+/// Multiple of the nominal boot time within which most machines are up and have an image.
 const TYPICAL_BOOT_FACTOR: f64 = 1.5;
-/// Reserved room is requested in parts of the first machine type: so many to a machine.
-const WARM_PARTS: u64 = 4;
+/// Number of parts per machine in which warm capacity is requested; the size of a part is that of
+/// the first machine type divided by this.
+const WARM_PARTS_PER_MACHINE: u64 = 4;
 
-/// What the requests of a pass have in common.
+/// Context shared by the requests of a pass.
 pub(super) struct RequestContext<'a> {
     /// The fleet as the pass sees it.
     pub(super) fleet: &'a FleetView,
-    /// When the first retry backoff ends.
+    /// Time at which the first retry backoff expires.
     pub(super) next_backoff_expiry: Option<Instant>,
-    /// When the pass is made.
+    /// Time of the pass.
     pub(super) now: Instant,
 }
 
@@ -34,8 +35,8 @@
 }
 
 impl Scheduler {
-    /// What a job requests by its description alone, for no task yet; none if its zone or team is
-    /// not known.
+    /// Returns a job's request for zero tasks, from its specification alone; none if its zone or
+    /// team is not known.
     pub(super) fn base_request(
         &mut self,
         id: &JobId,
@@ -77,8 +78,8 @@
         names.iter().filter_map(position).map(MachineTypeId::new).collect()
     }
 
-    /// What a job requests: at most `max_tasks` of its waiting tasks, which are counted and not
-    /// gone through one by one.
+    /// Returns a job's request for at most `max_tasks` of its waiting tasks, which are counted
+    /// instead of iterated over.
     pub(super) fn job_request(
         &mut self,
         id: &JobId,
@@ -89,18 +90,18 @@
         let is_gang = job.spec.shape == JobKind::Gang;
         let mut request = self.base_request(id, job, &context.fleet.capacities)?;
         let progress = self.jobs.progress.get(id)?;
-        if progress.predates_leadership && may_run_unseen(&request, context.fleet) {
+        if progress.predates_leadership && may_run_on_unconfirmed(&request, context.fleet) {
             let waiting = progress.waiting(job);
             self.statistics.add_waiting(waiting_cause::UNCONFIRMED_MACHINE, waiting);
             return None;
         }
         if is_gang && !progress.placed.is_empty() {
-            // A generation of a gang starts as a whole: when one of its tasks is lost, the
-            // others end by themselves and all start again under a new attempt.
+            // A generation of a gang starts as a whole: when one of its tasks is lost, the others
+            // exit by themselves and all start again under a new attempt.
             return None;
         }
         let max_tasks = match progress.failures.allowed_starts(progress.placed.len(), context.now) {
-            // A gang starts as a whole, on trial too.
+            // A gang starts as a whole, also on trial after failures.
             Ok(allowed) if !is_gang => max_tasks.min(allowed as u64),
             Ok(_) => max_tasks,
             Err(expiry) => {
@@ -116,8 +117,8 @@
         Some(request)
     }
 
-    /// How many waiting tasks of a job are in no backoff, at most `max_tasks`; none if nothing may
-    /// start.
+    /// Returns how many waiting tasks of a job are not in backoff, at most `max_tasks`; none if
+    /// nothing may start.
     fn startable_tasks(
         &mut self,
         id: &JobId,
@@ -129,9 +130,9 @@
         let progress = self.jobs.progress.get_mut(id)?;
         progress.expire_backoffs(context.now);
         let waiting = progress.waiting(job);
-        let all_back_off = waiting > 0 && waiting <= progress.backing_off.len() as u64;
-        if progress.failures.is_job_faulty() && !is_gang && all_back_off {
-            // The job's own pause is over; that of its next task does not matter.
+        let all_in_backoff = waiting > 0 && waiting <= progress.backing_off.len() as u64;
+        if progress.failures.is_job_faulty() && !is_gang && all_in_backoff {
+            // The job's own backoff has expired, so that of its next task is ignored.
             let first = progress.backing_off.pop_first();
             progress.requeued.extend(first.map(|expiry| expiry.task));
         }
@@ -141,9 +142,9 @@
             context.note_backoff(Some(first.at));
         }
         let count = max_tasks.min(waiting.saturating_sub(backing_off));
-        // A gang that lacks a task would wait for it for ever once it runs.
-        let lacks_task = is_gang && backing_off > 0;
-        (count > 0 && !lacks_task).then_some(count)
+        // A gang with a missing task would wait for that task forever once it runs.
+        let has_missing_task = is_gang && backing_off > 0;
+        (count > 0 && !has_missing_task).then_some(count)
     }
 
     /// Restricts a request by where the job's tasks run and where they failed.
@@ -155,7 +156,8 @@
     ) -> Option<()> {
         let spec = &job.spec;
         let progress = self.jobs.progress.get(id)?;
-        // Tens of thousands may be placed: they are counted only where their zones matter.
+        // Tens of thousands of tasks may be placed: they are iterated over only if their zones
+        // matter.
         let zones_matter = spec.spread || spec.one_zone;
         for placed in progress.placed.values().filter(|_| zones_matter) {
             let Some(machine) = self.fleet.machines.get(&placed.machine) else { continue };
@@ -171,13 +173,14 @@
         request.excluded_machines =
             progress.failures.avoided_machines().iter().filter_map(index).collect();
         if progress.failures.is_job_faulty() {
-            // A trial of a job that fails everywhere takes what room there is.
+            // A trial of a job that fails everywhere uses existing free capacity only.
             request.scale_out = ScaleOutPolicy::Nothing;
         }
         Some(())
     }
 
-    /// Seconds until the job misses its next objective for its start; none if it has missed all.
+    /// Returns the seconds until the job misses its next start objective or its deadline; none if
+    /// it has missed all.
     pub(super) fn slo_slack_s(
         &self,
         id: &JobId,
@@ -194,29 +197,34 @@
         slack.chain(until_deadline).min_by(f64::total_cmp)
     }
 
-    /// Whether a task that is booked on a booting machine starts in time there, or is late already.
+    /// Returns whether a task can wait for a booting machine on which capacity is reserved for it:
+    /// it starts in time there, or has missed its objectives already.
     pub(super) fn can_wait_for_boot(&self, request: &PlacementRequest) -> bool {
         let boot_s = self.typical_boot_s();
         request.priority > Priority::Production
             && request.slo_slack_s.is_none_or(|slack| boot_s < slack)
     }
 
-    /// Seconds within which most machines rented now are up, with an image.
+    /// Returns the seconds within which most machines rented now are up and have an image.
     pub(super) fn typical_boot_s(&self) -> f64 {
         let types = self.fleet.machine_types.iter();
         types.map(|machine_type| machine_type.boot_s * TYPICAL_BOOT_FACTOR).fold(0.0, f64::max)
     }
 
-    /// Adds requests for room that is kept free for production work. Room that low-priority tasks
-    /// take up counts as free: they are preempted at once, and would otherwise fill each machine
-    /// that was rented to keep room.
-    pub(super) fn reserve_warm_room(
+    /// Adds reservations of warm capacity for production work. Capacity used by low-priority tasks
+    /// counts as free: these are preempted at once, and would otherwise fill each machine rented as
+    /// warm capacity.
+    pub(super) fn reserve_warm_capacity(
         &self,
         reservations: &mut Vec<PlacementRequest>,
         fleet: &FleetView,
     ) {
         let Some(size) = fleet.capacities.first() else { return };
-        let resources = Amount { cpu: size.cpu / WARM_PARTS, gpu: 0, ram: size.ram / WARM_PARTS };
+        let resources = Amount {
+            cpu: size.cpu / WARM_PARTS_PER_MACHINE,
+            gpu: 0,
+            ram: size.ram / WARM_PARTS_PER_MACHINE,
+        };
         let zones = fleet.closed_zones.len();
         let mut reclaimable_cpu = vec![0u64; zones];
         let is_up = |machine: &&Machine| machine.state == MachineState::Up && !machine.spot;
@@ -230,7 +238,7 @@
                 continue;
             }
             reservations.push(PlacementRequest {
-                // Beyond all teams: the entry without a limit.
+                // The entry after all teams, which has no limit.
                 team: TeamId::new(fleet.team_headroom.len() - 1),
                 priority: Priority::Low,
                 resources,
@@ -251,17 +259,19 @@
         }
     }
 
-    /// How much room to keep free in a zone, in parts of a machine.
+    /// Returns the warm capacity to keep in a zone, in parts of a machine.
     fn warm_parts(&self, machines_up: usize) -> u64 {
-        // What arrives at once grows with the fleet, and so does the room that it finds.
+        // The number of tasks that arrive at once grows with the fleet, and so does the warm
+        // capacity.
         let share = self.settings.operator.warm_share * machines_up as f64;
         let machines = self.settings.operator.warm_per_zone.max(share);
-        (machines * WARM_PARTS as f64).round() as u64
+        (machines * WARM_PARTS_PER_MACHINE as f64).round() as u64
     }
 }
 
-/// Whether a predecessor may have started tasks of the request that no heartbeat has shown yet.
-fn may_run_unseen(request: &PlacementRequest, fleet: &FleetView) -> bool {
+/// Returns whether a previous leader may have started tasks of the request that no heartbeat has
+/// shown yet.
+fn may_run_on_unconfirmed(request: &PlacementRequest, fleet: &FleetView) -> bool {
     fleet.unconfirmed.pools.iter().any(|pool| {
         request.allows(ZoneId::new(pool.zone), MachineTypeId::new(pool.flavor), pool.spot)
     })
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -105,11 +105,11 @@
             }
         }
         let next_backoff_expiry = context.next_backoff_expiry;
-        self.prioritize_owed(&mut requests, &fleet.capacities);
+        self.prioritize_below_floor(&mut requests, &fleet.capacities);
         requests.extend(growth_requests);
         let mut reservations = Vec::new();
         self.reserve_for_upcoming(&mut reservations, &jobs.upcoming, cache, &fleet.capacities);
-        self.reserve_warm_room(&mut reservations, fleet);
+        self.reserve_warm_capacity(&mut reservations, fleet);
         DemandQueue { requests, reservations, next_backoff_expiry }
     }
 
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -181,7 +181,7 @@
         let threshold = settings.operator.heavy_threshold;
         let basket_retention = Duration::from_secs_f64(settings.operator.hold_s);
         let silence_limit = settings.heartbeat_interval() * 2 + Duration::from_secs(1);
-        let overdue = self.overdue(summary, now);
+        let boot_overdue = self.boot_overdue(summary, now);
         let drained = self.drains.drained.clone();
         let count = self.fleet.machines.len();
         let mut machines =
@@ -192,7 +192,8 @@
                 continue;
             }
             let machine_type = &self.fleet.machine_types[machine.flavor];
-            let booting = machine.state == MachineState::Booting && !overdue(machine, machine_type);
+            let booting =
+                machine.state == MachineState::Booting && !boot_overdue(machine, machine_type);
             let up = is_usable(machine, silence_limit, now);
             let unconfirmed = machine.state == MachineState::Up && !machine.confirmed;
             if !(booting || up || unconfirmed) {
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -1,47 +1,49 @@
-//! When the leader plans, and how it slows down where its process falls behind.
+//! Timing of planning passes, and the rate limit on starts when the process falls behind.
 
 use crate::store::TokenBucket;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For so long after a late tick a process takes no silence for anybody's death.
-const BEHIND_FOR: Duration = Duration::from_secs(3);
-/// Longest pause between two planning rounds when nothing asks for one.
+/// Time after a late tick during which the process treats nobody's silence as a failure.
+const LATE_TICK_GRACE: Duration = Duration::from_secs(3);
+/// Maximum interval between planning passes if none is requested.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(1000);
-/// Shortest pause between two planning rounds.
+/// Minimum interval between planning passes.
 pub(super) const MIN_PASS_INTERVAL: Duration = Duration::from_millis(120);
-/// Count. A pass is followed by a pause so many times as long as it took, if that is more.
+/// Minimum pause after a pass, as a multiple of the pass's duration.
 const PASS_PAUSE_FACTOR: u32 = 4;
-/// Starts a second of least urgent tasks: at first, and at the least and most. Ten keep an array
-/// going; thousands of tasks of a few seconds only fill heartbeats, which a new leader has to read
-/// all at once.
+/// Initial rate limit on starts of low-priority tasks, per second.
 const LOW_PRIORITY_STARTS_INITIAL: f64 = 100.0;
+/// Minimum rate, in starts per second: ten keep an array making progress.
 const LOW_PRIORITY_STARTS_MIN: f64 = 10.0;
+/// Maximum rate, in starts per second: thousands of tasks of a few seconds each mainly fill
+/// heartbeats, which a new leader has to process all at once.
 const LOW_PRIORITY_STARTS_MAX: f64 = 250.0;
-/// By how many a second that rate grows with each look at which the process was not late.
+/// Increase of the rate, in starts per second, at each adjustment at which the process was not
+/// late.
 const LOW_PRIORITY_STARTS_STEP: f64 = 5.0;
-/// Pause between two such looks.
+/// Interval between adjustments of the rate.
 pub(super) const PACE_ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
-/// A tick this late shows that the process falls behind.
+/// Lateness of a tick from which the process counts as falling behind.
 pub(crate) const LATE: Duration = Duration::from_millis(150);
 
-/// When planning passes and the periodic watch over machines are due.
+/// Due times of planning passes and of the periodic check of machines.
 #[derive(Debug)]
 pub(super) struct PlanningClock {
-    /// When the machines as a whole are looked at next.
+    /// Time of the next check of all machines.
     pub(super) next_watch: Instant,
-    /// The earliest time of the next planning pass.
+    /// Earliest time of the next planning pass.
     pub(super) next_pass: Instant,
-    /// Whether something happened that may change the plan.
+    /// Whether an event occurred that may change the plan.
     pub(super) pass_requested: bool,
-    /// When a pass is due even if no task waits for it.
+    /// Time at which a pass is due even if no task waits.
     pub(super) next_unconditional_pass: Instant,
-    /// Whether a pass was made in the event that is being handled.
+    /// Whether the event being handled included a pass.
     pub(super) pass_in_this_event: bool,
 }
 
 impl PlanningClock {
-    /// A clock by which everything is due now.
+    /// Creates a clock by which everything is due now.
     pub(super) fn new(now: Instant) -> PlanningClock {
         PlanningClock {
             next_watch: now,
@@ -52,15 +54,16 @@
         }
     }
 
-    /// When the next pass is due, if one is requested.
+    /// Returns when the next pass is due, if one is requested.
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.pass_requested.then_some(self.next_pass)
     }
 
-    /// Starts a new round if one is due. Without a request one is due after a longer time.
+    /// Returns whether a pass is due, and if so schedules the next. Without a request, a pass is
+    /// due after [`MAX_PASS_INTERVAL`].
     pub(super) fn start_round(&mut self, now: Instant) -> bool {
-        let patience = if self.pass_requested { Duration::ZERO } else { MAX_PASS_INTERVAL };
-        if now < self.next_pass + patience {
+        let max_delay = if self.pass_requested { Duration::ZERO } else { MAX_PASS_INTERVAL };
+        if now < self.next_pass + max_delay {
             return false;
         }
         self.pass_requested = false;
@@ -69,8 +72,8 @@
     }
 
     /// Records how long the last event took to handle. Passes take a bounded share of the
-    /// processor, however much waits: else they leave no time to carry out what they decide, nor
-    /// to renew the leader's lease.
+    /// processor, however many tasks wait: otherwise they would leave no time to carry out their
+    /// decisions or to renew the leader lease.
     pub(super) fn record_duration(&mut self, took: Duration, now: Instant) {
         if std::mem::take(&mut self.pass_in_this_event) {
             self.next_pass = self.next_pass.max(now + took * PASS_PAUSE_FACTOR);
@@ -78,22 +81,22 @@
     }
 }
 
-/// Bounds how many low-priority tasks are started a second: where the process falls behind, the
-/// thousands of small tasks of one array must not cost everybody else their leader.
+/// Limits the rate at which low-priority tasks are started. If the process falls behind, the rate
+/// drops, so that thousands of small tasks of one array don't cost all other users their leader.
 #[derive(Debug)]
 pub(super) struct StartPacer {
-    /// Starts of low-priority tasks that are allowed now.
+    /// Token bucket for starts of low-priority tasks.
     pub(super) low_priority_starts: TokenBucket,
-    /// Low-priority starts a second.
+    /// Current limit, in starts per second.
     rate: f64,
-    /// When the rate is adjusted next.
+    /// Time of the next adjustment of the rate.
     next_adjustment: Instant,
-    /// When this process last fell behind.
+    /// Time at which this process was last found to be behind.
     last_behind: Option<Instant>,
 }
 
 impl StartPacer {
-    /// A pacer at its first rate.
+    /// Creates a pacer at the initial rate.
     pub(super) fn new(now: Instant) -> StartPacer {
         StartPacer {
             low_priority_starts: TokenBucket::new(LOW_PRIORITY_STARTS_INITIAL, 1.0, now),
@@ -117,8 +120,8 @@
         self.low_priority_starts.set_rate(self.rate, now);
     }
 
-    /// Whether this process fell behind a moment ago.
+    /// Returns whether this process was found to be behind recently.
     pub(super) fn is_behind(&self, now: Instant) -> bool {
-        self.last_behind.is_some_and(|at| now < at + BEHIND_FOR)
+        self.last_behind.is_some_and(|at| now < at + LATE_TICK_GRACE)
     }
 }
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -143,7 +143,7 @@
         // stopped repeatedly until they finish late.
         let preemptions = self.jobs.progress.get(id).map_or(0, |progress| progress.preemptions);
         let repeat_weight = 1.0 + f64::from(preemptions) / spec.tasks as f64;
-        let minimum_width_cost_s = self.minimum_width_bonus_s(id, live);
+        let minimum_width_cost_s = self.minimum_width_cost_s(id, live);
         let saves = spec.checkpoint_s > 0.0;
         Some(Victim {
             attempt: attempt.clone(),
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -1,4 +1,4 @@
-//! Elastic jobs.
+//! Growth and preemption of elastic jobs.
 
 use super::fixture::TestLeader;
 use crate::ids::JobId;
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An elastic job starts at its least width, takes room that stayed free, makes way down to its least for
-/// what is more urgent, and does not come back at once.
+/// An elastic job starts at its minimum width, grows into free capacity, is preempted down to its
+/// minimum width for a job of higher priority, and pauses before it grows again.
 #[test]
 fn elastic_job_grows_into_free_capacity_and_shrinks_to_its_minimum() {
     let mut bench = TestLeader::new();
@@ -19,14 +19,14 @@
     settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
-    // Each worker does at once what it is told.
-    let mut second = |bench: &mut TestLeader| {
+    // Each worker carries out its commands at once.
+    let mut run_one_second = |bench: &mut TestLeader| {
         bench.pass(Duration::from_secs(1));
         for name in names {
-            let here = running.entry(name).or_default();
-            for order in bench.report(name, here.clone()) {
-                match order {
-                    WorkerCommand::Start { task, attempt } => here.push(TaskStatus {
+            let statuses = running.entry(name).or_default();
+            for command in bench.report(name, statuses.clone()) {
+                match command {
+                    WorkerCommand::Start { task, attempt } => statuses.push(TaskStatus {
                         task,
                         attempt,
                         state: TaskState::Running,
@@ -34,54 +34,55 @@
                         saved: None,
                     }),
                     WorkerCommand::Stop { task, attempt, .. } => {
-                        let ended =
-                            here.iter_mut().find(|t| (&t.task, t.attempt) == (&task, attempt));
-                        if let Some(ended) = ended {
-                            ended.state = TaskState::Exited;
-                            ended.why = Some("halted".into());
+                        let exited =
+                            statuses.iter_mut().find(|t| (&t.task, t.attempt) == (&task, attempt));
+                        if let Some(exited) = exited {
+                            exited.state = TaskState::Exited;
+                            exited.why = Some("halted".into());
                         }
                     }
                     WorkerCommand::Forget { task, attempt } => {
-                        here.retain(|t| (&t.task, t.attempt) != (&task, attempt));
+                        statuses.retain(|t| (&t.task, t.attempt) != (&task, attempt));
                     }
                 }
             }
-            bench.report(name, here.clone());
+            bench.report(name, statuses.clone());
         }
     };
     let width = |bench: &TestLeader, id: &JobId| bench.scheduler.jobs.progress[id].placed.len();
-    second(&mut bench);
-    let wide = bench.job("wk-1", JobKind::Array, 40);
+    run_one_second(&mut bench);
+    let elastic = bench.job("wk-1", JobKind::Array, 40);
     for _ in 0..3 {
-        second(&mut bench);
+        run_one_second(&mut bench);
     }
-    assert_eq!(width(&bench, &wide), 2);
-    let mut before = 2;
+    assert_eq!(width(&bench, &elastic), 2);
+    let mut previous_width = 2;
     for _ in 0..20 {
-        second(&mut bench);
-        assert!(width(&bench, &wide) >= before, "it never turns back by itself");
-        before = width(&bench, &wide);
+        run_one_second(&mut bench);
+        assert!(width(&bench, &elastic) >= previous_width, "the width shrinks without preemption");
+        previous_width = width(&bench, &elastic);
     }
-    // All but what is kept warm and what a half of a half leaves.
-    assert!((8..=16).contains(&before), "{before}");
-    let urgent = bench.job("wk-2", JobKind::Service, 14);
-    let Some(job) = bench.store.cache.jobs.all.get_mut(&urgent) else { panic!() };
+    // Each growth step takes half of the free capacity beside the warm capacity, so that some
+    // remains free.
+    assert!((8..=16).contains(&previous_width), "{previous_width}");
+    let production = bench.job("wk-2", JobKind::Service, 14);
+    let Some(job) = bench.store.cache.jobs.all.get_mut(&production) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
     for _ in 0..4 {
-        second(&mut bench);
+        run_one_second(&mut bench);
     }
-    assert_eq!((width(&bench, &urgent), width(&bench, &wide)), (14, 2));
-    // The urgent one is gone, and the elastic one rests before it grows again.
-    bench.store.cache.jobs.all.remove(&urgent);
-    bench.scheduler.jobs.progress.remove(&urgent);
-    bench.scheduler.stop_tasks_of_job(&urgent);
+    assert_eq!((width(&bench, &production), width(&bench, &elastic)), (14, 2));
+    // The job of higher priority is removed, and the elastic job pauses before it grows again.
+    bench.store.cache.jobs.all.remove(&production);
+    bench.scheduler.jobs.progress.remove(&production);
+    bench.scheduler.stop_tasks_of_job(&production);
     for _ in 0..8 {
-        second(&mut bench);
-        assert_eq!(width(&bench, &wide), 2);
+        run_one_second(&mut bench);
+        assert_eq!(width(&bench, &elastic), 2);
     }
     for _ in 0..25 {
-        second(&mut bench);
+        run_one_second(&mut bench);
     }
-    assert!(width(&bench, &wide) >= 8, "{}", width(&bench, &wide));
+    assert!(width(&bench, &elastic) >= 8, "{}", width(&bench, &elastic));
 }
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! Floors while capacity is scarce.
+//! Floors of groups while capacity is scarce.
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::cloud::MachinePool;
@@ -11,17 +11,17 @@
 use std::time::Duration;
 use troutspindle_protocol::operator_api::FairShareReport;
 
-/// Four machines, all that there are, full of an array's tasks and a service that wants all of it. Without
-/// floors it takes all; with them the array keeps what is above nothing of its floor, and what others
-/// give up goes first to whoever is below.
+/// An array fills the only four machines, then a service requests all of them. Without floors the
+/// service preempts the whole array. With floors the array keeps its floor, and the capacity above
+/// it goes first to the group below its floor.
 #[test]
-fn holdings_up_to_the_floor_stay_and_freed_capacity_goes_to_groups_below() {
-    let running = |bench: &TestLeader, id: &JobId| {
+fn preemption_leaves_groups_their_floor_and_serves_groups_below_theirs() {
+    let running_count = |bench: &TestLeader, id: &JobId| {
         let machines = bench.scheduler.fleet.machines.values();
         let entries = machines.flat_map(|m| m.attempts.iter());
         entries.filter(|((task, _), e)| task.job == *id && e.stop.is_none()).count()
     };
-    let play = |floor: f64| {
+    let run_with_floor = |floor: f64| {
         let mut bench = TestLeader::new();
         Arc::make_mut(&mut bench.scheduler.settings).operator.floor = floor;
         bench.scheduler.fair_share = FairShare::new(floor);
@@ -31,22 +31,22 @@
         bench.now += RENTAL_SETTLE_TIME * 2;
         names.iter().for_each(|name| drop(bench.report(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
-            let kind = MachinePool { flavor: 0, zone, spot };
+            let pool = MachinePool { flavor: 0, zone, spot };
             let backoff = CapacityBackoff { not_before: bench.now, max_request: PROBE_REQUEST };
-            bench.scheduler.autoscaler.capacity_backoff.insert(kind, backoff);
+            bench.scheduler.autoscaler.capacity_backoff.insert(pool, backoff);
         }
         let array = bench.job("wk-1", JobKind::Array, 400);
-        let second = |bench: &mut TestLeader| {
+        let run_one_second = |bench: &mut TestLeader| {
             bench.pass(Duration::from_secs(1));
             for name in names {
-                let orders = bench.report(name, vec![]);
-                bench.report(name, task_statuses(&orders, TaskState::Running));
+                let commands = bench.report(name, vec![]);
+                bench.report(name, task_statuses(&commands, TaskState::Running));
             }
         };
-        second(&mut bench);
-        assert_eq!(running(&bench, &array), 16);
+        run_one_second(&mut bench);
+        assert_eq!(running_count(&bench, &array), 16);
         for _ in 0..5 {
-            second(&mut bench);
+            run_one_second(&mut bench);
         }
         let service = bench.job("wk-2", JobKind::Service, 16);
         let live = bench.store.cache.jobs.all.get_mut(&service);
@@ -56,17 +56,20 @@
         for _ in 0..5 {
             bench.pass(Duration::from_millis(500));
         }
-        let starving = bench.scheduler.starving(bench.now);
-        (running(&bench, &array), running(&bench, &service), starving)
+        let report = bench.scheduler.starving(bench.now);
+        (running_count(&bench, &array), running_count(&bench, &service), report)
     };
-    let (array, _, starving) = play(0.0);
-    let leader = starving.leader.clone();
-    assert_eq!((array, starving), (0, FairShareReport { leader, ..FairShareReport::default() }));
-    let (array, _, starving) = play(0.5);
-    // By the rate at which its 400 tasks of 10 s came the array needs 13 machines and the service needs
-    // 4, so the array's floor is three quarters of what there is.
-    assert_eq!(array, 12, "{starving:?}");
-    assert!(starving.scarce_for_s.is_some() && starving.nothing_to_rent);
-    let below: Vec<&str> = starving.groups.iter().map(|group| group.class.as_str()).collect();
-    assert_eq!(below, ["urgent"], "its room is not free yet");
+    let (array_tasks, _, report) = run_with_floor(0.0);
+    let leader = report.leader.clone();
+    assert_eq!(
+        (array_tasks, report),
+        (0, FairShareReport { leader, ..FairShareReport::default() })
+    );
+    let (array_tasks, _, report) = run_with_floor(0.5);
+    // By the arrival rate of its 400 tasks of 10 s, the array needs 13 machines; the service needs
+    // 4. The array's floor is therefore three quarters of the fleet.
+    assert_eq!(array_tasks, 12, "{report:?}");
+    assert!(report.scarce_for_s.is_some() && report.nothing_to_rent);
+    let below: Vec<&str> = report.groups.iter().map(|group| group.class.as_str()).collect();
+    assert_eq!(below, ["urgent"], "the capacity preempted for it is not free yet");
 }
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of what one controller serves.
+//! Limits on the machines and calls that one controller serves.
 
 use super::fixture::TestLeader;
 use crate::admission::MACHINE_BYTES;
@@ -7,10 +7,10 @@
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeSet;
 
-/// Nothing is rented beyond what controllers can hold, what waits says why, and calls to workers go round
-/// where not all may be under way at once.
+/// No machine is rented beyond the limit of the controllers, waiting tasks report this cause, and
+/// all workers are called in turn if only a few calls may be in flight at once.
 #[test]
-fn rentals_and_calls_stay_within_what_a_controller_can_serve() {
+fn rentals_and_direct_calls_stay_within_controller_limits() {
     let mut bench = TestLeader::new();
     (0..9).for_each(|n| drop(bench.report(&format!("i-{n}"), vec![])));
     bench.scheduler.fleet.listed_once = true;
@@ -19,8 +19,8 @@
     for _ in 0..20 {
         bench.pass(MIN_PASS_INTERVAL * 5);
     }
-    let asked: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
-    assert_eq!(asked, 3);
+    let requested: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
+    assert_eq!(requested, 3);
     assert!(bench.scheduler.statistics.waiting_by_cause["controllers hold no more machines"] > 300);
     bench.scheduler.direct_calls.max_in_flight = 2;
     let mut called: Vec<MachineId> = Vec::new();
@@ -37,17 +37,18 @@
         assert!(calls.len() <= 2);
         called.extend(calls.into_iter().map(|call| call.machine));
     }
-    let different: BTreeSet<&MachineId> = called.iter().collect();
-    assert_eq!(different.len(), 9, "{called:?}");
+    let distinct: BTreeSet<&MachineId> = called.iter().collect();
+    assert_eq!(distinct.len(), 9, "{called:?}");
 }
 
-/// Bytes that a leader holds for a machine, by which the ceiling of machines reckons: counted, with a task for each two
-/// CPUs of it, a job for each three tasks, and names and images of some length.
+/// Measures the bytes that a leader allocates per machine, from which the maximum number of
+/// machines is computed. Each machine has one task per two of its CPUs, there is one job per three
+/// tasks, and names and images have a realistic length.
 #[test]
-fn machine_takes_less_memory_than_the_limit_assumes() {
+fn memory_per_machine_stays_below_the_estimate_of_the_machine_limit() {
     const MACHINES: usize = 300;
-    let mut held = None;
-    let info = allocation_counter::measure(|| {
+    let mut kept_leader = None;
+    let allocations = allocation_counter::measure(|| {
         let mut bench = TestLeader::new();
         for n in 0..MACHINES {
             let task = |index: u32| TaskStatus {
@@ -66,13 +67,13 @@
             bench.report(&format!("i-{n:06}"), (0..8).map(task).collect());
         }
         bench.pass(MIN_PASS_INTERVAL * 5);
-        held = Some(bench);
+        kept_leader = Some(bench);
     });
-    let bench = held.unwrap();
+    let bench = kept_leader.unwrap();
     assert_eq!(
         bench.scheduler.fleet.machines.values().map(|m| m.attempts.len()).sum::<usize>(),
         MACHINES * 8
     );
-    let each = info.bytes_current as f64 / MACHINES as f64;
-    assert!((2000.0..MACHINE_BYTES).contains(&each), "{each}");
+    let bytes_per_machine = allocations.bytes_current as f64 / MACHINES as f64;
+    assert!((2000.0..MACHINE_BYTES).contains(&bytes_per_machine), "{bytes_per_machine}");
 }
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that boot late or cannot be reached.
+//! Machines that boot late or are unreachable.
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::cloud::{CloudEvent, MachinePool};
@@ -15,52 +15,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where new machines come late all together, giving them back only begins the wait anew; one
-/// that others have overtaken is given up in time.
+/// If all new machines are delayed, terminating them would only restart the wait. Once a machine
+/// that was rented later is up, the delayed ones are overdue and are terminated.
 #[test]
-fn machines_that_boot_late_together_are_waited_for() {
+fn machines_delayed_together_are_kept_until_one_rented_later_is_up() {
     let mut bench = TestLeader::new();
     bench.report("i-0", vec![]);
     bench.job("wk-1", JobKind::Array, 4);
     let names: Vec<String> = (1..6).map(|n| format!("i-{n}")).collect();
-    let rented = names.iter().map(|name| MachineId::new(name)).collect();
-    let kind = MachinePool { flavor: 0, zone: 1, spot: true };
+    let machine_ids = names.iter().map(|name| MachineId::new(name)).collect();
+    let pool = MachinePool { flavor: 0, zone: 1, spot: true };
     bench.pass(MIN_PASS_INTERVAL);
-    let hired = CloudEvent::MachinesRented(kind, rented);
-    bench.scheduler.on_cloud(hired, &bench.store.cache, bench.now);
+    let rented_event = CloudEvent::MachinesRented(pool, machine_ids);
+    bench.scheduler.on_cloud(rented_event, &bench.store.cache, bench.now);
     let booting = |bench: &TestLeader| {
         bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
     };
-    let patience =
+    let boot_timeout =
         Duration::from_secs_f64(flavor().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
-    bench.pass(patience / 2);
+    bench.pass(boot_timeout / 2);
     let flavor = flavor();
-    let overdue = |bench: &TestLeader| {
-        let survey = bench.scheduler.fleet_summary(bench.now);
-        let overdue = bench.scheduler.overdue(&survey, bench.now);
+    let overdue_count = |bench: &TestLeader| {
+        let summary = bench.scheduler.fleet_summary(bench.now);
+        let is_overdue = bench.scheduler.boot_overdue(&summary, bench.now);
         bench
             .scheduler
             .fleet
             .machines
             .values()
-            .filter(|m| m.up_since.is_none() && overdue(m, &flavor))
+            .filter(|m| m.up_since.is_none() && is_overdue(m, &flavor))
             .count()
     };
-    assert_eq!(overdue(&bench), 0);
-    bench.pass(patience / 2 + MIN_PASS_INTERVAL);
+    assert_eq!(overdue_count(&bench), 0);
+    bench.pass(boot_timeout / 2 + MIN_PASS_INTERVAL);
     assert_eq!(booting(&bench), 5);
-    // One that was rented later is up.
+    // A machine that was rented later is up.
     bench.report("i-9", vec![]);
-    assert_eq!(overdue(&bench), 5);
+    assert_eq!(overdue_count(&bench), 5);
     bench.pass(MIN_PASS_INTERVAL * 2);
     assert_eq!(booting(&bench), 0);
 }
 
-/// A machine with replicas that answers nobody is terminated long before its lease is over, if the
-/// way to its zone was open when it was asked; what was asked during a cut proves nothing.
+/// A machine with replicas that answers nobody is terminated long before its lease expires, but
+/// only if other machines of its zone were reachable when it was called: unanswered calls during a
+/// network partition prove nothing.
 #[test]
-fn unreachable_machine_is_terminated_only_if_others_are_reachable() {
-    for open in [true, false] {
+fn unreachable_machine_is_terminated_before_lease_expiry_only_if_others_are_reachable() {
+    for others_reachable in [true, false] {
         let mut bench = TestLeader::new();
         let mut settings = Settings::clone(&bench.scheduler.settings);
         settings.platform.params.workers.lease_s = 60.0;
@@ -73,11 +74,11 @@
         let running = task_statuses(&orders, TaskState::Running);
         assert_eq!(running.len(), 1);
         bench.report("i-1", running);
-        let late = bench.scheduler.heartbeat_late_after();
-        let until = bench.now + late * 3;
+        let heartbeat_late_after = bench.scheduler.heartbeat_late_after();
+        let until = bench.now + heartbeat_late_after * 3;
         while bench.now < until {
-            // Behind a cut nobody is heard, until it ends.
-            if open || bench.now + TICK_MAX * 2 >= until {
+            // During a partition no machine is heard until it ends.
+            if others_reachable || bench.now + TICK_MAX * 2 >= until {
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
             bench.pass(TICK_MAX);
@@ -88,12 +89,12 @@
                     DirectCall::Do(orders) => Some(orders),
                     DirectCall::Status => None,
                 };
-                let gave_up = Err(crate::http::CallError::Unknown);
+                let no_response = Err(crate::http::CallError::Unknown);
                 let (cache, now) = (&bench.store.cache, bench.now);
-                bench.scheduler.on_worker_response(&id, sent.as_ref(), gave_up, cache, now);
+                bench.scheduler.on_worker_response(&id, sent.as_ref(), no_response, cache, now);
             }
         }
-        let life = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
-        assert_eq!(life == MachineState::Returning, open);
+        let state = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
+        assert_eq!(state == MachineState::Returning, others_reachable);
     }
 }
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! How much work a leader takes on at a time.
+//! Limits on the work that a leader takes on per tick.
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::MachineId;
@@ -10,10 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The thousands of small tasks of a guest's array must not cost the others their leader.
+/// Thousands of small tasks of one low-priority array must not overload the leader that all users
+/// share.
 #[test]
-fn low_priority_starts_slow_down_where_the_leader_falls_behind() {
-    let started = |late: Duration| {
+fn low_priority_start_rate_drops_when_the_leader_falls_behind() {
+    let count_starts = |late: Duration| {
         let mut bench = TestLeader::new();
         for n in 0..100 {
             bench.report(&format!("i-{n}"), vec![]);
@@ -28,15 +29,16 @@
         }
         bench.scheduler.statistics.starts
     };
-    assert_eq!(started(Duration::ZERO), 400);
-    let slow = started(LATE * 2);
-    assert!((50..200).contains(&slow), "{slow}");
+    assert_eq!(count_starts(Duration::ZERO), 400);
+    let starts = count_starts(LATE * 2);
+    assert!((50..200).contains(&starts), "{starts}");
 }
 
-/// Counts, not times: reports that say what is known leave no machine to look at, whatever there are of them, and one
-/// that leaves something owed leaves itself alone.
+/// A leader marks a machine dirty only if it still has to send it something: heartbeats that
+/// confirm the known state mark none, however many arrive, and one that shows a task to stop marks
+/// only its own machine. Counts machines instead of measuring time.
 #[test]
-fn tick_looks_at_no_unchanged_machine() {
+fn heartbeats_without_changes_mark_no_machine_dirty() {
     let mut bench = TestLeader::new();
     let names: Vec<String> = (0..40).map(|n| format!("i-{n:02}")).collect();
     for name in &names {
@@ -45,7 +47,7 @@
     let job = bench.job("wk-1", JobKind::Service, 60);
     (0..3).for_each(|_| bench.pass(MIN_PASS_INTERVAL * 5));
     assert_eq!(bench.scheduler.jobs.progress[&job].placed.len(), 60);
-    let mut running = HashMap::new();
+    let mut reported_statuses = HashMap::new();
     for state in [TaskState::Fetching, TaskState::Running] {
         for name in &names {
             let starts: Vec<WorkerCommand> = bench.scheduler.fleet.machines[&MachineId::new(name)]
@@ -56,8 +58,8 @@
                     attempt: *attempt,
                 })
                 .collect();
-            running.insert(name.clone(), task_statuses(&starts, state));
-            bench.report(name, running[name].clone());
+            reported_statuses.insert(name.clone(), task_statuses(&starts, state));
+            bench.report(name, reported_statuses[name].clone());
         }
     }
     bench.pass(MIN_PASS_INTERVAL * 5);
@@ -65,16 +67,16 @@
         !bench.scheduler.direct_calls.all_dirty
             && bench.scheduler.direct_calls.dirty_machines.is_empty()
     );
-    // As they come all day.
+    // The usual heartbeats, which confirm the known state.
     for name in &names {
-        assert_eq!(bench.report(name, running[name].clone()), []);
+        assert_eq!(bench.report(name, reported_statuses[name].clone()), []);
     }
     assert!(!bench.scheduler.direct_calls.all_dirty);
     assert_eq!(bench.scheduler.direct_calls.dirty_machines, BTreeSet::new());
-    // A job that is over has its tasks stopped, and each machine is looked at until it is told.
+    // The tasks of a finished job are stopped, and its machines stay dirty until notified.
     bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.store.cache);
-    let one = &names[0];
-    bench.report(one, running[one].clone());
+    let first_machine = &names[0];
+    bench.report(first_machine, reported_statuses[first_machine].clone());
     assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
     assert!(!bench.scheduler.has_pending_work(&bench.store.cache));
 }
