--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -24,8 +24,9 @@
 
 /// Time during which a pool that refused a rental is not requested again.
 const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
-/// Number of machines in the first request to a pool that refused a rental: tasks reserved on
-/// machines that the cloud doesn't have would wait in vain while other pools have some.
+/// Number of machines in the first request to a pool that refused a rental. It is small because
+/// tasks reserved on machines that the cloud doesn't have would wait in vain while other pools have
+/// some.
 pub(super) const PROBE_REQUEST: u32 = 2;
 /// Factor by which that number grows with each granted request.
 const PROBE_GROWTH: u32 = 4;
@@ -134,9 +135,9 @@
     /// Returns what can be rented now. A pool that refused is skipped for a while; after that,
     /// small requests are made, one at a time.
     pub(super) fn offers(&self, fleet: &FleetView, now: Instant) -> Vec<PoolOffer> {
-        let mut held = vec![MachineCount::default(); self.fleet.zone_count()];
+        let mut machine_counts = vec![MachineCount::default(); self.fleet.zone_count()];
         for machine in self.fleet.machines.values() {
-            *held[machine.zone].by_pricing(machine.spot) += 1;
+            *machine_counts[machine.zone].by_pricing(machine.spot) += 1;
         }
         let mut offers = Vec::new();
         for (flavor, machine_type) in self.fleet.machine_types.iter().enumerate() {
@@ -145,7 +146,7 @@
                 for spot in [true, false] {
                     let pool = MachinePool { flavor, zone, spot };
                     let Some(available) = self.available(&pool, fleet, now) else { continue };
-                    let held = *held[zone].by_pricing(spot);
+                    let held = *machine_counts[zone].by_pricing(spot);
                     let offer = offer(&pool, machine_type, fleet, available, held);
                     offers.push(PoolOffer { pool, offer });
                 }
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -104,22 +104,22 @@
         if progress.failures.is_job_faulty() {
             return;
         }
-        let (held, waiting) = (progress.placed.len() as u64, progress.waiting(job));
+        let (placed, waiting) = (progress.placed.len() as u64, progress.waiting(job));
         let empty = Demand { ordinary: true, guest, ..Demand::default() };
         let demand = totals.demands.entry(group).or_insert(empty);
         demand.ordinary &= !job.spec.spot;
-        demand.held += task_capacity * held;
+        demand.held += task_capacity * placed;
         demand.waiting += task_capacity * waiting;
         if progress.predates_leadership && totals.has_unconfirmed {
             *totals.maybe_started.entry(group).or_default() += task_capacity * waiting;
         }
         if job.spec.shape == JobKind::Service {
-            demand.offered += task_capacity * (held + waiting);
+            demand.offered += task_capacity * (placed + waiting);
             self.fair_share.service_groups.insert(group);
             return;
         }
         let finish_s = self.settings.finish_objective(&job.spec.class).unwrap_or(DEFAULT_FINISH_S);
-        *totals.backlog.entry(group).or_default() += (task_capacity * (held + waiting)) as f64
+        *totals.backlog.entry(group).or_default() += (task_capacity * (placed + waiting)) as f64
             * occupancy_s
             / (finish_s * BACKLOG_TIME_FACTOR);
         if !std::mem::replace(&mut progress.counted_as_demand, true) {
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -40,7 +40,7 @@
     pub(in crate::scheduler) const MACHINE_BOOTING: &str = "machine to come";
     /// The controllers cannot serve more machines.
     pub(in crate::scheduler) const MACHINE_LIMIT: &str = "controllers hold no more machines";
-    /// No machine has enough free capacity, and none that has can be rented.
+    /// No machine has enough free capacity, and no suitable machine can be rented.
     pub(in crate::scheduler) const NO_FREE_CAPACITY: &str = "no room";
     /// The tasks failed and are retried after a backoff.
     pub(in crate::scheduler) const RETRY_BACKOFF: &str = "pause after a failure";
@@ -103,7 +103,7 @@
             return;
         }
         // Waiting low-priority tasks don't prevent consolidation: they can use the machines that it
-        // empties, and tasks are never moved into capacity that these need because it isn't free.
+        // empties, and capacity that they need themselves isn't free, so no task is moved into it.
         let requests = &demand.requests;
         let only_low_priority = requests.iter().all(|job| job.request.priority == Priority::Low);
         if only_low_priority && now >= self.consolidation.next_round && !self.is_draining() {
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after a late tick during which the process treats nobody's silence as a failure.
+/// Time after a late tick during which the process doesn't treat the silence of other processes as
+/// a failure.
 const LATE_TICK_GRACE: Duration = Duration::from_secs(3);
 /// Maximum interval between planning passes if none is requested.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(1000);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -139,7 +139,8 @@
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
 
-    /// Preempts tasks for one task on a machine that has its image. Returns whether it found any.
+    /// Preempts tasks for one task on a machine that has its image. Returns whether there were any
+    /// to preempt.
     pub(super) fn preempt_for_image(
         &mut self,
         request: &PlacementRequest,
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -14,8 +14,8 @@
 use ordered_float::OrderedFloat;
 use tokio::time::Instant;
 
-/// Remaining run time in seconds below which a task is not preempted: a stop and the heartbeat that
-/// confirms it take as long.
+/// Remaining run time in seconds below which a task is not preempted: stopping it and hearing of
+/// the stop in a heartbeat take as long.
 const MIN_REMAINING_RUN_S: f64 = 3.0;
 /// Seconds of work that may be repeated so that a task starts where its image is. A fetch takes a
 /// few seconds, while an array that repeats minutes of work finishes late.
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -18,12 +18,12 @@
     let class = jobs::fixtures::job_spec("wk-1", 1).class;
     settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
-    let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
+    let mut statuses_by_worker: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     // Each worker carries out its commands at once.
     let mut run_one_second = |bench: &mut TestLeader| {
         bench.pass(Duration::from_secs(1));
         for name in names {
-            let statuses = running.entry(name).or_default();
+            let statuses = statuses_by_worker.entry(name).or_default();
             for command in bench.report(name, statuses.clone()) {
                 match command {
                     WorkerCommand::Start { task, attempt } => statuses.push(TaskStatus {
@@ -59,7 +59,7 @@
     let mut previous_width = 2;
     for _ in 0..20 {
         run_one_second(&mut bench);
-        assert!(width(&bench, &elastic) >= previous_width, "the width shrinks without preemption");
+        assert!(width(&bench, &elastic) >= previous_width, "width shrank without preemption");
         previous_width = width(&bench, &elastic);
     }
     // Each growth step takes half of the free capacity beside the warm capacity, so that some
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Limits on the work that a leader takes on per tick.
+//! Limits on the work that a leader takes on at a time.
 
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::MachineId;
