--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -247,7 +247,7 @@
         });
     }
     (0..PASSES_UNTIL_SCARCE).for_each(|_| leader.pass());
-    assert!(leader.scheduler.starving(leader.now).scarce_for_s.is_some());
+    assert!(leader.scheduler.fair_share_report(leader.now).scarce_for_s.is_some());
 }
 
 fn planning(criterion: &mut Criterion) {
--- a/src/controller/limits.rs
+++ b/src/controller/limits.rs
@@ -1,7 +1,7 @@
 //! How much this controller can take now.
 
 use crate::admission::{LoadEstimator, MachineLimit, SocketBudget};
-use crate::scheduler::planning_clock::LATE;
+use crate::scheduler::planning_clock::LATE_TICK;
 use crate::settings::Resources;
 use tokio::time::Instant;
 
@@ -33,6 +33,6 @@
     pub(super) fn observe(&mut self, machines: usize, lateness: std::time::Duration, now: Instant) {
         self.sheds_users = self.sockets.sheds_users(machines, self.sheds_users);
         let machines = u32::try_from(machines).unwrap_or(u32::MAX);
-        self.machine_limit.observe(machines, lateness > LATE, now);
+        self.machine_limit.observe(machines, lateness > LATE_TICK, now);
     }
 }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn on_starving(&self, body: &[u8], now: Instant) -> Response {
-        self.respond_from_scheduler(body, now, |scheduler| scheduler.starving(now))
+        self.respond_from_scheduler(body, now, |scheduler| scheduler.fair_share_report(now))
     }
 
     /// What only the leader can tell an operator.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -8,7 +8,7 @@
 use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
-use crate::scheduler::planning_clock::LATE;
+use crate::scheduler::planning_clock::LATE_TICK;
 use crate::schema::records::{FORMAT, VersionRecord};
 use crate::store::{OutgoingRequest, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Heartbeat, RangeResponse, Write};
@@ -124,7 +124,7 @@
             };
             scheduler.on_heartbeat(&report, cache, now);
         }
-        scheduler.adjust_pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
+        scheduler.adjust_pace(if falls_behind { LATE_TICK * 2 } else { Duration::ZERO }, now);
         controller.scheduler = Some(scheduler);
         controller.update_limits(now);
         controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -248,7 +248,7 @@
             self.watch(store, cloud, now);
         }
         self.store(store, now);
-        if self.planning_clock.start_round(now) {
+        if self.planning_clock.start_pass_if_due(now) {
             self.plan_if_useful(&store.cache, cloud, now);
         }
         self.send_direct_calls(now);
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -89,7 +89,7 @@
     }
 
     /// Reports the groups below their floors to operators.
-    pub fn starving(&self, now: Instant) -> FairShareReport {
+    pub fn fair_share_report(&self, now: Instant) -> FairShareReport {
         let fair_share = &self.fair_share;
         let since = fair_share.scarcity.since();
         let elapsed = self.term.elapsed(now);
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -26,7 +26,7 @@
 /// Interval between adjustments of the rate.
 pub(super) const PACE_ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Lateness of a tick from which the process counts as falling behind.
-pub(crate) const LATE: Duration = Duration::from_millis(150);
+pub(crate) const LATE_TICK: Duration = Duration::from_millis(150);
 
 /// Due times of planning passes and of the periodic check of machines.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 
     /// Returns whether a pass is due, and if so schedules the next. Without a request, a pass is
     /// due after [`MAX_PASS_INTERVAL`].
-    pub(super) fn start_round(&mut self, now: Instant) -> bool {
+    pub(super) fn start_pass_if_due(&mut self, now: Instant) -> bool {
         let max_delay = if self.pass_requested { Duration::ZERO } else { MAX_PASS_INTERVAL };
         if now < self.next_pass + max_delay {
             return false;
@@ -113,10 +113,11 @@
             return;
         }
         self.next_adjustment = now + PACE_ADJUSTMENT_INTERVAL;
-        if late > LATE {
+        if late > LATE_TICK {
             self.last_behind = Some(now);
         }
-        let rate = if late > LATE { self.rate / 2.0 } else { self.rate + LOW_PRIORITY_STARTS_STEP };
+        let rate =
+            if late > LATE_TICK { self.rate / 2.0 } else { self.rate + LOW_PRIORITY_STARTS_STEP };
         self.rate = rate.clamp(LOW_PRIORITY_STARTS_MIN, LOW_PRIORITY_STARTS_MAX);
         self.low_priority_starts.set_rate(self.rate, now);
     }
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -56,7 +56,7 @@
         for _ in 0..5 {
             bench.pass(Duration::from_millis(500));
         }
-        let report = bench.scheduler.starving(bench.now);
+        let report = bench.scheduler.fair_share_report(bench.now);
         (running_count(&bench, &array), running_count(&bench, &service), report)
     };
     let (array_tasks, _, report) = run_with_floor(0.0);
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -3,7 +3,7 @@
 use super::fixture::{TestLeader, task_statuses};
 use crate::ids::MachineId;
 use crate::jobs::JobBody;
-use crate::scheduler::planning_clock::{LATE, MIN_PASS_INTERVAL, PACE_ADJUSTMENT_INTERVAL};
+use crate::scheduler::planning_clock::{LATE_TICK, MIN_PASS_INTERVAL, PACE_ADJUSTMENT_INTERVAL};
 use crate::wire::{JobKind, Priority, TaskState, WorkerCommand};
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeSet;
@@ -30,7 +30,7 @@
         bench.scheduler.statistics.starts
     };
     assert_eq!(count_starts(Duration::ZERO), 400);
-    let starts = count_starts(LATE * 2);
+    let starts = count_starts(LATE_TICK * 2);
     assert!((50..200).contains(&starts), "{starts}");
 }
 
