--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -24,9 +24,8 @@
 
 /// Time during which a pool that refused a rental is not requested again.
 const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
-/// Number of machines in the first request to a pool that refused a rental. It is small because
-/// tasks reserved on machines that the cloud doesn't have would wait in vain while other pools have
-/// some.
+/// Number of machines in the first request to a pool that refused a rental; small because tasks
+/// reserved on machines that the cloud doesn't have wait in vain while other pools have some.
 pub(super) const PROBE_REQUEST: u32 = 2;
 /// Factor by which that number grows with each granted request.
 const PROBE_GROWTH: u32 = 4;
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -97,8 +97,7 @@
         let mut boot_timeout = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
         if !self.summary.overtaken()(machine) {
-            // No machine that was rented later is up either: all are delayed, and replacements
-            // would be too.
+            // No machine rented later is up either: all are delayed, and so would be replacements.
             boot_timeout *= 2;
         }
         let age = self.now.saturating_duration_since(machine.rented);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -28,8 +28,7 @@
 const MAX_MOVED_CHECKPOINTING_SHARE: f64 = 0.1;
 /// Maximum number of machines that one round searches, least used first, to bound its duration.
 const MAX_MACHINES_SEARCHED: usize = 60;
-/// Minimum run time of a task before it is moved: users don't count a start that is undone within
-/// half a minute.
+/// Minimum run time before a move: users don't count a start that is undone within half a minute.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(45);
 /// Maximum used share of a machine's CPU for it to be emptied.
 const MAX_USED_CPU_SHARE: f64 = 0.55;
@@ -104,8 +103,7 @@
 
 impl Scheduler {
     /// Empties the least used machines whose tasks all fit on others that have their images. The
-    /// maximum number of moves depends on the number of running tasks; one machine is emptied in
-    /// any case.
+    /// more tasks run, the more may be moved; one machine is emptied in any case.
     pub(super) fn consolidate(&mut self, machines: &MachineBins, cache: &Cache, now: Instant) {
         for evacuation in self.choose_evacuations(machines, cache, now) {
             self.evacuate(&evacuation.machine, cache, now);
@@ -185,8 +183,7 @@
         budget
     }
 
-    /// Returns whether a job may use this bin's machine, by its zone, its type, and whether it is a
-    /// spot machine.
+    /// Returns whether a job's constraints on zone, machine type and spot machines allow a bin.
     pub(super) fn allows_bin(&self, spec: &JobSpec, bin: &Bin) -> bool {
         let zone = self.fleet.zone_name(bin.zone.index());
         let machine_type = &self.fleet.machine_types[bin.machine_type.index()].name;
@@ -312,8 +309,7 @@
         !spec.spread || self.tasks_in_zone(scheduler, bin.zone, job) < zone_limit
     }
 
-    /// Returns how many of a job's tasks are in a zone or would move there, not counting those on
-    /// this machine.
+    /// Returns how many of a job's tasks are in a zone or would move there, except this machine's.
     fn tasks_in_zone(&self, scheduler: &Scheduler, zone: ZoneId, job: &JobId) -> u32 {
         let progress = scheduler.jobs.progress.get(job);
         let placed = progress.into_iter().flat_map(|progress| progress.placed.values());
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -94,8 +94,7 @@
         if self.width(id) <= elastic.least { MINIMUM_WIDTH_COST_S } else { 0.0 }
     }
 
-    /// Records that tasks of these jobs were preempted, so that the jobs pause before they grow
-    /// again.
+    /// Records that tasks of these jobs were preempted: the jobs pause before they grow again.
     pub(super) fn pause_elastic_growth(&mut self, jobs: &[JobId], now: Instant) {
         if self.settings.operator.elastic.is_empty() {
             return;
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -46,8 +46,7 @@
     demands: BTreeMap<DemandGroup, Demand>,
     /// Capacity of the fleet in the last planning pass.
     supply: Supply,
-    /// Number of tasks that still waited after the last planning pass; kept while capacity is
-    /// scarce.
+    /// Number of tasks that waited after the last planning pass; kept while capacity is scarce.
     waiting: BTreeMap<WaitingCause, u64>,
     /// Whether the cloud has granted or refused a rental to this leader.
     cloud_responded: bool,
@@ -130,14 +129,12 @@
         Some(DemandGroup { class, team: TeamId::new(self.team_of(&job.spec.team)) })
     }
 
-    /// Returns the seconds for which a task of the job occupies its capacity, including the gap
-    /// before the next task.
+    /// Returns the seconds that a task occupies its capacity, with the gap before the next task.
     fn task_occupancy_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         self.run_s(id, job, self.settings.operator.estimates.learn) + STAGE_OVERHEAD.as_secs_f64()
     }
 
-    /// Returns the share of its group that a task with these resources uses; none for a class that
-    /// is not known yet.
+    /// Returns a task's share of its group; none for a class that is not known yet.
     pub(super) fn group_share(
         &self,
         job: &LiveJob,
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -57,8 +57,7 @@
     }
 
     /// Moves requests of groups below their floors to the front, groups with the smallest fraction
-    /// of their floor first. A request is split if only some of its tasks are needed to reach the
-    /// floor.
+    /// of their floor first. A request is split if only some of its tasks fit below the floor.
     pub(in crate::scheduler) fn prioritize_below_floor(
         &self,
         requests: &mut Vec<JobRequest>,
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -33,8 +33,7 @@
     elapsed: Duration,
     /// Current time in milliseconds since the Unix epoch.
     now_ms: u64,
-    /// Whether free capacity remains on machines that no heartbeat to this leader has confirmed
-    /// yet.
+    /// Whether unconfirmed machines have free capacity.
     has_unconfirmed: bool,
     demands: BTreeMap<DemandGroup, Demand>,
     /// Capacity needed to finish each group's arrays within the backlog's target time.
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -35,8 +35,8 @@
 }
 
 impl Scheduler {
-    /// Returns a job's request for zero tasks, from its specification alone; none if its zone or
-    /// team is not known.
+    /// Returns a job's request for zero tasks, from its specification; none for an unknown zone or
+    /// team.
     pub(super) fn base_request(
         &mut self,
         id: &JobId,
@@ -156,8 +156,7 @@
     ) -> Option<()> {
         let spec = &job.spec;
         let progress = self.jobs.progress.get(id)?;
-        // Tens of thousands of tasks may be placed: they are iterated over only if their zones
-        // matter.
+        // Tens of thousands of tasks may be placed, so they are visited only if their zones matter.
         let zones_matter = spec.spread || spec.one_zone;
         for placed in progress.placed.values().filter(|_| zones_matter) {
             let Some(machine) = self.fleet.machines.get(&placed.machine) else { continue };
@@ -261,8 +260,7 @@
 
     /// Returns the warm capacity to keep in a zone, in parts of a machine.
     fn warm_parts(&self, machines_up: usize) -> u64 {
-        // The number of tasks that arrive at once grows with the fleet, and so does the warm
-        // capacity.
+        // The number of tasks that arrive at once grows with the fleet, so warm capacity does too.
         let share = self.settings.operator.warm_share * machines_up as f64;
         let machines = self.settings.operator.warm_per_zone.max(share);
         (machines * WARM_PARTS_PER_MACHINE as f64).round() as u64
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -53,7 +53,7 @@
     pub(in crate::scheduler) const UNCONFIRMED_MACHINE: &str = "unconfirmed machine";
 }
 
-/// Delay before the next pass if the passage of time alone may change its outcome, as a multiple of
+/// Delay before the next pass if time alone may change its outcome, in units of
 /// [`MIN_PASS_INTERVAL`].
 const RETRY_PASS_INTERVALS: u32 = 4;
 /// Shorter delay that applies if a task's retry backoff expires within [`RETRY_PASS_INTERVALS`].
@@ -157,8 +157,7 @@
         if retry.is_none() && placement.unplaceable.is_empty() && placement.booked.is_empty() {
             return;
         }
-        // The passage of time alone may change the outcome: backoffs expire and pools can be
-        // requested again.
+        // Time alone may change the outcome: backoffs expire and pools can be requested again.
         self.planning_clock.pass_requested = true;
         let expires_soon =
             retry.is_some_and(|at| at < now + MIN_PASS_INTERVAL * RETRY_PASS_INTERVALS);
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -25,8 +25,7 @@
 }
 
 impl JobRequest {
-    /// Splits off a request for `count` of the tasks, which the remaining request no longer
-    /// contains.
+    /// Splits off a request for `count` of the tasks, and removes these from this request.
     pub(in crate::scheduler) fn take(&mut self, count: u32) -> JobRequest {
         let request = PlacementRequest { count, ..self.request.clone() };
         self.request.count -= count;
@@ -65,8 +64,8 @@
 pub(in crate::scheduler) struct DemandQueue {
     /// Requests of jobs.
     pub(in crate::scheduler) requests: Vec<JobRequest>,
-    /// Capacity to keep free for future tasks. It is placed after all jobs' requests, and no task
-    /// is started in it.
+    /// Capacity to keep free for future tasks. Placed after all jobs' requests; no task starts in
+    /// it.
     pub(in crate::scheduler) reservations: Vec<PlacementRequest>,
     /// Time at which the first retry backoff expires.
     pub(in crate::scheduler) next_backoff_expiry: Option<Instant>,
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -34,8 +34,8 @@
     pub(in crate::scheduler) team_headroom: Vec<Amount>,
     /// Summary of the state of all machines.
     pub(in crate::scheduler) summary: FleetSummary,
-    /// Whether a zone is unreachable or drained, so that nothing is reserved or rented there;
-    /// indexed by zone.
+    /// Whether a zone is closed to reservations and rentals: unreachable or drained; indexed by
+    /// zone.
     pub(in crate::scheduler) closed_zones: Vec<bool>,
     /// Machines that placement may use.
     pub(in crate::scheduler) machines: MachineBins,
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -26,8 +26,7 @@
     pub(super) maybe_used: Vec<Amount>,
 }
 
-/// The ready jobs in order of service, with the resources that they may use on unconfirmed
-/// machines.
+/// The ready jobs in order of service, with their possible usage of unconfirmed machines.
 struct ServiceQueue {
     queue: Vec<QueuedJob>,
     maybe_used: Vec<Amount>,
@@ -87,8 +86,7 @@
         ServiceQueue { queue, maybe_used }
     }
 
-    /// Returns a job's queue entry, without the parts that depend on other jobs: age rank and
-    /// quota.
+    /// Returns a job's queue entry without its age rank and quota, which depend on other jobs.
     fn queued_job(&self, id: &JobId, job: &LiveJob, team: usize, now: Instant) -> QueuedJob {
         let spec = &job.spec;
         let progress = &self.jobs.progress[id];
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -44,8 +44,7 @@
                     && self.fetch_is_late(job, id, cache)
                     && self.preempt_for_image(preemptor, victims, cache, now)
                 {
-                    // The task starts on the machine with its image once the preempted tasks have
-                    // stopped.
+                    // The task starts on the machine with its image once that capacity is free.
                     continue;
                 }
                 preemptor.zone_limits.consume(zone, 1);
@@ -92,8 +91,8 @@
     fn start(&mut self, id: &MachineId, task: TaskId, cache: &Cache, now: Instant) {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         if !live.is_ready() {
-            // Jobs that are not ready make no request; this check is the last guard against an
-            // early start.
+            // Jobs that are not ready make no request; this check is a last guard against early
+            // starts.
             tracing::error!(%task, "not started: dependencies are not met");
             return;
         }
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -4,8 +4,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after a late tick during which the process doesn't treat the silence of other processes as
-/// a failure.
+/// Time after a late tick during which the process doesn't treat others' silence as a failure.
 const LATE_TICK_GRACE: Duration = Duration::from_secs(3);
 /// Maximum interval between planning passes if none is requested.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(1000);
@@ -20,8 +19,7 @@
 /// Maximum rate, in starts per second: thousands of tasks of a few seconds each mainly fill
 /// heartbeats, which a new leader has to process all at once.
 const LOW_PRIORITY_STARTS_MAX: f64 = 250.0;
-/// Increase of the rate, in starts per second, at each adjustment at which the process was not
-/// late.
+/// Increase of the rate, in starts per second, at each adjustment without a late tick.
 const LOW_PRIORITY_STARTS_STEP: f64 = 5.0;
 /// Interval between adjustments of the rate.
 pub(super) const PACE_ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -139,8 +139,7 @@
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
 
-    /// Preempts tasks for one task on a machine that has its image. Returns whether there were any
-    /// to preempt.
+    /// Preempts tasks for one task on a machine that has its image, and returns whether it could.
     pub(super) fn preempt_for_image(
         &mut self,
         request: &PlacementRequest,
@@ -151,8 +150,7 @@
         self.preempt_for(request, 1, true, victims, cache, now) > 0
     }
 
-    /// Preempts tasks for up to `count` tasks, cheapest first, and returns for how many it
-    /// succeeded.
+    /// Preempts tasks for up to `count` tasks, cheapest first, and returns for how many it could.
     fn preempt_for(
         &mut self,
         request: &PlacementRequest,
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -26,10 +26,10 @@
     attempt: TaskAttempt,
     priority: Priority,
     resources: Amount,
-    /// Seconds of work lost if the task may save its progress, weighted up for jobs whose tasks
-    /// were preempted before.
+    /// Seconds of work lost if the task may save its progress; more if its job was preempted
+    /// before.
     loss_with_save_s: f64,
-    /// Seconds of work lost if it may not save its progress, with the same weight.
+    /// The same if the task may not save its progress.
     loss_without_save_s: f64,
     /// Time to save the progress, in seconds; 0 for a task that saves none.
     save_s: f64,
@@ -51,8 +51,7 @@
 
 /// Tasks of a machine to preempt for one task.
 pub(super) struct PreemptionOption {
-    /// Seconds of work that are repeated, plus [`MISSING_IMAGE_COST_S`] if the machine lacks the
-    /// image.
+    /// Seconds of repeated work, plus [`MISSING_IMAGE_COST_S`] if the machine lacks the image.
     pub(super) cost_s: OrderedFloat<f64>,
     loss_s: f64,
     /// Ascending positions in the machine's list of victims.
@@ -168,8 +167,7 @@
     }
 }
 
-/// Returns the expected seconds of work since the last checkpoint: half a checkpoint interval on
-/// average.
+/// Returns the expected seconds of work since the last checkpoint: on average half an interval.
 fn unsaved_work_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if spec.checkpoint_s > 0.0 { ran_s.min(spec.checkpoint_s / 2.0) } else { ran_s }
 }
@@ -194,8 +192,8 @@
                 break;
             }
             if victim.priority > request.priority {
-                // The loss is scaled by size: the lost work matters, not the number of tasks that
-                // it is divided into.
+                // Scaled by size: the lost work matters, not the number of tasks that it is divided
+                // into.
                 let share = victim.resources.cpu as f64 / request.resources.cpu.max(1) as f64;
                 loss_s += share * victim.loss_s(needed.max_save_s);
                 free = free.plus(&victim.resources);
@@ -213,8 +211,7 @@
         Some(PreemptionOption { cost_s, loss_s, victims })
     }
 
-    /// Removes the victims of an option from the list, and allocates the freed capacity to the
-    /// task.
+    /// Removes an option's victims from the list, and allocates the freed capacity to the task.
     pub(super) fn preempt(
         &mut self,
         option: &PreemptionOption,
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -10,8 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Thousands of small tasks of one low-priority array must not overload the leader that all users
-/// share.
+/// Thousands of small tasks of one low-priority array must not overload the leader of all users.
 #[test]
 fn low_priority_start_rate_drops_when_the_leader_falls_behind() {
     let count_starts = |late: Duration| {
