--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn on_starving(&self, body: &[u8], now: Instant) -> Response {
-        self.respond_from_scheduler(body, now, |scheduler| scheduler.starving(now))
+        self.respond_from_scheduler(body, now, |scheduler| scheduler.fair_share_report(now))
     }
 
     /// Responds to a query that only the leader can answer; other controllers respond with 421.
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -10,7 +10,7 @@
 use crate::peers::mesh::{self, ChunkAssembler, PeerCapabilities, PeerMessage};
 use crate::peers::message_route::MessageRoute;
 use crate::scheduler::Scheduler;
-use crate::scheduler::planning_clock::LATE;
+use crate::scheduler::planning_clock::LATE_TICK;
 use crate::schema::records::{FORMAT, VersionRecord};
 use crate::store::{OutgoingRequest, StoreRequest, StoreResponse, Versioned};
 use crate::wire::{Heartbeat, RangeResponse, Write};
@@ -126,7 +126,7 @@
             };
             scheduler.on_heartbeat(&heartbeat, cache, now);
         }
-        scheduler.adjust_pace(if falls_behind { LATE * 2 } else { Duration::ZERO }, now);
+        scheduler.adjust_pace(if falls_behind { LATE_TICK * 2 } else { Duration::ZERO }, now);
         controller.scheduler = Some(scheduler);
         controller.update_limits(now);
         controller.scheduler.as_ref().map_or(0, |scheduler| scheduler.max_direct_calls())
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -247,7 +247,7 @@
             self.run_periodic_checks(store, cloud, now);
         }
         self.enqueue_due_writes(store, now);
-        if self.planning_clock.start_round(now) {
+        if self.planning_clock.start_pass_if_due(now) {
             self.plan_if_useful(&store.cache, cloud, now);
         }
         self.send_direct_calls(now);
