--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs as this process knows them, and how they change. How they are stored is in
-//! [`crate::schema::records`].
+//! In-memory state of jobs, and the transactions that accept, advance and finish them. The stored
+//! form is defined in [`crate::schema::records`].
 
 mod completed_chunks;
 pub mod dag;
--- a/src/jobs/completed_chunks.rs
+++ b/src/jobs/completed_chunks.rs
@@ -1,4 +1,4 @@
-//! Chunks of completed tasks that are stored beside a job's record.
+//! Chunks of completed tasks that are stored under keys of their own, beside a job's record.
 
 use crate::ids::{JobId, Revision};
 use crate::jobs::task_set::TaskSet;
@@ -8,34 +8,35 @@
 };
 use std::collections::BTreeMap;
 
-/// The layout that a chunk belongs to.
+/// Storage layout that a chunk belongs to (see [`crate::schema::records`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ChunkLayout {
     First,
     Second,
 }
 
-/// Names one chunk of a job.
+/// Identifies one chunk of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ChunkId {
     pub(super) layout: ChunkLayout,
     pub(super) number: u32,
 }
 
-/// The chunks of a job that are stored, with the revisions of their keys.
+/// Stored chunks of a job and the revisions of their keys.
 pub(super) type ChunkRevisions = BTreeMap<ChunkId, Revision>;
 
-/// A chunk that was read before its job's record: pages are read in the order of keys.
+/// A chunk that was read before its job's record, which happens because pages are read in the order
+/// of keys.
 #[derive(Debug)]
 pub(super) struct EarlyChunk {
     pub(super) tasks: TaskSet,
     pub(super) revision: Revision,
 }
 
-/// All such chunks of a job.
+/// All chunks of a job that were read before its record.
 pub(super) type EarlyChunks = BTreeMap<ChunkId, EarlyChunk>;
 
-/// A key of a chunk, taken apart.
+/// Parsed key of a chunk.
 #[derive(Debug)]
 pub(super) struct ChunkKey {
     pub(super) job: JobId,
@@ -52,7 +53,7 @@
 }
 
 impl ChunkKey {
-    /// Whether a key is one of a chunk, by its prefix.
+    /// Returns whether the key has the prefix of a chunk of either layout.
     pub(super) fn matches(key: &str) -> bool {
         ChunkKey::split_prefix(key).is_some()
     }
--- a/src/jobs/fixtures.rs
+++ b/src/jobs/fixtures.rs
@@ -1,9 +1,9 @@
-//! Job descriptions for tests, in this module and elsewhere.
+//! Job descriptions for unit tests of this and other modules.
 
 use crate::ids::JobId;
 use crate::wire::{JobKind, JobSpec, Priority};
 
-/// A job array with one requested CPU and 1 GB of memory for each task.
+/// Returns a job array whose tasks request one CPU and 1 GB of memory each.
 pub(crate) fn job_spec(id: &str, tasks: u64) -> JobSpec {
     JobSpec {
         id: JobId::new(id),
--- a/src/jobs/garbage.rs
+++ b/src/jobs/garbage.rs
@@ -1,30 +1,30 @@
-//! Keys that nothing needs any more.
+//! Stored keys that are no longer needed.
 
 use crate::ids::{JobId, Revision};
 use crate::wire::Write;
 use std::collections::BTreeMap;
 
-/// A write that collects garbage, and the revision that its key must still have.
+/// A write of garbage collection, valid only while its key has the given revision.
 #[derive(Debug)]
 pub struct GarbageWrite {
-    /// The removal, or the end of a job that is cancelled by a dependency.
+    /// Deletion of a key, or the final record of a job that was cancelled by a dependency.
     pub write: Write,
-    /// The revision of its key.
+    /// Revision that the key must still have.
     pub revision: Revision,
 }
 
-/// A chunk of a description whose job was never accepted, though its submission has begun.
+/// A chunk of a description whose submission began but whose job was never accepted.
 #[derive(Debug)]
 pub struct OrphanedSpecChunk {
-    /// The job.
+    /// Job that the description was submitted for.
     pub job: JobId,
-    /// The chunk's key.
+    /// Key of the chunk in the store.
     pub key: String,
-    /// The revision of its key.
+    /// Revision of that key.
     pub revision: Revision,
 }
 
-/// Keys that finished jobs have beside their records, with their revisions.
+/// Keys that finished jobs still have beside their records, and the revisions of the keys.
 #[derive(Debug, Default)]
 pub(super) struct Garbage {
     keys: BTreeMap<String, Revision>,
@@ -39,7 +39,7 @@
         self.keys.remove(key);
     }
 
-    /// Their removals.
+    /// Returns writes that delete the keys.
     pub(super) fn writes(&self) -> impl Iterator<Item = GarbageWrite> {
         self.keys.iter().map(|(key, revision)| GarbageWrite {
             write: Write::Delete { key: key.clone() },
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -1,4 +1,4 @@
-//! A job as this process knows it.
+//! In-memory form of a job, live or finished.
 
 use crate::ids::{Amount, JobId, Revision};
 use crate::jobs::completed_chunks::ChunkRevisions;
@@ -10,80 +10,82 @@
 /// A job, live or finished.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The revision of its record.
+    /// Revision of its record in the store.
     pub rev: Revision,
-    /// When it ended, in milliseconds of the time of day; 0 if its record doesn't say.
+    /// Finish time in milliseconds of the time of day; 0 if the record does not contain it.
     pub(super) ended_ms: u64,
-    /// What is known of it.
+    /// State that depends on whether the job is live or finished.
     pub body: JobBody,
 }
 
-/// What is known of a job.
+/// State of a live or finished job.
 #[derive(Debug, Clone)]
 pub enum JobBody {
-    /// It is accepted, and not finished.
+    /// Accepted and not finished.
     Live(Box<LiveJob>),
-    /// It is finished: little but the count of its completed tasks is left.
+    /// Finished; only the number of completed tasks and any orphaned tasks are kept.
     Finished {
-        /// Whether it was cancelled.
+        /// Whether the job was cancelled rather than completed.
         cancelled: bool,
-        /// Its completed tasks.
+        /// Number of completed tasks.
         done: u64,
-        /// What may still be on machines.
+        /// Tasks that may still be on machines.
         orphaned_tasks: Option<Box<OrphanedTasks>>,
     },
 }
 
-/// What may still be on machines of a job that is finished.
+/// Tasks of a finished job that may still be on machines.
 #[derive(Debug, Clone)]
 pub struct OrphanedTasks {
-    /// The team whose limit they count against.
+    /// Team whose limit the tasks count against.
     pub team: String,
-    /// What one of them requests.
+    /// Resource request of one task.
     pub need: Amount,
-    /// How many at most. Older versions don't say.
+    /// Maximum number of such tasks; `None` in records of older versions, which do not store it.
     pub tasks: Option<u64>,
-    /// The time of day in milliseconds when the job ended. Older versions don't say.
+    /// Finish time of the job in milliseconds of the time of day; `None` in records of older
+    /// versions, which do not store it.
     pub ended_ms: Option<u64>,
 }
 
-/// The final state of a job, which never changes.
+/// Final state of a job, which never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinalState {
-    /// Done or cancelled.
+    /// Either `Done` or `Cancelled`.
     pub status: JobStatus,
-    /// Its completed tasks.
+    /// Number of completed tasks.
     pub completed_tasks: u64,
 }
 
-/// A live job.
+/// A job that is accepted and not finished.
 #[derive(Debug, Clone)]
 pub struct LiveJob {
-    /// Its description.
+    /// Description that the job was submitted with.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted, in milliseconds of the time of day.
+    /// Acceptance time in milliseconds of the time of day.
     pub accepted_ms: u64,
-    /// What a task of it requests.
+    /// Resource request of one task.
     pub need: Amount,
-    /// Of the jobs that it depends on, how many are not done yet.
+    /// Number of dependencies that are not done yet.
     pub(super) unfinished_dependencies: u32,
-    /// When the last of those was done, in milliseconds of the time of day.
+    /// Latest time at which a dependency was done, in milliseconds of the time of day.
     pub(super) dependencies_done_ms: u64,
-    /// What either layout says is completed.
+    /// Completed tasks: the union of what both storage layouts contain.
     pub(super) completed: TaskSet,
-    /// Chunks of completed tasks beside its record.
+    /// Chunks of completed tasks that have keys of their own, beside the record.
     pub(super) completed_chunks: ChunkRevisions,
-    /// Where its description is stored, if that is not in its record.
+    /// Location of the description if it is not stored in the record.
     pub(super) spec_chunks: Option<SpecChunks>,
 }
 
 impl Job {
-    /// The time of day in milliseconds when it ended, if it did and its record says so.
+    /// Returns the finish time in milliseconds of the time of day, if the job is finished and its
+    /// record contains the time.
     pub fn ended_ms(&self) -> Option<u64> {
         (self.is_finished() && self.ended_ms > 0).then_some(self.ended_ms)
     }
 
-    /// The live job, unless it is finished.
+    /// Returns the live job, or `None` if it is finished.
     pub fn live(&self) -> Option<&LiveJob> {
         match &self.body {
             JobBody::Live(live) => Some(live),
@@ -98,12 +100,12 @@
         }
     }
 
-    /// Whether it is done or cancelled.
+    /// Returns whether the job is done or cancelled.
     pub fn is_finished(&self) -> bool {
         self.final_state().is_some()
     }
 
-    /// Its final state, if it is finished.
+    /// Returns the final state, if the job is finished.
     pub fn final_state(&self) -> Option<FinalState> {
         match self.body {
             JobBody::Live(_) => None,
@@ -116,43 +118,43 @@
 }
 
 impl LiveJob {
-    /// Whether a task is completed.
+    /// Returns whether the task with this index is completed.
     pub fn is_completed(&self, task: u32) -> bool {
         self.completed.contains(task)
     }
 
-    /// How many tasks are completed.
+    /// Returns the number of completed tasks.
     pub fn completed_count(&self) -> u64 {
         self.completed.len()
     }
 
-    /// How many tasks it has.
+    /// Returns the total number of tasks.
     pub fn tasks(&self) -> u32 {
         self.spec.tasks as u32
     }
 
-    /// The jobs that must be done before a task of this one starts.
+    /// Returns the dependencies: jobs that must be done before a task of this job starts.
     pub fn depends_on(&self) -> &[JobId] {
         self.spec.depends_on.as_deref().unwrap_or_default()
     }
 
-    /// Of those, how many are not done yet.
+    /// Returns the number of dependencies that are not done yet.
     pub fn unfinished_dependencies(&self) -> u32 {
         self.unfinished_dependencies
     }
 
-    /// Whether its tasks may run: all that it depends on is committed as done.
+    /// Returns whether its tasks may run, i.e. all its dependencies are committed as done.
     pub fn is_ready(&self) -> bool {
         self.unfinished_dependencies == 0
     }
 
-    /// From when its times count, in milliseconds of the time of day: its acceptance, or when the
-    /// last job that it depends on was done.
+    /// Returns the time from which waiting counts, in milliseconds of the time of day: the
+    /// acceptance, or the time at which the last dependency was done if that is later.
     pub fn eligible_ms(&self) -> u64 {
         self.accepted_ms.max(self.dependencies_done_ms)
     }
 
-    /// Its record with these completed tasks, if that is where they may be stored.
+    /// Returns the record with these completed tasks, or `None` if they must be stored in chunks.
     pub(super) fn record_with(&self, completed: &TaskSet, layout: &Layout) -> Option<JobRecord> {
         if !layout.is_second() {
             return Some(self.record(completed.chunk(0, layout.legacy_chunk_tasks).to_hex()));
@@ -170,7 +172,7 @@
         JobRecord { completed, spec_chunks, ..JobRecord::live(self.accepted_ms, spec) }
     }
 
-    /// What a task of it takes.
+    /// Returns the team and the resources of one task.
     pub(super) fn task_footprint(&self) -> TaskFootprint {
         TaskFootprint::from(&*self.spec)
     }
--- a/src/jobs/spec_chunks.rs
+++ b/src/jobs/spec_chunks.rs
@@ -1,4 +1,4 @@
-//! Descriptions that are too long for their job's record, and are stored in chunks.
+//! Job descriptions that are too long for the record and are stored in chunks.
 
 use crate::ids::{JobId, Revision};
 use crate::schema::encoding::decode_spec;
@@ -7,7 +7,7 @@
 use crate::wire::JobSpec;
 use std::collections::BTreeMap;
 
-/// Names a description: a job may have been submitted with several.
+/// Identifies a description. A job id may have been submitted with several descriptions.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SpecId {
     job: JobId,
@@ -20,7 +20,7 @@
     revision: Revision,
 }
 
-/// A key of a chunk of a description, taken apart.
+/// Parsed key of a chunk of a description.
 #[derive(Debug)]
 pub(super) struct SpecChunkKey {
     pub(super) job: JobId,
@@ -29,7 +29,7 @@
 }
 
 impl SpecChunkKey {
-    /// Whether a key is one of a chunk of a description, by its prefix.
+    /// Returns whether the key has the prefix of a chunk of a description.
     pub(super) fn matches(key: &str) -> bool {
         key.starts_with(SPEC_CHUNK_PREFIX)
     }
@@ -46,14 +46,14 @@
     }
 }
 
-/// A chunk that is stored.
+/// Key and revision of a stored chunk.
 #[derive(Debug)]
 pub(super) struct SpecChunkEntry {
     pub(super) key: SpecChunkKey,
     pub(super) revision: Revision,
 }
 
-/// All chunks of descriptions that are stored.
+/// All stored chunks of descriptions.
 #[derive(Debug, Default)]
 pub(super) struct SpecChunkTable {
     chunks: BTreeMap<SpecId, BTreeMap<u32, StoredChunk>>,
@@ -72,14 +72,15 @@
         }
     }
 
-    /// The revisions of a description's chunks, as far as they are stored.
+    /// Returns the revisions of the stored chunks of a description, by chunk number.
     pub(super) fn revisions(&self, job: &JobId, hash: &str) -> BTreeMap<u32, Revision> {
         let spec = SpecId { job: job.clone(), hash: hash.to_owned() };
         let chunks = self.chunks.get(&spec).into_iter().flatten();
         chunks.map(|(number, chunk)| (*number, chunk.revision)).collect()
     }
 
-    /// The description, once all its chunks are there; their texts are needed no longer then.
+    /// Returns the description once all its chunks are stored, and drops the texts of the chunks,
+    /// which are not needed afterwards.
     pub(super) fn take_spec(&mut self, job: &JobId, location: &SpecChunks) -> Option<JobSpec> {
         let spec = SpecId { job: job.clone(), hash: location.hash.clone() };
         let chunks = self.chunks.get_mut(&spec)?;
@@ -91,7 +92,7 @@
         Some(spec)
     }
 
-    /// Takes all chunks of a job out.
+    /// Removes and returns all chunks of a job.
     pub(super) fn remove_job(&mut self, job: &JobId) -> Vec<SpecChunkEntry> {
         let from = SpecId { job: job.clone(), hash: String::new() };
         let specs = self.chunks.range(from..).take_while(|(spec, _)| spec.job == *job);
@@ -106,7 +107,7 @@
         removed
     }
 
-    /// The chunks of descriptions that `is_used` (given job and hash) says nothing needs.
+    /// Returns the chunks of descriptions for which `is_used(job, hash)` is false.
     pub(super) fn unused(
         &self,
         is_used: impl Fn(&JobId, &str) -> bool,
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -1,4 +1,4 @@
-//! All jobs known to this process, kept up to date with what is read from the store.
+//! Table of all jobs known to this process, updated from reads and watches of the store.
 
 use crate::ids::{Amount, JobId, Revision};
 use crate::jobs::completed_chunks::{
@@ -17,36 +17,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A record whose description has not been read whole yet.
+/// A record whose description has not been read completely yet.
 #[derive(Debug)]
 struct IncompleteRecord {
     record: JobRecord,
     revision: Revision,
 }
 
-/// All jobs known to this process. Nothing goes backward: an older revision is ignored, and a job
-/// that is finished stays so.
+/// All jobs known to this process. State never moves backwards: older revisions are ignored, and a
+/// finished job stays finished.
 #[derive(Debug)]
 pub struct Jobs {
-    /// The jobs whose records and descriptions have been read.
+    /// Jobs whose record and description have been read.
     pub all: HashMap<JobId, Job>,
     dependents: Dependents,
-    /// Tasks to a chunk of the first layout.
+    /// Number of tasks per chunk of the first layout.
     legacy_chunk_tasks: u32,
     early_chunks: BTreeMap<JobId, EarlyChunks>,
     spec_chunks: SpecChunkTable,
     incomplete: HashMap<JobId, IncompleteRecord>,
-    /// Jobs whose records cannot be read: nobody may be told that they don't exist.
+    /// Jobs whose records cannot be decoded. They must not be reported as nonexistent.
     unreadable: HashSet<JobId>,
     garbage: Garbage,
-    /// Jobs that are cancelled because one that they depend on is, while their records say that
+    /// Jobs that are cancelled because a dependency is cancelled, but whose records still say that
     /// they are live.
     cancelled_by_dependency: BTreeSet<JobId>,
+    /// Jobs whose state may have changed since the last [`Jobs::take_changed`].
     changed: Vec<JobId>,
 }
 
 impl Jobs {
-    /// No jobs; a chunk of the first layout has so many tasks.
+    /// Creates an empty table; chunks of the first layout have `legacy_chunk_tasks` tasks.
     pub fn new(legacy_chunk_tasks: u32) -> Jobs {
         Jobs {
             all: HashMap::new(),
@@ -62,27 +63,27 @@
         }
     }
 
-    /// A job, if it is known.
+    /// Returns a job, if it is known.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.all.get(id)
     }
 
-    /// Whether it has a record that this process cannot read.
+    /// Returns whether a job has a record that this process cannot read, or not read completely.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         self.unreadable.contains(id) || self.incomplete.contains_key(id)
     }
 
-    /// Jobs whose state may have changed since this was last asked.
+    /// Returns the jobs whose state may have changed since the last call.
     pub fn take_changed(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Tasks to a chunk of the first layout.
+    /// Returns the number of tasks per chunk of the first layout.
     pub fn legacy_chunk_tasks(&self) -> u32 {
         self.legacy_chunk_tasks
     }
 
-    /// Sets the tasks to a chunk of the first layout: the cluster has agreed on it.
+    /// Sets the number of tasks per chunk of the first layout, as agreed on by the cluster.
     pub(crate) fn set_legacy_chunk_tasks(&mut self, tasks: u32) {
         self.legacy_chunk_tasks = tasks;
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Takes in the value of a job's key.
+    /// Applies the value of a job's key.
     pub fn apply_record(&mut self, id: JobId, value: &StoreValue, rev: Revision) {
         match value.deserialized::<JobRecord>() {
             Ok(record) => {
@@ -116,7 +117,7 @@
         if let Some(job) = self.all.get(&id)
             && (job.rev >= revision || job.is_finished())
         {
-            self.apply_to_final(&id, &record, revision);
+            self.apply_to_finished(&id, &record, revision);
             return;
         }
         self.changed.push(id.clone());
@@ -131,7 +132,7 @@
                     }
                 }
             }
-            _ => return self.apply_end(id, record, revision),
+            _ => return self.apply_finished_record(id, record, revision),
         };
         let live = match self.all.remove(&id).map(|job| job.body) {
             Some(JobBody::Live(mut live)) => {
@@ -147,9 +148,10 @@
         self.link_dependencies(&id);
     }
 
-    /// A record of a job that is finished here, or an older record. A job that is cancelled by a
-    /// dependency may get the record that says so.
-    fn apply_to_final(&mut self, id: &JobId, record: &JobRecord, revision: Revision) {
+    /// Applies a record of a job that is already finished here, or a record of an older revision.
+    /// Only one of a job that was cancelled by a dependency has an effect: it updates the revision,
+    /// and may be the record that confirms the cancellation.
+    fn apply_to_finished(&mut self, id: &JobId, record: &JobRecord, revision: Revision) {
         let Some(job) = self.all.get_mut(id) else { return };
         if job.rev >= revision || !self.cancelled_by_dependency.contains(id) {
             return;
@@ -173,7 +175,8 @@
         mut spec: Arc<JobSpec>,
         location: Option<SpecChunks>,
     ) -> Box<LiveJob> {
-        // An edge costs a pointer, not a name of its own: a job may depend on thousands.
+        // Shares the known id, so that a dependency costs a pointer rather than a copy of the name:
+        // a job may have thousands of dependencies.
         for dependency in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
             if let Some((known, _)) = self.all.get_key_value(dependency) {
                 *dependency = known.clone();
@@ -199,20 +202,21 @@
         })
     }
 
-    /// Links a new live job with the jobs that it depends on. One whose record was written anew is
-    /// linked already.
+    /// Links a new live job to its dependencies. A known job whose record was rewritten
+    /// is already linked.
     fn link_dependencies(&mut self, id: &JobId) {
         let Some(live) = self.all.get(id).and_then(Job::live) else { return };
-        let linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
-        if live.depends_on().is_empty() || linked {
+        let is_linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
+        if live.depends_on().is_empty() || is_linked {
             return;
         }
         let depends_on = live.depends_on().to_vec();
-        let outcome =
-            |id: &JobId| self.all.get(id).map_or(DependencyOutcome::Open, DependencyOutcome::from);
+        let outcome = |id: &JobId| {
+            self.all.get(id).map_or(DependencyOutcome::Unfinished, DependencyOutcome::from)
+        };
         let state = DependencyState::of(depends_on.iter().map(outcome));
         for dependency in &depends_on {
-            if outcome(dependency) == DependencyOutcome::Open {
+            if outcome(dependency) == DependencyOutcome::Unfinished {
                 self.dependents.add(id, dependency);
             }
         }
@@ -221,11 +225,11 @@
         live.dependencies_done_ms = state.done_ms;
         if state.cancelled {
             self.cancel_by_dependency(id);
-            self.settle_dependents(id, DependencyOutcome::Cancelled);
+            self.propagate_outcome(id, DependencyOutcome::Cancelled);
         }
     }
 
-    fn apply_end(&mut self, id: JobId, record: JobRecord, rev: Revision) {
+    fn apply_finished_record(&mut self, id: JobId, record: JobRecord, rev: Revision) {
         if record.phase == JobPhase::Live {
             tracing::error!(job = %id, "job record has no description");
             self.unreadable.insert(id);
@@ -245,14 +249,14 @@
         };
         let job = Job { rev, ended_ms: record.ended_ms.unwrap_or(0), body };
         let outcome = DependencyOutcome::from(&job);
-        let old = self.all.insert(id.clone(), job);
-        self.discard_auxiliary_keys(&id, old.as_ref().and_then(Job::live));
-        self.settle_dependents(&id, outcome);
+        let replaced = self.all.insert(id.clone(), job);
+        self.discard_auxiliary_keys(&id, replaced.as_ref().and_then(Job::live));
+        self.propagate_outcome(&id, outcome);
     }
 
-    /// A job is finished: those that depend on it, directly or through others, learn of it. Each
-    /// edge is walked once.
-    fn settle_dependents(&mut self, id: &JobId, outcome: DependencyOutcome) {
+    /// Propagates the outcome of a finished job to the jobs that depend on it, directly or
+    /// indirectly. Each edge is visited once.
+    fn propagate_outcome(&mut self, id: &JobId, outcome: DependencyOutcome) {
         let mut finished = vec![(id.clone(), outcome)];
         while let Some((id, outcome)) = finished.pop() {
             for dependent in self.dependents.remove(&id) {
@@ -260,7 +264,7 @@
                     continue;
                 };
                 match outcome {
-                    DependencyOutcome::Open => {}
+                    DependencyOutcome::Unfinished => {}
                     DependencyOutcome::Done(at_ms) => {
                         live.unfinished_dependencies =
                             live.unfinished_dependencies.saturating_sub(1);
@@ -276,8 +280,8 @@
         }
     }
 
-    /// The job is cancelled since one that it depends on is. It has no task and never had: that one
-    /// was never done.
+    /// Cancels a job because one of its dependencies is cancelled. No task of it ever ran, as that
+    /// dependency was never done.
     fn cancel_by_dependency(&mut self, id: &JobId) {
         let Some(job) = self.all.get_mut(id) else { return };
         let finished = JobBody::Finished { cancelled: true, done: 0, orphaned_tasks: None };
@@ -288,7 +292,7 @@
         }
     }
 
-    /// All keys beside the record of a finished job are garbage.
+    /// Marks all keys beside the record of a finished job as garbage.
     fn discard_auxiliary_keys(&mut self, id: &JobId, live: Option<&LiveJob>) {
         let known = live.map(|live| live.completed_chunks.clone()).unwrap_or_default();
         let early = self.early_chunks.remove(id).unwrap_or_default();
@@ -301,8 +305,8 @@
         }
     }
 
-    /// Takes in the value or the removal of a key that stands beside a job's record; false if the
-    /// key is none.
+    /// Applies the value or the removal (`None`) of a key that is stored beside a job's record.
+    /// Returns false if it is no such key.
     pub fn apply_auxiliary_key(
         &mut self,
         key: &str,
@@ -375,8 +379,8 @@
         }
     }
 
-    /// Chunks of descriptions whose job was never accepted, though its submission has begun, the
-    /// first chunk of each before the others.
+    /// Returns the chunks of descriptions whose submission began but whose job was never accepted.
+    /// Within each description the first chunk precedes the others.
     pub fn orphaned_spec_chunks(&self) -> impl Iterator<Item = OrphanedSpecChunk> {
         let is_used = |id: &JobId, hash: &str| match self.all.get(id).and_then(Job::live) {
             Some(live) => live.spec_chunks.as_ref().is_some_and(|chunks| chunks.hash == hash),
@@ -388,8 +392,9 @@
         })
     }
 
-    /// What garbage collection writes next, at most so many writes: records of jobs that are
-    /// cancelled by a dependency, and removals of keys that finished jobs have beside their records.
+    /// Returns the next writes of garbage collection, at most `max_writes`: final records of jobs
+    /// that were cancelled by a dependency, and deletions of keys that finished jobs have beside
+    /// their records.
     pub fn garbage(&self, max_writes: usize) -> Vec<GarbageWrite> {
         let cancelled = self.cancelled_by_dependency.iter().filter_map(|id| {
             let record = JobRecord { phase: JobPhase::Cancelled, ..JobRecord::live(0, None) };
@@ -399,7 +404,8 @@
         cancelled.chain(self.garbage.writes()).take(max_writes).collect()
     }
 
-    /// A key that was to be removed is not as it was known: whoever reads all keys again finds it.
+    /// Forgets a key whose removal conflicted with a change that is not known here. The next full
+    /// read of the store finds the key again if it still exists.
     pub fn forget_garbage(&mut self, key: &str) {
         self.garbage.remove(key);
     }
--- a/src/jobs/task_set.rs
+++ b/src/jobs/task_set.rs
@@ -1,17 +1,17 @@
-//! A set of a job's tasks.
+//! Set of task indices of a job.
 
 use crate::wire;
 
-/// A bitmap of task indices that knows how many there are.
+/// A bitmap of task indices with a cached count.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskSet {
-    /// Eight indices to a byte, the least in its lowest bit.
+    /// Eight indices per byte; the lowest index is in the least significant bit.
     bytes: Vec<u8>,
     len: u64,
 }
 
 impl TaskSet {
-    /// Whether a task is in it.
+    /// Returns whether the set contains a task.
     pub fn contains(&self, task: u32) -> bool {
         self.bytes.get(task as usize / 8).is_some_and(|byte| byte & (1 << (task % 8)) != 0)
     }
@@ -27,12 +27,12 @@
         self.bytes[index] |= bit;
     }
 
-    /// How many tasks are in it.
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether no task is in it.
+    /// Returns whether the set contains no task.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -41,13 +41,13 @@
         self.bytes.len() as u32 * 8
     }
 
-    /// The tasks, in order.
+    /// Returns the tasks in ascending order.
     pub(super) fn iter(&self) -> impl Iterator<Item = u32> {
         (0..self.end()).filter(|task| self.contains(*task))
     }
 
-    /// Adds the tasks of a chunk whose first task has the index `first`; tasks from `end` on are
-    /// not the job's and are left out.
+    /// Adds the tasks of a chunk whose first task has the index `first`. Indices of `end` and above
+    /// do not belong to the job and are ignored.
     pub(super) fn insert_chunk(&mut self, chunk: &TaskSet, first: u32, end: u32) {
         for task in chunk.iter() {
             if let Some(task) = first.checked_add(task).filter(|task| *task < end) {
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The chunk of `len` tasks from `first` on.
+    /// Returns the chunk of `len` tasks that begins at the index `first`; its indices are relative to
+    /// `first`.
     pub(super) fn chunk(&self, first: u32, len: u32) -> TaskSet {
         let mut chunk = TaskSet::default();
         let end = first.saturating_add(len).min(self.end());
@@ -66,12 +67,12 @@
         chunk
     }
 
-    /// Its bytes in hexadecimal.
+    /// Returns the bitmap in hexadecimal.
     pub(super) fn to_hex(&self) -> String {
         wire::hex(&self.bytes)
     }
 
-    /// The set of which this is the hexadecimal form.
+    /// Parses the hexadecimal form; returns `None` if it is malformed.
     pub(super) fn from_hex(text: &str) -> Option<TaskSet> {
         let bytes = wire::unhex(text)?;
         let len = bytes.iter().map(|byte| u64::from(byte.count_ones())).sum();
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -16,13 +16,14 @@
 const LAYOUT: Layout =
     Layout { format: 1, legacy_chunk_tasks: 16_384, max_operations: 4, value_max: 1800 };
 
-fn record(spec: &Arc<JobSpec>, jobs: &Jobs) -> Transaction {
+fn next_transaction(spec: &Arc<JobSpec>, jobs: &Jobs) -> Transaction {
     match accept(spec, 5, &LAYOUT, jobs) {
         Acceptance::JobRecord(transaction) | Acceptance::SpecChunks(transaction) => transaction,
     }
 }
 
-/// Stands for the key-value store: each transaction gets the next revision if its preconditions hold.
+/// In-memory key-value store. A transaction is committed with the next revision if its
+/// preconditions hold.
 #[derive(Default)]
 struct Store {
     rev: u64,
@@ -34,7 +35,11 @@
         assert!(transaction.writes.len() <= layout.max_operations);
         assert!(transaction.preconditions.len() <= layout.max_operations * 4);
         let rev = |key| self.keys.get(key).filter(|(v, _)| v.is_some()).map_or(0, |(_, r)| *r);
-        if transaction.preconditions.iter().any(|guard| rev(&guard.key) != guard.rev.0) {
+        if transaction
+            .preconditions
+            .iter()
+            .any(|precondition| rev(&precondition.key) != precondition.rev.0)
+        {
             return false;
         }
         self.rev += 1;
@@ -49,7 +54,7 @@
         }
         true
     }
-    fn take(&self, jobs: &mut Jobs, key: &str) {
+    fn apply(&self, jobs: &mut Jobs, key: &str) {
         let (value, rev) = &self.keys[key];
         match (key.strip_prefix(JOB_PREFIX), value) {
             (Some(id), Some(value)) => jobs.apply_record(JobId::new(id), value, Revision(*rev)),
@@ -58,12 +63,12 @@
             }
         }
     }
-    /// What a process finds that reads all keys in this order.
+    /// Returns the jobs of a process that reads all keys in the given order.
     fn read(&self, order: impl Iterator<Item = usize>) -> Jobs {
         let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
-        let there: Vec<&String> =
+        let existing: Vec<&String> =
             self.keys.iter().filter(|(_, (v, _))| v.is_some()).map(|(k, _)| k).collect();
-        order.filter_map(|n| there.get(n)).for_each(|key| self.take(&mut jobs, key));
+        order.filter_map(|n| existing.get(n)).for_each(|key| self.apply(&mut jobs, key));
         jobs
     }
 }
@@ -81,22 +86,22 @@
 }
 
 #[test]
-fn a_job_is_done_with_its_last_task_in_any_order_and_with_repeats() {
+fn job_is_done_with_its_last_task_in_any_order_and_with_repetitions() {
     let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-1");
-    let transaction = record(&spec("wk-1", 40), &jobs);
+    let transaction = next_transaction(&spec("wk-1", 40), &jobs);
     apply(&mut jobs, &transaction, 1);
     let mut order: Vec<u32> = (0..40).map(|i| (i * 7) % 40).collect();
     order.extend([3, 3, 39]);
     let mut rev = 1;
-    for (nth, task) in order.iter().enumerate() {
+    for (position, task) in order.iter().enumerate() {
         let job = jobs.get(&id).unwrap().clone();
         let Some(done) = complete(&id, &job, &[*task, 99], 0, 7, &LAYOUT) else { continue };
         let transaction = done.transaction;
         rev += 1;
         apply(&mut jobs, &transaction, rev);
         let state = jobs.get(&id).unwrap().final_state();
-        assert_eq!(state.is_some(), nth >= 39, "{nth}");
+        assert_eq!(state.is_some(), position >= 39, "{position}");
     }
     assert_eq!(
         jobs.get(&id).unwrap().final_state(),
@@ -105,10 +110,10 @@
 }
 
 #[test]
-fn older_revisions_and_changes_of_finished_jobs_are_ignored() {
+fn older_revisions_and_changes_to_finished_jobs_are_ignored() {
     let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-2");
-    let first = record(&spec("wk-2", 2), &jobs);
+    let first = next_transaction(&spec("wk-2", 2), &jobs);
     apply(&mut jobs, &first, 1);
     let job = jobs.get(&id).unwrap().clone();
     let half = complete(&id, &job, &[0], 0, 7, &LAYOUT).unwrap().transaction;
@@ -124,7 +129,7 @@
     );
 }
 
-/// Collects garbage until the job's record is all that is left.
+/// Collects garbage until only the job's record remains.
 fn collect_garbage(store: &mut Store, id: &JobId) -> FinalState {
     let mut state = None;
     while state.is_none_or(|_| store.keys.values().filter(|(v, _)| v.is_some()).count() > 1) {
@@ -142,11 +147,11 @@
     state.unwrap()
 }
 
-/// A large job that was accepted in the first layout goes on in the second, under limits that
-/// its record would break: no completed task is lost or invented, whoever reads the store in
-/// between, and nothing is left in the end.
+/// A large job accepted in the first layout continues in the second, with a value limit that its
+/// record would exceed. Any process that reads the store in between sees exactly the completed
+/// tasks, and garbage collection removes all keys but the record.
 #[test]
-fn a_large_job_goes_on_in_the_second_layout_from_any_point() {
+fn large_job_continues_in_the_second_layout_without_losing_completed_tasks() {
     let first = Layout { format: 0, max_operations: 12, value_max: 14_000, ..LAYOUT };
     for (tasks, step, cancelled) in
         [(3000, 700, false), (50_000, 9000, false), (50_000, 9000, true)]
@@ -165,14 +170,14 @@
         for round in 0.. {
             let jobs = store.read(0..store.keys.len());
             let Some(live) = jobs.get(&id).unwrap().live() else { break };
-            // What a process reads is what was committed, in whichever layout.
+            // A process reads what was committed, in either layout.
             assert_eq!(
                 live.completed.iter().collect::<Vec<_>>(),
                 committed.iter().collect::<Vec<_>>()
             );
             let from = next;
             next = (next + step).min(tasks as u32);
-            // Every other one first, so that all chunks grow more than once.
+            // Even rounds leave odd indices for the end, so that all chunks grow more than once.
             reported.extend((from..next).filter(|n| round % 2 == 1 || n % 2 == 0));
             if next == tasks as u32 {
                 reported.extend(0..next);
@@ -185,9 +190,10 @@
                 continue;
             }
             let layout = if round < 2 { first } else { LAYOUT };
-            let open: Vec<u32> =
+            let unfinished: Vec<u32> =
                 reported.iter().copied().filter(|n| !live.is_completed(*n)).collect();
-            let Some(done) = complete(&id, jobs.get(&id).unwrap(), &open, 0, 9, &layout) else {
+            let Some(done) = complete(&id, jobs.get(&id).unwrap(), &unfinished, 0, 9, &layout)
+            else {
                 continue;
             };
             assert!(store.commit(&done.transaction, &layout));
@@ -204,11 +210,12 @@
     }
 }
 
-/// However many chunks change, each transaction fits the limits, and the rest follows.
+/// Each transaction stays within the limits however many chunks change; the remaining chunks are
+/// written by later transactions.
 #[test]
-fn many_changed_chunks_are_committed_a_few_at_a_time() {
+fn many_changed_chunks_are_committed_in_several_bounded_transactions() {
     let (mut store, id) = (Store::default(), JobId::new("wk-1"));
-    let transaction = record(&spec("wk-1", 100_000), &Jobs::new(16_384));
+    let transaction = next_transaction(&spec("wk-1", 100_000), &Jobs::new(16_384));
     assert!(store.commit(&transaction, &LAYOUT));
     let tasks: Vec<u32> = (0..100_000).step_by(1000).collect();
     for round in 0..7 {
@@ -221,10 +228,10 @@
     assert_eq!(jobs.get(&id).unwrap().live().unwrap().completed_count(), 100);
 }
 
-/// A description larger than a value, from the first chunk to garbage collection; a second submission
-/// elsewhere goes on with what the first one wrote.
+/// Follows a description larger than a value from the first chunk to garbage collection. A second
+/// submission to another process continues with the chunks that the first one wrote.
 #[test]
-fn a_description_larger_than_a_value_is_stored_in_chunks() {
+fn description_larger_than_a_value_is_stored_in_chunks() {
     let mut long = fixtures::job_spec("wk-9", 2000);
     long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
     long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
@@ -271,50 +278,51 @@
     job.spec.expect_s as u64
 }
 
-/// The plain model of what is inherited: by recursion over all that depend on the job.
-fn plain_inherited(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
+/// Reference model of inherited priorities: recursion over all jobs that depend on the job.
+fn model_inherited(id: &JobId, live: &BTreeMap<&JobId, &LiveJob>) -> dag::InheritedPriority {
     let mut inherited = own_priority(live[id]);
     for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
-        let after = plain_inherited(other, live);
-        inherited.urgency = inherited.urgency.min(after.urgency);
-        let begin = after.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
+        let dependent = model_inherited(other, live);
+        inherited.urgency = inherited.urgency.min(dependent.urgency);
+        let begin = dependent.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
         inherited.due_ms = inherited.due_ms.into_iter().chain(begin).min();
     }
     inherited
 }
 
-/// The plain model: what a job's state is, worked out anew from all records, by recursion.
-fn plain_state(
+/// Reference model of a job's state, derived recursively from all records: `Some(true)` means
+/// cancelled, `Some(false)` done.
+fn model_state(
     id: usize,
     depends_on: &[Vec<usize>],
-    ended: &BTreeMap<usize, bool>,
+    final_states: &BTreeMap<usize, bool>,
     memo: &mut BTreeMap<usize, Option<bool>>,
 ) -> Option<bool> {
     if let Some(state) = memo.get(&id) {
         return *state;
     }
-    // Some(true): cancelled, Some(false): done.
-    let cancelled =
-        depends_on[id].iter().any(|need| plain_state(*need, depends_on, ended, memo) == Some(true));
-    let state = ended.get(&id).copied().or(cancelled.then_some(true));
+    let cancelled = depends_on[id]
+        .iter()
+        .any(|dependency| model_state(*dependency, depends_on, final_states, memo) == Some(true));
+    let state = final_states.get(&id).copied().or(cancelled.then_some(true));
     memo.insert(id, state);
     state
 }
 
-/// What is inherited against the plain model.
+/// Compares inherited priorities with the reference model.
 fn check_priorities(jobs: &Jobs) -> Result<(), proptest::test_runner::TestCaseError> {
     let live: BTreeMap<&JobId, &LiveJob> =
         jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
     let inherited = dag::inherit_priorities(&live, own_priority, |_, job| duration_ms(job));
     for (id, job) in &live {
         let found = inherited.get(*id).copied().unwrap_or_else(|| own_priority(job));
-        proptest::prop_assert_eq!(found, plain_inherited(id, &live), "job {}", id);
+        proptest::prop_assert_eq!(found, model_inherited(id, &live), "job {}", id);
     }
     Ok(())
 }
 
-/// A job whose priority, due time and duration vary with a number.
-fn submitted(which: usize, id: &JobId, depends_on: Vec<JobId>) -> Arc<JobSpec> {
+/// Returns a job whose priority, due time and duration vary with `which`.
+fn job_variant(which: usize, id: &JobId, depends_on: Vec<JobId>) -> Arc<JobSpec> {
     let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
     Arc::new(JobSpec {
         depends_on: Some(depends_on),
@@ -325,37 +333,41 @@
     })
 }
 
-/// Of a random graph: the jobs that each one depends on, all before it.
-fn acyclic(edges: &[Vec<usize>]) -> Vec<Vec<usize>> {
-    let before = |(n, list): (usize, &Vec<usize>)| {
+/// Turns random edges into an acyclic graph: each job depends only on jobs before it.
+fn acyclic_dependencies(edges: &[Vec<usize>]) -> Vec<Vec<usize>> {
+    let dependencies = |(n, list): (usize, &Vec<usize>)| {
         let set: BTreeSet<usize> = list.iter().filter(|_| n > 0).map(|m| m % n.max(1)).collect();
         set.into_iter().collect()
     };
-    edges.iter().enumerate().map(before).collect()
+    edges.iter().enumerate().map(dependencies).collect()
 }
 
-/// The id of a graph's n-th job: not in the order of acceptance.
+/// Returns the id of the n-th job of a graph. Ids are not in the order of acceptance.
 fn graph_job(n: usize) -> JobId {
     JobId::new(&format!("wk-{}", (n * 17) % 41))
 }
 
-/// What processes derived of the accepted jobs against the plain model.
+/// Compares the states of accepted jobs in several processes with the reference model.
 fn check_states(
     processes: &[&Jobs],
     accepted: usize,
     depends_on: &[Vec<usize>],
-    ended: &BTreeMap<usize, bool>,
+    final_states: &BTreeMap<usize, bool>,
 ) -> Result<(), proptest::test_runner::TestCaseError> {
     let mut memo = BTreeMap::new();
     for n in 0..accepted {
-        let plain = plain_state(n, depends_on, ended, &mut memo);
+        let expected = model_state(n, depends_on, final_states, &mut memo);
         for jobs in processes {
             let job = jobs.get(&graph_job(n)).unwrap();
             let state = job.final_state().map(|state| state.status == JobStatus::Cancelled);
-            proptest::prop_assert_eq!(state, plain, "job {}", n);
+            proptest::prop_assert_eq!(state, expected, "job {}", n);
             if let Some(live) = job.live() {
-                let open = depends_on[n].iter().filter(|m| ended.get(m) != Some(&false));
-                proptest::prop_assert_eq!(live.unfinished_dependencies as usize, open.count());
+                let unfinished =
+                    depends_on[n].iter().filter(|m| final_states.get(m) != Some(&false));
+                proptest::prop_assert_eq!(
+                    live.unfinished_dependencies as usize,
+                    unfinished.count()
+                );
             }
         }
     }
@@ -369,32 +381,32 @@
         ..Default::default()
     })]
 
-    /// Random graphs of jobs with completions, cancellations, repeats, and processes that read
-    /// everything anew in any order, against the plain model.
+    /// Compares random job graphs with the reference model, after completions, cancellations,
+    /// repetitions, and complete reads of the store in any order.
     #[test]
-    fn derived_states_are_those_of_the_plain_model(
+    fn derived_states_match_the_reference_model(
         edges in proptest::collection::vec(proptest::collection::vec(0usize..40, 0..4), 1..40),
-        acts in proptest::collection::vec((0usize..40, 0u8..8), 1..80),
+        actions in proptest::collection::vec((0usize..40, 0u8..8), 1..80),
         shuffle in 0usize..40,
     ) {
         let count = edges.len();
-        let depends_on = acyclic(&edges);
+        let depends_on = acyclic_dependencies(&edges);
         let name = graph_job;
         let mut store = Store::default();
         let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
-        let mut ended: BTreeMap<usize, bool> = BTreeMap::new();
+        let mut final_states: BTreeMap<usize, bool> = BTreeMap::new();
         let mut accepted = 0;
-        for (which, act) in acts {
+        for (which, action) in actions {
             let before = store.keys.clone();
-            if accepted < count && act < 4 {
+            if accepted < count && action < 4 {
                 let dependencies = depends_on[accepted].iter().map(|n| name(*n)).collect();
-                let spec = submitted(which, &name(accepted), dependencies);
-                store.commit(&record(&spec, &jobs), &LAYOUT);
+                let spec = job_variant(which, &name(accepted), dependencies);
+                store.commit(&next_transaction(&spec, &jobs), &LAYOUT);
                 accepted += 1;
             } else if accepted > 0 {
                 let n = which % accepted;
                 let job = jobs.get(&name(n)).unwrap().clone();
-                let (transaction, end) = match (act, job.live()) {
+                let (transaction, end) = match (action, job.live()) {
                     (5, _) => (cancel(&name(n), &job, 9, &LAYOUT), Some(true)),
                     (6.., Some(live)) if live.is_ready() => {
                         let done = complete(&name(n), &job, &[0], 0, 9, &LAYOUT);
@@ -412,25 +424,25 @@
                 if let Some(transaction) = transaction
                     && store.commit(&transaction, &LAYOUT)
                 {
-                    ended.extend(end.map(|cancelled| (n, cancelled)));
+                    final_states.extend(end.map(|cancelled| (n, cancelled)));
                 }
             }
             let new: Vec<String> = store.keys.iter()
                 .filter(|(key, value)| before.get(*key) != Some(*value))
                 .map(|(key, _)| key.clone()).collect();
-            new.iter().for_each(|key| store.take(&mut jobs, key));
+            new.iter().for_each(|key| store.apply(&mut jobs, key));
             let total = store.keys.len();
-            let again = store.read((0..total).map(|n| (n + shuffle) % total.max(1)));
+            let reread = store.read((0..total).map(|n| (n + shuffle) % total.max(1)));
             check_priorities(&jobs)?;
-            check_states(&[&jobs, &again], accepted, &depends_on, &ended)?;
+            check_states(&[&jobs, &reread], accepted, &depends_on, &final_states)?;
         }
     }
 }
 
-/// Thousands in a row and a graph with an astronomical number of ways through it: one
-/// cancellation ends them all, and each edge is walked once.
+/// One cancellation finishes all indirect dependents in a chain of thousands of jobs, and in a
+/// layered graph with an astronomical number of paths, where each edge must be visited only once.
 #[test]
-fn long_chains_and_wide_graphs_end_at_once() {
+fn cancellation_finishes_long_chains_and_layered_graphs_at_once() {
     let layered = |n: usize| -> Vec<usize> {
         let layer = n / 5;
         if layer == 0 { vec![] } else { (0..5).map(|k| (layer - 1) * 5 + k).collect() }
@@ -451,7 +463,7 @@
                     if n == 4999 { wire::Priority::Production } else { wire::Priority::Low };
                 spec.due_s = Some(if n == 4999 { 1e6 } else { 2e6 });
                 spec.depends_on = Some(depends_on(n).into_iter().map(name).collect());
-                let transaction = record(&Arc::new(spec), &jobs);
+                let transaction = next_transaction(&Arc::new(spec), &jobs);
                 apply(&mut jobs, &transaction, 1);
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -1,4 +1,4 @@
-//! How a job changes: its acceptance, its progress and its end, each as a compare-and-swap.
+//! Transactions that accept a job, record its progress and finish it, each a compare-and-swap.
 
 use crate::constants::BODY_MAX;
 use crate::ids::{JobId, Revision};
@@ -13,19 +13,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What it takes to accept a job.
+/// Next transaction of an acceptance.
 pub enum Acceptance {
-    /// Its record; the precondition makes a repeated request harmless.
+    /// Writes the job's record. Its precondition, that no record exists, makes a repeated request
+    /// harmless.
     JobRecord(Transaction),
-    /// Chunks of a description too long for the record, which come first, a few at a time.
+    /// Writes some of the chunks of a description that is too long for the record. All chunks are
+    /// written before the record.
     SpecChunks(Transaction),
 }
 
-/// What records tasks as completed.
+/// Transaction that records tasks as completed.
 pub struct Completion {
-    /// The change.
+    /// Preconditions and writes to commit.
     pub transaction: Transaction,
-    /// Whether it ends the job.
+    /// Whether the transaction finishes the job.
     pub ends: bool,
 }
 
@@ -33,7 +35,7 @@
     Write::Put { key, data, lease: None }
 }
 
-/// Accepts a job.
+/// Returns the next transaction that is needed to accept a job.
 pub fn accept(spec: &Arc<JobSpec>, at_ms: u64, layout: &Layout, jobs: &Jobs) -> Acceptance {
     let key = job_key(&spec.id);
     let mut preconditions = vec![Precondition { key: key.clone(), rev: Revision(0) }];
@@ -42,11 +44,12 @@
         let encoded = encode_spec(spec, layout.value_max);
         let stored = jobs.spec_chunks().revisions(&spec.id, &encoded.hash);
         if let Some(writes) = missing_spec_chunks(&spec.id, &encoded, &stored, layout) {
-            let absent = |write: &Write| Precondition { key: write.key().into(), rev: Revision(0) };
-            preconditions.extend(writes.iter().map(absent));
+            let absence_precondition =
+                |write: &Write| Precondition { key: write.key().into(), rev: Revision(0) };
+            preconditions.extend(writes.iter().map(absence_precondition));
             return Acceptance::SpecChunks(Transaction { preconditions, writes });
         }
-        // Orphaned chunks are removed from the first one on, so this precondition stands for all.
+        // Orphaned chunks are removed in ascending order, so this precondition covers all of them.
         let first = spec_chunk_key(&spec.id, &encoded.hash, 0);
         let rev = stored.get(&0).copied().unwrap_or_default();
         preconditions.push(Precondition { key: first, rev });
@@ -57,14 +60,15 @@
     Acceptance::JobRecord(Transaction { preconditions, writes: vec![put(key, to_value(&record))] })
 }
 
-/// The first chunks of a description that are not stored yet, as many as one transaction takes.
+/// Returns writes for the first chunks of a description that are not stored yet, as many as fit
+/// one transaction, or `None` if all are stored.
 fn missing_spec_chunks(
     job: &JobId,
     encoded: &EncodedSpec,
     stored: &BTreeMap<u32, Revision>,
     layout: &Layout,
 ) -> Option<Vec<Write>> {
-    // A transaction is bounded in bytes too.
+    // A transaction is limited in bytes as well as in writes.
     let max_writes = layout.max_operations.min(BODY_MAX / 2 / layout.value_max.max(1)).max(1);
     let chunks = (0u32..).zip(&encoded.chunks);
     let missing = chunks.filter(|(number, _)| !stored.contains_key(number));
@@ -73,26 +77,26 @@
     (!writes.is_empty()).then_some(writes)
 }
 
-/// Cancels a job, unless it is finished.
+/// Returns the transaction that cancels a job, or `None` if the job is finished.
 pub fn cancel(id: &JobId, job: &Job, now_ms: u64, layout: &Layout) -> Option<Transaction> {
     let live = job.live()?;
     let completed_count = live.completed_count();
     let remaining = live.spec.tasks.saturating_sub(completed_count);
-    // The oldest version says neither how many may run on nor since when.
-    let second = layout.is_second();
+    // Records of the oldest version have no finish time and no number of remaining tasks.
+    let is_second_layout = layout.is_second();
     let record = JobRecord {
         phase: JobPhase::Cancelled,
         completed_count,
         task: Some(live.task_footprint()),
-        ended_ms: second.then_some(now_ms),
-        remaining_tasks: second.then_some(remaining),
+        ended_ms: is_second_layout.then_some(now_ms),
+        remaining_tasks: is_second_layout.then_some(remaining),
         ..JobRecord::live(live.accepted_ms, None)
     };
     Some(finish(id, job, &record))
 }
 
-/// The end of a job is one write, whatever keys it has beside its record: those are collected as
-/// garbage later ([`Jobs::garbage`]).
+/// Returns the transaction that finishes a job: a single write. Keys beside the record, however
+/// many there are, are removed later by garbage collection ([`Jobs::garbage`]).
 fn finish(id: &JobId, job: &Job, record: &JobRecord) -> Transaction {
     let key = job_key(id);
     Transaction {
@@ -101,9 +105,10 @@
     }
 }
 
-/// Records tasks as completed. The job ends in the same change as its last task, when
-/// `duplicate_attempts` more of its tasks may still be on machines. Where many chunks change, the
-/// first few go now.
+/// Returns the transaction that records tasks as completed, or `None` if it would write nothing.
+/// The transaction that completes the last task also finishes the job; its record then states that
+/// `duplicate_attempts` tasks may still be on machines. If more chunks change than one transaction
+/// may write, only the first ones are written.
 pub fn complete(
     id: &JobId,
     job: &Job,
@@ -113,10 +118,11 @@
     layout: &Layout,
 ) -> Option<Completion> {
     let live = job.live()?;
-    let new = tasks.iter().filter(|task| **task < live.tasks() && !live.is_completed(**task));
-    let new: BTreeSet<u32> = new.copied().collect();
+    let newly_completed =
+        tasks.iter().filter(|task| **task < live.tasks() && !live.is_completed(**task));
+    let newly_completed: BTreeSet<u32> = newly_completed.copied().collect();
     let mut completed = live.completed.clone();
-    new.iter().for_each(|task| completed.insert(*task));
+    newly_completed.iter().for_each(|task| completed.insert(*task));
     if live.spec.shape != JobKind::Service && completed.len() >= live.spec.tasks {
         let duplicates = Some(duplicate_attempts).filter(|n| *n > 0 && layout.is_second());
         let record = JobRecord {
@@ -129,17 +135,17 @@
         };
         return Some(Completion { transaction: finish(id, job, &record), ends: true });
     }
-    let transaction = record_progress(id, job.rev, live, &new, &completed, layout);
+    let transaction = record_progress(id, job.rev, live, &newly_completed, &completed, layout);
     (!transaction.writes.is_empty()).then_some(Completion { transaction, ends: false })
 }
 
-/// Writes the chunks in which the new tasks are; the first chunk of the first layout, or all of a
-/// small job's tasks, stand in its record.
+/// Returns the transaction that writes the chunks of the newly completed tasks. The record itself
+/// contains the first chunk of the first layout, and all completed tasks of a small job.
 fn record_progress(
     id: &JobId,
     record_rev: Revision,
     live: &LiveJob,
-    new: &BTreeSet<u32>,
+    newly_completed: &BTreeSet<u32>,
     completed: &TaskSet,
     layout: &Layout,
 ) -> Transaction {
@@ -150,8 +156,9 @@
         Some(_) => (ChunkLayout::First, layout.legacy_chunk_tasks),
         None => (ChunkLayout::Second, COMPLETED_CHUNK_TASKS),
     };
-    let changed: BTreeSet<u32> = new.iter().map(|task| task / chunk_tasks).collect();
-    for number in changed.into_iter().take(layout.max_operations) {
+    let changed_chunks: BTreeSet<u32> =
+        newly_completed.iter().map(|task| task / chunk_tasks).collect();
+    for number in changed_chunks.into_iter().take(layout.max_operations) {
         if let (Some(record), 0) = (&record, number) {
             writes.push(put(job_key(id), to_value(record)));
             continue;
