--- a/src/workers.rs
+++ b/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the leader knows them: what runs where, commands on their way, and whose fault a failure is.
+//! The leader's view of workers: attempts on each machine, delivery of commands, and attribution of failures.
 
 pub mod command_delivery;
 pub mod failure_attribution;
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -1,9 +1,9 @@
 //! Delivery of commands to workers by other controllers.
 //!
-//! The leader has the controller that takes a worker's heartbeats call the worker ([`PendingDeliveries`]); that
-//! controller makes the call and sends the result back ([`ForwardedCalls`]). Such a call may be made late or not at
-//! all, as one that goes straight to the worker over a bad network: the leader counts it as in flight until its result
-//! comes, or for good.
+//! The leader asks the controller that receives a worker's heartbeats to call the worker ([`PendingDeliveries`]); that
+//! controller makes the call and returns the result ([`ForwardedCalls`]). Like a direct call over an unreliable
+//! network, such a call may be made late or not at all: the leader counts it as in flight until its result arrives, and
+//! for good if none does.
 
 mod forwarded;
 mod pending;
@@ -22,39 +22,39 @@
 
 /// Timeout of a direct call to a worker.
 pub const WORKER_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long results wait for others to go with them.
+/// Time for which results are collected before they are sent together.
 pub const DELIVERY_PAUSE: Duration = Duration::from_millis(8);
-/// Added to the timeout of a call that another controller makes: the way there and back.
+/// Added to the timeout of a call that another controller makes, for the transfer of the request and the result.
 pub const DELIVERY_MARGIN: Duration = Duration::from_millis(1500);
-/// Bytes. What a command without its orders takes in a frame at the most, or a result without a heartbeat.
-const DELIVERY_BYTES: usize = 100;
+/// Bytes. Maximum size in a frame of a delivery without its commands, or of a result without a heartbeat.
+const DELIVERY_OVERHEAD_BYTES: usize = 100;
 
-/// A call from a controller to a worker.
+/// Direct call from a controller to a worker.
 #[derive(Debug)]
 pub enum DirectCall {
-    /// Asks for its heartbeat.
+    /// Requests the worker's heartbeat.
     Status,
-    /// Gives it commands.
+    /// Sends commands; the worker answers with its heartbeat.
     Do(CommandBatch),
 }
 
-/// A call that another controller is to make. The wire form is postcard: the order of fields is part of it.
+/// Request for a call by another controller. Encoded as postcard: the order of fields is part of the format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Delivery {
-    /// Number of the call, which its result repeats.
+    /// Number of the call, repeated in its result.
     pub number: u64,
-    /// The worker's machine.
+    /// Machine of the worker.
     pub machine: MachineId,
-    /// The worker's address.
+    /// Address at which the worker accepts direct calls.
     pub address: SocketAddr,
-    /// The agent epoch that the commands are for; without one the call only asks for a heartbeat.
+    /// Agent epoch that the commands are for; `None` if the call only requests a heartbeat.
     pub agent_epoch: Option<u64>,
-    /// The commands.
+    /// Commands to send; empty if the call only requests a heartbeat.
     pub commands: Vec<RelayedCommand>,
 }
 
 impl Delivery {
-    /// The call that its receiver makes for the leader with that token.
+    /// Returns the call that the receiving controller makes for the leader with this fencing token.
     pub fn into_direct_call(self, token: FencingToken) -> DirectCall {
         match self.agent_epoch {
             None => DirectCall::Status,
@@ -66,14 +66,14 @@
     }
 }
 
-/// What came of a call. The wire form is postcard: the order of variants is part of it.
+/// Result of a forwarded call. Encoded as postcard: the order of variants is part of the format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum DeliveryResult {
     /// The worker answered with its heartbeat.
     Heartbeat(FullHeartbeat),
-    /// The call was surely not made.
+    /// The call was certainly not made.
     NotSent,
-    /// The commands may have been carried out, or may yet be.
+    /// The commands may have been executed, or may still be executed.
     Unknown,
 }
 
@@ -97,17 +97,17 @@
     }
 }
 
-/// Divides a list into parts that fit a frame each.
+/// Divides a list into parts that fit into one frame each, given the size of an item in bytes.
 fn split_into_frames<T>(list: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut frames: Vec<Vec<T>> = Vec::new();
-    let mut free = 0;
+    let mut free_bytes = 0;
     for item in list {
         let bytes = size(&item);
-        if bytes > free || frames.is_empty() {
+        if bytes > free_bytes || frames.is_empty() {
             frames.push(Vec::new());
-            free = RELAY_FRAME;
+            free_bytes = RELAY_FRAME;
         }
-        free = free.saturating_sub(bytes);
+        free_bytes = free_bytes.saturating_sub(bytes);
         if let Some(frame) = frames.last_mut() {
             frame.push(item);
         }
--- a/src/workers/command_delivery/forwarded.rs
+++ b/src/workers/command_delivery/forwarded.rs
@@ -1,6 +1,6 @@
-//! The side of a controller that makes calls for a leader.
+//! The receiving controller's side: calls that it makes on behalf of a leader.
 
-use super::{DELIVERY_BYTES, DELIVERY_PAUSE, Delivery, DeliveryResult, split_into_frames};
+use super::{DELIVERY_OVERHEAD_BYTES, DELIVERY_PAUSE, Delivery, DeliveryResult, split_into_frames};
 use crate::http::CallError;
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::wire::{CommandBatch, Heartbeat};
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Bytes. What a result is taken to need in a frame at the most.
-const RESULT_BYTES: usize = 16 * 1024;
+/// Bytes. Maximum size that is assumed for a result when results are divided into frames.
+const MAX_RESULT_BYTES: usize = 16 * 1024;
 
-/// Results for a leader, which fit a frame.
+/// Results for a leader that fit into one frame.
 #[derive(Debug)]
 pub struct CommandResultFrame {
-    /// The leader.
+    /// Leader that requested the calls.
     pub to: ControllerId,
-    /// Its token.
+    /// Fencing token of that leader.
     pub token: FencingToken,
-    /// Results by the number of their call.
+    /// Results, each with the number of its call.
     pub results: Vec<(u64, DeliveryResult)>,
 }
 
-/// Who asked for a call, and under which number.
+/// Leader that requested a call, and the number of the call.
 #[derive(Debug, Clone)]
 struct Requester {
     controller: ControllerId,
@@ -30,7 +30,7 @@
     number: u64,
 }
 
-/// What identifies a call under way. A request for a heartbeat has the token 0.
+/// Identifies a call in flight. A request for a heartbeat has the fencing token 0.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct CallKey {
     machine: MachineId,
@@ -43,38 +43,40 @@
     }
 }
 
-/// Calls that this controller makes for a leader.
+/// Calls that this controller makes on behalf of leaders.
 #[derive(Debug, Default)]
 pub struct ForwardedCalls {
-    /// Each leader has at most one call under way to a machine.
-    under_way: HashMap<CallKey, Requester>,
-    /// The highest token of a leader that asked, and the highest number under it.
-    newest: (FencingToken, u64),
+    /// Calls in flight. Each leader has at most one call to a machine.
+    in_flight: HashMap<CallKey, Requester>,
+    /// Highest fencing token of a leader that requested a call, and the highest number of a call under that token.
+    newest_request: (FencingToken, u64),
     results: BTreeMap<(ControllerId, FencingToken), Vec<(u64, DeliveryResult)>>,
-    due: Option<Instant>,
+    /// Time at which `results` are due to be sent.
+    results_due: Option<Instant>,
 }
 
 impl ForwardedCalls {
-    /// No calls.
+    /// Creates an empty table.
     pub fn new() -> ForwardedCalls {
         ForwardedCalls::default()
     }
 
-    /// A leader asks for a call. False if the request is an old one, which may have been served already: the start of
-    /// an attempt that was forgotten since would run it again, so *a controller makes each call at most once*, and
-    /// none that comes after a later one; its leader counts it as unknown.
+    /// Registers a leader's request for a call. Returns false if the request is not newer than the newest one and may
+    /// have been served already: repeating the start of an attempt that has been forgotten since would run it again. So
+    /// *a controller makes each call at most once*, and none that arrives after a later one; the leader counts the
+    /// result of such a call as unknown.
     pub fn begin(&mut self, from: &ControllerId, token: FencingToken, delivery: &Delivery) -> bool {
-        if (token, delivery.number) <= self.newest {
+        if (token, delivery.number) <= self.newest_request {
             return false;
         }
-        self.newest = (token, delivery.number);
+        self.newest_request = (token, delivery.number);
         let requester = Requester { controller: from.clone(), token, number: delivery.number };
         let command_token = delivery.agent_epoch.map(|_| token);
-        self.under_way.insert(CallKey::new(&delivery.machine, command_token), requester);
+        self.in_flight.insert(CallKey::new(&delivery.machine, command_token), requester);
         true
     }
 
-    /// A call of this controller ended. False if no leader had asked for it.
+    /// Records the result of a call by this controller. Returns false if no leader requested the call.
     pub fn end(
         &mut self,
         machine: &MachineId,
@@ -83,35 +85,35 @@
         now: Instant,
     ) -> bool {
         let key = CallKey::new(machine, commands.map(|batch| batch.token));
-        let Some(requester) = self.under_way.remove(&key) else { return false };
+        let Some(requester) = self.in_flight.remove(&key) else { return false };
         let result = DeliveryResult::from(result.clone());
         let leader = (requester.controller, requester.token);
         self.results.entry(leader).or_default().push((requester.number, result));
-        self.due.get_or_insert(now + DELIVERY_PAUSE);
+        self.results_due.get_or_insert(now + DELIVERY_PAUSE);
         true
     }
 
-    /// This controller leads: from now on its calls are its own.
+    /// Discards all calls, because this controller is now the leader and makes calls only for itself.
     pub fn clear(&mut self) {
-        self.under_way.clear();
+        self.in_flight.clear();
         self.results.clear();
-        self.due = None;
+        self.results_due = None;
     }
 
-    /// When results are due to be sent.
+    /// Returns the time at which results are due to be sent.
     pub fn next_due(&self) -> Option<Instant> {
-        self.due
+        self.results_due
     }
 
-    /// Results that are due.
+    /// Returns the results if they are due.
     pub fn take_results(&mut self, now: Instant) -> Vec<CommandResultFrame> {
-        if self.due.is_none_or(|at| now < at) {
+        if self.results_due.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        self.due = None;
+        self.results_due = None;
         let size = |(_, result): &(u64, DeliveryResult)| match result {
-            DeliveryResult::Heartbeat(heartbeat) => heartbeat.encoded_size().min(RESULT_BYTES),
-            _ => DELIVERY_BYTES,
+            DeliveryResult::Heartbeat(heartbeat) => heartbeat.encoded_size().min(MAX_RESULT_BYTES),
+            _ => DELIVERY_OVERHEAD_BYTES,
         };
         let mut frames = Vec::new();
         for ((to, token), results) in std::mem::take(&mut self.results) {
--- a/src/workers/command_delivery/pending.rs
+++ b/src/workers/command_delivery/pending.rs
@@ -1,7 +1,7 @@
-//! The leader's side: calls that other controllers make for it.
+//! The leader's side: calls that other controllers make on its behalf.
 
 use super::{
-    DELIVERY_BYTES, DELIVERY_MARGIN, Delivery, DeliveryResult, DirectCall, WORKER_TIMEOUT,
+    DELIVERY_MARGIN, DELIVERY_OVERHEAD_BYTES, Delivery, DeliveryResult, DirectCall, WORKER_TIMEOUT,
     split_into_frames,
 };
 use crate::http::CallError;
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Bytes. What a command takes in a frame at the most.
-const COMMAND_BYTES: usize = 60;
+/// Bytes. Maximum size of a command in a frame.
+const MAX_COMMAND_BYTES: usize = 60;
 
-/// A call without a result.
+/// A call whose result is outstanding.
 #[derive(Debug)]
 struct PendingCall {
     machine: MachineId,
@@ -23,27 +23,27 @@
     deadline: Instant,
 }
 
-/// A call that is over.
+/// A call with a known result, or without one after its deadline.
 #[derive(Debug)]
 pub struct CompletedCall {
-    /// The worker's machine.
+    /// Machine of the worker.
     pub machine: MachineId,
-    /// What it was told; none if it was only asked for a heartbeat.
+    /// Commands that were sent; `None` if the call only requested a heartbeat.
     pub commands: Option<CommandBatch>,
-    /// The worker's heartbeat.
+    /// Heartbeat that the worker answered with.
     pub result: Result<Heartbeat, CallError>,
 }
 
-/// Deliveries for one controller, which fit a frame.
+/// Deliveries for one controller that fit into one frame.
 #[derive(Debug)]
 pub struct DeliveryFrame {
-    /// The controller that makes the calls.
+    /// Controller that is to make the calls.
     pub to: ControllerId,
-    /// The calls.
+    /// Calls to make, in ascending order of their numbers.
     pub deliveries: Vec<Delivery>,
 }
 
-/// A leader's calls that other controllers make.
+/// The leader's calls that other controllers make: unsent ones, and those whose result is outstanding.
 #[derive(Debug)]
 pub struct PendingDeliveries {
     last_number: u64,
@@ -52,8 +52,8 @@
 }
 
 impl PendingDeliveries {
-    /// No calls. They are numbered from `first_number` on: random, so that results for an earlier incarnation of this
-    /// process match none.
+    /// Creates an empty table. Calls are numbered upwards from `first_number`, which must be random, so that results
+    /// for an earlier incarnation of this process match no call.
     pub fn new(first_number: u64) -> PendingDeliveries {
         PendingDeliveries {
             last_number: first_number,
@@ -62,18 +62,18 @@
         }
     }
 
-    /// A new leadership begins: no call is in flight for it.
+    /// Discards all calls. A new term as leader begins with none in flight.
     pub fn clear(&mut self) {
         self.calls.clear();
         self.unsent.clear();
     }
 
-    /// How many calls are in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Has the controller `by` make a call to the machine at that address.
+    /// Queues a call to the machine at `address`, to be made by the controller `by`.
     pub fn push(
         &mut self,
         by: &ControllerId,
@@ -98,9 +98,11 @@
         self.calls.insert(number, PendingCall { machine, commands: batch, deadline });
     }
 
-    /// What is to be sent.
+    /// Returns the queued deliveries, to be sent now.
     pub fn take_frames(&mut self) -> Vec<DeliveryFrame> {
-        let size = |delivery: &Delivery| DELIVERY_BYTES + delivery.commands.len() * COMMAND_BYTES;
+        let size = |delivery: &Delivery| {
+            DELIVERY_OVERHEAD_BYTES + delivery.commands.len() * MAX_COMMAND_BYTES
+        };
         let mut frames = Vec::new();
         for (to, unsent) in std::mem::take(&mut self.unsent) {
             for deliveries in split_into_frames(unsent, size) {
@@ -110,13 +112,13 @@
         frames
     }
 
-    /// A result came; `None` if nobody waits for it any more.
+    /// Records a result and returns the completed call; `None` if the call is no longer outstanding.
     pub fn on_result(&mut self, number: u64, result: DeliveryResult) -> Option<CompletedCall> {
         let PendingCall { machine, commands, .. } = self.calls.remove(&number)?;
         Some(CompletedCall { machine, commands, result: result.into() })
     }
 
-    /// Calls whose time is up: their commands may have been carried out, or may yet be.
+    /// Removes and returns calls past their deadline. Their commands may have been executed, or may still be executed.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<CompletedCall> {
         let overdue: Vec<u64> = self
             .calls
@@ -128,7 +130,7 @@
         calls.filter_map(|number| self.on_result(number, DeliveryResult::Unknown)).collect()
     }
 
-    /// When the first call is overdue.
+    /// Returns the time at which the first call becomes overdue.
     pub fn next_due(&self) -> Option<Instant> {
         self.calls.values().next().map(|call| call.deadline)
     }
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -13,10 +13,10 @@
     MachineId::new("i-1")
 }
 
-fn start(token: u64) -> CommandBatch {
-    let order =
+fn start_batch(token: u64) -> CommandBatch {
+    let command =
         WorkerCommand::Start { task: TaskId::parse("wk-1/0").unwrap(), attempt: Attempt(9) };
-    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![order] }
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![command] }
 }
 
 fn heartbeat() -> Heartbeat {
@@ -34,36 +34,36 @@
     }
 }
 
-/// One command there and back: what its receiver is asked to send, and what the leader hears.
+/// Follows one command from the leader to the controller that makes the call, and its result back to the leader.
 #[test]
-fn a_call_is_made_once_and_its_result_returned() {
+fn forwarded_call_is_made_once_and_its_result_returned() {
     let now = Instant::now();
     let (leader, other) = (ControllerId::new("a"), ControllerId::new("b"));
     let mut deliveries = PendingDeliveries::new(50);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&other, machine(), address, DirectCall::Do(start(3)), now);
+    deliveries.push(&other, machine(), address, DirectCall::Do(start_batch(3)), now);
     let mut frames = deliveries.take_frames();
     let frame = frames.pop().unwrap();
-    let (to, commands) = (frame.to, frame.deliveries);
-    assert!(to == other && commands.len() == 1 && frames.is_empty());
+    let (to, requested) = (frame.to, frame.deliveries);
+    assert!(to == other && requested.len() == 1 && frames.is_empty());
     let mut forwarded = ForwardedCalls::new();
-    assert!(forwarded.begin(&leader, FencingToken(3), &commands[0]));
-    // A copy of it, or what an earlier leader asks, is not carried out.
-    assert!(!forwarded.begin(&leader, FencingToken(3), &commands[0]));
+    assert!(forwarded.begin(&leader, FencingToken(3), &requested[0]));
+    // A duplicate of the request, or a request of an earlier leader, is rejected.
+    assert!(!forwarded.begin(&leader, FencingToken(3), &requested[0]));
     assert!(!forwarded.begin(
         &leader,
         FencingToken(2),
-        &Delivery { number: 99, ..commands[0].clone() }
+        &Delivery { number: 99, ..requested[0].clone() }
     ));
-    let DirectCall::Do(orders) = commands[0].clone().into_direct_call(FencingToken(3)) else {
+    let DirectCall::Do(batch) = requested[0].clone().into_direct_call(FencingToken(3)) else {
         panic!()
     };
-    assert_eq!((orders.token, orders.agent_epoch), (FencingToken(3), Some(2)));
-    assert_eq!(orders.orders, start(3).orders);
-    // A call of its own, or for another leader, is none of its business.
-    assert!(!forwarded.end(&machine(), Some(&start(4)), &Ok(heartbeat()), now));
+    assert_eq!((batch.token, batch.agent_epoch), (FencingToken(3), Some(2)));
+    assert_eq!(batch.orders, start_batch(3).orders);
+    // The end of a call for another leader, or of one that this controller made for itself, is not recorded.
+    assert!(!forwarded.end(&machine(), Some(&start_batch(4)), &Ok(heartbeat()), now));
     assert!(!forwarded.end(&machine(), None, &Ok(heartbeat()), now));
-    assert!(forwarded.end(&machine(), Some(&orders), &Ok(heartbeat()), now));
+    assert!(forwarded.end(&machine(), Some(&batch), &Ok(heartbeat()), now));
     assert!(forwarded.take_results(now).is_empty());
     let mut frame = forwarded.take_results(now + DELIVERY_PAUSE).pop().unwrap();
     assert_eq!((frame.to, frame.token), (leader, FencingToken(3)));
@@ -73,20 +73,26 @@
     assert!(deliveries.on_result(number, DeliveryResult::NotSent).is_none());
 }
 
-/// A command without a result may have been carried out: it is never taken for one that surely was not.
+/// A command without a result may have been executed, so it never counts as one that was certainly not sent.
 #[test]
-fn an_overdue_call_counts_as_unknown_and_its_late_result_is_ignored() {
+fn overdue_call_counts_as_unknown_and_its_late_result_is_ignored() {
     let now = Instant::now();
     let mut deliveries = PendingDeliveries::new(0);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    deliveries.push(&ControllerId::new("b"), machine(), address, DirectCall::Do(start(3)), now);
+    deliveries.push(
+        &ControllerId::new("b"),
+        machine(),
+        address,
+        DirectCall::Do(start_batch(3)),
+        now,
+    );
     let number = deliveries.take_frames()[0].deliveries[0].number;
-    let until = deliveries.next_due().unwrap();
-    assert!(until > now + WORKER_TIMEOUT);
+    let deadline = deliveries.next_due().unwrap();
+    assert!(deadline > now + WORKER_TIMEOUT);
     assert!(deliveries.take_overdue(now + WORKER_TIMEOUT).is_empty());
-    let ended = deliveries.take_overdue(until);
+    let overdue = deliveries.take_overdue(deadline);
     assert!(matches!(
-        ended[..],
+        overdue[..],
         [CompletedCall { commands: Some(_), result: Err(CallError::Unknown), .. }]
     ));
     assert!(deliveries.on_result(number, DeliveryResult::NotSent).is_none());
@@ -94,13 +100,13 @@
 }
 
 #[test]
-fn frames_are_bounded() {
+fn delivery_frames_never_exceed_the_body_limit() {
     let now = Instant::now();
     let mut deliveries = PendingDeliveries::new(0);
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
     for n in 0..3000 {
         let id = MachineId::new(&format!("i-{n:06}"));
-        deliveries.push(&ControllerId::new("b"), id, address, DirectCall::Do(start(3)), now);
+        deliveries.push(&ControllerId::new("b"), id, address, DirectCall::Do(start_batch(3)), now);
     }
     let frames = deliveries.take_frames();
     assert_eq!(frames.iter().map(|frame| frame.deliveries.len()).sum::<usize>(), 3000);
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -1,51 +1,54 @@
-//! Attribution of failures: to the machine or to the job.
+//! Attribution of task failures to the machine or to the job.
 //!
-//! A faulty machine fails tasks of jobs that succeed elsewhere; a faulty job fails on every machine. So failures are
-//! kept per job with the machines on which they happened, and count against a machine only once the job has succeeded
-//! elsewhere. Until a job has, failures on several machines are attributed to it, and one task at a time is tried.
+//! On a faulty machine, tasks of jobs fail that succeed elsewhere; a faulty job fails on every machine. Failures are
+//! therefore recorded per job with the machines on which they occurred, and count against a machine only once the job
+//! has succeeded elsewhere. Before that, failures on several machines are attributed to the job, of which one task at a
+//! time is then tried.
 
 use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST, RETRY_MOST};
 use crate::ids::MachineId;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Count. Machines on which a job that never succeeded must fail before its failures are attributed to it: more
-/// machines are rarely faulty at a time.
+/// Count. Number of machines on which a job that never succeeded must fail before its failures are attributed to the
+/// job: more machines are rarely faulty at the same time.
 pub const JOB_FAULT_MACHINES: usize = 3;
 
-/// The next trial of a job that fails everywhere.
+/// Next trial of a job that fails everywhere.
 #[derive(Debug, Clone, Copy)]
 struct Trial {
     due: Instant,
-    /// Pause after that trial.
+    /// Pause after that trial, if it fails.
     backoff: Duration,
 }
 
-/// What a job's failures and successes show.
+/// Failures and successes of one job.
 #[derive(Debug, Default)]
 pub struct FailureAttribution {
     /// Machines on which its tasks failed.
     failed_machines: Vec<MachineId>,
-    /// A task of it ended well or ran for a while.
+    /// Whether one of its tasks completed, or ran for a while.
     has_succeeded: bool,
-    /// Set while its failures are attributed to the job.
+    /// Next trial; set while its failures are attributed to the job.
     trial: Option<Trial>,
 }
 
 impl FailureAttribution {
-    /// A task of it failed on that machine.
+    /// Records that one of its tasks failed on a machine.
     pub fn record_failure(&mut self, machine: &MachineId, now: Instant) {
         if !self.failed_machines.contains(machine) {
             self.failed_machines.push(machine.clone());
         }
-        // A task that fails before the next trial is due was started before the last failure: it was no trial.
+        // A task that fails before the next trial is due was started before the last failure and is not a trial, so it
+        // does not change the pause.
         if self.is_job_faulty() && self.trial.is_none_or(|trial| now >= trial.due) {
             let pause = self.trial.map_or(RETRY_FIRST, |trial| trial.backoff);
             self.trial = Some(Trial { due: now + pause, backoff: RETRY_MOST.min(pause * 2) });
         }
     }
 
-    /// A task of it succeeded. True if the job was held for faulty until now, so that its other tasks may start.
+    /// Records that one of its tasks succeeded. Returns true if the job was considered faulty until now, so that its
+    /// other tasks may start.
     pub fn record_success(&mut self) -> bool {
         let was_faulty = self.is_job_faulty();
         self.has_succeeded = true;
@@ -53,23 +56,24 @@
         was_faulty
     }
 
-    /// Whether it succeeds elsewhere, so that a failure is its machine's.
+    /// Returns whether one of its tasks has succeeded, so that a failure is attributed to the machine.
     pub fn has_succeeded(&self) -> bool {
         self.has_succeeded
     }
 
-    /// Whether it has failed and not succeeded so far.
+    /// Returns whether its tasks have failed and none has succeeded so far.
     pub fn is_undecided(&self) -> bool {
         !self.has_succeeded && !self.failed_machines.is_empty()
     }
 
-    /// Whether its failures are attributed to the job.
+    /// Returns whether its failures are attributed to the job.
     pub fn is_job_faulty(&self) -> bool {
         !self.has_succeeded && self.failed_machines.len() >= JOB_FAULT_MACHINES
     }
 
-    /// How many tasks may be started while `placed` are: any number, or one at a time of a job that fails everywhere.
-    /// As an error, when the next trial is due, if none is under way.
+    /// Returns how many tasks may be started while `placed` tasks are placed: any number, or one at a time for a job
+    /// that fails everywhere. The error is the time at which the next trial is due, or `None` while a trial is in
+    /// progress.
     pub fn allowed_starts(&self, placed: usize, now: Instant) -> Result<usize, Option<Instant>> {
         match self.trial {
             None => Ok(usize::MAX),
@@ -79,12 +83,12 @@
         }
     }
 
-    /// Machines on which its tasks failed.
+    /// Returns the machines on which its tasks failed.
     pub fn failed_machines(&self) -> &[MachineId] {
         &self.failed_machines
     }
 
-    /// Machines that its tasks avoid: none if they would have to avoid too many.
+    /// Returns the machines that its tasks avoid: those on which they failed, or none if these are too many.
     pub fn avoided_machines(&self) -> &[MachineId] {
         if self.failed_machines.len() > MACHINE_FAULT_JOBS { &[] } else { &self.failed_machines }
     }
--- a/src/workers/failure_attribution/tests.rs
+++ b/src/workers/failure_attribution/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_retried_with_backoff_until_it_succeeds() {
+fn job_that_fails_everywhere_is_retried_with_backoff_until_it_succeeds() {
     let mut attribution = FailureAttribution::default();
     let mut now = Instant::now();
     for n in 0..JOB_FAULT_MACHINES - 1 {
@@ -16,7 +16,7 @@
         attribution.record_failure(&machine(n), now);
         assert_eq!(attribution.allowed_starts(5, now), Ok(usize::MAX));
     }
-    // What was under way when the verdict came changes no pause.
+    // Failures of tasks that were already running when the job became faulty do not change the pause.
     for n in 0..9 {
         attribution.record_failure(&machine(n), now);
     }
@@ -25,19 +25,19 @@
     let end = now + RETRY_MOST * 10;
     while now < end {
         match attribution.allowed_starts(0, now) {
-            Ok(most) => {
-                assert_eq!(most, 1);
+            Ok(allowed) => {
+                assert_eq!(allowed, 1);
                 assert_eq!(attribution.allowed_starts(1, now), Err(None));
                 trials += 1;
                 attribution.record_failure(&machine(trials % 3), now);
             }
-            Err(at) => now = at.unwrap(),
+            Err(due) => now = due.unwrap(),
         }
     }
     assert!((10..=16).contains(&trials), "{trials}");
     assert!(attribution.record_success());
     assert_eq!(attribution.allowed_starts(1, now), Ok(usize::MAX));
-    // Whatever fails from now on is its machine's fault.
+    // All further failures are attributed to the machines.
     for n in 0..9 {
         attribution.record_failure(&machine(n), now);
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,9 +1,9 @@
-//! A rented machine and its worker, as the leader knows them: heartbeats, lease, commands, and what may run there.
+//! The leader's view of a rented machine and its worker: heartbeats, lease, commands, and attempts that may run there.
 //!
-//! An attempt is *reported* once a heartbeat shows it. Until then it may or may not have arrived, and stays booked on
-//! its machine. A start that was sent straight to the worker and got no answer is *in flight*: the network may deliver
-//! it minutes later, so such an attempt is never forgotten within its agent epoch (a forgotten attempt would run
-//! again).
+//! An attempt is *reported* once a heartbeat lists it. Until then its start may or may not have arrived, and the
+//! attempt stays booked on its machine. A start that was sent in a direct call without an answer is *in flight*: the
+//! network may deliver it minutes later, so such an attempt is never forgotten within its agent epoch (a late start
+//! would run a forgotten attempt again).
 
 mod attempt;
 mod commands;
@@ -24,114 +24,117 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Where a machine is in its life cycle.
+/// Phase of a machine's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, without a heartbeat so far.
+    /// Rented; no heartbeat has been received yet.
     Booting,
-    /// Its worker has sent a heartbeat.
+    /// The worker has sent a heartbeat.
     Up,
-    /// Its deletion was decided; nothing is placed on it.
+    /// To be terminated; nothing is placed on it any more.
     Returning,
 }
 
 /// The controller that relayed a machine's last heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relayer {
-    /// The controller.
+    /// Id of the relaying controller.
     pub controller: ControllerId,
-    /// When the heartbeat came.
+    /// Time at which the heartbeat was received.
     pub at: Instant,
 }
 
 /// A rented machine and its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Id of the machine in the cloud's listings and in heartbeats.
     pub id: MachineId,
-    /// Where its worker takes direct calls.
+    /// Address at which its worker accepts direct calls.
     pub address: Option<SocketAddr>,
-    /// Index of its type.
+    /// Index of its machine type.
     pub flavor: usize,
     /// Index of its zone.
     pub zone: usize,
-    /// It is a spot machine.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Where it is in its life cycle.
+    /// Phase of its life cycle.
     pub state: MachineState,
-    /// Its number in its zone.
+    /// Number of the machine within its zone.
     pub index: u64,
-    /// Its record is committed, so that a later leader will know of it.
+    /// Whether its record is committed, so that a later leader will know the machine.
     pub recorded: bool,
-    /// No command of an earlier leader can reach it any more, and all that it runs is known.
+    /// Whether no command of an earlier leader can reach it any more and everything that it runs is known.
     pub confirmed: bool,
-    /// Since when this leader knows it.
+    /// Time at which this leader first knew of it.
     pub known_since: Instant,
-    /// When it was rented, which may be before this leader knew it.
+    /// Time at which it was rented, which may be before this leader knew of it.
     pub rented: Instant,
-    /// When this leader had its first heartbeat.
+    /// Time at which this leader received its first heartbeat.
     pub up_since: Option<Instant>,
-    /// Its worker's agent epoch.
+    /// Agent epoch of its worker, as last reported.
     pub agent_epoch: u64,
-    seq: u64,
-    /// The highest fencing token that its worker is known to have seen.
+    /// Sequence number of its last heartbeat within the agent epoch.
+    heartbeat_seq: u64,
+    /// Highest fencing token that its worker is known to have seen.
     pub token: FencingToken,
-    /// When its last heartbeat was answered, or its agent epoch first heard of if that was later: its lease cannot
-    /// have been renewed later by us.
+    /// Latest time at which this leader may have renewed its lease: when its last heartbeat was answered, or when its
+    /// agent epoch was first reported if that was later.
     pub last_answered: Instant,
-    /// When its last heartbeat came.
+    /// Time at which its last heartbeat was received.
     pub last_heartbeat: Option<Instant>,
-    /// Other controllers may not answer it, without a break since the lease grant of this number.
+    /// Number of the delegated lease since which, without interruption, other controllers may not answer its
+    /// heartbeats.
     pub revoked_since: Option<u64>,
-    /// When its cloud takes it back, if it gave notice.
+    /// Time at which the cloud will reclaim it, if a notice was given.
     pub reclaim_at: Option<Instant>,
-    /// Other controllers may answer it though they reach the leader, which itself has no heartbeats of it.
+    /// Whether other controllers may answer its heartbeats even while they reach the leader, because the leader itself
+    /// receives none.
     pub delegated: bool,
-    /// What may run on it.
+    /// Attempts that may be running on it, or whose end is not fully processed.
     pub attempts: BTreeMap<(TaskId, Attempt), PlacedAttempt>,
-    /// Attempts up to this one ended with a lease that has surely run out. A heartbeat that still shows them was held
-    /// back by the network and is as old as they are.
+    /// Highest attempt number whose attempts ended with a lease that has certainly expired. A heartbeat that still
+    /// lists them was delayed by the network and dates from before that expiry.
     pub terminated_up_to: Attempt,
-    /// Since when nothing runs on it.
+    /// Time since which nothing runs on it.
     pub idle_since: Option<Instant>,
-    /// When a task above low priority last ended here.
+    /// Time at which a task above low priority last ended on it.
     pub vacated_at: Option<Instant>,
-    /// When its tasks were last moved elsewhere to empty it.
+    /// Time at which its tasks were last moved elsewhere by consolidation.
     pub last_consolidated: Option<Instant>,
-    /// The basket that it is in, or was in before it became empty.
+    /// Basket that it belongs to, or belonged to before it became empty.
     pub basket: Option<Basket>,
-    /// Images that it has fetched.
+    /// Images that it is known to have fetched.
     pub images: Vec<Arc<str>>,
-    /// The same by placement's numbers, as far as placement has asked.
+    /// The same images as numbers assigned by placement, as of the last planning pass that used them.
     pub image_ids: Images,
-    /// Jobs that failed here, whatever the cause.
+    /// Jobs of which a task failed on it, whatever the cause.
     pub failed_jobs: HashSet<JobId>,
-    /// Enough jobs failed here that succeed elsewhere.
+    /// Whether enough jobs that succeed elsewhere have failed on it.
     pub faulty: bool,
-    /// When the last direct call without an answer was made, if it sent no heartbeat since.
+    /// Time of the last unanswered direct call that was made while its zone was reachable; cleared by a heartbeat.
     pub unanswered_probe: Option<Instant>,
-    /// A direct call is under way.
+    /// Whether a direct call is in flight.
     pub direct_in_flight: bool,
-    /// When the last direct call was made.
+    /// Time at which the last direct call was made.
     pub direct_sent_at: Instant,
-    /// At that time, other machines of its zone sent heartbeats: the zone was in reach.
+    /// Whether other machines of its zone were sending heartbeats at that time, i.e. the zone was reachable.
     pub probe_zone_reachable: bool,
-    /// The next direct call is not made before this.
+    /// Earliest time for the next direct call.
     pub next_direct_at: Instant,
-    /// The next heartbeat has to be complete: the last one showed an attempt that ended, or left one out whose start
-    /// may still be in flight.
-    needs_full: bool,
-    /// The controller that relayed its last heartbeat; none if the heartbeat came here.
+    /// Whether the next heartbeat has to be complete, because the last one listed an attempt that had ended, or omitted
+    /// one whose start may still be in flight.
+    needs_full_heartbeat: bool,
+    /// Controller that relayed its last heartbeat; `None` if the heartbeat was sent to the leader.
     pub relayed_by: Option<Relayer>,
-    /// It may have to be sent a start or a stop. Few machines have any due, and looking for them costs a pass over all
+    /// Whether a start or stop may have to be sent. Few machines have any due, and finding out takes a pass over all
     /// attempts.
     pub commands_due: bool,
-    /// What its attempts add up to, until they change.
+    /// Cached sum over its attempts; cleared when an attempt changes.
     usage: Option<Usage>,
 }
 
 impl Machine {
-    /// A machine that was just rented, or that a listing shows.
+    /// Creates a machine that was just rented or found in a listing.
     pub fn new(id: MachineId, pool: MachinePool, index: u64, now: Instant) -> Machine {
         Machine {
             id,
@@ -147,7 +150,7 @@
             rented: now,
             up_since: None,
             agent_epoch: 0,
-            seq: 0,
+            heartbeat_seq: 0,
             token: FencingToken(0),
             last_answered: now,
             last_heartbeat: None,
@@ -169,7 +172,7 @@
             direct_sent_at: now,
             probe_zone_reachable: false,
             next_direct_at: now,
-            needs_full: true,
+            needs_full_heartbeat: true,
             relayed_by: None,
             commands_due: true,
             usage: None,
--- a/src/workers/machine/attempt.rs
+++ b/src/workers/machine/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at tasks, as a machine holds them.
+//! Attempts on a machine, and the events that heartbeats report about them.
 
 use crate::ids::{Amount, Attempt, TaskId};
 use crate::wire::{Priority, TaskState};
@@ -6,64 +6,64 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why a task is stopped whose job has finished.
-pub const JOB_FINISHED: &str = "its job is over";
+/// Reason for stopping a task whose job has finished.
+pub const JOB_FINISHED: &str = "job finished";
 
-/// A command to stop an attempt, and why.
+/// Request to stop an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StopRequest {
-    /// Seconds that it has to save its progress.
+    /// Seconds that the attempt has to save its progress.
     pub grace_s: f64,
-    /// For the log.
+    /// Reason, as shown in the log.
     pub reason: &'static str,
 }
 
-/// What is known of an attempt when it is placed.
+/// Properties of an attempt that are known when it is placed.
 #[derive(Debug, Clone)]
 pub struct AttemptSpec {
-    /// Resources that it takes.
+    /// Resource request of the task.
     pub need: Amount,
-    /// Index of its team; `usize::MAX` while that is unknown.
+    /// Index of its team; `usize::MAX` while the team is unknown.
     pub team: usize,
-    /// Its priority.
+    /// Priority, including what its job inherits from dependent jobs.
     pub urgency: Priority,
-    /// Image that it runs.
+    /// Container image that it runs.
     pub image: Arc<str>,
 }
 
-/// One attempt on a machine.
+/// An attempt that is placed on a machine.
 #[derive(Debug, Clone)]
 pub struct PlacedAttempt {
-    /// Resources that it takes.
+    /// Resource request of the task.
     pub need: Amount,
-    /// Index of its team; `usize::MAX` while that is unknown.
+    /// Index of its team; `usize::MAX` while the team is unknown.
     pub team: usize,
-    /// Its priority.
+    /// Priority, including what its job inherits from dependent jobs.
     pub urgency: Priority,
-    /// Image that it runs.
+    /// Container image that it runs.
     pub image: Arc<str>,
-    /// A heartbeat has shown it.
+    /// Whether a heartbeat has listed it.
     pub is_reported: bool,
-    /// Its state as last reported.
+    /// State as last reported by a heartbeat.
     pub state: TaskState,
-    /// Direct calls with its start that have no answer.
+    /// Number of direct calls with its start that have not been answered.
     pub starts_in_flight: u32,
-    /// The command to stop it, once it was given.
+    /// Stop request, once one was made.
     pub stop: Option<StopRequest>,
-    /// When it was placed.
+    /// Time at which it was placed.
     pub placed: Instant,
-    /// When a heartbeat first showed it running.
+    /// Time at which a heartbeat first listed it as running.
     pub running_since: Option<Instant>,
-    /// The same, but only if this leader saw it begin.
+    /// Time at which it began to run, if this leader observed the start.
     pub observed_start: Option<Instant>,
-    /// When a heartbeat last showed it running: on a silent machine it may have ended at any time since.
+    /// Time at which a heartbeat last listed it as running. On a silent machine it may have ended at any time since.
     pub last_seen_running: Option<Instant>,
-    /// Its exit was processed: it is forgotten as soon as that is safe.
+    /// Whether its exit was processed; it is then forgotten as soon as that is safe.
     pub exit_handled: bool,
 }
 
 impl PlacedAttempt {
-    /// An attempt that is placed now and not reported yet.
+    /// Creates an attempt that is placed now and not reported yet.
     pub fn new(spec: AttemptSpec, now: Instant) -> PlacedAttempt {
         PlacedAttempt {
             need: spec.need,
@@ -82,36 +82,36 @@
         }
     }
 
-    /// How long it was seen to run, if its start was.
+    /// Returns how long it was observed to run, if its start was observed.
     pub(super) fn observed_run_time(&self) -> Option<Duration> {
         Some(self.last_seen_running?.saturating_duration_since(self.observed_start?))
     }
 
-    /// Whether it was told to stop for this reason.
+    /// Returns whether its stop was requested for this reason.
     pub fn stopped_for(&self, reason: &str) -> bool {
         self.stop.as_ref().is_some_and(|stop| stop.reason == reason)
     }
 }
 
-/// What a heartbeat tells about an attempt.
+/// Change of an attempt that a heartbeat, or the end of an agent epoch, implies.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskEvent {
-    /// It runs now.
+    /// The attempt has begun to run.
     Running(TaskId, Attempt),
-    /// It ended.
+    /// The attempt has ended.
     Exited {
-        /// The task.
+        /// Task that the attempt belongs to.
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// The worker's word for how it ended.
+        /// Exit cause as given by the worker.
         why: String,
-        /// It saved its progress.
+        /// Whether the attempt saved its progress.
         saved: bool,
     },
-    /// It is surely not on the machine any more, and nothing is known of its end. With how long it was seen to run at
-    /// least, if its start was seen.
+    /// The attempt is certainly not on the machine any more, and its exit cause is unknown. The duration is the minimum
+    /// time that it ran, if its start was observed.
     Vanished(TaskId, Attempt, Option<Duration>),
-    /// A heartbeat shows it, and it was placed by an earlier leader.
+    /// A heartbeat lists an attempt that was placed by an earlier leader.
     Found(TaskId, Attempt),
 }
--- a/src/workers/machine/commands.rs
+++ b/src/workers/machine/commands.rs
@@ -1,25 +1,25 @@
-//! Commands for a machine's worker.
+//! Commands that are due for a machine's worker.
 
 use super::{Machine, PlacedAttempt, StopRequest};
 use crate::ids::{Attempt, TaskId};
 use crate::wire::{TaskState, WorkerCommand};
 
-/// Count. Commands in one answer to a worker, which keeps it far below 64 KiB.
+/// Count. Maximum number of commands in one answer to a worker, which keeps the answer far below 64 KiB.
 pub const MAX_COMMANDS_PER_ANSWER: usize = 300;
 
 impl Machine {
-    /// Commands for the answer to its heartbeat. Attempts are forgotten only here: answers to heartbeats arrive in
-    /// order and never late, so no start can overtake a `forget`.
+    /// Returns the commands for the answer to its heartbeat. Attempts are forgotten only here: answers to heartbeats
+    /// arrive in order and never late, so no start can arrive after the `forget` of its attempt.
     pub fn commands_for_answer(&mut self) -> Vec<WorkerCommand> {
-        let ended: Vec<(TaskId, Attempt)> = self
+        let forgettable: Vec<(TaskId, Attempt)> = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| may_be_forgotten(attempt))
+            .filter(|(_, attempt)| is_forgettable(attempt))
             .map(|(key, _)| key.clone())
             .take(MAX_COMMANDS_PER_ANSWER)
             .collect();
         let mut commands = Vec::new();
-        for key in ended {
+        for key in forgettable {
             self.attempts.remove(&key);
             commands.push(WorkerCommand::Forget { task: key.0, attempt: key.1 });
         }
@@ -28,7 +28,7 @@
         commands
     }
 
-    /// Starts and stops, which may also be sent straight to the worker.
+    /// Returns due starts and stops, which may also be sent in a direct call.
     pub fn direct_commands(&mut self) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         for ((task, attempt), placed) in &self.attempts {
@@ -37,8 +37,8 @@
             }
             let (task, attempt) = (task.clone(), *attempt);
             match &placed.stop {
-                // A start that may still be on its way is sent again and then stopped, so that the late one finds its
-                // attempt known.
+                // A start that may still be in flight is sent again and then stopped, so that a late copy finds its
+                // attempt already known to the worker.
                 Some(stop) => {
                     if !placed.is_reported {
                         commands.push(WorkerCommand::Start { task: task.clone(), attempt });
@@ -58,7 +58,7 @@
         commands
     }
 
-    /// Has an attempt stopped: the command goes out with the next answer or before.
+    /// Requests the stop of an attempt. The command is sent with the next answer, or earlier in a direct call.
     pub fn request_stop(&mut self, key: &(TaskId, Attempt), stop: StopRequest) {
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.stop = Some(stop);
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Counts the starts among commands that are sent straight to the worker (`change` is 1) or were answered (-1).
+    /// Updates the number of unanswered starts for commands that are sent in a direct call (`change` is 1) or were
+    /// answered (-1).
     pub fn track_starts_in_flight(&mut self, commands: &[WorkerCommand], change: i32) {
         for command in commands {
             if let WorkerCommand::Start { task, attempt } = command
@@ -78,6 +79,6 @@
     }
 }
 
-fn may_be_forgotten(attempt: &PlacedAttempt) -> bool {
+fn is_forgettable(attempt: &PlacedAttempt) -> bool {
     attempt.exit_handled && attempt.state == TaskState::Exited && attempt.starts_in_flight == 0
 }
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a machine's worker, and the worker's lease.
+//! Processing of heartbeats, and expiry of the worker's lease.
 
 use super::{AttemptSpec, JOB_FINISHED, Machine, MachineState, PlacedAttempt, TaskEvent};
 use crate::constants::{DRIFT, WORKER_MARGIN};
@@ -10,22 +10,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The latest time, in seconds, that a notice of reclamation is taken to name.
+/// Seconds. Longer reclamation notices are clamped to this value.
 const MAX_NOTICE_S: f64 = 1e6;
 
-/// What became of a heartbeat.
+/// Result of recording a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatEffect {
-    /// It is older than what is known, and ignored.
+    /// Ignored: it is not newer than the last recorded heartbeat.
     Stale,
-    /// The worker has seen a higher fencing token than ours.
+    /// Ignored: the worker has seen a higher fencing token than this leader's.
     Superseded,
-    /// It was recorded, and tells this.
+    /// Recorded, with the resulting changes of attempts.
     Recorded(Vec<TaskEvent>),
 }
 
 impl Machine {
-    /// Records a heartbeat; `token` is this leader's.
+    /// Records a heartbeat; `token` is this leader's fencing token.
     pub fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -35,27 +35,29 @@
         if heartbeat.token > token {
             return HeartbeatEffect::Superseded;
         }
-        if (heartbeat.agent_epoch, heartbeat.seq) <= (self.agent_epoch, self.seq) {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= (self.agent_epoch, self.heartbeat_seq) {
             return HeartbeatEffect::Stale;
         }
         let mut events = Vec::new();
         if heartbeat.agent_epoch > self.agent_epoch {
             events.extend(self.begin_agent_epoch(heartbeat.agent_epoch, now));
         }
-        self.seq = heartbeat.seq;
+        self.heartbeat_seq = heartbeat.seq;
         self.token = self.token.max(heartbeat.token);
         if self.state == MachineState::Booting {
             self.state = MachineState::Up;
         }
         self.up_since.get_or_insert(now);
-        let notice = |notice_s: f64| Duration::from_secs_f64(notice_s.clamp(0.0, MAX_NOTICE_S));
-        self.reclaim_at = heartbeat.notice_s.map(|notice_s| now + notice(notice_s));
-        self.note_heartbeat(now);
+        let clamped_notice =
+            |notice_s: f64| Duration::from_secs_f64(notice_s.clamp(0.0, MAX_NOTICE_S));
+        self.reclaim_at = heartbeat.notice_s.map(|notice_s| now + clamped_notice(notice_s));
+        self.record_heartbeat_time(now);
         let mut listed = HashSet::new();
         for status in &heartbeat.tasks {
             self.record_status(status, now, &mut listed, &mut events);
         }
-        self.needs_full = heartbeat.tasks.iter().any(|task| task.state == TaskState::Exited);
+        self.needs_full_heartbeat =
+            heartbeat.tasks.iter().any(|task| task.state == TaskState::Exited);
         self.remove_vanished(&listed, &mut events);
         if self.token == token {
             self.confirmed = true;
@@ -63,20 +65,21 @@
         HeartbeatEffect::Recorded(events)
     }
 
-    /// The lease of a new agent epoch counts from its begin, which was after our last answer.
+    /// Begins a new agent epoch, in which no attempt of the previous one exists. Its lease counts from the begin of the
+    /// epoch, which was after this leader's last answer.
     fn begin_agent_epoch(&mut self, agent_epoch: u64, now: Instant) -> Vec<TaskEvent> {
         self.agent_epoch = agent_epoch;
         self.last_answered = self.last_answered.max(now);
         self.terminate_attempts()
     }
 
-    fn note_heartbeat(&mut self, now: Instant) {
+    fn record_heartbeat_time(&mut self, now: Instant) {
         self.commands_due = true;
         self.last_heartbeat = Some(now);
         self.unanswered_probe = None;
     }
 
-    /// Records what a heartbeat says of one attempt.
+    /// Records the status of one attempt in a heartbeat.
     fn record_status(
         &mut self,
         status: &TaskStatus,
@@ -107,7 +110,7 @@
         match status.state {
             TaskState::Running if attempt.running_since.is_none() => {
                 attempt.running_since = Some(now);
-                // An attempt that runs when it is found began at some time before.
+                // The start of an attempt that is already running when it is found was not observed.
                 attempt.observed_start = is_known.then_some(now);
                 let image = attempt.image.clone();
                 self.add_cached_image(image);
@@ -123,8 +126,8 @@
         }
     }
 
-    /// Removes reported attempts that the heartbeat does not list: they are not there any more. One that was never
-    /// reported may still be on its way and stays booked.
+    /// Removes reported attempts that the heartbeat does not list, since they no longer exist. The start of an attempt
+    /// that was never reported may still be in flight, so the attempt stays booked.
     fn remove_vanished(
         &mut self,
         listed: &HashSet<(TaskId, Attempt)>,
@@ -135,7 +138,7 @@
                 return true;
             }
             if attempt.starts_in_flight > 0 {
-                self.needs_full = true;
+                self.needs_full_heartbeat = true;
                 return true;
             }
             self.usage = None;
@@ -144,8 +147,8 @@
         });
     }
 
-    /// Records a heartbeat that says what an earlier one said. False: that one is not what is known of the machine,
-    /// so the complete heartbeat is needed.
+    /// Records a heartbeat with the same content as an earlier one. Returns false if the earlier one is not the last
+    /// that was recorded here, or does not suffice, so that the complete heartbeat is needed.
     pub fn record_unchanged_heartbeat(
         &mut self,
         unchanged: &UnchangedHeartbeat,
@@ -153,14 +156,14 @@
         now: Instant,
     ) -> bool {
         let UnchangedHeartbeat { agent_epoch, previous_seq, seq, .. } = *unchanged;
-        let is_known =
-            (self.agent_epoch, self.seq) == (agent_epoch, previous_seq) && previous_seq < seq;
+        let is_known = (self.agent_epoch, self.heartbeat_seq) == (agent_epoch, previous_seq)
+            && previous_seq < seq;
         let is_booting = self.state == MachineState::Booting;
-        if !is_known || self.needs_full || self.token != token || is_booting {
+        if !is_known || self.needs_full_heartbeat || self.token != token || is_booting {
             return false;
         }
-        self.seq = seq;
-        self.note_heartbeat(now);
+        self.heartbeat_seq = seq;
+        self.record_heartbeat_time(now);
         for attempt in self.attempts.values_mut() {
             if attempt.is_reported && attempt.state == TaskState::Running {
                 attempt.last_seen_running = Some(now);
@@ -170,8 +173,8 @@
         true
     }
 
-    /// What an earlier leader's attempt that was found here needs is known by now. If it runs or ran, its image is
-    /// here.
+    /// Completes the adoption of an earlier leader's attempt, once the caller has set its resources and image. If the
+    /// attempt runs or ran, its image is cached on the machine.
     pub fn adopt_attempt(&mut self, key: &(TaskId, Attempt)) {
         self.usage = None;
         let Some(attempt) = self.attempts.get(key) else { return };
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The agent epoch is over, or the machine is gone: none of its attempts exists any more.
+    /// Removes all attempts, because the agent epoch has ended or the machine has terminated.
     pub fn terminate_attempts(&mut self) -> Vec<TaskEvent> {
         self.usage = None;
         let attempts = std::mem::take(&mut self.attempts);
@@ -199,8 +202,8 @@
         }
     }
 
-    /// Whether its worker must lose its lease: the start of a job that finished may be held back on its way there,
-    /// and could be carried out, however late, as long as the agent epoch lasts.
+    /// Returns whether its worker's lease must not be renewed: the start of a task of a finished job may be delayed on
+    /// its way to the worker, and could be executed at any time while the agent epoch lasts.
     pub fn must_lose_lease(&self) -> bool {
         self.attempts.values().any(|attempt| {
             attempt.starts_in_flight > 0
@@ -209,24 +212,26 @@
         })
     }
 
-    /// Whether the worker's lease has surely run out, if no other controller answered it after `answered_by_others`.
+    /// Returns whether the worker's lease has certainly expired, provided that no other controller answered the worker
+    /// after `answered_by_others`.
     pub fn is_lease_expired(
         &self,
         answered_by_others: Option<Instant>,
         lease: Duration,
         now: Instant,
     ) -> bool {
-        let last = answered_by_others.map_or(self.last_answered, |at| at.max(self.last_answered));
-        now > last + lease.mul_f64(1.0 + DRIFT) + WORKER_MARGIN
+        let last_renewal =
+            answered_by_others.map_or(self.last_answered, |at| at.max(self.last_answered));
+        now > last_renewal + lease.mul_f64(1.0 + DRIFT) + WORKER_MARGIN
     }
 
-    /// Time since the last heartbeat, or since this leader knows the machine.
+    /// Returns the time since the last heartbeat, or since this leader first knew of the machine if there was none.
     pub fn time_since_heartbeat(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.last_heartbeat.unwrap_or(self.known_since))
     }
 }
 
-/// An attempt that an earlier leader placed; what it needs is not known yet.
+/// Returns an attempt placed by an earlier leader, whose resource request, team and image are not known yet.
 fn found_attempt(state: TaskState, now: Instant) -> PlacedAttempt {
     let spec = AttemptSpec {
         need: Amount::default(),
--- a/src/workers/machine/usage.rs
+++ b/src/workers/machine/usage.rs
@@ -1,29 +1,29 @@
-//! What the attempts on a machine add up to.
+//! Resources in use on a machine, summed over its attempts.
 
 use super::{Machine, PlacedAttempt};
 use crate::ids::Amount;
 use crate::placement::Basket;
 use crate::wire::{Priority, TaskState};
 
-/// Resources that a team's attempts take on a machine.
+/// Resources used by a team's attempts on a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamUsage {
     /// Index of the team.
     pub team: usize,
-    /// What its attempts take.
+    /// Sum over the team's attempts.
     pub used: Amount,
 }
 
-/// What the attempts on a machine add up to.
+/// Sums over the attempts on a machine that have not exited.
 #[derive(Debug, Clone, Default)]
 pub struct Usage {
-    /// Resources in use.
+    /// Resources used by all attempts.
     pub used: Amount,
-    /// The same by team.
+    /// Resources used by the attempts of each team.
     pub teams: Vec<TeamUsage>,
-    /// Heavy if any attempt is; none if there are none.
+    /// Basket of the machine: heavy if any attempt is heavy, `None` without attempts.
     pub basket: Option<Basket>,
-    /// CPU of running tasks of low priority.
+    /// CPU used by running tasks of low priority.
     pub low_priority_cpu: u64,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Machine {
-    /// Resources of all attempts that may be running here.
+    /// Returns the resources used by all attempts that may be running.
     pub fn used(&self) -> Amount {
         self.attempts
             .values()
@@ -52,12 +52,12 @@
             .fold(Amount::default(), |sum, attempt| sum.plus(&attempt.need))
     }
 
-    /// Must be called whenever an attempt was added or changed in place.
+    /// Discards the cached usage. Must be called whenever an attempt was added or changed in place.
     pub fn invalidate_usage(&mut self) {
         self.usage = None;
     }
 
-    /// What its attempts add up to, recomputed only when they have changed: few of thousands of tasks change from one
+    /// Returns the sums over its attempts, recomputed only after a change: of thousands of tasks, few change from one
     /// planning pass to the next.
     pub fn usage(&mut self, basket_of: impl Fn(&Amount) -> Basket) -> &Usage {
         let attempts = &self.attempts;
@@ -70,12 +70,12 @@
         })
     }
 
-    /// CPU of running tasks of low priority, as last computed.
+    /// Returns the CPU used by running tasks of low priority, as last computed by [`Machine::usage`].
     pub fn low_priority_cpu(&self) -> u64 {
         self.usage.as_ref().map_or(0, |usage| usage.low_priority_cpu)
     }
 
-    /// Whether no attempt may be running here.
+    /// Returns whether no attempt may be running.
     pub fn is_empty(&self) -> bool {
         self.attempts.values().all(|attempt| attempt.state == TaskState::Exited)
     }
