--- a/src/jobs/dag.rs
+++ b/src/jobs/dag.rs
@@ -27,7 +27,7 @@
         match job.body {
             JobBody::Live(_) => DependencyOutcome::Unfinished,
             JobBody::Finished { cancelled: true, .. } => DependencyOutcome::Cancelled,
-            JobBody::Finished { .. } => DependencyOutcome::Done(job.ended_ms),
+            JobBody::Finished { .. } => DependencyOutcome::Done(job.finished_ms),
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedPriority {
     /// Highest priority of the job itself and of all jobs that depend on it.
-    pub urgency: Priority,
+    pub priority: Priority,
     /// Time by which the job must be done so that it and the jobs that depend on it meet their due
     /// times, in milliseconds of the time of day.
     pub due_ms: Option<u64>,
@@ -112,7 +112,7 @@
         let latest_start_ms = propagated.due_ms.map(|due| due.saturating_sub(duration_ms(id, job)));
         for (id, dependency) in job.depends_on().iter().filter_map(|id| jobs.get_key_value(id)) {
             if let Some(entry) = inherited.get_mut(*id) {
-                entry.urgency = entry.urgency.min(propagated.urgency);
+                entry.priority = entry.priority.min(propagated.priority);
                 entry.due_ms = entry.due_ms.into_iter().chain(latest_start_ms).min();
             }
             if let Some(count) = unvisited_dependents.get_mut(id) {
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -13,7 +13,7 @@
     /// Revision of its record in the store.
     pub rev: Revision,
     /// Finish time in milliseconds of the time of day; 0 if the record does not contain it.
-    pub(super) ended_ms: u64,
+    pub(super) finished_ms: u64,
     /// State that depends on whether the job is live or finished.
     pub body: JobBody,
 }
@@ -28,7 +28,7 @@
         /// Whether the job was cancelled rather than completed.
         cancelled: bool,
         /// Number of completed tasks.
-        done: u64,
+        completed_tasks: u64,
         /// Tasks that may still be on machines.
         orphaned_tasks: Option<Box<OrphanedTasks>>,
     },
@@ -40,12 +40,12 @@
     /// Team whose limit the tasks count against.
     pub team: String,
     /// Resource request of one task.
-    pub need: Amount,
+    pub request: Amount,
     /// Maximum number of such tasks; `None` in records of older versions, which do not store it.
     pub tasks: Option<u64>,
     /// Finish time of the job in milliseconds of the time of day; `None` in records of older
     /// versions, which do not store it.
-    pub ended_ms: Option<u64>,
+    pub finished_ms: Option<u64>,
 }
 
 /// Final state of a job, which never changes.
@@ -65,7 +65,7 @@
     /// Acceptance time in milliseconds of the time of day.
     pub accepted_ms: u64,
     /// Resource request of one task.
-    pub need: Amount,
+    pub request: Amount,
     /// Number of dependencies that are not done yet.
     pub(super) unfinished_dependencies: u32,
     /// Latest time at which a dependency was done, in milliseconds of the time of day.
@@ -81,8 +81,8 @@
 impl Job {
     /// Returns the finish time in milliseconds of the time of day, if the job is finished and its
     /// record contains the time.
-    pub fn ended_ms(&self) -> Option<u64> {
-        (self.is_finished() && self.ended_ms > 0).then_some(self.ended_ms)
+    pub fn finished_ms(&self) -> Option<u64> {
+        (self.is_finished() && self.finished_ms > 0).then_some(self.finished_ms)
     }
 
     /// Returns the live job, or `None` if it is finished.
@@ -109,7 +109,7 @@
     pub fn final_state(&self) -> Option<FinalState> {
         match self.body {
             JobBody::Live(_) => None,
-            JobBody::Finished { cancelled, done: completed_tasks, .. } => {
+            JobBody::Finished { cancelled, completed_tasks, .. } => {
                 let status = if cancelled { JobStatus::Cancelled } else { JobStatus::Done };
                 Some(FinalState { status, completed_tasks })
             }
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -143,7 +143,7 @@
             }
             _ => self.new_live(&id, &record, spec, location),
         };
-        let job = Job { rev: revision, ended_ms: 0, body: JobBody::Live(live) };
+        let job = Job { rev: revision, finished_ms: 0, body: JobBody::Live(live) };
         self.all.insert(id.clone(), job);
         self.link_dependencies(&id);
     }
@@ -189,11 +189,11 @@
             completed.insert_chunk(&early.tasks, first, spec.tasks as u32);
             completed_chunks.insert(chunk, early.revision);
         }
-        let need = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
+        let request = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
         Box::new(LiveJob {
             spec,
             accepted_ms: record.accepted_ms,
-            need,
+            request,
             unfinished_dependencies: 0,
             dependencies_done_ms: 0,
             completed,
@@ -237,17 +237,17 @@
         }
         self.incomplete.remove(&id);
         let orphaned_tasks = record.task.map(|task| OrphanedTasks {
-            need: task.request(),
+            request: task.request(),
             team: task.team,
             tasks: record.remaining_tasks,
-            ended_ms: record.ended_ms,
+            finished_ms: record.ended_ms,
         });
         let body = JobBody::Finished {
             cancelled: record.phase == JobPhase::Cancelled,
-            done: record.completed_count,
+            completed_tasks: record.completed_count,
             orphaned_tasks: orphaned_tasks.map(Box::new),
         };
-        let job = Job { rev, ended_ms: record.ended_ms.unwrap_or(0), body };
+        let job = Job { rev, finished_ms: record.ended_ms.unwrap_or(0), body };
         let outcome = DependencyOutcome::from(&job);
         let replaced = self.all.insert(id.clone(), job);
         self.discard_auxiliary_keys(&id, replaced.as_ref().and_then(Job::live));
@@ -284,7 +284,8 @@
     /// dependency was never done.
     fn cancel_by_dependency(&mut self, id: &JobId) {
         let Some(job) = self.all.get_mut(id) else { return };
-        let finished = JobBody::Finished { cancelled: true, done: 0, orphaned_tasks: None };
+        let finished =
+            JobBody::Finished { cancelled: true, completed_tasks: 0, orphaned_tasks: None };
         if let JobBody::Live(live) = std::mem::replace(&mut job.body, finished) {
             self.discard_auxiliary_keys(id, Some(&live));
             self.cancelled_by_dependency.insert(id.clone());
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -221,7 +221,7 @@
     for round in 0..7 {
         let jobs = store.read(0..store.keys.len());
         let done = complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).unwrap();
-        assert!(!done.ends && store.commit(&done.transaction, &LAYOUT), "{round}");
+        assert!(!done.finishes_job && store.commit(&done.transaction, &LAYOUT), "{round}");
     }
     let jobs = store.read(0..store.keys.len());
     assert!(complete(&id, jobs.get(&id).unwrap(), &tasks, 0, 9, &LAYOUT).is_none());
@@ -262,7 +262,7 @@
     }
     let jobs = store.read(0..store.keys.len());
     let done = complete(&id, jobs.get(&id).unwrap(), &[1, 1999], 0, 9, &LAYOUT).unwrap();
-    assert!(!done.ends && store.commit(&done.transaction, &LAYOUT));
+    assert!(!done.finishes_job && store.commit(&done.transaction, &LAYOUT));
     let end = cancel(&id, jobs.get(&id).unwrap(), 9, &LAYOUT).unwrap();
     assert!(store.commit(&end, &LAYOUT));
     let jobs = store.read(0..store.keys.len());
@@ -271,7 +271,7 @@
 
 fn own_priority(job: &LiveJob) -> dag::InheritedPriority {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
-    dag::InheritedPriority { urgency: job.spec.urgency, due_ms }
+    dag::InheritedPriority { priority: job.spec.urgency, due_ms }
 }
 
 fn duration_ms(job: &LiveJob) -> u64 {
@@ -283,7 +283,7 @@
     let mut inherited = own_priority(live[id]);
     for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
         let dependent = model_inherited(other, live);
-        inherited.urgency = inherited.urgency.min(dependent.urgency);
+        inherited.priority = inherited.priority.min(dependent.priority);
         let begin = dependent.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
         inherited.due_ms = inherited.due_ms.into_iter().chain(begin).min();
     }
@@ -468,12 +468,12 @@
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
             let own = |job: &LiveJob| dag::InheritedPriority {
-                urgency: job.spec.urgency,
+                priority: job.spec.urgency,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
             let inherited = dag::inherit_priorities(&live, own, |_, _| 10);
             let first = inherited[&name(0)];
-            assert_eq!(first.urgency, wire::Priority::Production);
+            assert_eq!(first.priority, wire::Priority::Production);
             let layers = if depends_on(4999).len() == 1 { 4999 } else { 999 };
             assert_eq!(first.due_ms, Some(1_000_000 - layers * 10));
             let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -28,7 +28,7 @@
     /// Preconditions and writes to commit.
     pub transaction: Transaction,
     /// Whether the transaction finishes the job.
-    pub ends: bool,
+    pub finishes_job: bool,
 }
 
 fn put(key: String, data: StoreValue) -> Write {
@@ -133,10 +133,10 @@
             remaining_tasks: duplicates,
             ..JobRecord::live(live.accepted_ms, None)
         };
-        return Some(Completion { transaction: finish(id, job, &record), ends: true });
+        return Some(Completion { transaction: finish(id, job, &record), finishes_job: true });
     }
     let transaction = record_progress(id, job.rev, live, &newly_completed, &completed, layout);
-    (!transaction.writes.is_empty()).then_some(Completion { transaction, ends: false })
+    (!transaction.writes.is_empty()).then_some(Completion { transaction, finishes_job: false })
 }
 
 /// Returns the transaction that writes the chunks of the newly completed tasks. The record itself
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -43,7 +43,7 @@
         self.autoscaler.reserved_machines.remove(&row.machine);
         if let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
             let machine = self.fleet.add_machine(&row.machine, pool, now);
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
@@ -71,13 +71,13 @@
         let quiet = self.settings.heartbeat_interval() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
-                && machine.state != MachineState::Returning
+                && machine.state != MachineState::Terminating
                 && machine.time_since_heartbeat(requested_at) > quiet
                 && requested_at.saturating_duration_since(machine.rented) > lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine unreachable and not listed, terminating");
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -89,7 +89,7 @@
     }
 
     fn check_boot(&self, machine: &mut Machine) {
-        let machine_type = &self.machine_types[machine.flavor];
+        let machine_type = &self.machine_types[machine.machine_type];
         let mut patience = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
         if !self.summary.overtaken()(machine) {
@@ -144,7 +144,7 @@
     /// For how long a machine may be idle: idle time costs less on a spot machine, and a boot costs
     /// its users the same.
     fn idle_limit(&self, machine: &Machine) -> Duration {
-        let machine_type = &self.machine_types[machine.flavor];
+        let machine_type = &self.machine_types[machine.machine_type];
         let price_ratio = if machine.spot && machine_type.spot_price > 0.0 {
             (machine_type.price / machine_type.spot_price).max(1.0)
         } else {
@@ -156,7 +156,7 @@
 
 fn return_machine(machine: &mut Machine, message: &'static str) {
     tracing::info!(machine = %machine.id, "{message}");
-    machine.state = MachineState::Returning;
+    machine.state = MachineState::Terminating;
 }
 
 impl Scheduler {
@@ -176,7 +176,7 @@
         let overtaken = summary.overtaken();
         let late = self.fleet.machines.values().filter(|machine| {
             machine.state == MachineState::Booting
-                && is_late(machine, &self.fleet.machine_types[machine.flavor])
+                && is_late(machine, &self.fleet.machine_types[machine.machine_type])
                 && !overtaken(machine)
         });
         let all_late = summary.booting && late.count() >= COMMON_DELAY_MACHINES;
@@ -212,7 +212,7 @@
         for machine in self.fleet.machines.values_mut() {
             let lost = watch.check(machine);
             events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
-            if machine.state == MachineState::Returning {
+            if machine.state == MachineState::Terminating {
                 cloud.scale_in(&machine.id, now);
             }
         }
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -237,7 +237,7 @@
             .enumerate()
             .filter(|(i, bin)| *i != source && bin.ready && !bin.spot && bin.zone == zone);
         let free: u64 = others.map(|(_, bin)| bin.free.cpu).sum();
-        let capacity = self.fleet.capacity(machine.flavor).cpu;
+        let capacity = self.fleet.capacity(machine.machine_type).cpu;
         let warm = capacity as f64 * self.settings.operator.warm_per_zone;
         free.saturating_sub(machine.used().cpu) as f64 >= warm
     }
@@ -269,12 +269,12 @@
             let spec = &self.cache.jobs.get(&task.job).and_then(Job::live)?.spec;
             scheduler.jobs.progress.get(&task.job)?;
             let target = targets.values_mut().find(|target| {
-                entry.need.fits(&target.free)
+                entry.request.fits(&target.free)
                     && self.may_move_to(scheduler, &self.bins[target.bin], &task.job, spec)
                     && self.has_image(scheduler, target.bin, entry)
             })?;
-            target.free = target.free.minus(&entry.need);
-            evacuation.moves.push(TaskMove { target: target.bin, resources: entry.need });
+            target.free = target.free.minus(&entry.request);
+            evacuation.moves.push(TaskMove { target: target.bin, resources: entry.request });
             evacuation.replicas += usize::from(spec.shape == JobKind::Service);
             let zone = self.bins[target.bin].zone;
             *self.moved.entry(MovedKey { job: task.job.clone(), zone }).or_default() += 1;
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -155,7 +155,7 @@
                 else {
                     continue;
                 };
-                free[target] = free[target].minus(&live.need);
+                free[target] = free[target].minus(&live.request);
                 let grace_s = if saves { live.spec.save_s } else { 0.0 };
                 evacuations.push(Evacuation { key, machine: machine.id.clone(), grace_s });
                 if service || evacuations.len() >= most {
@@ -194,7 +194,7 @@
                 // What has to be in one zone stays there as long as any of it does.
                 && (!spec.one_zone || zone == from.zone || there[from.zone] == 0)
         };
-        let fits = |at: &usize| may(&bins[*at]) && live.need.fits(&free[*at]);
+        let fits = |at: &usize| may(&bins[*at]) && live.request.fits(&free[*at]);
         let warm = |at: usize| {
             let machine = names[at].as_ref().and_then(|id| self.fleet.machines.get(id));
             machine.is_some_and(|m| m.images.iter().any(|image| **image == *spec.image))
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -39,7 +39,7 @@
         };
         let machines = self.fleet.machines.values().filter(is_usable);
         let free_cpu = machines
-            .map(|machine| self.fleet.capacity(machine.flavor).minus(&machine.used()).cpu)
+            .map(|machine| self.fleet.capacity(machine.machine_type).minus(&machine.used()).cpu)
             .sum();
         let elastic_jobs: Vec<(JobId, ElasticJob)> = jobs
             .iter()
@@ -53,7 +53,7 @@
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let elastic_job = ElasticJob { need: job.need.cpu, width, most: elastic.most, waiting };
+        let elastic_job = ElasticJob { need: job.request.cpu, width, most: elastic.most, waiting };
         (width >= elastic.least).then_some(elastic_job)
     }
 
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -96,7 +96,7 @@
         let teams = &self.settings.platform.params.teams;
         let Some(team) = teams.get(group.team.index()) else { return };
         let guest = team.guarantee().is_zero();
-        let each = room(&job.need, &totals.largest);
+        let each = room(&job.request, &totals.largest);
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
         progress.demand_group = Some(group);
@@ -186,7 +186,7 @@
                 }
                 let Some(group) = progress.demand_group else { continue };
                 if let Some(demand) = demands.get_mut(&group) {
-                    let each = room(&entry.need, largest);
+                    let each = room(&entry.request, largest);
                     demand.held = demand.held.saturating_sub(each);
                     demand.waiting += each;
                 }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -45,7 +45,7 @@
 
 /// What so many tasks take up; all there is if their number was not told.
 fn room(rest: &OrphanedTasks, placed: u64) -> Amount {
-    rest.need.times(rest.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
+    rest.request.times(rest.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
 }
 
 impl Scheduler {
@@ -59,11 +59,11 @@
         let now_ms = self.wall_clock.ms(now);
         let lately = |ended_ms: u64| now_ms < ended_ms.saturating_add(within.as_millis() as u64);
         let jobs = cache.jobs.all.values();
-        let long_over = jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !lately(ms)));
+        let long_over = jobs.clone().filter(|job| job.finished_ms().is_some_and(|ms| !lately(ms)));
         let long_over = long_over.map(|job| job.rev).max().unwrap_or_default();
         for job in jobs {
             let JobBody::Finished { orphaned_tasks: Some(rest), .. } = &job.body else { continue };
-            if rest.ended_ms.map_or(job.rev > long_over, lately) {
+            if rest.finished_ms.map_or(job.rev > long_over, lately) {
                 let team = self.team_of(&rest.team);
                 self.jobs.orphaned_capacity.add(team, room(rest, 0));
             }
@@ -75,7 +75,7 @@
         let placed = work.placed.len() as u64;
         let (team, amount) = match &job.body {
             _ if !work.predates_leadership => return,
-            JobBody::Live(live) => (&live.spec.team, live.need.times(work.waiting(live))),
+            JobBody::Live(live) => (&live.spec.team, live.request.times(work.waiting(live))),
             JobBody::Finished { orphaned_tasks: Some(rest), .. } => {
                 (&rest.team, room(rest, placed))
             }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -175,7 +175,7 @@
                 store.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
-                machine_type: self.fleet.machine_types[machine.flavor].name.clone(),
+                machine_type: self.fleet.machine_types[machine.machine_type].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
@@ -268,13 +268,13 @@
             let Some(done) = jobs::complete(id, job, &tasks, second, now_ms, &layout) else {
                 continue;
             };
-            if !done.ends && (!marks || store.is_backlogged()) {
+            if !done.finishes_job && (!marks || store.is_backlogged()) {
                 continue;
             }
             let mut transaction = done.transaction;
             transaction.preconditions.push(guard.clone());
             let priority =
-                if done.ends { WritePriority::Blocking } else { WritePriority::Progress };
+                if done.finishes_job { WritePriority::Blocking } else { WritePriority::Progress };
             store.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -54,8 +54,8 @@
         Some(PlacementRequest {
             team: TeamId::new(*self.teams.get(&spec.team)?),
             priority,
-            resources: job.need,
-            basket: Basket::classify(&job.need, capacities, heavy_threshold),
+            resources: job.request,
+            basket: Basket::classify(&job.request, capacities, heavy_threshold),
             count: 0,
             zone,
             machine_types: spec.flavors.as_ref().map(|names| self.machine_type_ids(names)),
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -120,7 +120,7 @@
         team: TeamId,
         context: &RequestContext<'_>,
     ) -> u64 {
-        let within_limit = max_copies(&context.fleet.team_headroom[team.index()], &job.need);
+        let within_limit = max_copies(&context.fleet.team_headroom[team.index()], &job.request);
         let waiting = self.jobs.progress[id].waiting(job);
         if within_limit < waiting {
             self.statistics.add_waiting(waiting_cause::TEAM_LIMIT, waiting - within_limit);
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -96,7 +96,7 @@
     pub(super) fn unconfirmed_machines(&self) -> UnconfirmedMachines {
         let mut unconfirmed = UnconfirmedMachines { pools: Vec::new(), free: Amount::default() };
         for machine in self.fleet.machines.values().filter(|machine| !machine.confirmed) {
-            let (flavor, zone, spot) = (machine.flavor, machine.zone, machine.spot);
+            let (flavor, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
             unconfirmed.pools.push(MachinePool { flavor, zone, spot });
             let free = self.fleet.capacity(flavor).minus(&machine.used());
             unconfirmed.free = unconfirmed.free.plus(&free);
@@ -189,7 +189,7 @@
             if drained.drain_of_machine(machine.id.as_str(), zone_name).is_some() {
                 continue;
             }
-            let machine_type = &self.fleet.machine_types[machine.flavor];
+            let machine_type = &self.fleet.machine_types[machine.machine_type];
             let booting = machine.state == MachineState::Booting && !overdue(machine, machine_type);
             let up = is_usable(machine, quiet, now);
             let unconfirmed = machine.state == MachineState::Up && !machine.confirmed;
@@ -206,9 +206,9 @@
             machines.bins.push(Bin {
                 index: machine.index,
                 zone: ZoneId::new(machine.zone),
-                machine_type: MachineTypeId::new(machine.flavor),
+                machine_type: MachineTypeId::new(machine.machine_type),
                 spot: machine.spot,
-                free: capacities[machine.flavor].minus(&used),
+                free: capacities[machine.machine_type].minus(&used),
                 basket: machine.basket,
                 ready: up && machine.confirmed && machine.recorded,
                 images: machine.image_ids.clone(),
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -67,7 +67,7 @@
         let mut queue: Vec<QueuedJob> = Vec::new();
         for (age_rank, (id, job)) in jobs.iter().enumerate() {
             let Some(&team) = self.teams.get(&job.spec.team) else { continue };
-            requested[team] = requested[team].plus(&job.need.times(job.spec.tasks));
+            requested[team] = requested[team].plus(&job.request.times(job.spec.tasks));
             let over_quota = !requested[team].fits(&teams[team].guarantee());
             queue.push(QueuedJob {
                 over_quota,
@@ -77,7 +77,7 @@
             });
             let progress = &self.jobs.progress[*id];
             if progress.predates_leadership && has_unconfirmed {
-                let resources = job.need.times(progress.waiting(job));
+                let resources = job.request.times(progress.waiting(job));
                 maybe_used[team] = maybe_used[team].plus(&resources);
             }
         }
@@ -103,7 +103,7 @@
             first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
             over_quota: false,
             without_slo: !self.has_objective(id, job),
-            had_turn: started >= max_copies(&team_limit, &job.need),
+            had_turn: started >= max_copies(&team_limit, &job.request),
             missed_slos,
             size: if missed_all { 0 } else { spec.tasks },
             age_rank: 0,
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -116,10 +116,8 @@
         }
         progress.placed.insert(task.index, Placement { machine: id.clone(), attempt });
         let image = Arc::from(live.spec.image.as_str());
-        let entry = PlacedAttempt::new(
-            AttemptSpec { need: live.need, team, urgency: priority, image },
-            now,
-        );
+        let entry =
+            PlacedAttempt::new(AttemptSpec { request: live.request, team, priority, image }, now);
         machine.attempts.insert((task, attempt), entry);
         machine.invalidate_usage();
         machine.commands_due = true;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -122,7 +122,7 @@
             .flat_map(|machine| machine.attempts.values())
             .filter(|entry| entry.state != TaskState::Exited)
             .filter(|entry| entry.stopped_for(PREEMPTED))
-            .fold(Amount::default(), |sum, entry| sum.plus(&entry.need))
+            .fold(Amount::default(), |sum, entry| sum.plus(&entry.request))
     }
 
     /// Whether a start on a machine without the image misses the tightest objective of its class.
@@ -132,7 +132,7 @@
         let Some(within_s) = self.settings.tightest_start_objective(&live.spec.class) else {
             return false;
         };
-        let gb_per_s = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
+        let gb_per_s = self.fleet.machine_types[machine.machine_type].fetch_gb_per_s;
         live.spec.urgency == Priority::Production
             && gb_per_s > 0.0
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -97,9 +97,9 @@
             id: machine.id.clone(),
             index: machine.index,
             zone: ZoneId::new(machine.zone),
-            machine_type: MachineTypeId::new(machine.flavor),
+            machine_type: MachineTypeId::new(machine.machine_type),
             spot: machine.spot,
-            free: self.fleet.capacity(machine.flavor).minus(&machine.used()),
+            free: self.fleet.capacity(machine.machine_type).minus(&machine.used()),
             images: machine.image_ids.clone(),
             victims,
         })
@@ -111,7 +111,7 @@
         entry: &PlacedAttempt,
         rules: &VictimRules<'_>,
     ) -> Option<Victim> {
-        let is_preemptible = entry.urgency > Priority::Production
+        let is_preemptible = entry.priority > Priority::Production
             && entry.stop.is_none()
             && matches!(entry.state, TaskState::Running | TaskState::Fetching);
         if !is_preemptible {
@@ -129,7 +129,7 @@
             return None;
         }
         let share = if rules.budget.is_limited() {
-            self.group_share(live, &entry.need, &rules.largest)
+            self.group_share(live, &entry.request, &rules.largest)
         } else {
             None
         };
@@ -145,8 +145,8 @@
         let saves = spec.checkpoint_s > 0.0;
         Some(Victim {
             attempt: attempt.clone(),
-            priority: entry.urgency,
-            resources: entry.need,
+            priority: entry.priority,
+            resources: entry.request,
             loss_with_save_s: bonus_s + weight * if saves { spec.save_s } else { ran_s },
             loss_without_save_s: bonus_s + weight * unsaved_work_s(spec, ran_s),
             save_s: if saves { spec.save_s } else { 0.0 },
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -176,7 +176,7 @@
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
             }
-            TaskEvent::Exited { task, attempt, why, saved } => {
+            TaskEvent::Exited { task, attempt, exit_cause: why, saved } => {
                 let exit = TaskExit { machine: machine.clone(), task, attempt, why, saved };
                 self.on_exit(&exit, cache, now);
             }
@@ -222,10 +222,10 @@
             Some(JobBody::Live(live)) => {
                 let image = Arc::from(live.spec.image.as_str());
                 let urgency = self.urgency(&task.job, live);
-                (self.team_of(&live.spec.team), live.need, image, urgency)
+                (self.team_of(&live.spec.team), live.request, image, urgency)
             }
             Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
-                (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
+                (self.team_of(&rest.team), rest.request, Arc::from(""), Priority::Production)
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
@@ -235,7 +235,7 @@
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.commands_due = true;
         let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
-        (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, urgency);
+        (entry.team, entry.request, entry.image, entry.priority) = (team, need, image, urgency);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
         machine.adopt_attempt(&key);
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -122,7 +122,7 @@
     fn seen(&mut self, id: &JobId, live: &LiveJob) -> &mut Seen {
         self.seen.entry(id.clone()).or_insert_with(|| Seen {
             spec: live.spec.clone(),
-            need: live.need,
+            need: live.request,
             accepted_ms: live.accepted_ms,
             shown: Current::default(),
             saved_s: HashMap::new(),
@@ -236,7 +236,7 @@
         let running = self.running_s(id, now);
         let seen = self.runtime_predictor.seen(id, live);
         let shown = seen.shown.with_running(&running);
-        let profile = profile(id, &live.spec, &live.need);
+        let profile = profile(id, &live.spec, &live.request);
         let estimate = self.runtime_predictor.learner.estimate(&profile, &shown, hour)?;
         self.runtime_predictor.seen(id, live).known = Some((estimate, now));
         Some(estimate)
@@ -324,7 +324,8 @@
         // What waits is taken to find room as its team's limit allows.
         let team =
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
-        let width = team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.need));
+        let width =
+            team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.request));
         let rest = remaining(&estimate.centre, &running, waiting, width);
         let late = rest.later_than(left_s);
         let done_in_s = rest.point(0.5);
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -85,12 +85,12 @@
                     MachineState::Up if silent => "silent",
                     MachineState::Up if machine.is_empty() => "idle",
                     MachineState::Up => "up",
-                    MachineState::Returning => "returning",
+                    MachineState::Terminating => "returning",
                 }
             );
             *by_kind.entry(name).or_default() += 1;
             if machine.state == MachineState::Up {
-                free = free.plus(&self.fleet.capacity(machine.flavor).minus(&machine.used()));
+                free = free.plus(&self.fleet.capacity(machine.machine_type).minus(&machine.used()));
             }
         }
         tracing::info!(
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -101,7 +101,7 @@
     fn note_vacated(&mut self, exit: &TaskExit, now: Instant) {
         if let Some(machine) = self.fleet.machines.get_mut(&exit.machine)
             && let Some(entry) = machine.attempts.get(&exit.key())
-            && entry.urgency < Priority::Low
+            && entry.priority < Priority::Low
         {
             machine.vacated_at = Some(now);
         }
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -94,6 +94,6 @@
             }
         }
         let life = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
-        assert_eq!(life == MachineState::Returning, open);
+        assert_eq!(life == MachineState::Terminating, open);
     }
 }
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -76,7 +76,7 @@
         class: &spec.class,
         team: &spec.team,
         image: &spec.image,
-        size: [live.need.cpu, live.need.gpu, live.need.ram],
+        size: [live.request.cpu, live.request.gpu, live.request.ram],
         expect_s: 0.0,
         tasks: 4,
     };
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -83,7 +83,7 @@
         for id in lost {
             let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             tracing::info!(machine = %id, confirmed = machine.confirmed, "machine unreachable, terminating");
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -32,7 +32,7 @@
     /// The worker has sent a heartbeat.
     Up,
     /// To be terminated; nothing is placed on it any more.
-    Returning,
+    Terminating,
 }
 
 /// The controller that relayed a machine's last heartbeat.
@@ -52,7 +52,7 @@
     /// Address at which its worker accepts direct calls.
     pub address: Option<SocketAddr>,
     /// Index of its machine type.
-    pub flavor: usize,
+    pub machine_type: usize,
     /// Index of its zone.
     pub zone: usize,
     /// Whether it is a spot machine, which the cloud may reclaim.
@@ -139,7 +139,7 @@
         Machine {
             id,
             address: None,
-            flavor: pool.flavor,
+            machine_type: pool.flavor,
             zone: pool.zone,
             spot: pool.spot,
             state: MachineState::Booting,
--- a/src/workers/machine/attempt.rs
+++ b/src/workers/machine/attempt.rs
@@ -22,11 +22,11 @@
 #[derive(Debug, Clone)]
 pub struct AttemptSpec {
     /// Resource request of the task.
-    pub need: Amount,
+    pub request: Amount,
     /// Index of its team; `usize::MAX` while the team is unknown.
     pub team: usize,
     /// Priority, including what its job inherits from dependent jobs.
-    pub urgency: Priority,
+    pub priority: Priority,
     /// Container image that it runs.
     pub image: Arc<str>,
 }
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone)]
 pub struct PlacedAttempt {
     /// Resource request of the task.
-    pub need: Amount,
+    pub request: Amount,
     /// Index of its team; `usize::MAX` while the team is unknown.
     pub team: usize,
     /// Priority, including what its job inherits from dependent jobs.
-    pub urgency: Priority,
+    pub priority: Priority,
     /// Container image that it runs.
     pub image: Arc<str>,
     /// Whether a heartbeat has listed it.
@@ -66,9 +66,9 @@
     /// Creates an attempt that is placed now and not reported yet.
     pub fn new(spec: AttemptSpec, now: Instant) -> PlacedAttempt {
         PlacedAttempt {
-            need: spec.need,
+            request: spec.request,
             team: spec.team,
-            urgency: spec.urgency,
+            priority: spec.priority,
             image: spec.image,
             is_reported: false,
             state: TaskState::Fetching,
@@ -105,7 +105,7 @@
         /// Number of the attempt.
         attempt: Attempt,
         /// Exit cause as given by the worker.
-        why: String,
+        exit_cause: String,
         /// Whether the attempt saved its progress.
         saved: bool,
     },
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -119,7 +119,7 @@
             TaskState::Exited if !attempt.exit_handled => events.push(TaskEvent::Exited {
                 task: key.0,
                 attempt: key.1,
-                why: status.why.clone().unwrap_or_default(),
+                exit_cause: status.why.clone().unwrap_or_default(),
                 saved: status.saved.unwrap_or(false),
             }),
             _ => {}
@@ -234,9 +234,9 @@
 /// Returns an attempt placed by an earlier leader, whose resource request, team and image are not known yet.
 fn found_attempt(state: TaskState, now: Instant) -> PlacedAttempt {
     let spec = AttemptSpec {
-        need: Amount::default(),
+        request: Amount::default(),
         team: usize::MAX,
-        urgency: Priority::Production,
+        priority: Priority::Production,
         image: Arc::from(""),
     };
     PlacedAttempt { state, ..PlacedAttempt::new(spec, now) }
--- a/src/workers/machine/usage.rs
+++ b/src/workers/machine/usage.rs
@@ -29,16 +29,16 @@
 
 impl Usage {
     fn add(&mut self, attempt: &PlacedAttempt, basket_of: &impl Fn(&Amount) -> Basket) {
-        self.used = self.used.plus(&attempt.need);
+        self.used = self.used.plus(&attempt.request);
         match self.teams.iter_mut().find(|usage| usage.team == attempt.team) {
-            Some(usage) => usage.used = usage.used.plus(&attempt.need),
-            None => self.teams.push(TeamUsage { team: attempt.team, used: attempt.need }),
+            Some(usage) => usage.used = usage.used.plus(&attempt.request),
+            None => self.teams.push(TeamUsage { team: attempt.team, used: attempt.request }),
         }
         if self.basket != Some(Basket::Heavy) {
-            self.basket = Some(basket_of(&attempt.need));
+            self.basket = Some(basket_of(&attempt.request));
         }
-        if attempt.urgency == Priority::Low && attempt.state == TaskState::Running {
-            self.low_priority_cpu += attempt.need.cpu;
+        if attempt.priority == Priority::Low && attempt.state == TaskState::Running {
+            self.low_priority_cpu += attempt.request.cpu;
         }
     }
 }
@@ -49,7 +49,7 @@
         self.attempts
             .values()
             .filter(|attempt| attempt.state != TaskState::Exited)
-            .fold(Amount::default(), |sum, attempt| sum.plus(&attempt.need))
+            .fold(Amount::default(), |sum, attempt| sum.plus(&attempt.request))
     }
 
     /// Discards the cached usage. Must be called whenever an attempt was added or changed in place.
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -448,11 +448,18 @@
         let mut jobs = Jobs::new(SECOND.legacy_chunk_tasks);
         apply(&mut jobs, &written, 1);
         let known = jobs.get(&job()).unwrap();
-        assert_eq!((known.final_state(), known.ended_ms()), (Some(over), Some(ENDED_MS)), "{name}");
+        assert_eq!(
+            (known.final_state(), known.finished_ms()),
+            (Some(over), Some(ENDED_MS)),
+            "{name}"
+        );
         let jobs::JobBody::Finished { orphaned_tasks: Some(rest), .. } = &known.body else {
             panic!("{name}")
         };
         assert_eq!((&*rest.team, rest.tasks), ("team-a", Some(left)), "{name}");
-        assert_eq!((rest.need.cpu, rest.need.gpu, rest.need.ram), (1_500_000, 250_000, 3_100_000));
+        assert_eq!(
+            (rest.request.cpu, rest.request.gpu, rest.request.ram),
+            (1_500_000, 250_000, 3_100_000)
+        );
     }
 }
