--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -202,8 +202,8 @@
         })
     }
 
-    /// Links a new live job to its dependencies. A known job whose record was rewritten
-    /// is already linked.
+    /// Links a new live job to its dependencies. A known job whose record was rewritten is already
+    /// linked.
     fn link_dependencies(&mut self, id: &JobId) {
         let Some(live) = self.all.get(id).and_then(Job::live) else { return };
         let is_linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
--- a/src/workers/command_delivery/pending.rs
+++ b/src/workers/command_delivery/pending.rs
@@ -30,7 +30,7 @@
     pub machine: MachineId,
     /// Commands that were sent; `None` if the call only requested a heartbeat.
     pub commands: Option<CommandBatch>,
-    /// Heartbeat that the worker answered with.
+    /// Heartbeat that the worker answered with; the error says whether the call may have been made.
     pub result: Result<Heartbeat, CallError>,
 }
 
