--- a/src/jobs/completed_chunks.rs
+++ b/src/jobs/completed_chunks.rs
@@ -25,8 +25,7 @@
 /// Stored chunks of a job and the revisions of their keys.
 pub(super) type ChunkRevisions = BTreeMap<ChunkId, Revision>;
 
-/// A chunk that was read before its job's record, which happens because pages are read in the order
-/// of keys.
+/// A chunk that was read before its job's record, since pages are read in the order of keys.
 #[derive(Debug)]
 pub(super) struct EarlyChunk {
     pub(super) tasks: TaskSet,
--- a/src/jobs/dag.rs
+++ b/src/jobs/dag.rs
@@ -86,7 +86,7 @@
 }
 
 /// Propagates priorities and due times from jobs to their direct and indirect dependencies. Each
-/// job is visited once, after all jobs that depend on it; the time is linear in the number of edges.
+/// job is visited once, after all jobs that depend on it, in time linear in the number of edges.
 /// `own` returns the job's own priority and due time, `duration_ms` its duration once it may run.
 pub fn inherit_priorities<'a>(
     jobs: &BTreeMap<&'a JobId, &'a LiveJob>,
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -41,10 +41,9 @@
     pub team: String,
     /// Resource request of one task.
     pub request: Amount,
-    /// Maximum number of such tasks; `None` in records of older versions, which do not store it.
+    /// Maximum number of such tasks; `None` in records of older versions.
     pub tasks: Option<u64>,
-    /// Finish time of the job in milliseconds of the time of day; `None` in records of older
-    /// versions, which do not store it.
+    /// Finish time in milliseconds of the time of day; `None` in records of older versions.
     pub finished_ms: Option<u64>,
 }
 
@@ -79,8 +78,7 @@
 }
 
 impl Job {
-    /// Returns the finish time in milliseconds of the time of day, if the job is finished and its
-    /// record contains the time.
+    /// Returns the finish time in milliseconds of the time of day, if finished and recorded.
     pub fn finished_ms(&self) -> Option<u64> {
         (self.is_finished() && self.finished_ms > 0).then_some(self.finished_ms)
     }
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -148,9 +148,8 @@
         self.link_dependencies(&id);
     }
 
-    /// Applies a record of a job that is already finished here, or a record of an older revision.
-    /// Only one of a job that was cancelled by a dependency has an effect: it updates the revision,
-    /// and may be the record that confirms the cancellation.
+    /// Applies a record that is older, or whose job is finished here. Only a job that was cancelled
+    /// by a dependency is changed: the record may be the one that confirms the cancellation.
     fn apply_to_finished(&mut self, id: &JobId, record: &JobRecord, revision: Revision) {
         let Some(job) = self.all.get_mut(id) else { return };
         if job.rev >= revision || !self.cancelled_by_dependency.contains(id) {
@@ -175,8 +174,7 @@
         mut spec: Arc<JobSpec>,
         location: Option<SpecChunks>,
     ) -> Box<LiveJob> {
-        // Shares the known id, so that a dependency costs a pointer rather than a copy of the name:
-        // a job may have thousands of dependencies.
+        // Shares known ids: each of thousands of dependencies costs a pointer, not a string.
         for dependency in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
             if let Some((known, _)) = self.all.get_key_value(dependency) {
                 *dependency = known.clone();
@@ -393,9 +391,8 @@
         })
     }
 
-    /// Returns the next writes of garbage collection, at most `max_writes`: final records of jobs
-    /// that were cancelled by a dependency, and deletions of keys that finished jobs have beside
-    /// their records.
+    /// Returns up to `max_writes` garbage collection writes: final records of jobs cancelled by a
+    /// dependency, and deletions of keys that finished jobs have beside their records.
     pub fn garbage(&self, max_writes: usize) -> Vec<GarbageWrite> {
         let cancelled = self.cancelled_by_dependency.iter().filter_map(|id| {
             let record = JobRecord { phase: JobPhase::Cancelled, ..JobRecord::live(0, None) };
@@ -405,8 +402,7 @@
         cancelled.chain(self.garbage.writes()).take(max_writes).collect()
     }
 
-    /// Forgets a key whose removal conflicted with a change that is not known here. The next full
-    /// read of the store finds the key again if it still exists.
+    /// Forgets a key whose removal conflicted; the next full read of the store shows its state.
     pub fn forget_garbage(&mut self, key: &str) {
         self.garbage.remove(key);
     }
--- a/src/jobs/task_set.rs
+++ b/src/jobs/task_set.rs
@@ -56,8 +56,7 @@
         }
     }
 
-    /// Returns the chunk of `len` tasks that begins at the index `first`; its indices are relative to
-    /// `first`.
+    /// Returns the chunk of `len` tasks from the index `first`, with indices relative to `first`.
     pub(super) fn chunk(&self, first: u32, len: u32) -> TaskSet {
         let mut chunk = TaskSet::default();
         let end = first.saturating_add(len).min(self.end());
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -22,8 +22,7 @@
     }
 }
 
-/// In-memory key-value store. A transaction is committed with the next revision if its
-/// preconditions hold.
+/// In-memory store: each transaction gets the next revision if its preconditions hold.
 #[derive(Default)]
 struct Store {
     rev: u64,
@@ -210,8 +209,7 @@
     }
 }
 
-/// Each transaction stays within the limits however many chunks change; the remaining chunks are
-/// written by later transactions.
+/// Each transaction fits the limits however many chunks change; later ones write the rest.
 #[test]
 fn many_changed_chunks_are_committed_in_several_bounded_transactions() {
     let (mut store, id) = (Store::default(), JobId::new("wk-1"));
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -15,11 +15,9 @@
 
 /// Next transaction of an acceptance.
 pub enum Acceptance {
-    /// Writes the job's record. Its precondition, that no record exists, makes a repeated request
-    /// harmless.
+    /// Writes the record, provided that none exists, so that a repeated request is harmless.
     JobRecord(Transaction),
-    /// Writes some of the chunks of a description that is too long for the record. All chunks are
-    /// written before the record.
+    /// Writes some chunks of a description too long for the record. All chunks precede the record.
     SpecChunks(Transaction),
 }
 
@@ -60,8 +58,7 @@
     Acceptance::JobRecord(Transaction { preconditions, writes: vec![put(key, to_value(&record))] })
 }
 
-/// Returns writes for the first chunks of a description that are not stored yet, as many as fit
-/// one transaction, or `None` if all are stored.
+/// Returns writes of the first missing chunks, as many as fit one transaction; `None` if complete.
 fn missing_spec_chunks(
     job: &JobId,
     encoded: &EncodedSpec,
