--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -55,8 +55,8 @@
         let Some(machine) = self.fleet.machines.get_mut(&row.machine) else { return };
         // A new leader knows from here how long a machine has been paid for.
         let age = Duration::from_secs_f64(row.age_s.clamp(0.0, MAX_AGE_S));
-        let rented = now.checked_sub(age).unwrap_or(machine.rented);
-        machine.rented = machine.rented.min(rented);
+        let rented = now.checked_sub(age).unwrap_or(machine.rented_at);
+        machine.rented_at = machine.rented_at.min(rented);
         if machine.address.is_none() {
             machine.address = row.address.as_deref().and_then(|address| address.parse().ok());
         }
@@ -73,7 +73,7 @@
             !present.contains(&machine.id)
                 && machine.state != MachineState::Terminating
                 && machine.time_since_heartbeat(requested_at) > quiet
-                && requested_at.saturating_duration_since(machine.rented) > lag
+                && requested_at.saturating_duration_since(machine.rented_at) > lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine unreachable and not listed, terminating");
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -97,7 +97,7 @@
             // it come no sooner.
             patience *= 2;
         }
-        let age = self.now.saturating_duration_since(machine.rented);
+        let age = self.now.saturating_duration_since(machine.rented_at);
         if machine.state == MachineState::Booting && age > patience {
             return_machine(machine, "machine did not boot in time, terminating");
         }
@@ -130,7 +130,7 @@
         }
         let idle_since = *machine.idle_since.get_or_insert(self.now);
         let idle_for = self.now.saturating_duration_since(idle_since);
-        let age = self.now.saturating_duration_since(machine.rented);
+        let age = self.now.saturating_duration_since(machine.rented_at);
         if machine.confirmed
             && idle_for > self.idle_limit(machine)
             && age >= MINIMUM_BILLED
@@ -171,7 +171,7 @@
         let is_late = move |machine: &Machine, machine_type: &MachineType| {
             let usual = Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE_FACTOR)
                 + BOOT_OVERDUE_MARGIN;
-            now.saturating_duration_since(machine.rented) >= usual
+            now.saturating_duration_since(machine.rented_at) >= usual
         };
         let overtaken = summary.overtaken();
         let late = self.fleet.machines.values().filter(|machine| {
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -150,7 +150,7 @@
         let began = work.placed.iter().filter_map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
-            Some(machine.attempts.get(&(task, placed.attempt))?.placed)
+            Some(machine.attempts.get(&(task, placed.attempt))?.placed_at)
         });
         let ran = began.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         length.saturating_sub(ran).as_secs_f64()
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -123,7 +123,7 @@
             summary.status_unanswered |= machine.unanswered_probe.is_some();
             summary.failing |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
             if machine.up_since.is_some() {
-                summary.newest = summary.newest.max(Some(machine.rented));
+                summary.newest = summary.newest.max(Some(machine.rented_at));
             }
         }
         summary
@@ -151,7 +151,7 @@
     /// Whether a machine that was rented later than this one is up.
     pub(super) fn overtaken(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
-        move |machine| newest.is_some_and(|at| at > machine.rented)
+        move |machine| newest.is_some_and(|at| at > machine.rented_at)
     }
 }
 
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -122,7 +122,7 @@
             machine.address = Some(address);
         }
         if machine.up_since.is_none() && !machine.recorded {
-            let boot_s = now.saturating_duration_since(machine.rented).as_secs_f64();
+            let boot_s = now.saturating_duration_since(machine.rented_at).as_secs_f64();
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
         let quiet = self.settings.heartbeat_interval() * 2;
@@ -199,7 +199,7 @@
         let known_ms =
             self.jobs.progress.get(&task.job).and_then(|work| work.first_seen).map(since);
         let class = &live.spec.class;
-        let fetch_ms = since(entry.placed);
+        let fetch_ms = since(entry.placed_at);
         tracing::debug!(machine = %id, %task, class, known_ms, fetch_ms, image = %entry.image, "running");
     }
 
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -29,7 +29,8 @@
                     let report = Heartbeat::from(report);
                     let orders = self.on_heartbeat(&report, cache, now)?.orders;
                     if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-                        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
+                        machine.relayed_by =
+                            Some(Relayer { controller: from.clone(), received_at: now });
                     }
                     HeartbeatResult::Accepted(
                         orders.into_iter().map(RelayedCommand::from).collect(),
@@ -64,7 +65,7 @@
         }
         // Nothing was placed on it meanwhile.
         self.planning_clock.pass_requested |= was_silent;
-        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
+        machine.relayed_by = Some(Relayer { controller: from.clone(), received_at: now });
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
@@ -75,7 +76,8 @@
     /// The controller that takes a worker's reports, if it passed one on lately.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
-        let is_recent = now.saturating_duration_since(relayer.at) < self.heartbeat_late_after();
+        let is_recent =
+            now.saturating_duration_since(relayer.received_at) < self.heartbeat_late_after();
         is_recent.then_some(&relayer.controller)
     }
 }
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -39,8 +39,7 @@
         if !self.failed_machines.contains(machine) {
             self.failed_machines.push(machine.clone());
         }
-        // A task that fails before the next trial is due was started before the last failure and is not a trial, so it
-        // does not change the pause.
+        // A task that fails before the next trial is due was started before the last failure: it is not a trial.
         if self.is_job_faulty() && self.trial.is_none_or(|trial| now >= trial.due) {
             let pause = self.trial.map_or(RETRY_FIRST, |trial| trial.backoff);
             self.trial = Some(Trial { due: now + pause, backoff: RETRY_MOST.min(pause * 2) });
@@ -71,9 +70,8 @@
         !self.has_succeeded && self.failed_machines.len() >= JOB_FAULT_MACHINES
     }
 
-    /// Returns how many tasks may be started while `placed` tasks are placed: any number, or one at a time for a job
-    /// that fails everywhere. The error is the time at which the next trial is due, or `None` while a trial is in
-    /// progress.
+    /// Returns how many tasks may start while `placed` tasks are placed: any number, or one at a time for a job that
+    /// fails everywhere. The error is the time of the next trial, or `None` while a trial is in progress.
     pub fn allowed_starts(&self, placed: usize, now: Instant) -> Result<usize, Option<Instant>> {
         match self.trial {
             None => Ok(usize::MAX),
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -41,7 +41,7 @@
     /// Id of the relaying controller.
     pub controller: ControllerId,
     /// Time at which the heartbeat was received.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// A rented machine and its worker.
@@ -68,7 +68,7 @@
     /// Time at which this leader first knew of it.
     pub known_since: Instant,
     /// Time at which it was rented, which may be before this leader knew of it.
-    pub rented: Instant,
+    pub rented_at: Instant,
     /// Time at which this leader received its first heartbeat.
     pub up_since: Option<Instant>,
     /// Agent epoch of its worker, as last reported.
@@ -147,7 +147,7 @@
             recorded: false,
             confirmed: true,
             known_since: now,
-            rented: now,
+            rented_at: now,
             up_since: None,
             agent_epoch: 0,
             heartbeat_seq: 0,
--- a/src/workers/machine/attempt.rs
+++ b/src/workers/machine/attempt.rs
@@ -51,7 +51,7 @@
     /// Stop request, once one was made.
     pub stop: Option<StopRequest>,
     /// Time at which it was placed.
-    pub placed: Instant,
+    pub placed_at: Instant,
     /// Time at which a heartbeat first listed it as running.
     pub running_since: Option<Instant>,
     /// Time at which it began to run, if this leader observed the start.
@@ -74,7 +74,7 @@
             state: TaskState::Fetching,
             starts_in_flight: 0,
             stop: None,
-            placed: now,
+            placed_at: now,
             running_since: None,
             observed_start: None,
             last_seen_running: None,
--- a/src/workers/machine/commands.rs
+++ b/src/workers/machine/commands.rs
@@ -66,8 +66,7 @@
         }
     }
 
-    /// Updates the number of unanswered starts for commands that are sent in a direct call (`change` is 1) or were
-    /// answered (-1).
+    /// Adjusts the count of starts in flight for commands sent in a direct call (`change` is 1) or answered (-1).
     pub fn track_starts_in_flight(&mut self, commands: &[WorkerCommand], change: i32) {
         for command in commands {
             if let WorkerCommand::Start { task, attempt } = command
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -65,8 +65,7 @@
         HeartbeatEffect::Recorded(events)
     }
 
-    /// Begins a new agent epoch, in which no attempt of the previous one exists. Its lease counts from the begin of the
-    /// epoch, which was after this leader's last answer.
+    /// Begins a new agent epoch, whose lease counts from its begin, which was after this leader's last answer.
     fn begin_agent_epoch(&mut self, agent_epoch: u64, now: Instant) -> Vec<TaskEvent> {
         self.agent_epoch = agent_epoch;
         self.last_answered = self.last_answered.max(now);
