--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -43,7 +43,7 @@
         self.autoscaler.reserved_machines.remove(&row.machine);
         if let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
             let machine = self.fleet.add_machine(&row.machine, pool, now);
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
@@ -55,8 +55,8 @@
         let Some(machine) = self.fleet.machines.get_mut(&row.machine) else { return };
         // A new leader learns from this how long a machine has been paid for.
         let age = Duration::from_secs_f64(row.age_s.clamp(0.0, MAX_AGE_S));
-        let rented = now.checked_sub(age).unwrap_or(machine.rented);
-        machine.rented = machine.rented.min(rented);
+        let rented = now.checked_sub(age).unwrap_or(machine.rented_at);
+        machine.rented_at = machine.rented_at.min(rented);
         if machine.address.is_none() {
             machine.address = row.address.as_deref().and_then(|address| address.parse().ok());
         }
@@ -71,13 +71,13 @@
         let silence_limit = self.settings.heartbeat_interval() * 2;
         let is_missing = |machine: &Machine| {
             !present.contains(&machine.id)
-                && machine.state != MachineState::Returning
+                && machine.state != MachineState::Terminating
                 && machine.time_since_heartbeat(requested_at) > silence_limit
-                && requested_at.saturating_duration_since(machine.rented) > list_lag
+                && requested_at.saturating_duration_since(machine.rented_at) > list_lag
         };
         for machine in self.fleet.machines.values_mut().filter(|machine| is_missing(machine)) {
             tracing::info!(machine = %machine.id, "machine unreachable and not listed, terminating");
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -93,14 +93,14 @@
     }
 
     fn check_boot(&self, machine: &mut Machine) {
-        let machine_type = &self.machine_types[machine.flavor];
+        let machine_type = &self.machine_types[machine.machine_type];
         let mut boot_timeout = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
         if !self.summary.newer_machine_is_up()(machine) {
             // No machine rented later is up either: all are delayed, and so would be replacements.
             boot_timeout *= 2;
         }
-        let age = self.now.saturating_duration_since(machine.rented);
+        let age = self.now.saturating_duration_since(machine.rented_at);
         if machine.state == MachineState::Booting && age > boot_timeout {
             terminate_machine(machine, "machine did not boot in time, terminating");
         }
@@ -133,7 +133,7 @@
         }
         let idle_since = *machine.idle_since.get_or_insert(self.now);
         let idle_for = self.now.saturating_duration_since(idle_since);
-        let age = self.now.saturating_duration_since(machine.rented);
+        let age = self.now.saturating_duration_since(machine.rented_at);
         if machine.confirmed
             && idle_for > self.idle_limit(machine)
             && age >= MIN_BILLED_TIME
@@ -147,7 +147,7 @@
     /// Returns how long a machine may be idle. Idle time costs less on a spot machine, while a boot
     /// delays its users just as long, so the limit grows with the price ratio.
     fn idle_limit(&self, machine: &Machine) -> Duration {
-        let machine_type = &self.machine_types[machine.flavor];
+        let machine_type = &self.machine_types[machine.machine_type];
         let price_ratio = if machine.spot && machine_type.spot_price > 0.0 {
             (machine_type.price / machine_type.spot_price).max(1.0)
         } else {
@@ -159,7 +159,7 @@
 
 fn terminate_machine(machine: &mut Machine, message: &'static str) {
     tracing::info!(machine = %machine.id, "{message}");
-    machine.state = MachineState::Returning;
+    machine.state = MachineState::Terminating;
 }
 
 impl Scheduler {
@@ -174,12 +174,12 @@
         let is_beyond_limit = move |machine: &Machine, machine_type: &MachineType| {
             let overdue_after = Duration::from_secs_f64(machine_type.boot_s * BOOT_OVERDUE_FACTOR)
                 + BOOT_OVERDUE_MARGIN;
-            now.saturating_duration_since(machine.rented) >= overdue_after
+            now.saturating_duration_since(machine.rented_at) >= overdue_after
         };
         let newer_is_up = summary.newer_machine_is_up();
         let late_machines = self.fleet.machines.values().filter(|machine| {
             machine.state == MachineState::Booting
-                && is_beyond_limit(machine, &self.fleet.machine_types[machine.flavor])
+                && is_beyond_limit(machine, &self.fleet.machine_types[machine.machine_type])
                 && !newer_is_up(machine)
         });
         let has_common_delay =
@@ -216,7 +216,7 @@
         for machine in self.fleet.machines.values_mut() {
             let lost = watch.check(machine);
             events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
-            if machine.state == MachineState::Returning {
+            if machine.state == MachineState::Terminating {
                 cloud.scale_in(&machine.id, now);
             }
         }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -33,7 +33,7 @@
     /// Returns the priority by which a job is ordered, preempts others and is preempted: the highest of its own and
     /// those of all its dependents.
     pub(super) fn effective_priority(&self, id: &JobId, job: &LiveJob) -> Priority {
-        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.urgency)
+        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.priority)
     }
 
     /// Returns whether the start or end of a job has an objective: that of its class, or its own or inherited deadline.
@@ -72,7 +72,7 @@
                 !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
             let due = job.spec.due_s.filter(|_| has_deadline);
             let due_ms = due.map(|due_s| job.accepted_ms.saturating_add((due_s * 1000.0) as u64));
-            InheritedPriority { urgency: job.spec.urgency, due_ms }
+            InheritedPriority { priority: job.spec.urgency, due_ms }
         };
         let jobs = live.iter().copied().collect();
         let use_learned = self.settings.operator.estimates.due;
@@ -83,7 +83,7 @@
         let previous = std::mem::replace(&mut self.dependencies.inherited, inherited);
         for (id, job) in live {
             let previous_priority =
-                previous.get(*id).map_or(job.spec.urgency, |inherited| inherited.urgency);
+                previous.get(*id).map_or(job.spec.urgency, |inherited| inherited.priority);
             let priority = self.effective_priority(id, job);
             let progress = self.jobs.progress.get(*id);
             let Some(progress) = progress.filter(|_| priority != previous_priority) else {
@@ -93,7 +93,7 @@
                 let key = (TaskId { job: (*id).clone(), index: *index }, placed.attempt);
                 let Some(machine) = self.fleet.machines.get_mut(&placed.machine) else { continue };
                 if let Some(entry) = machine.attempts.get_mut(&key) {
-                    entry.urgency = priority;
+                    entry.priority = priority;
                     machine.invalidate_usage();
                 }
             }
@@ -166,7 +166,7 @@
         let placed_at = progress.placed.iter().filter_map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
-            Some(machine.attempts.get(&(task, placed.attempt))?.placed)
+            Some(machine.attempts.get(&(task, placed.attempt))?.placed_at)
         });
         let elapsed =
             placed_at.max().map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -164,7 +164,7 @@
                 let Some(target) = target else {
                     continue;
                 };
-                free[target] = free[target].minus(&live.need);
+                free[target] = free[target].minus(&live.request);
                 let grace_s = if saves { live.spec.save_s } else { 0.0 };
                 evacuations.push(Evacuation { key, machine: machine.id.clone(), grace_s });
                 if is_service || evacuations.len() >= max_evacuations {
@@ -203,7 +203,7 @@
                 // A job that has to be in one zone stays in that zone as long as any of its tasks does.
                 && (!spec.one_zone || zone == from.zone || others_in_zone[from.zone] == 0)
         };
-        let fits = |at: &usize| allowed(&bins[*at]) && live.need.fits(&free[*at]);
+        let fits = |at: &usize| allowed(&bins[*at]) && live.request.fits(&free[*at]);
         let has_image = |at: usize| {
             let machine = names[at].as_ref().and_then(|id| self.fleet.machines.get(id));
             machine.is_some_and(|m| m.images.iter().any(|image| **image == *spec.image))
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -116,7 +116,7 @@
             summary.status_unanswered |= machine.unanswered_probe.is_some();
             summary.failing |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
             if machine.up_since.is_some() {
-                summary.newest = summary.newest.max(Some(machine.rented));
+                summary.newest = summary.newest.max(Some(machine.rented_at));
             }
         }
         summary
@@ -144,7 +144,7 @@
     /// Returns a predicate: whether a machine that was rented later than the given one is up.
     pub(super) fn newer_machine_is_up(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
-        move |machine| newest.is_some_and(|at| at > machine.rented)
+        move |machine| newest.is_some_and(|at| at > machine.rented_at)
     }
 }
 
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -45,7 +45,7 @@
 
 /// Returns the capacity of the orphaned tasks beyond those that are placed; unlimited if their number was not stored.
 fn orphaned_amount(orphaned: &OrphanedTasks, placed: u64) -> Amount {
-    orphaned.need.times(orphaned.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
+    orphaned.request.times(orphaned.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
 }
 
 impl Scheduler {
@@ -62,13 +62,13 @@
             |ended_ms: u64| now_ms < ended_ms.saturating_add(max_run.as_millis() as u64);
         let jobs = cache.jobs.all.values();
         let finished_long_ago =
-            jobs.clone().filter(|job| job.ended_ms().is_some_and(|ms| !is_recent(ms)));
+            jobs.clone().filter(|job| job.finished_ms().is_some_and(|ms| !is_recent(ms)));
         let last_old_revision = finished_long_ago.map(|job| job.rev).max().unwrap_or_default();
         for job in jobs {
             let JobBody::Finished { orphaned_tasks: Some(orphaned), .. } = &job.body else {
                 continue;
             };
-            if orphaned.ended_ms.map_or(job.rev > last_old_revision, is_recent) {
+            if orphaned.finished_ms.map_or(job.rev > last_old_revision, is_recent) {
                 let team = self.team_of(&orphaned.team);
                 self.jobs.orphaned_capacity.add(team, orphaned_amount(orphaned, 0));
             }
@@ -80,7 +80,7 @@
         let placed = progress.placed.len() as u64;
         let (team, amount) = match &job.body {
             _ if !progress.predates_leadership => return,
-            JobBody::Live(live) => (&live.spec.team, live.need.times(progress.waiting(live))),
+            JobBody::Live(live) => (&live.spec.team, live.request.times(progress.waiting(live))),
             JobBody::Finished { orphaned_tasks: Some(orphaned), .. } => {
                 (&orphaned.team, orphaned_amount(orphaned, placed))
             }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -175,7 +175,7 @@
                 store.cache.machines.get(&machine.id).map_or(Revision(0), |known| known.revision);
             let record = MachineRecord {
                 address: address.to_string(),
-                machine_type: self.fleet.machine_types[machine.flavor].name.clone(),
+                machine_type: self.fleet.machine_types[machine.machine_type].name.clone(),
                 zone: self.settings.platform.params.zones[machine.zone].clone(),
                 spot: machine.spot,
             };
@@ -273,13 +273,16 @@
             else {
                 continue;
             };
-            if !completion.ends && (!progress_due || store.is_backlogged()) {
+            if !completion.finishes_job && (!progress_due || store.is_backlogged()) {
                 continue;
             }
             let mut transaction = completion.transaction;
             transaction.preconditions.push(leader_precondition.clone());
-            let priority =
-                if completion.ends { WritePriority::Blocking } else { WritePriority::Progress };
+            let priority = if completion.finishes_job {
+                WritePriority::Blocking
+            } else {
+                WritePriority::Progress
+            };
             store.enqueue(PendingWrite { priority, origin, transaction });
         }
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -124,7 +124,7 @@
             machine.address = Some(address);
         }
         if machine.up_since.is_none() && !machine.recorded {
-            let boot_s = now.saturating_duration_since(machine.rented).as_secs_f64();
+            let boot_s = now.saturating_duration_since(machine.rented_at).as_secs_f64();
             tracing::info!(machine = %machine.id, boot_s, "machine is up");
         }
         let silent_after = self.settings.heartbeat_interval() * 2;
@@ -177,7 +177,7 @@
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
             }
-            TaskEvent::Exited { task, attempt, why, saved } => {
+            TaskEvent::Exited { task, attempt, exit_cause: why, saved } => {
                 let exit = TaskExit { machine: machine.clone(), task, attempt, why, saved };
                 self.on_exit(&exit, cache, now);
             }
@@ -200,7 +200,7 @@
         let known_ms =
             self.jobs.progress.get(&task.job).and_then(|progress| progress.first_seen).map(since);
         let class = &live.spec.class;
-        let fetch_ms = since(entry.placed);
+        let fetch_ms = since(entry.placed_at);
         tracing::debug!(machine = %id, %task, class, known_ms, fetch_ms, image = %entry.image, "running");
     }
 
@@ -225,10 +225,10 @@
             Some(JobBody::Live(live)) => {
                 let image = Arc::from(live.spec.image.as_str());
                 let priority = self.effective_priority(&task.job, live);
-                (self.team_of(&live.spec.team), live.need, image, priority)
+                (self.team_of(&live.spec.team), live.request, image, priority)
             }
             Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
-                (self.team_of(&rest.team), rest.need, Arc::from(""), Priority::Production)
+                (self.team_of(&rest.team), rest.request, Arc::from(""), Priority::Production)
             }
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
@@ -238,7 +238,7 @@
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.commands_due = true;
         let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
-        (entry.team, entry.need, entry.image, entry.urgency) = (team, need, image, priority);
+        (entry.team, entry.request, entry.image, entry.priority) = (team, need, image, priority);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
         machine.adopt_attempt(&key);
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -30,7 +30,8 @@
                     let heartbeat = Heartbeat::from(heartbeat);
                     let commands = self.on_heartbeat(&heartbeat, cache, now)?.orders;
                     if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
-                        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
+                        machine.relayed_by =
+                            Some(Relayer { controller: from.clone(), received_at: now });
                     }
                     HeartbeatResult::Accepted(
                         commands.into_iter().map(RelayedCommand::from).collect(),
@@ -65,7 +66,7 @@
         }
         // Nothing was placed on the machine while it was silent.
         self.planning_clock.pass_requested |= was_silent;
-        machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
+        machine.relayed_by = Some(Relayer { controller: from.clone(), received_at: now });
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
         self.statistics.last_heartbeat = now;
         self.statistics.heartbeats += 1;
@@ -76,7 +77,8 @@
     /// Returns the controller that relayed the worker's last heartbeat, if that heartbeat is not late yet.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
-        let is_recent = now.saturating_duration_since(relayer.at) < self.heartbeat_late_after();
+        let is_recent =
+            now.saturating_duration_since(relayer.received_at) < self.heartbeat_late_after();
         is_recent.then_some(&relayer.controller)
     }
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -126,7 +126,7 @@
     fn observations_of(&mut self, id: &JobId, live: &LiveJob) -> &mut JobObservations {
         self.observations.entry(id.clone()).or_insert_with(|| JobObservations {
             spec: live.spec.clone(),
-            need: live.need,
+            need: live.request,
             accepted_ms: live.accepted_ms,
             run_times: Current::default(),
             saved_s: HashMap::new(),
@@ -242,7 +242,7 @@
         let running = self.running_s(id, now);
         let job = self.runtime_predictor.observations_of(id, live);
         let run_times = job.run_times.with_running(&running);
-        let profile = profile(id, &live.spec, &live.need);
+        let profile = profile(id, &live.spec, &live.request);
         let estimate = self.runtime_predictor.learner.estimate(&profile, &run_times, hour)?;
         self.runtime_predictor.observations_of(id, live).estimate = Some((estimate, now));
         Some(estimate)
@@ -332,7 +332,8 @@
         // Waiting tasks are assumed to start as soon as their team's limit allows.
         let team =
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
-        let width = team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.need));
+        let width =
+            team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.request));
         let remaining_run = remaining(&estimate.centre, &running, waiting, width);
         let late = remaining_run.later_than(left_s);
         let done_in_s = remaining_run.point(0.5);
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -95,6 +95,6 @@
             }
         }
         let state = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
-        assert_eq!(state == MachineState::Returning, others_reachable);
+        assert_eq!(state == MachineState::Terminating, others_reachable);
     }
 }
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -89,7 +89,7 @@
         for id in to_terminate {
             let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             tracing::info!(machine = %id, confirmed = machine.confirmed, "machine unreachable, terminating");
-            machine.state = MachineState::Returning;
+            machine.state = MachineState::Terminating;
         }
     }
 
