--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -1,5 +1,5 @@
-//! Who leads: the election and the leader's lease, the controllers' own leases at the store, the leases by which
-//! a follower answers workers for the leader, and what peers acknowledge before a cancellation is committed.
+//! Leader election and the leader lease, the controller lease of every controller, the delegated leases under which
+//! followers answer workers for the leader, and the acknowledgements that precede the commit of a cancellation.
 
 pub mod cancellation_acks;
 pub mod controller_lease;
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -2,9 +2,9 @@
 //!
 //! A cancellation is committed only under preconditions on the lease key of each other controller
 //! ([`controller_lease`](crate::leadership::controller_lease)). Either that controller acknowledged the cancellation
-//! under just this key, and stops the job wherever it answers workers. Or it has no key, and had none for so long
-//! that nothing it answered can outlive the time in which a cancelled job must be gone. The proof is in
-//! `docs/design.md`, "A cut-off zone".
+//! under this revision of its key, and stops the job's tasks wherever it answers workers. Or it has no key, and has
+//! had none for so long that no task it kept running can outlive the deadline by which a cancelled job's tasks must
+//! have stopped. The proof is in `docs/design.md`, "A cut-off zone".
 
 use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, WORKER_MARGIN};
 use crate::ids::{ControllerId, JobId, Revision};
@@ -19,82 +19,83 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Kept between the last answer that a follower gives without news of the store and the time by which a cancelled
-/// task must be gone.
+/// Safety margin between the end of the last worker lease that a follower extended while the store was unreachable
+/// and the deadline by which a cancelled task must have stopped.
 pub const CANCELLATION_MARGIN: Duration = Duration::from_millis(1500);
-/// An acknowledgement that comes later than this after its request counts for nothing.
+/// Time after its request at which an acknowledgement expires and is ignored.
 const ACK_EXPIRY: Duration = Duration::from_secs(10);
 
-/// Why a cancellation can't be committed yet.
+/// Reason why a cancellation cannot be committed yet.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CancellationBlocked {
-    /// These controllers can be expected to acknowledge it.
+    /// These controllers have not acknowledged the cancellation yet. They have a lease, so they are expected to.
     #[error("{} controllers have not acknowledged the cancellation", .0.len())]
     AwaitingAcks(Vec<ControllerId>),
-    /// A controller is out of the store's reach, and its quarantine lasts longer than a user waits.
+    /// A controller lost its lease, and its quarantine lasts longer than a user's request may wait.
     #[error("a controller without a lease may still answer workers")]
     InQuarantine,
 }
 
-/// What is known of another controller's lease key.
+/// State of another controller's lease key as last seen in the cache.
 #[derive(Debug, Clone, Copy)]
 struct ObservedLease {
     revision: Option<Revision>,
-    /// It has been so from then on, or longer.
+    /// Time at which this state was first observed; the state itself may be older.
     since: Instant,
 }
 
 /// An acknowledgement by one controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Ack {
-    /// The revision of the controller's lease key.
+    /// Revision of the controller's lease key under which it acknowledged.
     lease_revision: Revision,
     requested_at: Instant,
 }
 
-/// A request for acknowledgements, by its number.
+/// Request for acknowledgements that was sent to the peers.
 #[derive(Debug)]
 struct AckRequest {
     seq: u64,
-    at: Instant,
+    sent_at: Instant,
 }
 
-/// Where a job may have tasks, as the leader with that leader key said. The leader acknowledged the cancellation as
-/// well and starts no more of them.
+/// Zones in which a job may have tasks, as reported by the leader whose leader key has this revision. That leader has
+/// acknowledged the cancellation as well and starts no more tasks of the job.
 #[derive(Debug)]
 struct JobZones {
     leader_revision: Revision,
     zones: Vec<String>,
 }
 
-/// What the other controllers acknowledged, and which of them may be answering workers without news of the store.
+/// Acknowledgements of the other controllers, and the state of those that may answer workers without reading the store.
 #[derive(Debug)]
 pub struct CancellationAcks {
     peers: Vec<ControllerId>,
-    /// This controller's own lease key: what an earlier incarnation sent must not be applied once a later one, which
-    /// doesn't know of it, answers workers.
+    /// Precondition on this controller's own lease key. A transaction that was sent before a restart must not be
+    /// applied once the restarted process, which does not know of that transaction, answers workers.
     own_lease: Option<Precondition>,
     observed: HashMap<ControllerId, ObservedLease>,
     acks: BTreeMap<JobId, BTreeMap<ControllerId, Ack>>,
     requests: VecDeque<AckRequest>,
     job_zones: BTreeMap<JobId, JobZones>,
-    /// For so long after a controller's key is gone, tasks may live that only this controller knows of.
+    /// Time after the removal of a controller's key during which tasks may run that only that controller knows of.
     quarantine: Duration,
 }
 
-/// What a peer's lease means for a cancellation.
+/// Consequence of a peer's lease and acknowledgement for a cancellation.
 enum PeerState {
-    /// Nothing that it answers can outlive the cancellation.
+    /// No task that the peer keeps running can outlive the deadline of the cancellation.
     Safe,
-    /// It holds its lease and has not acknowledged yet.
+    /// The peer has a lease and has not acknowledged the cancellation yet.
     AckMissing,
-    /// It lost its lease a short while ago.
+    /// The peer lost its lease less than the quarantine time ago.
     InQuarantine,
 }
 
 impl CancellationAcks {
-    /// Those of a process that knows nothing of its peers yet. Workers stop `lease_s` seconds after their last
-    /// answer; a cancelled job has `cancel_s` seconds to be gone.
+    /// Creates the state of a process that knows nothing about its peers yet. Workers stop their tasks `lease_s`
+    /// seconds after the last answer to their heartbeats; a cancelled job's tasks must have stopped within `cancel_s`
+    /// seconds.
     pub fn new(peers: Vec<ControllerId>, lease_s: f64, cancel_s: f64) -> CancellationAcks {
         CancellationAcks {
             peers,
@@ -107,12 +108,12 @@
         }
     }
 
-    /// Adds this controller's own lease to the preconditions, once all controllers keep one.
+    /// Adds this controller's own lease to the preconditions. Called once all controllers maintain a lease.
     pub fn set_own_lease(&mut self, lease: &ControllerLease) {
         self.own_lease = Some(Precondition { key: lease.key().to_owned(), rev: lease.revision() });
     }
 
-    /// Takes in what the cache says of the peers' leases, and forgets jobs that are finished.
+    /// Updates the observed leases of the peers from the cache, and removes finished jobs.
     pub fn observe(&mut self, cache: &Cache, now: Instant) {
         if !cache.loaded {
             return;
@@ -123,7 +124,8 @@
             match self.observed.get_mut(peer) {
                 Some(observed) if observed.revision == revision => {}
                 Some(observed) => *observed = ObservedLease { revision, since: now },
-                // A version before the leases never had one, nor answers workers without news.
+                // A controller of a version without controller leases never had one, and never answers workers
+                // without reading the store.
                 None if revision.is_none() && format < FORMAT_HEARTBEAT => {}
                 None => {
                     self.observed.insert(peer.clone(), ObservedLease { revision, since: now });
@@ -135,16 +137,16 @@
         self.job_zones.retain(|id, _| is_live(id));
     }
 
-    /// A request for acknowledgements goes out with this number.
+    /// Records that a request for acknowledgements with this sequence number is sent, and drops expired requests.
     pub fn record_request(&mut self, seq: u64, now: Instant) {
-        self.requests.push_back(AckRequest { seq, at: now });
-        while self.requests.front().is_some_and(|oldest| now > oldest.at + ACK_EXPIRY) {
+        self.requests.push_back(AckRequest { seq, sent_at: now });
+        while self.requests.front().is_some_and(|oldest| now > oldest.sent_at + ACK_EXPIRY) {
             self.requests.pop_front();
         }
     }
 
-    /// A controller acknowledges a request, under this revision of its lease key. A response that the network held
-    /// back for long counts for nothing.
+    /// Records that a controller acknowledged a request under this revision of its lease key. Responses to expired
+    /// requests, such as those that the network delayed for long, are ignored.
     pub fn record_ack(
         &mut self,
         from: &ControllerId,
@@ -153,7 +155,7 @@
         jobs: &[JobId],
     ) {
         let Some(request) = self.requests.iter().find(|request| request.seq == seq) else { return };
-        let ack = Ack { lease_revision, requested_at: request.at };
+        let ack = Ack { lease_revision, requested_at: request.sent_at };
         for id in jobs {
             let acks = self.acks.entry(id.clone()).or_default();
             let newest = acks.entry(from.clone()).or_insert(ack);
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The leader with that leader key says in which zones a job may have tasks.
+    /// Records the zones in which a job may have tasks, as reported by the leader whose leader key has this revision.
     pub fn record_zones(
         &mut self,
         leader_revision: Revision,
@@ -174,13 +176,14 @@
         }
     }
 
-    /// Whether the leader has said where the job may have tasks, so that it can say no more.
+    /// Returns whether a leader has reported the zones in which the job may have tasks, so that another request to it
+    /// would bring nothing new.
     pub fn knows_zones(&self, id: &JobId) -> bool {
         self.job_zones.contains_key(id)
     }
 
-    /// The preconditions of the job's cancellation: for each other controller its lease key, or that it has none.
-    /// `zone_of` tells where a controller is.
+    /// Returns the preconditions of the job's cancellation: for each other controller, the revision of its lease key,
+    /// or that it has none. `zone_of` returns the zone of a controller.
     pub fn preconditions(
         &self,
         id: &JobId,
@@ -199,7 +202,7 @@
             if matches!(state, PeerState::Safe) {
                 continue;
             }
-            // Without news of the store it answers the workers of its own zone only, and there the job has none.
+            // Without reading the store, the peer answers only workers of its own zone, and the job has no tasks there.
             if let (Some(job), Some(zone)) = (job_zones, zone_of(peer))
                 && !job.zones.contains(&zone)
             {
@@ -221,7 +224,7 @@
         Ok(preconditions.chain(self.own_lease.clone()).collect())
     }
 
-    /// Where the leader that the cache shows says that the job may have tasks.
+    /// Returns the zones in which the job may have tasks if the leader that reported them is the one in the cache.
     fn current_zones(&self, id: &JobId, cache: &Cache) -> Option<&JobZones> {
         let leader_revision = cache.leader.as_ref()?.revision;
         self.job_zones.get(id).filter(|zones| zones.leader_revision == leader_revision)
@@ -240,8 +243,8 @@
         let lease_revision = self.lease_revision(peer);
         revisions.insert(controller_lease_key(peer), lease_revision.unwrap_or_default());
         if lease_revision.is_none() {
-            // A transaction that is applied late must not take a later absence for this one: a lease in between has
-            // written the version key, which never goes away.
+            // A transaction that is applied late must not mistake a later absence of the lease for this one. Any lease
+            // in between has rewritten the version key, which is never removed.
             let version = cache.versions.get(peer).map(|version| version.revision);
             revisions.insert(keys::version_key(peer), version.unwrap_or_default());
         }
@@ -249,12 +252,12 @@
 
     fn peer_state(&self, peer: &ControllerId, ack: Option<&Ack>, now: Instant) -> PeerState {
         if let Some(revision) = self.lease_revision(peer) {
-            // It acknowledged under this very key, so it knows of the cancellation until the key changes.
+            // An acknowledgement under this revision means that the peer knows of the cancellation until the key changes.
             let acknowledged = ack.is_some_and(|ack| ack.lease_revision == revision);
             return if acknowledged { PeerState::Safe } else { PeerState::AckMissing };
         }
-        // A controller that acknowledged after its key was gone is the only incarnation that had one; what is started
-        // anew knows of all earlier cancellations before it has a key again.
+        // If a controller acknowledged after its key was removed, the acknowledging process is the one that had the key.
+        // A restarted process knows of all earlier cancellations before it has a key again.
         let is_safe = self.observed.get(peer).is_none_or(|observed| {
             now >= observed.since + self.quarantine
                 || ack.is_some_and(|ack| ack.requested_at >= observed.since)
@@ -263,26 +266,29 @@
     }
 }
 
-/// How long after a controller's key is gone its answers may keep workers going beyond a cancellation's time: its last
-/// renewal was at least a lease's life earlier, it answers workers for [`DELEGATION_TERM`] from then, and its last
-/// answer lasts for a worker's lease.
+/// Returns the time after the removal of a controller's key during which its answers may keep tasks running beyond the
+/// deadline of a cancellation. The controller's last renewal was at least [`CONTROLLER_LEASE_TTL`] before the removal,
+/// it answers workers for [`DELEGATION_TERM`] from that renewal on, and its last answer lasts for a worker's lease.
 fn quarantine(lease_s: f64, cancel_s: f64) -> Duration {
-    let answers = DELEGATION_TERM.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
-    let lasts = answers + lease_s * (1.0 + DRIFT) + WORKER_MARGIN.as_secs_f64();
-    Duration::from_secs_f64((lasts + CANCELLATION_MARGIN.as_secs_f64() - cancel_s).max(0.0))
+    let answering_s = DELEGATION_TERM.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
+    let tasks_running_s = answering_s + lease_s * (1.0 + DRIFT) + WORKER_MARGIN.as_secs_f64();
+    Duration::from_secs_f64(
+        (tasks_running_s + CANCELLATION_MARGIN.as_secs_f64() - cancel_s).max(0.0),
+    )
 }
 
-/// Cancellations that this controller acknowledged: it stops these jobs' tasks wherever it answers workers, in
-/// whatever role, until the cache shows the jobs finished. A transaction may be applied minutes late.
+/// Cancellations that this controller acknowledged. It stops the tasks of these jobs wherever it answers workers, in
+/// any role, until the cache shows the jobs as finished. This may take minutes, since a transaction may be
+/// applied that late.
 #[derive(Debug, Default)]
 pub struct AcknowledgedCancellations {
     jobs: BTreeSet<JobId>,
-    /// Those that the scheduler of this process was not told yet.
+    /// Jobs of which the scheduler of this process has not been notified yet.
     unreported: Vec<JobId>,
 }
 
 impl AcknowledgedCancellations {
-    /// Adds jobs.
+    /// Records that the cancellations of these jobs were acknowledged.
     pub fn acknowledge(&mut self, jobs: &[JobId]) {
         for id in jobs {
             if self.jobs.insert(id.clone()) {
@@ -291,24 +297,24 @@
         }
     }
 
-    /// Whether the job's cancellation was acknowledged.
+    /// Returns whether the job's cancellation was acknowledged.
     pub fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains(id)
     }
 
-    /// All of them, for a leader's scheduler that is created.
+    /// Returns all acknowledged cancellations, for the scheduler that a new leader creates.
     pub fn all(&self) -> Vec<JobId> {
         self.jobs.iter().cloned().collect()
     }
 
-    /// Those added since the last call.
+    /// Returns the jobs that were added since the last call.
     pub fn take_unreported(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Forgets jobs that the cache shows finished.
+    /// Removes the jobs that the cache shows as finished.
     pub fn forget_finished(&mut self, cache: &Cache) {
-        // A job that is not known yet was accepted a moment ago.
+        // A job that is not in the cache yet was accepted a moment ago.
         self.jobs.retain(|id| cache.jobs.get(id).is_none_or(|job| job.live().is_some()));
     }
 }
--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -17,19 +17,19 @@
 
 const VERSION: VersionRecord = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16 };
 
-/// The lease key as the store holds it.
+/// Lease key of the controller as stored.
 #[derive(Clone, Copy)]
 struct LeaseKey {
     revision: u64,
     lease: LeaseId,
 }
 
-/// The store, as far as one controller's lease key and one job are concerned.
+/// Simulated store with the lease key of one controller and the cancellation of one job.
 #[derive(Default)]
 struct Store {
     revision: u64,
     key: Option<LeaseKey>,
-    /// Revision of the controller's version key, which never goes away.
+    /// Revision of the controller's version key, which is never removed.
     version_revision: u64,
     lease_expiries: Vec<Instant>,
     cancelled: Option<Instant>,
@@ -44,7 +44,7 @@
         Revision(self.key.map_or(0, |key| key.revision))
     }
 
-    fn fulfils(&self, preconditions: &[Precondition]) -> bool {
+    fn satisfies(&self, preconditions: &[Precondition]) -> bool {
         let version_key = keys::version_key(&ControllerId::new("f"));
         let revision = |key: &str| {
             if key == version_key { Revision(self.version_revision) } else { self.key_revision() }
@@ -52,7 +52,7 @@
         preconditions.iter().all(|precondition| precondition.rev == revision(&precondition.key))
     }
 
-    /// What a request of the controller does here.
+    /// Executes a request of the controller and returns the response.
     fn execute(&mut self, request: &StoreRequest, now: Instant) -> StoreResponse {
         match request {
             StoreRequest::GrantLease(life) => {
@@ -63,7 +63,7 @@
                 self.lease_expiries[lease.0 as usize] = now + CONTROLLER_LEASE_TTL;
                 StoreResponse::Done
             }
-            StoreRequest::Commit(transaction) if self.fulfils(&transaction.preconditions) => {
+            StoreRequest::Commit(transaction) if self.satisfies(&transaction.preconditions) => {
                 let Write::Put { lease: Some(lease), .. } = &transaction.writes[0] else {
                     panic!()
                 };
@@ -77,8 +77,8 @@
         }
     }
 
-    /// What a cache that has read the store shows.
-    fn show(&self, cache: &mut Cache, controller: &ControllerId) {
+    /// Brings a cache up to date with the store.
+    fn update_cache(&self, cache: &mut Cache, controller: &ControllerId) {
         match self.key {
             Some(key) => cache.controller_leases.insert(controller.clone(), Revision(key.revision)),
             None => cache.controller_leases.remove(controller),
@@ -88,7 +88,7 @@
     }
 }
 
-/// A controller that may answer workers, in one of its incarnations.
+/// Process of a controller that may answer workers; a restart replaces it.
 struct Follower {
     lease: ControllerLease,
     cache: Cache,
@@ -109,42 +109,43 @@
     }
 }
 
-/// When in a day the store is cut off from the follower, and the follower restarted: steps of 100 ms.
-struct Troubles {
-    /// Mostly the cut comes about when the user asks.
-    asks_from: u64,
-    restart: u64,
-    cut_at: u64,
-    /// The store is there again from `back` to `again`, just when whoever saw the lease gone for long commits.
-    back: u64,
-    again: u64,
+/// Steps of 100 ms at which the user cancels, the follower restarts, and the follower loses the store.
+struct FaultSchedule {
+    /// Most disconnections begin near the step at which the user cancels.
+    cancel_from: u64,
+    restart_at: u64,
+    disconnect_at: u64,
+    /// The store is reachable again from `reconnect_at` to `second_disconnect_at`. In this time a controller that has
+    /// seen no lease for the length of the quarantine commits.
+    reconnect_at: u64,
+    second_disconnect_at: u64,
 }
 
-impl Troubles {
-    fn random(random: &mut StdRng) -> Troubles {
-        let asks_from = random.random_range(80..140);
-        // In half of the days it is restarted just when the user asks, and cut off soon after.
-        let (restart, cut_at) = if random.random() {
-            let restart = asks_from + random.random_range(1..8);
-            (restart, restart + random.random_range(1..25))
+impl FaultSchedule {
+    fn random(random: &mut StdRng) -> FaultSchedule {
+        let cancel_from = random.random_range(80..140);
+        // In half of the scenarios the follower restarts just after the cancellation and is disconnected soon after.
+        let (restart_at, disconnect_at) = if random.random() {
+            let restart_at = cancel_from + random.random_range(1..8);
+            (restart_at, restart_at + random.random_range(1..25))
         } else {
-            (0, asks_from + random.random_range(0..40))
+            (0, cancel_from + random.random_range(0..40))
         };
-        let (back, again) = if random.random_range(0..3) == 0 {
-            let back = cut_at + random.random_range(290..340);
-            (back, back + random.random_range(3..40))
+        let (reconnect_at, second_disconnect_at) = if random.random_range(0..3) == 0 {
+            let reconnect_at = disconnect_at + random.random_range(290..340);
+            (reconnect_at, reconnect_at + random.random_range(3..40))
         } else {
             (u64::MAX, u64::MAX)
         };
-        Troubles { asks_from, restart, cut_at, back, again }
+        FaultSchedule { cancel_from, restart_at, disconnect_at, reconnect_at, second_disconnect_at }
     }
 
     fn steps(&self) -> u64 {
-        if self.back < u64::MAX { 1200 } else { 700 }
+        if self.reconnect_at < u64::MAX { 1200 } else { 700 }
     }
 }
 
-/// A message or transaction that arrives at some time.
+/// Message or transaction that arrives at the time `due`.
 struct InFlight<T> {
     due: Instant,
     content: T,
@@ -158,29 +159,29 @@
     }
 }
 
-/// A day in which a user cancels a job while a follower may answer workers without the store.
-struct Day {
+/// Scenario in which a user cancels a job while a follower may answer workers without the store.
+struct Scenario {
     name: ControllerId,
     job: JobId,
     random: StdRng,
-    troubles: Troubles,
+    faults: FaultSchedule,
     store: Store,
     follower: Follower,
-    cut: bool,
-    /// The restarted follower asks for a lease from this step on only.
-    keeps_lease_from: u64,
+    disconnected: bool,
+    /// First step at which a restarted follower requests a lease.
+    lease_requests_from: u64,
     cache: Cache,
     acks: CancellationAcks,
     ack_requests: Vec<InFlight<u64>>,
     ack_responses: Vec<InFlight<(u64, Revision)>>,
     commits: Vec<InFlight<Vec<Precondition>>>,
-    last_blind_answer: Option<Instant>,
+    last_uninformed_answer: Option<Instant>,
 }
 
-impl Day {
-    fn new(seed: u64, start: Instant) -> Day {
+impl Scenario {
+    fn new(seed: u64, start: Instant) -> Scenario {
         let mut random = StdRng::seed_from_u64(seed);
-        let troubles = Troubles::random(&mut random);
+        let faults = FaultSchedule::random(&mut random);
         let (name, job) = (ControllerId::new("f"), JobId::new("wk-1"));
         let mut cache = Cache::new(16);
         cache.loaded = true;
@@ -188,68 +189,70 @@
         let spec = std::sync::Arc::new(crate::jobs::fixtures::job_spec("wk-1", 2));
         let record = encoding::to_value(&records::JobRecord::live(1, Some(spec)));
         cache.jobs.apply_record(job.clone(), &record, Revision(2));
-        Day {
+        Scenario {
             store: Store { revision: 1, version_revision: 1, ..Store::default() },
             follower: Follower::started(&name, start),
-            cut: false,
-            keeps_lease_from: 0,
+            disconnected: false,
+            lease_requests_from: 0,
             cache,
             acks: CancellationAcks::new(vec![name.clone()], LEASE_S, CANCEL_S),
             ack_requests: Vec::new(),
             ack_responses: Vec::new(),
             commits: Vec::new(),
-            last_blind_answer: None,
+            last_uninformed_answer: None,
             name,
             job,
             random,
-            troubles,
+            faults,
         }
     }
 
     fn step(&mut self, step: u64, now: Instant) {
         self.store.expire_leases(now);
-        self.update_cut(step);
-        if step == self.troubles.restart {
+        self.update_connection(step);
+        if step == self.faults.restart_at {
             self.follower = Follower::started(&self.name, now);
-            self.keeps_lease_from = step + self.random.random_range(0..20);
+            self.lease_requests_from = step + self.random.random_range(0..20);
         }
-        if !self.cut {
+        if !self.disconnected {
             self.follower_uses_store(step, now);
         }
-        // It answers a worker, if it may, and stops what it knows of.
+        // The follower answers a worker if it may, and would stop the job if it knew of the cancellation.
         let follower = &self.follower;
         let may_answer =
             follower.lease.may_answer_until(follower.synced_at).is_some_and(|until| now < until);
-        if self.cut && may_answer && !follower.knows_cancellation && !follower.acknowledged {
-            self.last_blind_answer = Some(now);
+        if self.disconnected && may_answer && !follower.knows_cancellation && !follower.acknowledged
+        {
+            self.last_uninformed_answer = Some(now);
         }
-        // We see the store late, ask, and commit what the preconditions allow, perhaps late.
+        // The cancelling controller reads the store late, requests acknowledgements, and commits under the
+        // preconditions, perhaps late.
         if self.random.random_range(0..4) == 0 {
-            self.store.show(&mut self.cache, &self.name);
+            self.store.update_cache(&mut self.cache, &self.name);
         }
         self.acks.observe(&self.cache, now);
-        if step >= self.troubles.asks_from && self.store.cancelled.is_none() {
+        if step >= self.faults.cancel_from && self.store.cancelled.is_none() {
             self.cancel(step, now);
         }
         self.deliver(now);
     }
 
-    fn update_cut(&mut self, step: u64) {
+    fn update_connection(&mut self, step: u64) {
         match self.random.random_range(0..500) {
-            0..4 if step > 60 => self.cut = true,
-            4 if step > 400 => self.cut = false,
+            0..4 if step > 60 => self.disconnected = true,
+            4 if step > 400 => self.disconnected = false,
             _ => {}
         }
-        let troubles = &self.troubles;
-        self.cut = (self.cut && step != troubles.back)
-            || step == troubles.cut_at
-            || step == troubles.again;
+        let faults = &self.faults;
+        self.disconnected = (self.disconnected && step != faults.reconnect_at)
+            || step == faults.disconnect_at
+            || step == faults.second_disconnect_at;
     }
 
     fn follower_uses_store(&mut self, step: u64, now: Instant) {
         let (store, follower) = (&mut self.store, &mut self.follower);
-        store.show(&mut follower.cache, &self.name);
-        if step >= self.keeps_lease_from
+        store.update_cache(&mut follower.cache, &self.name);
+        if step >= self.lease_requests_from
             && let Some(request) = follower.lease.next_request(&follower.cache, now)
         {
             let response = store.execute(&request, now);
@@ -266,8 +269,8 @@
     fn cancel(&mut self, step: u64, now: Instant) {
         match self.acks.preconditions(&self.job, &self.cache, |_| None, now) {
             Ok(preconditions) => {
-                // The user asks again after a while.
-                self.troubles.asks_from = step + 20;
+                // The user cancels again 20 steps later.
+                self.faults.cancel_from = step + 20;
                 self.commits.push(InFlight::random(preconditions, now, &mut self.random));
             }
             Err(_) => {
@@ -279,7 +282,7 @@
 
     fn deliver(&mut self, now: Instant) {
         for request in self.ack_requests.extract_if(.., |request| request.due <= now) {
-            if !self.cut {
+            if !self.disconnected {
                 self.follower.acknowledged = true;
                 let ack = (request.content, self.follower.lease.revision());
                 self.ack_responses.push(InFlight::random(ack, now, &mut self.random));
@@ -291,42 +294,43 @@
             self.acks.record_ack(&self.name, seq, lease_revision, jobs);
         }
         for commit in self.commits.extract_if(.., |commit| commit.due <= now) {
-            if self.store.fulfils(&commit.content) && self.store.cancelled.is_none() {
+            if self.store.satisfies(&commit.content) && self.store.cancelled.is_none() {
                 self.store.cancelled = Some(now);
             }
         }
     }
 }
 
-/// Cuts, restarts, lost and late messages at random: whatever another controller answers without
-/// knowing of the cancellation is gone when the user's time is over, and cancellations happen.
+/// A follower that does not know of a cancellation must not extend a worker's lease beyond the cancellation's deadline.
+/// Disconnections, restarts, and lost or late messages occur at random. Most cancellations must still be committed.
 #[test]
-fn nothing_answered_without_news_outlives_a_cancellation() {
+fn no_task_outlives_a_cancellation_that_a_disconnected_follower_does_not_know_of() {
     let mut cancelled = 0;
     for seed in 0..3000 {
         let start = Instant::now();
-        let mut day = Day::new(seed, start);
-        for step in 0..day.troubles.steps() {
-            day.step(step, start + Duration::from_millis(step * 100));
+        let mut scenario = Scenario::new(seed, start);
+        for step in 0..scenario.faults.steps() {
+            scenario.step(step, start + Duration::from_millis(step * 100));
         }
-        if let Some(cancelled_at) = day.store.cancelled {
+        if let Some(cancelled_at) = scenario.store.cancelled {
             cancelled += 1;
-            let gone = day.last_blind_answer.map(|at| at + Duration::from_secs_f64(LEASE_S));
+            let stopped_at =
+                scenario.last_uninformed_answer.map(|at| at + Duration::from_secs_f64(LEASE_S));
             let due = cancelled_at + Duration::from_secs_f64(CANCEL_S);
             assert!(
-                gone.is_none_or(|gone| gone <= due),
+                stopped_at.is_none_or(|stopped_at| stopped_at <= due),
                 "seed {seed}: {:?}",
-                gone.map(|gone| gone - due)
+                stopped_at.map(|stopped_at| stopped_at - due)
             );
         }
     }
     assert!(cancelled > 2500, "{cancelled}");
 }
 
-/// A transaction may be applied minutes late. Between, the other controller had a lease and lost it again, or the
-/// sender was restarted and remembers nothing: in both cases it has to find a precondition failed.
+/// A cancellation may be applied minutes late. In the meantime the other controller may have had a lease and lost it
+/// again, or the sender may have restarted and lost its state. In both cases a precondition must fail.
 #[test]
-fn a_late_cancellation_finds_that_a_controller_has_had_a_lease_since() {
+fn late_cancellation_fails_after_a_peer_had_a_lease_or_the_sender_restarted() {
     let (me, peer, id) = (ControllerId::new("me"), ControllerId::new("f"), JobId::new("wk-1"));
     let now = Instant::now();
     let mut cache = Cache::new(16);
@@ -338,18 +342,20 @@
     let later = now + Duration::from_secs(60);
     let preconditions = acks.preconditions(&id, &cache, |_| None, later).unwrap();
     let keys = [controller_lease_key(&me), controller_lease_key(&peer), keys::version_key(&peer)];
-    let holds = |revisions: [u64; 3]| {
+    let satisfied = |revisions: [u64; 3]| {
         let revision =
             |key: &String| keys.iter().position(|known| known == key).map(|at| revisions[at]);
-        preconditions.iter().all(|guard| revision(&guard.key) == Some(guard.rev.0))
+        preconditions
+            .iter()
+            .all(|precondition| revision(&precondition.key) == Some(precondition.rev.0))
     };
-    assert!(holds([7, 0, 5]), "{preconditions:?}");
-    assert!(!holds([7, 9, 9]), "it has a lease");
-    assert!(!holds([7, 0, 9]), "it had a lease meanwhile");
-    assert!(!holds([11, 0, 5]), "the sender was restarted");
+    assert!(satisfied([7, 0, 5]), "{preconditions:?}");
+    assert!(!satisfied([7, 9, 9]), "the peer has a lease");
+    assert!(!satisfied([7, 0, 9]), "the peer had a lease in the meantime");
+    assert!(!satisfied([11, 0, 5]), "the sender was restarted");
 }
 
-/// A controller's lease whose key was written at that revision.
+/// Returns a controller's lease whose key was written at `revision`.
 fn held_lease(name: &ControllerId, revision: Revision, now: Instant) -> ControllerLease {
     let mut cache = Cache::new(16);
     cache.versions.insert(name.clone(), Versioned::new(VERSION, Revision(1)));
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -1,7 +1,8 @@
-//! A controller's own lease at the store, and how long the controller may answer workers without the store.
+//! A controller's own lease at the store, and the time for which it allows the controller to answer workers while the
+//! store is unreachable.
 //!
-//! A controller that is cut off from the store may go on answering workers for its leader, but it can't learn there
-//! which jobs are cancelled meanwhile. So each controller keeps a key that lasts as long as its lease, and a
+//! A controller that is disconnected from the store may continue to answer workers for its leader, but it cannot learn
+//! which jobs are cancelled in the meantime. Therefore each controller has a key attached to its lease, and a
 //! cancellation is committed only under preconditions on these keys: see
 //! [`cancellation_acks`](crate::leadership::cancellation_acks).
 
@@ -13,12 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Life of a controller's lease at the store.
+/// Time to live of a controller lease at the store.
 pub const CONTROLLER_LEASE_TTL: Duration = Duration::from_millis(6000);
-/// Pause between two renewals of it: two may fail.
+/// Interval between two renewals of a controller lease. Two renewals in a row may fail before the lease expires.
 const CONTROLLER_LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1800);
 
-/// The key at the store that lasts as long as the controller's lease.
+/// Returns the store key that is attached to the controller's lease.
 pub fn controller_lease_key(controller: &ControllerId) -> String {
     format!("{CONTROLLER_LEASE_PREFIX}{controller}")
 }
@@ -26,12 +27,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseState {
     Absent,
-    /// The store granted a lease; the key isn't written yet.
+    /// The store granted a lease, and the key has not been written yet.
     Granted {
         lease: LeaseId,
         requested_at: Instant,
     },
-    /// The key was written at this revision, as was confirmed at that time.
+    /// The key was written at `revision`; the store's confirmation arrived at `confirmed_at`.
     Held {
         lease: LeaseId,
         revision: Revision,
@@ -39,39 +40,39 @@
     },
 }
 
-/// This controller's own lease.
+/// State machine that obtains and renews this controller's own lease.
 #[derive(Debug)]
 pub struct ControllerLease {
     me: ControllerId,
     key: String,
     state: LeaseState,
     in_flight: bool,
-    due: Instant,
-    /// When the newest renewal that succeeded was sent: the lease lasts for its whole life from then at least.
+    next_request_at: Instant,
+    /// Time at which the newest successful renewal was sent. The lease lasts at least for its full TTL from then on.
     renewed_at: Instant,
 }
 
 impl ControllerLease {
-    /// The lease of a controller that has not asked for one yet.
+    /// Creates the state of a controller that has not requested a lease yet.
     pub fn new(me: &ControllerId, now: Instant) -> ControllerLease {
         ControllerLease {
             me: me.clone(),
             key: controller_lease_key(me),
             state: LeaseState::Absent,
             in_flight: false,
-            due: now,
+            next_request_at: now,
             renewed_at: now,
         }
     }
 
-    /// The key at the store.
+    /// Returns the store key that is attached to this lease.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// The request to the store that is due now.
+    /// Returns the request to the store that is due now.
     pub fn next_request(&mut self, cache: &Cache, now: Instant) -> Option<StoreRequest> {
-        if self.in_flight || now < self.due {
+        if self.in_flight || now < self.next_request_at {
             return None;
         }
         let request = match self.state {
@@ -85,8 +86,8 @@
         Some(request)
     }
 
-    /// Writes the key under the lease, and this controller's version record anew. The version key never goes away,
-    /// so its revision tells an absence of the lease from a later one.
+    /// Returns the transaction that writes the key under the lease and rewrites this controller's version record.
+    /// The version key is never removed, so its revision distinguishes one absence of the lease from a later one.
     fn key_transaction(&self, lease: LeaseId, cache: &Cache) -> Option<Transaction> {
         let Versioned { value: version, revision: version_revision } =
             cache.versions.get(&self.me)?;
@@ -105,7 +106,7 @@
         })
     }
 
-    /// A response of the store to a request that was sent at `sent_at`.
+    /// Handles the store's response to a request that was sent at `sent_at`.
     pub fn on_response(
         &mut self,
         request: &StoreRequest,
@@ -114,7 +115,7 @@
         now: Instant,
     ) {
         self.in_flight = false;
-        self.due = now + RETRY_PAUSE * 2;
+        self.next_request_at = now + RETRY_PAUSE * 2;
         match (self.state, request, response) {
             (
                 LeaseState::Absent,
@@ -122,7 +123,7 @@
                 StoreResponse::LeaseGranted(lease),
             ) => {
                 self.state = LeaseState::Granted { lease: *lease, requested_at: sent_at };
-                self.due = now;
+                self.next_request_at = now;
             }
             (
                 LeaseState::Granted { lease, requested_at },
@@ -131,26 +132,26 @@
             ) => {
                 self.state = LeaseState::Held { lease, revision: *revision, confirmed_at: now };
                 self.renewed_at = requested_at;
-                self.due = now + CONTROLLER_LEASE_RENEWAL_INTERVAL;
+                self.next_request_at = now + CONTROLLER_LEASE_RENEWAL_INTERVAL;
             }
-            // The key may have been written all the same, or an older one still be there: a new lease and a newer
-            // cache settle it.
+            // The key may have been written nevertheless, or an older key may still exist. A new lease and a newer
+            // cache resolve both cases.
             (LeaseState::Granted { .. }, StoreRequest::Commit(_), _) => {
                 self.state = LeaseState::Absent;
             }
             (LeaseState::Held { .. }, StoreRequest::KeepAlive(_), StoreResponse::Done) => {
                 self.renewed_at = self.renewed_at.max(sent_at);
-                self.due = sent_at + CONTROLLER_LEASE_RENEWAL_INTERVAL;
+                self.next_request_at = sent_at + CONTROLLER_LEASE_RENEWAL_INTERVAL;
             }
             (LeaseState::Held { .. }, StoreRequest::KeepAlive(_), StoreResponse::Gone) => {
                 self.state = LeaseState::Absent;
-                self.due = now;
+                self.next_request_at = now;
             }
             _ => {}
         }
     }
 
-    /// The revision of the key, under which cancellations are acknowledged; 0 without one.
+    /// Returns the revision of the key, under which cancellations are acknowledged, or 0 if there is no key.
     pub fn revision(&self) -> Revision {
         match self.state {
             LeaseState::Held { revision, .. } => revision,
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Whether this controller knows of every cancellation that is committed while its lease stands: it has read
-    /// what the store held when it was asked at `synced_at`, and acknowledged what was cancelled since.
+    /// Returns whether this controller knows of every cancellation that is committed while its lease is valid. It
+    /// has read the store's content as of `synced_at`, and it has acknowledged the cancellations after that.
     pub fn knows_cancellations(&self, synced_at: Option<Instant>) -> bool {
         match self.state {
             LeaseState::Held { confirmed_at, .. } => synced_at.is_some_and(|at| at > confirmed_at),
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Until when workers may be answered without news of the store, which was last read at `synced_at`.
+    /// Returns the time until which this controller may answer workers while the store, which was last read at
+    /// `synced_at`, is unreachable.
     pub fn may_answer_until(&self, synced_at: Option<Instant>) -> Option<Instant> {
         self.knows_cancellations(synced_at)
             .then(|| self.renewed_at + DELEGATION_TERM.mul_f64(1.0 - DRIFT))
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -1,10 +1,10 @@
-//! Leases by which a follower answers workers for a leader that is out of its reach.
+//! Delegated leases, under which a follower answers workers for a leader that it cannot reach.
 //!
-//! The leader grants each peer, for a limited time, a lease to answer heartbeats with its fencing token and without
-//! starting anything. A follower uses the lease only while it doesn't hear from the leader. So that the leader can
-//! still conclude that a silent machine's lease has expired, its grants revoke silent machines; followers
-//! acknowledge the grants that they have, and say which machines they answered. Machines that the leader alone
-//! doesn't hear from are delegated: followers answer them though the leader is in reach.
+//! The leader grants each peer, for a limited time, a lease to answer heartbeats with the leader's fencing token and
+//! without starting any task. A follower uses the lease only while it receives nothing from the leader. The leader must
+//! still be able to conclude that a silent machine's lease has expired. Therefore its grants revoke silent machines,
+//! and followers acknowledge the grants that they received and report which machines they answered. Machines that only
+//! the leader cannot reach are delegated: followers answer them even while they can reach the leader.
 
 use crate::constants::{DELEGATION_TERM, DRIFT};
 use crate::ids::{ControllerId, FencingToken, MachineId};
@@ -15,17 +15,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A peer that was silent for this long, three of its messages, counts as out of reach.
+/// Silence after which a peer counts as unreachable: the time of three of its messages.
 pub const PEER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
-/// For so many terms of a lease a follower keeps saying that it answered a machine.
+/// Number of delegation terms for which a follower continues to report that it answered a machine.
 const ANSWER_HISTORY_TERMS: u32 = 4;
 
-/// Which of a leader's grants is meant: they are numbered under each fencing token.
+/// Identifier of a grant. Grants are numbered separately for each fencing token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct GrantId {
-    /// The leader's fencing token.
+    /// Fencing token of the leader that gave the grant.
     pub token: FencingToken,
-    /// Counts the leader's grants; 0 before the first.
+    /// Number of the grant among those with the same fencing token; 0 before the first grant.
     pub number: u64,
 }
 
@@ -41,20 +41,20 @@
     }
 }
 
-/// The machines that a grant names.
+/// Machines that a grant revokes or delegates.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct GrantedMachines {
-    /// Those that must not be answered.
+    /// Machines that the follower must not answer.
     pub revoked: Vec<MachineId>,
-    /// Those that are to be answered also while the leader is in reach.
+    /// Machines that the follower answers even while it can reach the leader.
     pub delegated: Vec<MachineId>,
 }
 
-/// The follower's side: the newest grant, and what was answered under any.
+/// Follower's side of delegation: the newest grant, and the machines that were answered under any grant.
 #[derive(Debug, Default)]
 pub struct DelegatedLease {
     grant: Option<LeaseGrant>,
-    /// When each machine was last answered, under whatever token.
+    /// Time at which each machine was last answered, under any fencing token.
     answered: BTreeMap<MachineId, Instant>,
 }
 
@@ -62,15 +62,15 @@
 struct LeaseGrant {
     id: GrantId,
     valid_until: Instant,
-    /// When a grant last came straight from the leader.
+    /// Time at which a grant last arrived directly from the leader.
     received_directly: Option<Instant>,
     revoked: HashSet<MachineId>,
     delegated: HashSet<MachineId>,
 }
 
 impl DelegatedLease {
-    /// Takes a grant that responds to a request sent at `requested_at`: its term counts from then. One that came
-    /// by way of the store shows that the leader is out of reach.
+    /// Records a grant that responds to a request sent at `requested_at`, from which its term is counted. A grant
+    /// that was relayed through the store does not count as contact with the leader.
     pub fn record_grant(
         &mut self,
         id: GrantId,
@@ -98,12 +98,12 @@
         });
     }
 
-    /// The newest grant that this controller has.
+    /// Returns the newest grant that this controller received.
     pub fn acknowledged(&self) -> GrantId {
         self.grant.as_ref().map_or(GrantId::default(), |grant| grant.id)
     }
 
-    /// Which machines were answered for a leader, and how many milliseconds ago.
+    /// Returns the machines that were answered for a leader, each with the milliseconds since its last answer.
     pub fn answered_for_leader(&mut self, now: Instant) -> Vec<(MachineId, u64)> {
         let history = DELEGATION_TERM * ANSWER_HISTORY_TERMS;
         self.answered.retain(|_, at| now.saturating_duration_since(*at) < history);
@@ -111,25 +111,27 @@
         self.answered.iter().map(|(id, at)| (id.clone(), age_ms(at))).collect()
     }
 
-    /// A leader without leadership answered the machine under its own token.
+    /// Records that a controller which still has the role of leader, but whose leadership has lapsed, answered the
+    /// machine under its own token.
     pub fn record_answer(&mut self, machine: &MachineId, now: Instant) {
         self.answered.insert(machine.clone(), now);
     }
 
-    /// The fencing token to answer a machine's heartbeat with, if the lease allows it: the leader is out of reach or
-    /// has delegated the machine, and no later leader than that of the grant is known (`newest`).
+    /// Returns the fencing token with which to answer a machine's heartbeat, if the lease allows it: the leader is
+    /// unreachable or has delegated the machine, and `newest_token` shows no later leader than the one of the grant.
+    /// Records the answer.
     pub fn answer(
         &mut self,
         machine: &MachineId,
-        newest: FencingToken,
+        newest_token: FencingToken,
         now: Instant,
     ) -> Option<FencingToken> {
         let grant = self.grant.as_ref()?;
-        let in_reach = |at: Instant| now.saturating_duration_since(at) < PEER_UNREACHABLE_AFTER;
-        let left_to_leader =
-            grant.received_directly.is_some_and(in_reach) && !grant.delegated.contains(machine);
-        let is_valid = grant.id.token >= newest && now < grant.valid_until;
-        if !is_valid || left_to_leader || grant.revoked.contains(machine) {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < PEER_UNREACHABLE_AFTER;
+        let leader_answers =
+            grant.received_directly.is_some_and(is_recent) && !grant.delegated.contains(machine);
+        let is_valid = grant.id.token >= newest_token && now < grant.valid_until;
+        if !is_valid || leader_answers || grant.revoked.contains(machine) {
             return None;
         }
         self.answered.insert(machine.clone(), now);
@@ -137,20 +139,20 @@
     }
 }
 
-/// What a follower's status says about its delegated lease.
+/// Part of a follower's status that concerns its delegated lease.
 #[derive(Debug)]
 pub struct FollowerStatus<'a> {
-    /// The newest grant that it has.
+    /// Newest grant that the follower received.
     pub acknowledged: GrantId,
-    /// How long its process has been running.
+    /// Time for which the follower's process has been running.
     pub uptime: Duration,
-    /// Which machines it answered for a leader, and how many milliseconds ago.
+    /// Machines that the follower answered for a leader, each with the milliseconds since its last answer.
     pub answered_for_leader: &'a [(MachineId, u64)],
-    /// How its status came here.
+    /// Route by which the status arrived: direct, or relayed through the store.
     pub route: MessageRoute,
 }
 
-/// The leader's side: the grants that it gave, and what followers say of their use.
+/// Leader's side of delegation: the grants that it gave, and the use of them that followers reported.
 #[derive(Debug)]
 pub struct Delegations {
     token: FencingToken,
@@ -161,21 +163,22 @@
 
 #[derive(Debug)]
 struct Follower {
-    /// It answers nothing later than this under a grant of ours or of a predecessor.
+    /// Latest time at which the follower answers a machine under a grant of this leader or of a predecessor.
     valid_until: Instant,
     acknowledged_number: u64,
-    last_heard: Instant,
+    last_direct_status_at: Instant,
     started_at: Instant,
     answered: BTreeMap<MachineId, Instant>,
 }
 
 impl Follower {
-    /// A predecessor's grant may last one full term from now.
+    /// Creates the state of a follower that has not reported yet. A grant of a predecessor may last one full term
+    /// from now.
     fn new(now: Instant) -> Follower {
         Follower {
             valid_until: now + DELEGATION_TERM.mul_f64(1.0 + DRIFT),
             acknowledged_number: 0,
-            last_heard: now,
+            last_direct_status_at: now,
             started_at: now,
             answered: BTreeMap::new(),
         }
@@ -183,7 +186,7 @@
 }
 
 impl Delegations {
-    /// Those of a leader that has given no grant yet.
+    /// Creates the state of a leader that has given no grant yet.
     pub fn new(
         token: FencingToken,
         peers: impl Iterator<Item = ControllerId>,
@@ -197,7 +200,7 @@
         }
     }
 
-    /// A follower's status, with which it asks for a grant.
+    /// Records the status with which a follower requests a grant.
     pub fn record_status(
         &mut self,
         from: &ControllerId,
@@ -206,9 +209,9 @@
     ) {
         let Some(follower) = self.followers.get_mut(from) else { return };
         if status.route == MessageRoute::Direct {
-            follower.last_heard = now;
+            follower.last_direct_status_at = now;
         }
-        // Delays on the way make these times later than they were, which is the safe side.
+        // Network delays make these times later than they really were, which is safe.
         follower.started_at = now.checked_sub(status.uptime).unwrap_or(self.leading_since);
         for (machine, age_ms) in status.answered_for_leader {
             let age = Duration::from_millis(*age_ms);
@@ -222,26 +225,27 @@
         }
     }
 
-    /// When a follower last answered the machine, as far as followers have said.
+    /// Returns the time at which any follower last answered the machine, as far as followers have reported it.
     pub fn last_answered(&self, machine: &MachineId) -> Option<Instant> {
         self.followers.values().filter_map(|follower| follower.answered.get(machine)).max().copied()
     }
 
-    /// Whether nothing has come straight from that peer for a while.
+    /// Returns whether no status has arrived directly from the peer for longer than [`PEER_UNREACHABLE_AFTER`].
     pub fn is_unreachable(&self, peer: &ControllerId, now: Instant) -> bool {
         let is_silent = |follower: &Follower| {
-            now.saturating_duration_since(follower.last_heard) > PEER_UNREACHABLE_AFTER
+            now.saturating_duration_since(follower.last_direct_status_at) > PEER_UNREACHABLE_AFTER
         };
         self.followers.get(peer).is_none_or(is_silent)
     }
 
-    /// The number of the grant that is given next.
+    /// Increments the grant number and returns it.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// The grant with the latest number, for one follower.
+    /// Returns the grant with the current number for one follower and extends the time until which that follower may
+    /// answer.
     pub fn grant(
         &mut self,
         to: &ControllerId,
@@ -260,15 +264,16 @@
         })
     }
 
-    /// The latest time at which a follower may have answered the machine, which every grant from that number on
-    /// has revoked.
+    /// Returns the latest time at which a follower may have answered the machine. Every grant from number
+    /// `revoked_since` on has revoked the machine.
     pub fn answered_until(
         &self,
         machine: &MachineId,
         revoked_since: Option<u64>,
     ) -> Option<Instant> {
         let latest = |follower: &Follower| match revoked_since {
-            // It keeps to the revocation. Before that it answered when it says, or before it was started.
+            // The follower obeys the revocation. Any earlier answer was given at the reported time, or before its
+            // process started.
             Some(number) if follower.acknowledged_number >= number => {
                 let started_at = follower.started_at;
                 follower.answered.get(machine).map_or(started_at, |at| (*at).max(started_at))
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -18,7 +18,7 @@
     GrantId { token: FencingToken(token), number }
 }
 
-/// Takes a grant that came straight from the leader.
+/// Records a grant with fencing token 3 that arrived directly from the leader.
 fn record(
     lease: &mut DelegatedLease,
     number: u64,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_follower_answers_only_without_its_leader_and_within_the_grant() {
+fn follower_answers_only_while_its_leader_is_unreachable_and_the_grant_is_valid() {
     let now = Instant::now();
     let later = now + PEER_UNREACHABLE_AFTER;
     let token = FencingToken(3);
@@ -44,12 +44,12 @@
     assert_eq!(lease.answer(&machine(), token, now + DELEGATION_TERM), None);
     record(&mut lease, 2, vec![machine()], vec![machine()], now);
     assert_eq!(lease.answer(&machine(), token, later), None);
-    // A delegated machine is answered at once.
+    // A delegated machine is answered even though the leader is reachable.
     record(&mut lease, 3, vec![], vec![machine()], now);
     assert_eq!(lease.answer(&machine(), token, now), Some(token));
 }
 
-/// Status on its way to the leader.
+/// Status that has not reached the leader yet.
 struct StatusInFlight {
     due: Instant,
     sent_at: Instant,
@@ -57,7 +57,7 @@
     answered_for_leader: Vec<(MachineId, u64)>,
 }
 
-/// A grant on its way to the follower.
+/// Grant that has not reached the follower yet.
 struct GrantInFlight {
     due: Instant,
     requested_at: Instant,
@@ -65,10 +65,10 @@
     machines: GrantedMachines,
 }
 
-/// Whatever a follower does with what reaches it, it never answers later than the leader
-/// reckons. Messages are lost and delayed at random.
+/// The leader must never consider a machine's lease expired while a follower still answers that machine. Random loss
+/// and delay of statuses and grants must not let a follower answer later than the leader's bound.
 #[test]
-fn the_leader_s_bound_holds_under_loss_and_delay() {
+fn follower_never_answers_after_the_leader_s_bound_under_message_loss_and_delay() {
     let peer = ControllerId::new("b");
     for seed in 0..300 {
         let random = &mut StdRng::seed_from_u64(seed);
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,9 +1,9 @@
-//! The election of a leader: candidacy at the store, the leader's lease, and that lease's extension by peers.
+//! Leader election: candidacy at the store, the leader lease, and the extension of that lease by peers.
 //!
-//! A candidate asks the store for a lease and then commits, by compare-and-swap, the leader key (bound to that
-//! lease) together with the next fencing token. The leader renews the lease. While the store is out of reach it
-//! may go on leading as long as every other controller extends the lease, that is, promises to withhold its own
-//! candidacy for [`LEASE_EXTENSION`].
+//! A candidate requests a lease from the store and then commits, by compare-and-swap, the leader key (attached to
+//! that lease) together with the next fencing token. The leader renews the lease. While the store is unreachable, the
+//! leader keeps its leadership as long as every other controller extends the lease, that is, agrees not to become a
+//! candidate for [`LEASE_EXTENSION`].
 
 use crate::constants::{DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
@@ -17,34 +17,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Life of the leader's lease at the store.
+/// Time to live of the leader lease at the store.
 pub const LEADER_LEASE_TTL: Duration = Duration::from_millis(3000);
-/// Pause between two renewals of that lease.
+/// Interval between two renewals of the leader lease.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
-/// Subtracted from a lease's life besides clock drift: a packet leaves some time after the lease was checked.
+/// Safety margin subtracted from a lease's duration in addition to clock drift, because a packet is sent some time
+/// after the lease was checked.
 pub const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(400);
-/// How long a peer that extends the leader's lease withholds its candidacy. A restarted process waits as long.
+/// Time during which a peer that extended the leader lease does not become a candidate. A restarted process waits for
+/// the same time before its first candidacy.
 pub const LEASE_EXTENSION: Duration = Duration::from_millis(2000);
-/// Upper bound of the random delay before a candidacy.
+/// Maximum random delay before a candidacy.
 const CANDIDACY_JITTER_MAX: Duration = Duration::from_millis(120);
-/// How long a drained controller is no candidate after it last saw a peer that can lead.
+/// Time for which a drained controller does not become a candidate after it last saw a peer that can lead.
 const DRAINED_CANDIDACY_DELAY: Duration = Duration::from_secs(2);
-/// How long a leader that resigned is no candidate.
+/// Time for which a leader that resigned does not become a candidate.
 const RESIGNATION_BACKOFF: Duration = Duration::from_secs(15);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Role {
     Follower,
-    /// A lease was requested, for a candidacy.
+    /// Has requested a lease for a candidacy.
     RequestingLease,
-    /// The candidacy's transaction was sent and has no outcome yet. Meanwhile no lease of a leader is extended,
-    /// since the transaction may be applied late.
+    /// Has sent the transaction of its candidacy and does not know the outcome yet. In this state the controller
+    /// extends no leader's lease, since the transaction may be applied late.
     Candidate {
         lease: LeaseId,
         requested_at: Instant,
         token: FencingToken,
     },
-    /// Revokes the lease of a candidacy with an unknown outcome: its end settles the matter.
+    /// Is revoking the lease of a candidacy whose outcome is unknown. Once the lease is revoked, the transaction can no
+    /// longer be applied, and a leader key that it wrote is removed.
     RevokingLease {
         lease: LeaseId,
     },
@@ -54,13 +57,13 @@
     },
 }
 
-/// Why a controller leads no longer.
+/// Reason why a controller lost its leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LeadershipLoss {
-    /// The store shows a higher fencing token.
+    /// The store has a higher fencing token.
     #[error("another leader has a higher fencing token")]
     Superseded,
-    /// The store says that the lease is gone.
+    /// The store reports that the leader lease no longer exists.
     #[error("the leadership lease expired")]
     LeaseExpired,
 }
@@ -68,18 +71,18 @@
 /// A change of this controller's role.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// It was elected, with this fencing token.
+    /// The controller was elected and leads with this fencing token.
     Won(FencingToken),
-    /// It leads no longer.
+    /// The controller lost its leadership.
     Lost(LeadershipLoss),
 }
 
-/// What follows from a response of the store.
+/// Consequences of a response of the store.
 #[derive(Debug, Default)]
 pub struct ElectionStep {
     /// Requests to send to the store.
     pub requests: Vec<StoreRequest>,
-    /// The change of role, if there is one.
+    /// Change of this controller's role, if the response caused one.
     pub event: Option<ElectionEvent>,
 }
 
@@ -93,31 +96,32 @@
     }
 }
 
-/// This controller's part in the election.
+/// State machine of one controller in the election.
 pub struct Election {
     me: ControllerId,
     peer_count: usize,
     role: Role,
-    /// End of the leader's lease that is certain by this controller's own clock.
+    /// Time until which the leader lease is valid for certain, by this controller's own clock.
     lease_valid_until: Instant,
     renew_at: Instant,
     renewal_in_flight: bool,
     candidacy_at: Instant,
-    /// This controller extended the lease of a leader until then.
+    /// Time until which this controller extended the lease of a leader and so does not become a candidate.
     withhold_candidacy_until: Instant,
-    /// Until when each peer has extended our lease for certain.
+    /// Time until which each peer has extended this controller's lease for certain.
     extended_until: HashMap<ControllerId, Instant>,
     random: StdRng,
 }
 
-/// The part of a lease's life, counted from its request, in which it is valid whatever the clocks do.
-fn certain_life(life: Duration) -> Duration {
-    life.mul_f64(1.0 - DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
+/// Returns the part of a lease's duration, counted from its request, in which the lease is valid in spite of clock
+/// drift and delayed packets.
+fn guaranteed_validity(duration: Duration) -> Duration {
+    duration.mul_f64(1.0 - DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
 }
 
 impl Election {
-    /// A follower. Before a restart this process may have extended a lease and doesn't remember it, so it is no
-    /// candidate for as long as that lasts.
+    /// Creates a follower. Before a restart this process may have extended a lease that it no longer knows of, so it
+    /// does not become a candidate for the duration of such an extension.
     pub fn new(me: ControllerId, peer_count: usize, seed: u64, now: Instant) -> Election {
         Election {
             me,
@@ -133,7 +137,7 @@
         }
     }
 
-    /// The fencing token under which this controller leads.
+    /// Returns the fencing token with which this controller leads, or `None` if it is not the leader.
     pub fn token(&self) -> Option<FencingToken> {
         match self.role {
             Role::Leader { token, .. } => Some(token),
@@ -145,24 +149,26 @@
         self.token().is_some() && now < self.lease_valid_until
     }
 
-    /// Whether every peer has extended the lease. A controller without peers needs no extension.
+    /// Returns whether every peer has extended the lease. A controller without peers needs no extension.
     fn is_extended_by_all(&self, now: Instant) -> bool {
         self.token().is_some()
             && self.extended_until.len() == self.peer_count
             && self.extended_until.values().all(|until| now < *until)
     }
 
-    /// Whether this controller may act as the leader now. Beyond its lease it needs the extension of all peers, and
-    /// to know of every cancellation that was committed before.
+    /// Returns whether this controller may act as the leader now. After its lease has expired it needs the extensions
+    /// of all peers, and it must know of every cancellation that was committed before.
     pub fn holds_leadership(&self, knows_cancellations: bool, now: Instant) -> bool {
         self.holds_lease(now) || (knows_cancellations && self.is_extended_by_all(now))
     }
 
-    /// A leader asks for an extension of its lease. To grant it also tells the leader that no cancellation was
-    /// committed that it can't know of. So it is refused while a candidacy of ours has no outcome, when a later
-    /// leader is known, and when the leader's key or its controller lease (`has_controller_lease`) is gone, since
-    /// peers may have gone on without it. A process that has read nothing from the store since its start doesn't
-    /// know what happened before, and grants none.
+    /// Handles a leader's request to extend its lease and returns whether the extension is granted.
+    ///
+    /// An extension also confirms to the leader that no cancellation was committed that it cannot know of. It is
+    /// therefore refused while this controller's own candidacy has no outcome, when a later leader is known, and when
+    /// the leader key or the leader's controller lease (`has_controller_lease`) no longer exists, since peers may have
+    /// continued without that leader. A process that has read nothing from the store since its start does not know
+    /// what happened before, and refuses every extension.
     pub fn extend_lease(
         &mut self,
         token: FencingToken,
@@ -170,16 +176,16 @@
         has_controller_lease: bool,
         now: Instant,
     ) -> bool {
-        // An earlier leader that the store hasn't told of its successor yet is no candidate either.
-        let is_no_candidate = match self.role {
+        // An earlier leader that has not yet learned of its successor from the store is not a candidate either.
+        let is_not_candidate = match self.role {
             Role::Follower => true,
             Role::Leader { token: ours, .. } => ours < token,
             _ => false,
         };
-        if !is_no_candidate || !cache.loaded {
+        if !is_not_candidate || !cache.loaded {
             return false;
         }
-        // A leader with a newer token than the cache's has read all that the cache shows.
+        // A leader whose token is newer than the cached one has read everything that this cache contains.
         let is_current = token > cache.token.value
             || (has_controller_lease
                 && cache.leader.as_ref().is_some_and(|leader| leader.value.token == token));
@@ -190,14 +196,15 @@
         is_current
     }
 
-    /// A peer has extended our lease, as it was asked to at `requested_at`.
+    /// Records that a peer granted the extension that was requested at `requested_at`.
     pub fn record_extension(&mut self, peer: &ControllerId, requested_at: Instant) {
-        let until = requested_at + certain_life(LEASE_EXTENSION);
+        let until = requested_at + guaranteed_validity(LEASE_EXTENSION);
         let entry = self.extended_until.entry(peer.clone()).or_insert(until);
         *entry = (*entry).max(until);
     }
 
-    /// Gives up leadership, and is no candidate for a while.
+    /// Gives up leadership and prevents a candidacy for [`RESIGNATION_BACKOFF`]. Returns the request that revokes the
+    /// leader lease, or `None` if this controller is not the leader.
     pub fn resign(&mut self, now: Instant) -> Option<StoreRequest> {
         let Role::Leader { lease, .. } = self.role else { return None };
         self.role = Role::Follower;
@@ -206,14 +213,14 @@
         Some(StoreRequest::RevokeLease(lease))
     }
 
-    /// Leaves candidacy to peers for a while, since this controller is drained.
+    /// Postpones this controller's candidacy by [`DRAINED_CANDIDACY_DELAY`] in favor of its peers, since it is drained.
     pub fn defer_candidacy(&mut self, now: Instant) {
         if matches!(self.role, Role::Follower) {
             self.candidacy_at = self.candidacy_at.max(now + DRAINED_CANDIDACY_DELAY);
         }
     }
 
-    /// The request to the store that is due now.
+    /// Returns the request to the store that is due now.
     pub fn next_request(
         &mut self,
         cache: &Cache,
@@ -261,7 +268,8 @@
         self.candidacy_at = now + RETRY_PAUSE;
     }
 
-    /// Whether the cache shows that another controller was elected since.
+    /// Ends this controller's leadership if the cache contains a newer fencing token, which means that another
+    /// controller has been elected.
     pub fn detect_successor(&mut self, cache: &Cache) -> Option<ElectionEvent> {
         let token = self.token()?;
         (cache.token.value > token).then(|| {
@@ -271,7 +279,7 @@
         })
     }
 
-    /// A response of the store to a request that was sent at `sent_at`.
+    /// Handles the store's response to a request that was sent at `sent_at`.
     pub fn on_response(
         &mut self,
         request: &StoreRequest,
@@ -287,8 +295,8 @@
             (Role::Candidate { lease, requested_at, token }, StoreRequest::Commit(_)) => {
                 self.on_candidacy_outcome(lease, requested_at, token, response, now)
             }
-            (Role::RevokingLease { lease }, StoreRequest::RevokeLease(dropped))
-                if lease == *dropped =>
+            (Role::RevokingLease { lease }, StoreRequest::RevokeLease(revoked))
+                if lease == *revoked =>
             {
                 self.on_revocation_response(response, now);
                 ElectionStep::default()
@@ -311,7 +319,7 @@
             self.return_to_follower(now);
             return ElectionStep::default();
         };
-        // Since the request a leader may have been found, or its lease been extended.
+        // Since the request was sent, a leader may have been elected or this controller may have extended a lease.
         if cache.leader.is_some() || now < self.withhold_candidacy_until {
             self.return_to_follower(now);
             return ElectionStep::request(StoreRequest::RevokeLease(*lease));
@@ -319,7 +327,11 @@
         let Versioned { value: last_token, revision: token_revision } = cache.token;
         let token = FencingToken(last_token.0 + 1);
         self.role = Role::Candidate { lease: *lease, requested_at, token };
-        ElectionStep::request(StoreRequest::Commit(self.candidacy(token, token_revision, *lease)))
+        ElectionStep::request(StoreRequest::Commit(self.candidacy_transaction(
+            token,
+            token_revision,
+            *lease,
+        )))
     }
 
     fn on_candidacy_outcome(
@@ -333,7 +345,7 @@
         match response {
             StoreResponse::Committed(_) => {
                 self.role = Role::Leader { lease, token };
-                self.lease_valid_until = requested_at + certain_life(LEADER_LEASE_TTL);
+                self.lease_valid_until = requested_at + guaranteed_validity(LEADER_LEASE_TTL);
                 self.renew_at = now;
                 self.renewal_in_flight = false;
                 self.extended_until.clear();
@@ -369,7 +381,7 @@
         self.renewal_in_flight = false;
         match response {
             StoreResponse::Done => {
-                self.lease_valid_until = sent_at + certain_life(LEADER_LEASE_TTL);
+                self.lease_valid_until = sent_at + guaranteed_validity(LEADER_LEASE_TTL);
                 self.renew_at = sent_at + LEASE_RENEWAL_INTERVAL;
                 ElectionStep::default()
             }
@@ -385,9 +397,9 @@
         }
     }
 
-    /// The compare-and-swap that makes this controller the leader: no leader key exists, and the fencing token is
-    /// still the one that was read.
-    fn candidacy(
+    /// Returns the compare-and-swap that makes this controller the leader. It requires that no leader key exists and
+    /// that the fencing token is still the one that was read.
+    fn candidacy_transaction(
         &self,
         token: FencingToken,
         token_revision: Revision,
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -16,7 +16,7 @@
     cache.token = Versioned::new(token, Revision(3));
 }
 
-/// A controller of three that has been elected.
+/// Returns the elected leader of three controllers, its cache, and the time of the election.
 fn leader(now: Instant) -> (Election, Cache, Instant) {
     let mut cache = loaded_cache();
     let mut election = Election::new(ControllerId::new("a"), 2, 0, now);
@@ -29,14 +29,14 @@
     (election, cache, now)
 }
 
-/// Lets a follower become a candidate, and returns its transaction.
+/// Turns a follower into a candidate and returns the transaction of its candidacy.
 fn become_candidate(election: &mut Election, cache: &Cache, now: Instant) -> StoreRequest {
     let request = election.next_request(cache, false, now).unwrap();
     let response = StoreResponse::LeaseGranted(LeaseId(7));
     election.on_response(&request, now, &response, cache, now).requests.remove(0)
 }
 
-/// A controller without peers, and the transaction of its candidacy.
+/// Returns a candidate without peers and the transaction of its candidacy.
 fn candidate_without_peers(cache: &Cache, now: Instant) -> (Election, StoreRequest) {
     let mut election = Election::new(ControllerId::new("a"), 0, 0, now);
     let commit = become_candidate(&mut election, cache, now);
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn leadership_counts_from_when_the_renewal_was_sent_and_ends_before_the_lease() {
+fn leader_lease_is_counted_from_when_its_renewal_was_sent_minus_the_safety_margin() {
     let (mut election, cache, now) = leader(Instant::now());
     let request = election.next_request(&cache, false, now).unwrap();
-    let late = now + Duration::from_secs(1);
-    election.on_response(&request, now, &StoreResponse::Done, &cache, late);
+    let received_at = now + Duration::from_secs(1);
+    election.on_response(&request, now, &StoreResponse::Done, &cache, received_at);
     assert!(election.holds_leadership(true, now + LEADER_LEASE_TTL - LEASE_SAFETY_MARGIN * 2));
     assert!(!election.holds_leadership(true, now + LEADER_LEASE_TTL - LEASE_SAFETY_MARGIN));
 }
 
 #[test]
-fn in_an_outage_leadership_takes_every_peer_s_extension_and_each_expires() {
+fn leadership_during_a_store_outage_requires_unexpired_extensions_of_all_peers() {
     let (mut election, _, now) = leader(Instant::now());
     let late = now + LEADER_LEASE_TTL * 2;
     election.record_extension(&ControllerId::new("b"), late);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_controller_that_extended_a_lease_or_was_restarted_is_no_candidate_until_it_expires() {
+fn controller_that_extended_a_lease_or_restarted_is_no_candidate_until_the_extension_expires() {
     let now = Instant::now();
     let mut cache = loaded_cache();
     set_leader(&mut cache, FencingToken(1));
@@ -75,17 +75,17 @@
     cache.leader = None;
     let expiry = now + LEASE_EXTENSION * 2;
     assert!(follower.next_request(&cache, false, expiry - TICK_MAX).is_none());
-    // A leader whose key is seen to be gone gets no further extension.
+    // A leader whose key no longer exists in the cache gets no further extension.
     assert!(!follower.extend_lease(token, &cache, true, now + LEASE_EXTENSION));
     assert!(follower.next_request(&cache, false, expiry + TICK_MAX).is_some());
-    // With a candidacy under way it gets none either.
+    // While this controller has a candidacy in progress, it grants no extension either.
     assert!(!follower.extend_lease(token, &cache, true, expiry + TICK_MAX));
     let mut restarted = Election::new(ControllerId::new("c"), 2, 0, now);
     assert!(restarted.next_request(&cache, false, now + LEASE_EXTENSION - TICK_MAX).is_none());
 }
 
 #[test]
-fn a_controller_without_peers_leads_on_through_an_outage() {
+fn leader_without_peers_keeps_leadership_during_a_store_outage() {
     let now = Instant::now();
     let cache = loaded_cache();
     let (mut election, commit) = candidate_without_peers(&cache, now);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_candidacy_with_an_unknown_outcome_is_settled_by_revoking_its_lease() {
+fn candidacy_with_unknown_outcome_revokes_its_lease_before_the_next_candidacy() {
     let now = Instant::now();
     let cache = loaded_cache();
     let (mut election, commit) = candidate_without_peers(&cache, now);
@@ -108,12 +108,13 @@
     assert!(election.next_request(&cache, false, now + RETRY_PAUSE * 2).is_some());
 }
 
-/// An extension says that the leader knows of every cancellation. Each way in which a peer can't know that: it
-/// has read nothing since it started, the leader's controller lease is gone, or the leader key is another's.
+/// An extension confirms that the leader knows of every cancellation. A peer cannot confirm this if it has read
+/// nothing since it started, if the leader's controller lease has expired, or if the leader key is missing or
+/// belongs to another controller.
 #[test]
-fn a_lease_is_extended_only_by_who_has_read_that_the_leader_still_stands() {
+fn lease_extension_requires_a_cache_that_shows_the_requesting_leader() {
     let now = Instant::now();
-    let cache_of = |loaded: bool, token: u64| {
+    let cache_with_token = |loaded: bool, token: u64| {
         let mut cache = Cache { loaded, ..Cache::new(16_384) };
         set_leader(&mut cache, FencingToken(token));
         cache
@@ -122,20 +123,20 @@
         let mut election = Election::new(ControllerId::new("b"), 2, 0, now);
         election.extend_lease(FencingToken(4), cache, has_controller_lease, now)
     };
-    assert!(extends(&cache_of(true, 4), true));
-    assert!(!extends(&cache_of(false, 4), true), "it has read nothing");
-    assert!(!extends(&Cache::new(16_384), true), "it has just started");
-    assert!(!extends(&cache_of(true, 4), false), "the controller lease is gone");
-    assert!(!extends(&cache_of(true, 5), true), "another leads");
-    let without_leader = Cache { leader: None, ..cache_of(true, 4) };
-    assert!(!extends(&without_leader, true), "the leader key is gone");
-    // Whatever it has read is older than that leader, who has read all of it.
-    assert!(extends(&cache_of(true, 3), false));
+    assert!(extends(&cache_with_token(true, 4), true));
+    assert!(!extends(&cache_with_token(false, 4), true), "the cache is not loaded");
+    assert!(!extends(&Cache::new(16_384), true), "the process has just started");
+    assert!(!extends(&cache_with_token(true, 4), false), "the controller lease has expired");
+    assert!(!extends(&cache_with_token(true, 5), true), "another controller leads");
+    let without_leader = Cache { leader: None, ..cache_with_token(true, 4) };
+    assert!(!extends(&without_leader, true), "the leader key does not exist");
+    // Everything in this cache is older than the requesting leader, which has read all of it.
+    assert!(extends(&cache_with_token(true, 3), false));
 }
 
-/// Extensions let a leader act in an outage only as long as it knows of every earlier cancellation.
+/// During a store outage, extensions preserve leadership only if the leader knows of every earlier cancellation.
 #[test]
-fn a_leader_that_may_lack_cancellations_does_not_act_by_extensions() {
+fn leader_that_may_miss_cancellations_loses_leadership_despite_extensions() {
     let (mut election, _, now) = leader(Instant::now());
     let later = now + LEADER_LEASE_TTL * 2;
     for peer in ["b", "c"] {
