--- a/src/schema.rs
+++ b/src/schema.rs
@@ -1,5 +1,5 @@
-//! What is stored: the keys, the records that are their values, and how those are encoded. Stored
-//! data outlives the version that wrote it, so names and forms here never change.
+//! Schema of the stored data: keys, the records that are their values, and their encoding. Stored
+//! data outlives the version that wrote it, so stored names and formats never change.
 
 pub mod encoding;
 pub mod keys;
--- a/src/schema/encoding.rs
+++ b/src/schema/encoding.rs
@@ -1,27 +1,27 @@
-//! Sizes of stored values as the store counts them (in JSON), and texts cut into chunks that keep
-//! to its limit.
+//! Sizes of stored values as the store counts them (in JSON), and the splitting of texts into chunks
+//! within the store's size limit.
 
 use crate::schema::keys::key_hash;
 use crate::wire::{JobSpec, StoreValue};
 use serde::Serialize;
 
-/// A job's description as texts that fit into one value each.
+/// Job description, split into texts that each fit into one stored value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EncodedSpec {
-    /// Names the chunks in their keys. The same description has the same hash in every process, so
-    /// that a submission begun at one controller goes on at another.
+    /// Hash of the description, used in the keys of the chunks. It is the same in every process, so
+    /// that a submission begun at one controller can be continued at another.
     pub hash: String,
-    /// The texts, in order.
+    /// Chunks of the encoded description, in order.
     pub chunks: Vec<String>,
 }
 
-/// A record as the value of a key.
+/// Encodes a record as the value of a key.
 pub fn to_value<T: Serialize>(record: &T) -> StoreValue {
-    // Our own records always serialize; Null would be refused on reading.
+    // Records of this program always serialize. Readers would reject Null as unreadable.
     StoreValue::serialized(record).unwrap_or(StoreValue::Null)
 }
 
-/// Bytes that one character takes in JSON at the most, whichever way it is escaped.
+/// Returns the maximum number of bytes of one character in JSON, over all ways to escape it.
 fn escaped_len(c: char) -> usize {
     match c {
         '"' | '\\' => 2,
@@ -30,24 +30,24 @@
     }
 }
 
-/// Bytes of a value in JSON, in which the limits are counted.
+/// Returns the size of a value in bytes of JSON, the unit of the store's limits.
 pub fn json_len<T: Serialize>(value: &T) -> usize {
-    // What is written as JSON is escaped already but for what is not ASCII.
+    // serde_json escapes everything necessary but leaves characters beyond ASCII unescaped.
     let text = serde_json::to_string(value).unwrap_or_default();
     text.chars().map(|c| if c.is_ascii() { 1 } else { c.len_utf16() * 6 }).sum()
 }
 
-/// Cuts a text into chunks of at most `max_len` bytes each, as JSON spells them.
+/// Splits a text into chunks of at most `max_len` bytes each, counted as escaped JSON.
 pub fn split_text(text: &str, max_len: usize) -> Vec<String> {
     let mut chunks = vec![String::new()];
-    let mut room = max_len;
+    let mut remaining_len = max_len;
     for c in text.chars() {
         let size = escaped_len(c);
-        if size > room {
+        if size > remaining_len {
             chunks.push(String::new());
-            room = max_len;
+            remaining_len = max_len;
         }
-        room -= size.min(room);
+        remaining_len -= size.min(remaining_len);
         if let Some(chunk) = chunks.last_mut() {
             chunk.push(c);
         }
@@ -55,15 +55,15 @@
     chunks
 }
 
-/// A description in chunks of at most `value_max` bytes.
+/// Encodes a description in chunks of at most `value_max` bytes of JSON each.
 pub fn encode_spec(spec: &JobSpec, value_max: usize) -> EncodedSpec {
     let text = serde_json::to_string(spec).unwrap_or_default();
     let hash = key_hash(&(&text, value_max));
-    // The quotes of a text are part of its value.
+    // The two quotes around a JSON string count as part of the value.
     EncodedSpec { hash, chunks: split_text(&text, value_max.saturating_sub(2)) }
 }
 
-/// The description whose chunks these are, if they are whole.
+/// Decodes a description from its chunks, or returns `None` if they are incomplete.
 pub fn decode_spec<'a>(chunks: impl Iterator<Item = &'a str>) -> Option<JobSpec> {
     serde_json::from_str(&chunks.collect::<String>()).ok()
 }
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -1,14 +1,14 @@
-//! Records as they are stored, and the two layouts of a job's progress and description.
+//! Stored records, and the two layouts of a job's progress and description.
 //!
-//! The *first* layout is all that the oldest supported version knows: a job's record holds its
-//! description and the completed tasks of its first chunk, further chunks have keys of their own,
-//! and the size of a chunk follows from the limit of a value. The *second* one has small values of
-//! a fixed size, and descriptions of any length. Both may hold completed tasks of the same job:
-//! tasks are only ever added, so what is completed is what either of them says.
+//! The *first* layout is the only one that the oldest supported version reads: a job's record contains
+//! its description and the completed tasks of its first chunk, further chunks have separate keys,
+//! and the chunk size follows from the size limit of a value. The *second* layout has small values of
+//! a fixed size, and descriptions of any length. Both may contain completed tasks of the same job.
+//! Completed tasks are only ever added, so a task is completed if either layout says so.
 //!
-//! Nothing of the second layout is written before every controller has said that it reads it
-//! ([`Layout::is_second`]). The first layout can go once no cluster runs a version that needs it
-//! and no job is live that such a version accepted.
+//! Nothing is written in the second layout before every controller has announced that it reads it
+//! ([`Layout::is_second`]). Support for the first layout can be removed once no cluster runs a version
+//! that needs it and no job is live that such a version accepted.
 
 use crate::constants::FORMAT_HEARTBEAT;
 use crate::ids::{Amount, ControllerId, FencingToken};
@@ -17,72 +17,75 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The newest format that this program reads and writes: 1 brought the second layout, 2 the
-/// controllers' leases ([`crate::leadership::controller_lease`]). The oldest version says none: 0.
+/// Newest format that this program reads and writes. Format 1 introduced the second layout, and
+/// format 2 the controller leases ([`crate::leadership::controller_lease`]). The oldest version
+/// announces no format, which counts as 0.
 pub const FORMAT: u32 = FORMAT_HEARTBEAT;
-/// The first format with the second layout.
+/// First format with the second layout.
 const FORMAT_SECOND_LAYOUT: u32 = 1;
-/// Count. Tasks up to which the completed ones stand in the job's record in both layouts.
+/// Maximum number of tasks of a job whose completed tasks are stored in the job's record in both
+/// layouts.
 pub const RECORD_TASKS: u64 = 1024;
-/// Count. Tasks to a chunk of the second layout: 1 KiB of hexadecimal, half of the smallest limit
-/// that settings may set. It belongs to the format and follows from no setting.
+/// Number of tasks in a chunk of the second layout: 1 KiB of hexadecimal, half of the smallest value
+/// limit that settings may set. It is part of the format and does not depend on any setting.
 pub const COMPLETED_CHUNK_TASKS: u32 = 4096;
 
-/// Who leads.
+/// Value of the leader key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader.
+    /// Name of the leader.
     #[serde(rename = "node")]
     pub controller: ControllerId,
-    /// Its fencing token.
+    /// Fencing token with which it leads.
     pub token: FencingToken,
 }
 
-/// A machine on which tasks may have been started: the record is committed before the first
-/// start and removed once the machine has surely terminated.
+/// Record of a machine on which tasks may have been started. It is committed before the first start
+/// and removed once the machine has certainly terminated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Where its agent is called.
+    /// Address of the worker on the machine.
     pub address: String,
-    /// The name of its machine type.
+    /// Name of its machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
-    /// The name of its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
-/// What a controller says of itself. Never removed: no controller goes back to an older version.
+/// Formats announced by a controller. Controllers never remove this record, since no controller
+/// returns to an older version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The newest format that it reads.
+    /// Newest format that the controller reads.
     pub format: u32,
-    /// Tasks to a chunk of the first layout, as it was when the cluster was upgraded: a limit that
-    /// is changed later must not move a completed task to another index.
+    /// Number of tasks in a chunk of the first layout when the cluster was upgraded. A limit that is
+    /// changed later must not move a completed task to another index.
     #[serde(rename = "chunk")]
     pub legacy_chunk_tasks: u32,
 }
 
-/// Where a job is in its life.
+/// Phase of a job's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// Accepted, and not finished.
+    /// The job is accepted and not finished.
     Live,
-    /// All of its tasks are completed.
+    /// All tasks of the job are completed.
     Done,
-    /// Cancelled before that.
+    /// The job was cancelled before all of its tasks were completed.
     Cancelled,
 }
 
-/// Where a long description is stored.
+/// Location of a description that is stored in chunks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SpecChunks {
-    /// Names the chunks in their keys.
+    /// Hash of the description in the keys of the chunks.
     #[serde(rename = "tag")]
     pub hash: String,
-    /// How many chunks there are.
+    /// Number of chunks.
     pub count: u32,
 }
 
@@ -90,18 +93,18 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, f64, f64, f64)", into = "(String, f64, f64, f64)")]
 pub struct TaskFootprint {
-    /// The team whose limit it counts against.
+    /// Team against whose limit the task counts.
     pub team: String,
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub ram_gb: f64,
 }
 
 impl TaskFootprint {
-    /// The resources that it requests.
+    /// Returns the resource request of the task.
     pub fn request(&self) -> Amount {
         Amount::need(self.cpus, self.gpus, self.ram_gb)
     }
@@ -126,44 +129,45 @@
     }
 }
 
-/// The value of a job's key. A finished job keeps no description.
+/// Value of a job's key. The record of a finished job contains no description.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Where it is in its life.
+    /// Phase of the job's lifecycle.
     #[serde(rename = "p")]
     pub phase: JobPhase,
-    /// Milliseconds of the time of day when it was accepted.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     #[serde(rename = "at", default)]
     pub accepted_ms: u64,
-    /// Its description, unless that stands in chunks.
+    /// Description of a live job, unless it is stored in chunks.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Arc<JobSpec>>,
-    /// Completed tasks while it is live, one bit each, in hexadecimal.
+    /// Completed tasks of a live job, one bit each, in hexadecimal.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub completed: String,
-    /// Count of completed tasks when it is finished.
+    /// Number of completed tasks of a finished job.
     #[serde(rename = "n", default)]
     pub completed_count: u64,
-    /// A task of a finished job: some may run on for a while and count against the team's limit
-    /// until they are gone.
+    /// Footprint of one task of a finished job. Some tasks may continue to run for a while, and they
+    /// count against the team's limit until they have stopped.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub task: Option<TaskFootprint>,
-    /// Milliseconds of the time of day when it was done, or was to be cancelled: the times of jobs
-    /// that depend on it count from its end. The oldest version ignores it and never rewrites the
-    /// record of a finished job.
+    /// Wall-clock time, in milliseconds, at which the job was completed or its cancellation was
+    /// requested. Times of dependent jobs count from it. The oldest version ignores this field and
+    /// never rewrites the record of a finished job.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
-    /// How many tasks of a finished job may still be on machines. The oldest version ignores it.
+    /// Number of tasks of a finished job that may still be on machines. The oldest version ignores
+    /// this field.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub remaining_tasks: Option<u64>,
-    /// Second layout: where the description is stored. The oldest version would take such a record
-    /// for a job that is done.
+    /// Location of the description in the second layout. The oldest version would treat a job with
+    /// such a record as done.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub spec_chunks: Option<SpecChunks>,
 }
 
 impl JobRecord {
-    /// The record of a job of which no task is completed.
+    /// Creates the record of a live job without completed tasks.
     pub fn live(accepted_ms: u64, spec: Option<Arc<JobSpec>>) -> JobRecord {
         JobRecord {
             phase: JobPhase::Live,
@@ -179,26 +183,26 @@
     }
 }
 
-/// What may be written now.
+/// Format and limits of the values that may be written now.
 #[derive(Debug, Clone, Copy)]
 pub struct Layout {
-    /// The least format that all controllers read: the cluster version.
+    /// Cluster version: the lowest of the newest formats that the controllers read.
     pub format: u32,
-    /// Tasks to a chunk of the first layout.
+    /// Number of tasks in a chunk of the first layout.
     pub legacy_chunk_tasks: u32,
-    /// Writes to a transaction.
+    /// Maximum number of writes in a transaction.
     pub max_operations: usize,
-    /// Bytes of a value, with room to spare.
+    /// Maximum size of a value in bytes of JSON, below the store's limit by a safety margin.
     pub value_max: usize,
 }
 
 impl Layout {
-    /// Whether values of the second layout and jobs with dependencies may be written.
+    /// Returns whether values of the second layout and jobs with dependencies may be written.
     pub fn is_second(&self) -> bool {
         self.format >= FORMAT_SECOND_LAYOUT
     }
 
-    /// Whether a value keeps to the store's limit.
+    /// Returns whether a value is within the maximum size.
     pub fn fits<T: Serialize>(&self, value: &T) -> bool {
         json_len(value) <= self.value_max
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
-//! The client of the consensus-backed key-value store: a state machine without clock or I/O. It
+//! Client of the consensus-backed key-value store: a state machine without clock or I/O. It
 //! caches all keys of this cluster, batches writes into transactions (group commit), serves
-//! linearizable reads (read index) and keeps to the store's rate limits. The actor in
-//! [`crate::controller`] sends its requests and hands the responses back.
+//! linearizable reads (read index) and respects the store's rate limits. The actor in
+//! [`crate::controller`] sends its requests and passes the responses back.
 
 mod cache;
 mod client;
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -1,5 +1,5 @@
-//! What this process knows of the store's content: one key's value or removal at a time, older
-//! revisions ignored.
+//! This process's cache of the store's content. It is updated by the value or removal of one key at a
+//! time, and ignores revisions older than the cached one.
 
 use crate::drains::{self, DrainRecord};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
@@ -19,61 +19,61 @@
 /// A value with the revision at which it was written.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Versioned<T> {
-    /// What its key says.
+    /// Decoded value of the key.
     pub value: T,
-    /// When that was written.
+    /// Revision at which the value was written.
     pub revision: Revision,
 }
 
 impl<T> Versioned<T> {
-    /// A value that was written at this revision.
+    /// Creates a value that was written at this revision.
     pub fn new(value: T, revision: Revision) -> Versioned<T> {
         Versioned { value, revision }
     }
 }
 
-/// A message between controllers that cannot reach each other.
+/// Message that is relayed through the store between controllers that cannot reach each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayedMessage {
-    /// Its key without the prefix: sender and receiver.
+    /// Key of the message without its prefix: sender and receiver.
     pub route: String,
-    /// The message, or a chunk of it, in hexadecimal.
+    /// Message, or a chunk of it, in hexadecimal.
     pub text: String,
 }
 
-/// The store's content, each key with the revision at which it was written.
+/// Cached content of the store, with the revision at which each key was written.
 #[derive(Debug)]
 pub struct Cache {
     /// Whether all keys have been read once.
     pub loaded: bool,
-    /// All changes up to here are in.
+    /// Revision up to which the cache contains all changes.
     pub rev: Revision,
-    /// All jobs.
+    /// Jobs, both live and finished, with their progress.
     pub jobs: Jobs,
-    /// Who leads, if anybody does.
+    /// Record of the leader, or `None` if no leader key exists.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The newest fencing token.
+    /// Newest fencing token that a leader has used.
     pub token: Versioned<FencingToken>,
-    /// The machine types of all keys, and the revision of the key that holds them as one list.
+    /// Machine types of all keys, with the revision of the key that stores them as one list.
     pub machine_types: Versioned<Vec<MachineType>>,
-    /// Revisions of the keys that hold one machine type each.
+    /// Revisions of the keys that store one machine type each.
     pub machine_type_keys: HashMap<String, Revision>,
-    /// The format that each controller says it reads.
+    /// Format that each controller reads, as it announced.
     pub versions: BTreeMap<ControllerId, Versioned<VersionRecord>>,
     /// Machines on which tasks may have been started.
     pub machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
-    /// What operators drain, by key.
+    /// Active drains ordered by operators, by key.
     pub drains: BTreeMap<String, Versioned<DrainRecord>>,
-    /// Revisions of the keys of drains, also of those that were taken back: such a key stays, so
-    /// that a request without a response, carried out late, finds it changed.
+    /// Revisions of the keys of all drains, including cancelled ones. The key of a cancelled drain is
+    /// kept, so that a request that was not answered and is executed late fails its precondition.
     pub drain_keys: BTreeMap<String, Revision>,
-    /// Learned run times, encoded; none where the key was removed.
+    /// Encoded learned run times by bucket; the value is `None` if the key was removed.
     pub estimates: BTreeMap<u8, Versioned<Option<String>>>,
-    /// Revisions of the keys of the controllers' leases.
+    /// Revisions of the controllers' lease keys.
     pub controller_leases: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
     pub relays: HashMap<String, Revision>,
-    /// Relayed messages not read yet.
+    /// Relayed messages that have not been processed yet.
     pub relayed: Vec<RelayedMessage>,
 }
 
@@ -98,18 +98,19 @@
         }
     }
 
-    /// What operators ordered to be drained.
+    /// Returns the active drains.
     pub fn drained(&self) -> impl Iterator<Item = &DrainRecord> {
         self.drains.values().map(|drain| &drain.value)
     }
 
-    /// Whether a controller is to be drained.
+    /// Returns whether an operator drains this controller.
     pub fn is_controller_drained(&self, name: &ControllerId) -> bool {
         !self.drains.is_empty()
             && self.drains.contains_key(&keys::drain_key(DrainKind::Controller, name.as_str()))
     }
 
-    /// Takes in one key's value or, with no value, its removal. Older revisions are ignored.
+    /// Applies the value of one key or, if `value` is `None`, its removal. Older revisions are
+    /// ignored.
     pub(super) fn apply(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(value) = value {
@@ -145,14 +146,14 @@
         value: Option<&StoreValue>,
         rev: Revision,
     ) {
-        // Operators remove it before they go back to an older version.
+        // Operators remove this key before they downgrade to an older version.
         let Some(value) = value else {
             self.versions.remove(&controller);
             return;
         };
         match value.deserialized::<VersionRecord>() {
             Ok(record) => {
-                // They all agree, since each takes it from those that came before.
+                // All controllers agree on this value, since each one copies it from earlier records.
                 self.jobs.set_legacy_chunk_tasks(record.legacy_chunk_tasks.max(1));
                 self.versions.insert(controller, Versioned::new(record, rev));
             }
@@ -217,7 +218,7 @@
         let known = self.estimates.entry(bucket).or_default();
         if known.revision < rev {
             let text = value.and_then(StoreValue::as_text).map(str::to_owned);
-            // What is no text is kept as one that can't be read, and is replaced.
+            // A value that is not a text is cached as an unreadable one and will be replaced.
             *known = Versioned::new(text.or_else(|| value.map(|_| String::new())), rev);
         }
     }
@@ -270,9 +271,10 @@
         }
     }
 
-    /// Forgets what was cached before a snapshot and isn't in it: it has been removed. Keys written
-    /// meanwhile have newer revisions and stay. The watch goes on from the first page's revision,
-    /// so that whatever changed between pages comes again.
+    /// Removes entries that were cached before a snapshot and are missing in it, since their keys no
+    /// longer exist. Keys written while the snapshot was read have newer revisions and are kept. The
+    /// watch continues from the first page's revision, so that changes between pages are received
+    /// again.
     pub(super) fn finish_snapshot(&mut self, snapshot: &Snapshot) {
         let first = snapshot.first_revision();
         self.machines.retain(|id, known| snapshot.has_machine(id) || known.revision > first);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The store's client: which request goes next, and what a response changes.
+//! Client of the store: decides which request to send next, and applies responses to the cache.
 
 use crate::constants::{RATE_LIMIT_SHARE, RETRY_PAUSE};
 use crate::ids::{ControllerId, JobId, Revision};
@@ -23,46 +23,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without a response for this long, the store counts as unavailable.
+/// Time without a response after which the store counts as unavailable.
 pub const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(2500);
-/// Share of the cluster's requests that the leader takes; followers divide the rest.
+/// Leader's share of the cluster's rate limit; the followers divide the rest equally.
 const LEADER_SHARE: f64 = 0.5;
-/// Count. Requests of the rate limit that all but snapshots leave free, so that the election's
-/// renewals of its lease always find room.
+/// Number of requests of the rate limit that all requests except snapshots leave free, so that
+/// renewals of the leader lease are never delayed by the rate limit.
 const RESERVED_REQUESTS: f64 = 2.0;
 
-/// What the client tells its owner.
+/// Notification of the client to its owner.
 #[derive(Debug)]
 pub enum StoreEvent {
     /// All keys have been read once.
     Loaded,
-    /// Jobs whose records may have changed.
+    /// The records of these jobs may have changed.
     JobsChanged(Vec<JobId>),
-    /// The cache is at least as new as the store was when the read with this ticket was asked for.
+    /// The cache is at least as new as the store was when the read with this ticket was requested.
     Synced(u64),
-    /// What became of a write.
+    /// The outcome of a write is known.
     WriteSettled(WriteOrigin, WriteOutcome),
     /// A response to a request of the election.
     Election {
-        /// What was asked.
+        /// Request that was sent.
         request: StoreRequest,
-        /// When it was sent.
+        /// Time at which the request was sent.
         sent_at: Instant,
-        /// What the store answered.
+        /// Response of the store.
         response: StoreResponse,
     },
-    /// A response to a request about this controller's own lease.
+    /// A response to a request for this controller's own lease.
     ControllerLease {
-        /// What was asked.
+        /// Request that was sent.
         request: StoreRequest,
-        /// When it was sent.
+        /// Time at which the request was sent.
         sent_at: Instant,
-        /// What the store answered.
+        /// Response of the store.
         response: StoreResponse,
     },
 }
 
-/// What a request that has no response yet is for.
+/// Purpose of a request that has no response yet.
 #[derive(Debug)]
 enum InFlight {
     Commit(Batch),
@@ -73,14 +73,14 @@
     ControllerLease { request: StoreRequest, sent_at: Instant },
 }
 
-/// The client of one process.
+/// Store client of one controller process.
 pub struct StoreClient {
-    /// The store's content as far as it is known.
+    /// Cached content of the store.
     pub cache: Cache,
     limits: EffectiveStoreLimits,
-    /// All controllers, this one first.
+    /// Names of all controllers, this one first.
     controllers: Vec<ControllerId>,
-    /// All keys are being read.
+    /// Progress of reading all keys; `None` when no snapshot is being read.
     snapshot: Option<Snapshot>,
     requests: TokenBucket,
     writes: TokenBucket,
@@ -89,20 +89,20 @@
     read_index: ReadIndex,
     in_flight: HashMap<u64, InFlight>,
     last_request_id: u64,
-    /// When the store last responded with anything but a refusal.
+    /// Time of the last response other than `Unavailable` and `Unknown`.
     last_response_at: Option<Instant>,
-    /// When the newest read index that was answered had been sent: the cache holds all that was
-    /// committed before.
+    /// Time at which the newest answered read-index request was sent. The cache contains everything
+    /// that was committed before.
     pub synced_at: Option<Instant>,
     random: StdRng,
     /// Requests that the owner has not sent yet.
     outgoing: VecDeque<OutgoingRequest>,
-    /// What the owner has not been told yet.
+    /// Events that the owner has not received yet.
     events: VecDeque<StoreEvent>,
 }
 
 impl StoreClient {
-    /// The names are those of all controllers, this one first.
+    /// Creates the client. `names` are those of all controllers, this one first.
     pub fn new(
         limits: EffectiveStoreLimits,
         names: Vec<ControllerId>,
@@ -131,7 +131,8 @@
         client
     }
 
-    /// The leader has the larger share of the rate limit, and sees changes sooner.
+    /// Adapts the rate limits and the watch to this controller's role: the leader has a larger share
+    /// of the rate limit and receives changes sooner.
     pub fn set_leading(&mut self, leading: bool, now: Instant) {
         self.watch.set_leading(leading);
         let controllers = self.controllers.len() as f64;
@@ -146,9 +147,10 @@
         self.writes.set_rate(self.limits.write_rps * RATE_LIMIT_SHARE * share, now);
     }
 
-    /// What may be written now. The cluster version is the least format that any controller says it
-    /// reads; one that says nothing runs an older version, or may. It only rises: no controller
-    /// goes back.
+    /// Returns the layout in which values may be written now. The cluster version is the lowest
+    /// format that any controller announced. A controller without a version record may run an older
+    /// version and counts as format 0. The cluster version only rises, since no controller returns to
+    /// an older format.
     pub fn layout(&self) -> Layout {
         let format = |name| self.cache.versions.get(name).map_or(0, |version| version.value.format);
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
@@ -158,7 +160,8 @@
         Layout { format, legacy_chunk_tasks, max_operations: limits.txn_ops, value_max }
     }
 
-    /// Writes once that this controller reads the newest format.
+    /// Queues the announcement that this controller reads the newest format, unless it was announced
+    /// already.
     pub fn publish_version(&mut self) {
         let Some(me) = self.controllers.first() else { return };
         let known = self.cache.versions.get(me);
@@ -184,56 +187,58 @@
         });
     }
 
-    /// How many writes and reads wait to be sent.
+    /// Returns the number of writes and reads that are not sent yet.
     pub fn queue_length(&self) -> usize {
         self.group_commit.len() + self.read_index.len()
     }
 
-    /// Whether the store has not responded for a while.
+    /// Returns whether the store has not responded for longer than [`STORE_UNAVAILABLE_AFTER`].
     pub fn is_unavailable(&self, now: Instant) -> bool {
-        let since = |at| now.saturating_duration_since(at);
-        self.last_response_at.is_none_or(|at| since(at) > STORE_UNAVAILABLE_AFTER)
+        let elapsed = |at| now.saturating_duration_since(at);
+        self.last_response_at.is_none_or(|at| elapsed(at) > STORE_UNAVAILABLE_AFTER)
     }
 
-    /// Asks for a linearizable read: [`StoreEvent::Synced`] follows once the cache is as new as the
+    /// Requests a linearizable read. [`StoreEvent::Synced`] follows once the cache is as new as the
     /// store is now.
     pub fn sync(&mut self, ticket: u64) {
         self.read_index.add(ticket);
     }
 
-    /// The same for a change that a user waits for.
+    /// Requests a linearizable read for a change that a user waits for. It is not delayed to share a
+    /// request with other reads.
     pub fn sync_soon(&mut self, ticket: u64) {
         self.read_index.add_urgent(ticket);
     }
 
-    /// Queues a write; [`StoreEvent::WriteSettled`] says what became of it.
+    /// Queues a write; [`StoreEvent::WriteSettled`] reports its outcome.
     pub fn enqueue(&mut self, write: PendingWrite) {
         self.group_commit.enqueue(write);
     }
 
-    /// Whether more writes wait than two transactions hold.
+    /// Returns whether more writes are queued than fit into two transactions.
     pub fn is_backlogged(&self) -> bool {
         self.group_commit.is_backlogged()
     }
 
-    /// Whether a write of this origin waits or is in flight.
+    /// Returns whether a write of this origin is queued or in flight.
     pub fn is_pending(&self, origin: &WriteOrigin) -> bool {
         self.group_commit.is_pending(origin)
     }
 
-    /// What waits to be written, as if it had been sent.
+    /// Removes and returns the queued writes, as if they had been sent.
     #[cfg(test)]
     pub(crate) fn take_queued_writes(&mut self) -> Vec<PendingWrite> {
         self.group_commit.take_queued()
     }
 
-    /// Sends a request of the election at once, whatever the rate limit says: there are few.
+    /// Sends a request of the election at once, even if the rate limit is exhausted, since such
+    /// requests are few.
     pub fn send_election_request(&mut self, request: StoreRequest, now: Instant) {
         let purpose = InFlight::Election { request: request.clone(), sent_at: now };
         self.send(request, purpose, now);
     }
 
-    /// The same for a request about this controller's own lease.
+    /// Sends a request for this controller's own lease at once, even if the rate limit is exhausted.
     pub fn send_lease_request(&mut self, request: StoreRequest, now: Instant) {
         let purpose = InFlight::ControllerLease { request: request.clone(), sent_at: now };
         self.send(request, purpose, now);
@@ -246,22 +251,22 @@
         self.outgoing.push_back(OutgoingRequest { id: self.last_request_id, request });
     }
 
-    /// The next request that the owner is to send.
+    /// Removes and returns the next request that the owner has to send.
     pub fn next_request(&mut self) -> Option<OutgoingRequest> {
         self.outgoing.pop_front()
     }
 
-    /// The next thing that the owner is to be told.
+    /// Removes and returns the next event for the owner.
     pub fn next_event(&mut self) -> Option<StoreEvent> {
         self.events.pop_front()
     }
 
-    /// Whether the owner has something to be told.
+    /// Returns whether there is an event for the owner.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Sends what is due.
+    /// Sends the requests that are due.
     pub fn poll(&mut self, now: Instant) {
         if self.snapshot.is_some() {
             self.poll_snapshot(now);
@@ -272,7 +277,8 @@
         }
     }
 
-    /// When something that waits here could go on, if nothing happens before.
+    /// Returns the earliest time at which a queued request could be sent if no response arrives
+    /// before.
     pub fn next_due(&self) -> Option<Instant> {
         let watches = self.snapshot.is_some() || !self.watch.is_in_flight();
         let watch = watches.then(|| self.watch.next_at());
@@ -282,8 +288,9 @@
 
     fn poll_snapshot(&mut self, now: Instant) {
         let Some(snapshot) = &self.snapshot else { return };
-        let reading = self.in_flight.values().any(|other| matches!(other, InFlight::Snapshot));
-        if !reading && now >= self.watch.next_at() && self.requests.has(1.0, now) {
+        let page_in_flight =
+            self.in_flight.values().any(|other| matches!(other, InFlight::Snapshot));
+        if !page_in_flight && now >= self.watch.next_at() && self.requests.has(1.0, now) {
             let after = snapshot.last_key();
             self.send(StoreRequest::Range { after }, InFlight::Snapshot, now);
         }
@@ -321,7 +328,7 @@
         }
     }
 
-    /// Takes in the response to the request with this id.
+    /// Handles the response to the request with this id.
     pub fn on_response(&mut self, id: u64, response: StoreResponse, now: Instant) {
         let Some(purpose) = self.in_flight.remove(&id) else { return };
         if !matches!(response, StoreResponse::Unavailable | StoreResponse::Unknown) {
@@ -346,10 +353,10 @@
     }
 
     fn on_watch(&mut self, response: StoreResponse, now: Instant) {
-        self.watch.ended();
+        self.watch.end();
         match response {
             StoreResponse::Watch(changes) => {
-                self.watch.succeeded(self.cache.leader.is_some(), now);
+                self.watch.on_success(self.cache.leader.is_some(), now);
                 self.apply_changes(changes);
             }
             StoreResponse::Gone => self.restart_snapshot(),
@@ -369,7 +376,7 @@
     ) {
         match response {
             StoreResponse::Watch(changes) => {
-                self.read_index.succeeded(now);
+                self.read_index.on_success(now);
                 self.synced_at = self.synced_at.max(Some(sent_at));
                 self.apply_changes(changes);
                 self.events.extend(tickets.into_iter().map(StoreEvent::Synced));
@@ -379,7 +386,7 @@
                     self.restart_snapshot();
                 }
                 let retry_at = self.retry_at(now);
-                self.read_index.failed(tickets, retry_at);
+                self.read_index.on_failure(tickets, retry_at);
             }
         }
     }
@@ -425,7 +432,7 @@
     }
 
     fn restart_snapshot(&mut self) {
-        tracing::info!(rev = %self.cache.rev, "cache is too old for a watch, reading all keys");
+        tracing::info!(rev = %self.cache.rev, "cache is too old for a watch; reading all keys");
         self.snapshot = Some(Snapshot::default());
     }
 
@@ -437,10 +444,11 @@
         }
     }
 
-    /// A commit of ours is in the cache at once; the watch brings it again and is ignored.
+    /// Applies a commit of this controller to the cache at once. The watch delivers it again, which is
+    /// ignored.
     fn apply_own_commit(&mut self, transaction: &Transaction, rev: Revision) {
         if rev <= self.cache.rev {
-            // The watch was faster, and may already have brought what came after.
+            // The watch was faster and may already have delivered later changes.
             return;
         }
         for write in &transaction.writes {
@@ -476,7 +484,8 @@
     }
 }
 
-/// The pause before a failed request is repeated, spread so that controllers don't do so together.
+/// Returns the pause before a failed request is repeated, randomized so that controllers do not retry
+/// at the same time.
 fn retry_pause(random: &mut StdRng) -> Duration {
     RETRY_PAUSE.mul_f64(1.0 + random.random::<f64>() / 2.0)
 }
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -1,5 +1,5 @@
-//! Group commit: writes wait in a queue by priority, and as many as fit go in one transaction. One
-//! transaction is in flight at a time.
+//! Group commit: a queue orders writes by priority and combines as many as fit into one transaction.
+//! One transaction is in flight at a time.
 
 use crate::constants::BODY_MAX;
 use crate::ids::{ControllerId, JobId, MachineId};
@@ -9,71 +9,74 @@
 use foldhash::{HashSet, HashSetExt};
 use tokio::time::Instant;
 
-/// The order of service when the rate limit is short.
+/// Priority of a write when the rate limit does not admit all queued writes; the first variant is the
+/// most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// A user's request.
+    /// A user waits for the write.
     Interactive,
-    /// Something waits for it: the end of a job, a first start on a machine, an operator.
+    /// Another action waits for the write: the end of a job, the first start on a machine, or an
+    /// operator's request.
     Blocking,
-    /// Completed tasks of a job that goes on.
+    /// The write records completed tasks of a job that is not finished.
     Progress,
-    /// Nobody waits for it.
+    /// Nothing waits for the write.
     Background,
 }
 
-/// What asked for a write; handed back with its outcome.
+/// Origin of a write, reported together with its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum WriteOrigin {
-    /// The format that this controller reads.
+    /// Announcement of the format that this controller reads.
     Version,
-    /// Garbage of finished jobs.
+    /// Removal of keys that finished jobs no longer need.
     GarbageCollection,
-    /// An operator's request, by its ticket.
+    /// Operator's request with this ticket.
     Operator(u64),
-    /// Learned run times, by bucket.
+    /// Learned run times of this bucket.
     RuntimeEstimates(u8),
-    /// A user's request, by its ticket.
+    /// User's request with this ticket.
     User(u64),
-    /// Completed tasks of a job.
+    /// Completed tasks of this job.
     Completion(JobId),
-    /// A machine on which tasks are to be started.
+    /// Record of a machine on which tasks will be started.
     MachineAdded(MachineId),
-    /// A machine that has terminated.
+    /// Removal of the record of a machine that has terminated.
     MachineRemoved(MachineId),
-    /// The machine types: all, or those of one key.
+    /// Machine types: all of them, or those of one key.
     MachineTypes(String),
-    /// A message for a controller out of reach, or a chunk of one.
+    /// Message to an unreachable controller, or the chunk of one with this index.
     Relay(ControllerId, usize),
 }
 
-/// A compare-and-swap that waits for its turn.
+/// Compare-and-swap that waits in the queue.
 #[derive(Debug, Clone)]
 pub struct PendingWrite {
-    /// Which writes go before it.
+    /// Priority of the write in the queue.
     pub priority: WritePriority,
-    /// What asked for it.
+    /// Origin to report with the outcome.
     pub origin: WriteOrigin,
-    /// Its preconditions and writes.
+    /// Preconditions and writes, which are applied together or not at all.
     pub transaction: Transaction,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was applied.
+    /// The write was applied.
     Committed,
-    /// A precondition failed: read again and decide again.
+    /// A precondition failed. The origin has to read the cache and decide again.
     Conflict,
-    /// Surely not executed.
+    /// The write was certainly not executed.
     NotExecuted,
-    /// Surely not executed and never to be: the store calls it malformed or too large.
+    /// The write was certainly not executed and cannot succeed later: the store rejected it as
+    /// malformed or too large.
     Invalid,
-    /// Perhaps executed, perhaps yet to be.
+    /// The write may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// Writes that go in one transaction.
+/// Writes that were combined into one transaction.
 #[derive(Debug)]
 pub(super) struct Batch {
     writes: Vec<PendingWrite>,
@@ -83,20 +86,22 @@
 #[derive(Debug)]
 struct QueuedWrite {
     write: PendingWrite,
-    /// Bytes that it takes in a request, reckoned generously.
+    /// Upper estimate of the write's size in a request, in bytes.
     encoded_len: usize,
 }
 
-/// The queue of writes.
+/// Queue of writes and state of the transaction in flight.
 #[derive(Debug)]
 pub(super) struct GroupCommit {
-    /// Writes that the store takes in one transaction.
+    /// Maximum number of writes that the store accepts in one transaction.
     max_operations: usize,
     queue: Vec<QueuedWrite>,
-    /// Whose writes are queued or in flight: asked for each job with completions, so often.
+    /// Origins whose writes are queued or in flight. A set, since it is queried often: for each job
+    /// with completed tasks.
     pending: HashSet<WriteOrigin>,
     in_flight: bool,
-    /// So many writes go one by one: one of them made the store reject a whole transaction.
+    /// Number of writes that are still to be sent one per transaction, because one of them made the
+    /// store reject a whole transaction.
     isolated: usize,
     next_at: Instant,
 }
@@ -116,7 +121,7 @@
     pub(super) fn enqueue(&mut self, write: PendingWrite) {
         self.pending.insert(write.origin.clone());
         let position = self.queue.partition_point(|other| other.write.priority <= write.priority);
-        // JSON spells numbers and names longer than CBOR does, but by less than a half.
+        // Numbers and names are longer in JSON than in CBOR, but by less than a half.
         let encoded_len = wire::encode(&write.transaction.writes).len() * 3 / 2 + 100;
         self.queue.insert(position, QueuedWrite { write, encoded_len });
     }
@@ -129,30 +134,32 @@
         self.pending.contains(origin)
     }
 
-    /// Whether more waits than two transactions hold.
+    /// Returns whether more writes are queued than fit into two transactions.
     pub(super) fn is_backlogged(&self) -> bool {
         self.queue.len() > self.max_operations * 2
     }
 
-    /// When the next transaction may go, if any write waits.
+    /// Returns the time at which the next transaction may be sent, if a write is queued and no
+    /// transaction is in flight.
     pub(super) fn next_due(&self) -> Option<Instant> {
         (!self.in_flight && !self.queue.is_empty()).then_some(self.next_at)
     }
 
-    /// What waits to be written, as if it had been sent.
+    /// Removes and returns the queued writes, as if they had been sent.
     #[cfg(test)]
     pub(super) fn take_queued(&mut self) -> Vec<PendingWrite> {
         self.pending.clear();
         std::mem::take(&mut self.queue).into_iter().map(|queued| queued.write).collect()
     }
 
-    /// Packs what waits, in order of priority, into one transaction; writes of a key that is
-    /// already in it wait for the next.
+    /// Combines queued writes, in order of priority, into one transaction. Writes to a key that the
+    /// transaction already writes wait for the next one.
     pub(super) fn take_batch(&mut self, limiter: &mut TokenBucket, now: Instant) -> Option<Batch> {
         let mut batch = BatchBuilder::new(self.max_operations, self.isolated > 0);
         let mut postponed = Vec::new();
         for queued in std::mem::take(&mut self.queue) {
-            // Later writes wait too once one didn't fit, so that none is overtaken for ever.
+            // Once a write has not fitted, later ones wait as well, so that no write is overtaken
+            // forever.
             let closed = !postponed.is_empty() && batch.writes.len() > self.max_operations;
             let operations = batch.operations_with(&queued);
             if batch.accepts(&queued) && !closed && limiter.has(operations as f64, now) {
@@ -169,8 +176,9 @@
         Some(batch)
     }
 
-    /// Reports each write that is settled to `on_settled`; those that another one's failure held up are queued
-    /// again. `retry_at` says when the next transaction may go if the store couldn't execute this one.
+    /// Reports the outcome of each settled write to `on_settled`, and queues the writes again that were not applied
+    /// because another write failed. `retry_at` returns the time at which the next transaction may be sent if the
+    /// store could not execute this one.
     pub(super) fn on_response(
         &mut self,
         batch: Batch,
@@ -187,7 +195,7 @@
                 self.settle_conflicts(batch, &failed, &mut on_settled)
             }
             StoreResponse::Invalid if batch.writes.len() > 1 => {
-                // Malformed as a whole: whichever write it is must not hold up the others.
+                // The store does not name the malformed write, and it must not block the others.
                 self.isolated = batch.writes.len();
                 batch.writes.into_iter().for_each(|write| self.enqueue(write));
             }
@@ -227,7 +235,7 @@
     ) {
         for write in batch.writes {
             let preconditions = &write.transaction.preconditions;
-            if preconditions.iter().any(|guard| failed_keys.contains(&guard.key)) {
+            if preconditions.iter().any(|precondition| failed_keys.contains(&precondition.key)) {
                 self.pending.remove(&write.origin);
                 on_settled(write.origin, WriteOutcome::Conflict);
             } else {
@@ -237,11 +245,11 @@
     }
 }
 
-/// A transaction that is being packed.
+/// Transaction to which writes are added.
 struct BatchBuilder {
     max_operations: usize,
-    /// It holds one write at the most.
-    single: bool,
+    /// Whether the transaction may contain only one pending write.
+    single_write: bool,
     writes: Vec<PendingWrite>,
     transaction: Transaction,
     written_keys: HashSet<String>,
@@ -249,10 +257,10 @@
 }
 
 impl BatchBuilder {
-    fn new(max_operations: usize, single: bool) -> BatchBuilder {
+    fn new(max_operations: usize, single_write: bool) -> BatchBuilder {
         BatchBuilder {
             max_operations,
-            single,
+            single_write,
             writes: Vec::new(),
             transaction: Transaction { preconditions: Vec::new(), writes: Vec::new() },
             written_keys: HashSet::new(),
@@ -265,27 +273,28 @@
     }
 
     fn accepts(&self, queued: &QueuedWrite) -> bool {
-        self.has_room_for(queued) && !self.overlaps(&queued.write.transaction)
+        self.has_capacity_for(queued) && !self.overlaps(&queued.write.transaction)
     }
 
-    fn has_room_for(&self, queued: &QueuedWrite) -> bool {
+    fn has_capacity_for(&self, queued: &QueuedWrite) -> bool {
         let preconditions =
             self.transaction.preconditions.len() + queued.write.transaction.preconditions.len();
         self.writes.is_empty()
-            || (!self.single
+            || (!self.single_write
                 && self.operations_with(queued) <= self.max_operations
                 && preconditions < self.max_operations * 4
                 && self.encoded_len + queued.encoded_len < BODY_MAX / 2)
     }
 
-    /// Whether it writes a key that is written already, or expects a key at another revision:
-    /// preconditions of one key are sent once, so one of the two would go unchecked.
+    /// Returns whether `other` writes a key that this transaction already writes, or expects a key at
+    /// another revision. Only one precondition is sent per key, so one of the two revisions would not
+    /// be checked.
     fn overlaps(&self, other: &Transaction) -> bool {
         let same_key = other.writes.iter().any(|write| self.written_keys.contains(write.key()));
-        let mut known = self.transaction.preconditions.iter();
+        let mut current = self.transaction.preconditions.iter();
         same_key
-            || known.any(|guard| {
-                other.preconditions.iter().any(|new| new.key == guard.key && new.rev != guard.rev)
+            || current.any(|known| {
+                other.preconditions.iter().any(|new| new.key == known.key && new.rev != known.rev)
             })
     }
 
@@ -295,9 +304,9 @@
             self.written_keys.insert(write.key().to_owned());
             self.transaction.writes.push(write.clone());
         }
-        for guard in &queued.write.transaction.preconditions {
-            if !self.transaction.preconditions.iter().any(|known| known.key == guard.key) {
-                self.transaction.preconditions.push(guard.clone());
+        for new in &queued.write.transaction.preconditions {
+            if !self.transaction.preconditions.iter().any(|known| known.key == new.key) {
+                self.transaction.preconditions.push(new.clone());
             }
         }
         self.writes.push(queued.write);
--- a/src/store/messages.rs
+++ b/src/store/messages.rs
@@ -1,4 +1,4 @@
-//! Requests to the key-value store and their responses, and how HTTP carries them.
+//! Requests to the key-value store, their responses, and the encoding of both in HTTP.
 
 use crate::http::{CallError, Method, Request, Response};
 use crate::ids::{LeaseId, Revision};
@@ -6,82 +6,84 @@
 use crate::wire::{self, CommitResponse, LeaseCreated, LeaseTtl, Transaction};
 use std::time::Duration;
 
-/// Timeout of a request to the store, which normally answers within 10 ms and now and then within
-/// a few hundred.
+/// Timeout of a request to the store, which normally answers within 10 ms and occasionally takes a
+/// few hundred milliseconds.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Count. Keys to a page of a range read.
+/// Maximum number of keys in one page of a range read.
 const PAGE_KEYS: usize = 500;
 
 /// A request to the store.
 #[derive(Debug, Clone)]
 pub enum StoreRequest {
-    /// A compare-and-swap.
+    /// Applies a transaction if all of its preconditions hold (compare-and-swap).
     Commit(Transaction),
-    /// All changes after a revision; waits so long for the first one.
+    /// Reads all changes after a revision. If there is none, the store waits for the first one.
     Watch {
-        /// The revision up to which changes are known.
+        /// Revision up to which the client knows all changes.
         after: Revision,
-        /// How long the store may wait for a change.
+        /// Maximum time for which the store waits for a change.
         wait: Duration,
     },
-    /// One page of all keys.
+    /// Reads one page of all keys of this cluster.
     Range {
-        /// The last key of the page before.
+        /// Last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// A new lease that lives so long.
+    /// Creates a lease with this time to live.
     GrantLease(Duration),
     /// Renews a lease.
     KeepAlive(LeaseId),
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which removes the keys that are attached to it.
     RevokeLease(LeaseId),
 }
 
-/// What became of a request.
+/// Outcome of a request to the store.
 #[derive(Debug)]
 pub enum StoreResponse {
     /// The transaction was applied at this revision.
     Committed(Revision),
     /// Preconditions on these keys failed; nothing was written.
     Conflict(Vec<String>),
-    /// 400: the lease that a write names is over, or the request is malformed.
+    /// Status 400: the lease that a write names has expired, or the request is malformed.
     Invalid,
-    /// The changes that were asked for.
+    /// Changes that a watch returned.
     Watch(wire::WatchResponse),
-    /// The page that was asked for.
+    /// Page that a range read returned.
     Range(wire::RangeResponse),
-    /// The new lease.
+    /// A lease with this id was created.
     LeaseGranted(LeaseId),
     /// The lease was renewed, or revoked.
     Done,
-    /// 404 for a lease, 410 for a watch.
+    /// The lease does not exist (status 404), or the revision after which a watch starts is too old
+    /// (status 410).
     Gone,
-    /// Surely not executed: an outage, a rate limit, or no connection.
+    /// The request was certainly not executed, because of an outage, a rate limit or a failed
+    /// connection.
     Unavailable,
-    /// May have been executed, or may yet be.
+    /// The request may have been executed, or may still be executed later.
     Unknown,
 }
 
-/// A request that the client's owner is to send.
+/// Request that the owner of the client has to send.
 #[derive(Debug)]
 pub struct OutgoingRequest {
-    /// Names it when its response is handed back.
+    /// Identifies the request when its response is passed to the client.
     pub id: u64,
-    /// What to ask.
+    /// Request to send.
     pub request: StoreRequest,
 }
 
-/// An HTTP request, and how long to wait for its response.
+/// HTTP request with its timeout.
 #[derive(Debug)]
 pub struct TimedRequest {
-    /// What to send.
+    /// HTTP request to send.
     pub request: Request,
-    /// How long to wait.
+    /// Time after which the response is no longer awaited.
     pub timeout: Duration,
 }
 
 impl StoreRequest {
-    /// The HTTP request that carries this one.
+    /// Returns the HTTP request that carries this request.
     pub fn to_http(&self) -> TimedRequest {
         let make = |method, target: String, body| TimedRequest {
             request: Request { method, target, body },
@@ -116,7 +118,7 @@
         }
     }
 
-    /// What the result of its HTTP request says.
+    /// Decodes the result of this request's HTTP call.
     pub fn response(&self, result: Result<Response, CallError>) -> StoreResponse {
         match result {
             Ok(response) => self.decode(&response).unwrap_or(StoreResponse::Unknown),
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -1,25 +1,25 @@
-//! A token bucket: the client's side of the rate limits of the store and of the cloud.
+//! Token bucket with which this process respects the rate limits of the store and of the cloud.
 
 use tokio::time::Instant;
 
-/// A rate limit that allows bursts.
+/// Rate limiter that allows bursts.
 #[derive(Debug)]
 pub struct TokenBucket {
-    /// Tokens added a second.
+    /// Tokens added per second.
     rate: f64,
     tokens: f64,
-    /// Seconds' worth of tokens that the bucket holds.
+    /// Capacity of the bucket, in seconds of its rate.
     burst_s: f64,
     refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: f64, burst_s: f64, now: Instant) -> TokenBucket {
         TokenBucket { rate, tokens: rate * burst_s, burst_s, refilled_at: now }
     }
 
-    /// Changes the rate; tokens beyond what the bucket then holds are lost.
+    /// Changes the rate and discards the tokens above the new capacity.
     pub fn set_rate(&mut self, rate: f64, now: Instant) {
         self.refill(now);
         self.rate = rate;
@@ -36,19 +36,20 @@
         self.refilled_at = now;
     }
 
-    /// Whether so many tokens are there. A full bucket lets through more than it holds.
+    /// Returns whether this many tokens are available. A full bucket permits a request for more tokens
+    /// than its capacity.
     pub fn has(&mut self, tokens: f64, now: Instant) -> bool {
         self.refill(now);
         self.tokens >= tokens.min(self.capacity())
     }
 
-    /// Takes tokens, whether they are there or not.
+    /// Takes tokens, even if fewer are available; the balance may become negative.
     pub fn take(&mut self, tokens: f64, now: Instant) {
         self.refill(now);
         self.tokens -= tokens;
     }
 
-    /// How many tokens are there.
+    /// Returns the number of available tokens.
     pub fn available(&mut self, now: Instant) -> f64 {
         self.refill(now);
         self.tokens.max(0.0)
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -1,24 +1,25 @@
-//! Linearizable reads: a read waits until the cache holds all that had been committed when it was
-//! asked for. One request to the store (a watch that doesn't wait) serves all reads that wait.
+//! Linearizable reads: a read waits until the cache contains everything that had been committed when
+//! the read was requested. One request to the store (a watch with a zero wait) serves all queued reads.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two such requests of one process.
-const PAUSE: Duration = Duration::from_millis(120);
-/// Added to it where only polls wait, so that more of them share the next: users give a poll 2 s and
-/// expect news within 3 s. A submission that names jobs accepted a moment ago has 200 ms.
+/// Minimum pause between two read-index requests of one process.
+const REQUEST_PAUSE: Duration = Duration::from_millis(120);
+/// Additional pause while only polls are queued, so that more of them share the next request. Users
+/// allow 2 s for a poll and expect to see changes within 3 s. A submission that names jobs accepted a
+/// moment ago has 200 ms and is urgent.
 const SHARED_PAUSE: Duration = Duration::from_millis(130);
 
-/// Which reads wait, and when the next request may go.
+/// Queued reads, and the time at which the next request may be sent.
 #[derive(Debug)]
 pub(super) struct ReadIndex {
     in_flight: bool,
     next_at: Instant,
-    /// The same where no read is urgent.
+    /// Time at which the next request may be sent if no queued read is urgent.
     next_shared_at: Instant,
     waiting: Vec<u64>,
-    /// The next request isn't put off for other reads to share it.
+    /// Whether the next request is sent without the additional pause of [`SHARED_PAUSE`].
     urgent: bool,
 }
 
@@ -42,7 +43,7 @@
         self.add(ticket);
     }
 
-    /// How many reads wait for a request that has not been sent yet.
+    /// Returns the number of reads that wait for a request that has not been sent yet.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -51,26 +52,26 @@
         if self.urgent { self.next_at } else { self.next_shared_at }
     }
 
-    /// When the next request may go, if one is needed.
+    /// Returns the time at which the next request may be sent, if one is needed.
     pub(super) fn next_due(&self) -> Option<Instant> {
         (!self.in_flight && !self.waiting.is_empty()).then(|| self.due_at())
     }
 
-    /// The request goes: the reads that it serves.
+    /// Marks a request as sent and returns the tickets of the reads that it serves.
     pub(super) fn begin(&mut self) -> Vec<u64> {
         self.in_flight = true;
         self.urgent = false;
         std::mem::take(&mut self.waiting)
     }
 
-    pub(super) fn succeeded(&mut self, now: Instant) {
+    pub(super) fn on_success(&mut self, now: Instant) {
         self.in_flight = false;
-        self.next_at = now + PAUSE;
+        self.next_at = now + REQUEST_PAUSE;
         self.next_shared_at = self.next_at + SHARED_PAUSE;
     }
 
-    /// The reads that it would have served wait for the next one.
-    pub(super) fn failed(&mut self, tickets: Vec<u64>, retry_at: Instant) {
+    /// Queues the reads of a failed request again, for the next request.
+    pub(super) fn on_failure(&mut self, tickets: Vec<u64>, retry_at: Instant) {
         self.in_flight = false;
         self.next_at = retry_at;
         self.next_shared_at = retry_at;
--- a/src/store/snapshot.rs
+++ b/src/store/snapshot.rs
@@ -1,4 +1,5 @@
-//! Reading all keys page by page, after a start or once the watch has fallen too far behind.
+//! State of a read of all keys, page by page, after a start or when the watch has fallen too far
+//! behind.
 
 use crate::ids::{ControllerId, MachineId, Revision};
 use crate::schema::keys::{
@@ -7,7 +8,7 @@
 use crate::wire::RangeResponse;
 use foldhash::HashSet;
 
-/// Which of the keys that can be removed were there, as far as the pages have been read.
+/// Progress of the read, and the removable keys found in the pages read so far.
 #[derive(Debug, Default)]
 pub(super) struct Snapshot {
     last_key: Option<String>,
@@ -20,12 +21,13 @@
 }
 
 impl Snapshot {
-    /// The key after which the next page begins.
+    /// Returns the key after which the next page begins.
     pub(super) fn last_key(&self) -> Option<String> {
         self.last_key.clone()
     }
 
-    /// The revision at which the first page was read. Changes after it may be missing in the pages.
+    /// Returns the revision at which the first page was read. Later changes may be missing in the
+    /// pages.
     pub(super) fn first_revision(&self) -> Revision {
         self.first_revision.unwrap_or_default()
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn one_failed_precondition_costs_only_its_own_write() {
+fn failed_precondition_rejects_only_its_own_write() {
     let now = Instant::now();
     let mut client = client(now);
     for (ticket, key) in [(1, "t/x/1"), (2, "t/x/2"), (3, "t/x/3")] {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_write_that_the_store_calls_malformed_holds_up_no_other() {
+fn malformed_write_does_not_block_other_writes() {
     let now = Instant::now();
     let mut client = client(now);
     for ticket in 0..3 {
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn a_transaction_keeps_its_limits_and_never_writes_a_key_twice() {
+fn transaction_respects_its_limit_and_writes_each_key_once() {
     let now = Instant::now();
     let mut client = client(now);
     for ticket in 0..9 {
         client.enqueue(write(ticket, &format!("t/x/{}", ticket / 2)));
     }
-    let mut seen = 0;
+    let mut written = 0;
     for rev in 0..20 {
         if client.queue_length() == 0 {
             break;
@@ -113,51 +113,52 @@
         assert!(transaction.writes.len() <= 4);
         let keys: HashSet<_> = transaction.writes.iter().map(|w| w.key().to_owned()).collect();
         assert_eq!(keys.len(), transaction.writes.len());
-        seen += transaction.writes.len();
+        written += transaction.writes.len();
         client.on_response(id, StoreResponse::Committed(Revision(10 + rev)), now);
     }
-    assert_eq!(seen, 9);
+    assert_eq!(written, 9);
 }
 
-/// Two cancellations that saw a controller's heartbeat before and after it was renewed anew: in
-/// one transaction only one of the two revisions would be checked.
+/// Two cancellations may have read a controller's lease key before and after the key was written
+/// again. If they shared a transaction, only one of the two revisions would be checked.
 #[test]
-fn changes_that_saw_a_key_at_two_revisions_go_one_after_the_other() {
+fn writes_that_expect_a_key_at_different_revisions_use_separate_transactions() {
     let now = Instant::now();
     let mut client = client(now);
-    for (ticket, seen) in [(1, 3), (2, 4), (3, 3)] {
+    for (ticket, lease_revision) in [(1, 3), (2, 4), (3, 3)] {
         let mut write = write(ticket, &format!("t/x/{ticket}"));
         write
             .transaction
             .preconditions
-            .push(Precondition { key: "t/a/p/m".into(), rev: Revision(seen) });
+            .push(Precondition { key: "t/a/p/m".into(), rev: Revision(lease_revision) });
         client.enqueue(write);
     }
-    let seen = |transaction: &Transaction| -> Vec<Revision> {
-        transaction.preconditions.iter().filter(|g| g.key == "t/a/p/m").map(|g| g.rev).collect()
+    let lease_revisions = |transaction: &Transaction| -> Vec<Revision> {
+        transaction.preconditions.iter().filter(|p| p.key == "t/a/p/m").map(|p| p.rev).collect()
     };
     let (id, transaction) = commit(&mut client, now);
-    assert_eq!((transaction.writes.len(), seen(&transaction)), (2, vec![Revision(3)]));
+    assert_eq!((transaction.writes.len(), lease_revisions(&transaction)), (2, vec![Revision(3)]));
     client.on_response(id, StoreResponse::Committed(Revision(9)), now);
     let (id, transaction) = commit(&mut client, now);
-    assert_eq!((transaction.writes.len(), seen(&transaction)), (1, vec![Revision(4)]));
+    assert_eq!((transaction.writes.len(), lease_revisions(&transaction)), (1, vec![Revision(4)]));
     client.on_response(id, StoreResponse::Conflict(vec!["t/a/p/m".into()]), now);
     let outcomes = outcomes(&mut client);
     assert_eq!(outcomes.last(), Some(&(WriteOrigin::User(2), WriteOutcome::Conflict)));
 }
 
-/// Machine types are kept in one value or in one each; either way none is ever forgotten.
+/// Machine types are stored as one list or under one key each. The cache must merge both, and must
+/// never lose a type.
 #[test]
-fn machine_types_of_both_layouts_add_up() {
-    let flavor = |name: &str, price: f64| MachineType {
+fn machine_types_of_both_layouts_are_merged() {
+    let machine_type = |name: &str, price: f64| MachineType {
         name: name.into(),
         price,
         ..crate::settings::fixtures::machine_type()
     };
     let mut cache = Cache::new(16_384);
-    let all = encoding::to_value(&vec![flavor("a", 1.0), flavor("b", 1.0)]);
+    let all = encoding::to_value(&vec![machine_type("a", 1.0), machine_type("b", 1.0)]);
     cache.apply(MACHINE_TYPES_KEY, Some(&all), Revision(3));
-    let one = |name, price| encoding::to_value(&flavor(name, price));
+    let one = |name, price| encoding::to_value(&machine_type(name, price));
     cache.apply("t/a/f/x", Some(&one("b", 2.0)), Revision(5));
     cache.apply("t/a/f/y", Some(&one("c", 3.0)), Revision(6));
     cache.apply("t/a/f/x", Some(&one("b", 9.0)), Revision(4));
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_linearizable_read_needs_a_response_to_a_later_request() {
+fn linearizable_read_requires_a_response_to_a_request_sent_after_it() {
     let now = Instant::now();
     let mut client = client(now);
     client.sync(1);
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -1,18 +1,19 @@
-//! The long poll by which changes of watched keys arrive.
+//! Pacing of the long poll that receives changes of the watched keys.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a watch waits at the store for a change.
+/// Maximum time for which the store waits for a change before it answers a watch.
 pub(super) const WATCH_WAIT: Duration = Duration::from_secs(8);
-/// Pause of a leader between two watches: a burst of changes costs at most 10 requests a second, and
-/// a submission waits so long for its first look at the most.
+/// Pause of the leader between two watches. A burst of changes costs at most 10 requests per second,
+/// and the leader sees a new submission after at most this time.
 const LEADER_PAUSE: Duration = Duration::from_millis(100);
-/// The same for the other controllers, who need changes to answer polls (a read index brings them
-/// sooner) and to see that nobody leads: a response of the store costs more than all else they do.
+/// Pause of a follower between two watches. Followers need changes to answer polls (a read index
+/// brings them sooner) and to detect that there is no leader. The pause is longer than the leader's
+/// because handling a response of the store costs more than all other work of a follower.
 const FOLLOWER_PAUSE: Duration = Duration::from_millis(200);
 
-/// When the next watch, or the next page of a snapshot, may be asked for.
+/// Time at which the next watch, or the next page of a snapshot, may be requested.
 #[derive(Debug)]
 pub(super) struct Watch {
     in_flight: bool,
@@ -25,7 +26,7 @@
         Watch { in_flight: false, next_at: now, pause: FOLLOWER_PAUSE }
     }
 
-    /// The leader sees changes sooner.
+    /// Selects the pause between watches by role: the leader receives changes sooner.
     pub(super) fn set_leading(&mut self, leading: bool) {
         self.pause = if leading { LEADER_PAUSE } else { FOLLOWER_PAUSE };
     }
@@ -42,12 +43,12 @@
         self.in_flight = true;
     }
 
-    pub(super) fn ended(&mut self) {
+    pub(super) fn end(&mut self) {
         self.in_flight = false;
     }
 
-    pub(super) fn succeeded(&mut self, has_leader: bool, now: Instant) {
-        // While there is no leader, every controller has to see soon who is the next.
+    pub(super) fn on_success(&mut self, has_leader: bool, now: Instant) {
+        // While there is no leader, every controller has to learn of the next one quickly.
         self.next_at = now + if has_leader { self.pause } else { LEADER_PAUSE };
     }
 
