--- a/src/api.rs
+++ b/src/api.rs
@@ -133,7 +133,7 @@
     fn sync(&self, ticket: u64, store: &mut StoreClient) -> Option<Response> {
         match self.pending.get(&ticket).map(|pending| &pending.request) {
             Some(UserRequest::Poll(_)) => store.sync(ticket),
-            _ => store.sync_soon(ticket),
+            _ => store.sync_urgently(ticket),
         }
         None
     }
@@ -182,7 +182,7 @@
             pending.committing = true;
             pending.synced |= is_fresh;
             if pending.request.has_dependencies() && !pending.synced {
-                store.sync_soon(ticket);
+                store.sync_urgently(ticket);
             }
         }
         store.enqueue(PendingWrite {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -69,8 +69,8 @@
         }
         let pending = self.pending.get_mut(&ticket)?;
         let until = *pending.acks_deadline.get_or_insert(now + ACK_WAIT);
-        let hopeless =
-            missing == CancellationBlocked::InQuarantine && self.cancellation_acks.knows_zones(&id);
+        let hopeless = missing == CancellationBlocked::InQuarantine
+            && self.cancellation_acks.has_reported_zones(&id);
         if now < until && !hopeless {
             return None;
         }
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -68,7 +68,7 @@
     }
 
     fn knows_cancellations_of(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
-        let lease_until = self.controller_lease.may_answer_until(self.store.synced_at);
+        let lease_until = self.controller_lease.answer_deadline(self.store.synced_at);
         let has_lease = lease_until.is_some_and(|until| now < until);
         self.has_news(now) || has_lease && heartbeat.zone == self.settings.platform.location
     }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -29,7 +29,8 @@
     /// while that stands; without the lease it needs recent news.
     pub(super) fn holds_leadership(&self, now: Instant) -> bool {
         let knows_cancellations =
-            self.controller_lease.knows_cancellations(self.store.synced_at) || self.has_news(now);
+            self.controller_lease.knows_all_cancellations(self.store.synced_at)
+                || self.has_news(now);
         self.election.holds_leadership(knows_cancellations, now)
     }
 
@@ -78,7 +79,7 @@
             ElectionEvent::Won(token) => {
                 tracing::info!(fencing_token = %token, "elected as leader");
                 self.store.set_leading(true, now);
-                self.store.sync_soon(TAKEOVER_TICKET);
+                self.store.sync_urgently(TAKEOVER_TICKET);
             }
             ElectionEvent::Lost(reason) => self.on_leadership_lost(reason, now),
         }
@@ -111,7 +112,7 @@
         }
         if self.store.cache.machine_types.value.is_empty() {
             // Without machine types nothing can be placed; they come from the cloud soon.
-            self.store.sync_soon(TAKEOVER_TICKET);
+            self.store.sync_urgently(TAKEOVER_TICKET);
             return;
         }
         let cache = &self.store.cache;
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -28,7 +28,7 @@
             // Names may be of any text, keys may not.
             let key = format!("{MACHINE_TYPE_PREFIX}{}", keys::key_hash(&machine_type.name));
             let revision =
-                self.store.cache.machine_type_keys.get(&key).copied().unwrap_or_default();
+                self.store.cache.machine_type_key_revisions.get(&key).copied().unwrap_or_default();
             self.store_machine_types(key, encoding::to_value(machine_type), revision);
         }
     }
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -126,7 +126,7 @@
         if !self.store.cache.loaded {
             return Some(Response::later(503));
         }
-        let revision = self.store.cache.drain_keys.get(&key).copied().unwrap_or_default();
+        let revision = self.store.cache.drain_key_revisions.get(&key).copied().unwrap_or_default();
         let preconditions = vec![Precondition { key: key.clone(), rev: revision }];
         let transaction =
             Transaction { preconditions, writes: vec![Write::Put { key, data, lease: None }] };
--- a/src/controller/store_relay.rs
+++ b/src/controller/store_relay.rs
@@ -68,7 +68,7 @@
     }
 
     fn write_relayed_texts(&mut self, to: &ControllerId, part: usize, texts: &[RelayedText]) {
-        let relays = &self.store.cache.relays;
+        let relays = &self.store.cache.relay_key_revisions;
         let guard = |text: &RelayedText| Precondition {
             key: text.key.clone(),
             rev: relays.get(&text.key).copied().unwrap_or_default(),
@@ -88,7 +88,8 @@
 
     /// Takes in messages that came by way of the store.
     pub(super) fn receive_relayed_messages(&mut self, now: Instant) {
-        for RelayedMessage { route, text } in std::mem::take(&mut self.store.cache.relayed) {
+        for RelayedMessage { route, text } in std::mem::take(&mut self.store.cache.relayed_messages)
+        {
             let Some((from, to)) = route.split_once('/') else { continue };
             let (to, is_chunk) = to.split_once('/').map_or((to, false), |(to, _)| (to, true));
             if to != self.name().as_str() {
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -178,7 +178,7 @@
 
     /// Returns whether a leader has reported the zones in which the job may have tasks, so that another request to it
     /// would bring nothing new.
-    pub fn knows_zones(&self, id: &JobId) -> bool {
+    pub fn has_reported_zones(&self, id: &JobId) -> bool {
         self.job_zones.contains_key(id)
     }
 
--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -220,7 +220,7 @@
         // The follower answers a worker if it may, and would stop the job if it knew of the cancellation.
         let follower = &self.follower;
         let may_answer =
-            follower.lease.may_answer_until(follower.synced_at).is_some_and(|until| now < until);
+            follower.lease.answer_deadline(follower.synced_at).is_some_and(|until| now < until);
         if self.disconnected && may_answer && !follower.knows_cancellation && !follower.acknowledged
         {
             self.last_uninformed_answer = Some(now);
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -161,7 +161,7 @@
 
     /// Returns whether this controller knows of every cancellation that is committed while its lease is valid. It
     /// has read the store's content as of `synced_at`, and it has acknowledged the cancellations after that.
-    pub fn knows_cancellations(&self, synced_at: Option<Instant>) -> bool {
+    pub fn knows_all_cancellations(&self, synced_at: Option<Instant>) -> bool {
         match self.state {
             LeaseState::Held { confirmed_at, .. } => synced_at.is_some_and(|at| at > confirmed_at),
             _ => false,
@@ -170,8 +170,8 @@
 
     /// Returns the time until which this controller may answer workers while the store, which was last read at
     /// `synced_at`, is unreachable.
-    pub fn may_answer_until(&self, synced_at: Option<Instant>) -> Option<Instant> {
-        self.knows_cancellations(synced_at)
+    pub fn answer_deadline(&self, synced_at: Option<Instant>) -> Option<Instant> {
+        self.knows_all_cancellations(synced_at)
             .then(|| self.renewed_at + DELEGATION_TERM.mul_f64(1.0 - DRIFT))
     }
 }
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -266,7 +266,7 @@
 
     /// Returns the latest time at which a follower may have answered the machine. Every grant from number
     /// `revoked_since` on has revoked the machine.
-    pub fn answered_until(
+    pub fn latest_possible_answer(
         &self,
         machine: &MachineId,
         revoked_since: Option<u64>,
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -132,7 +132,7 @@
             if lease.answer(&machine(), FencingToken(1), now).is_some() {
                 last_answer = Some(now);
             }
-            let bound = delegations.answered_until(&machine(), revoked_since);
+            let bound = delegations.latest_possible_answer(&machine(), revoked_since);
             assert!(last_answer.is_none_or(|at| Some(at) <= bound), "seed {seed} step {step}");
         }
     }
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -158,8 +158,8 @@
 
     /// Returns whether this controller may act as the leader now. After its lease has expired it needs the extensions
     /// of all peers, and it must know of every cancellation that was committed before.
-    pub fn holds_leadership(&self, knows_cancellations: bool, now: Instant) -> bool {
-        self.holds_lease(now) || (knows_cancellations && self.is_extended_by_all(now))
+    pub fn holds_leadership(&self, knows_all_cancellations: bool, now: Instant) -> bool {
+        self.holds_lease(now) || (knows_all_cancellations && self.is_extended_by_all(now))
     }
 
     /// Handles a leader's request to extend its lease and returns whether the extension is granted.
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -73,7 +73,7 @@
         }
         // A predecessor's right had ended when ours began, and what others may answer on our behalf
         // is bounded: once the lease has surely expired, the worker has killed what it had.
-        let others = self.delegations.answered_until(&machine.id, machine.revoked_since);
+        let others = self.delegations.latest_possible_answer(&machine.id, machine.revoked_since);
         if machine.is_lease_expired(others, self.settings.worker_lease(), self.now) {
             tracing::info!(machine = %machine.id, "machine unreachable, lease expired");
             machine.confirmed = true;
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -52,7 +52,7 @@
 impl Scheduler {
     /// Takes in the drains that are stored by now.
     pub(super) fn read_drains(&mut self, cache: &Cache) {
-        let drained = cache.drained().collect::<DrainSet>();
+        let drained = cache.active_drains().collect::<DrainSet>();
         if drained != self.drains.drained {
             self.drains.drained = drained;
             self.planning_clock.pass_requested = true;
@@ -274,7 +274,7 @@
 /// What is drained, as any controller knows it.
 pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
-    let drains = cache.drained().map(|record| Drain {
+    let drains = cache.active_drains().map(|record| Drain {
         kind: record.kind,
         name: record.name.clone(),
         by_in_s: record.by_ms.map(|by| (by as f64 - now_ms) / 1000.0),
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -20,7 +20,8 @@
 /// `t/a/p/<controller>`.
 pub const CONTROLLER_LEASE_PREFIX: &str = "t/a/p/";
 /// Prefix of the keys with the format that a controller reads: `t/a/v/<controller>`. Their values also
-/// contain the chunk size of the first layout, so these keys sort before all keys that depend on it.
+/// contain the chunk size of the first layout. These keys sort, and are therefore read, before all
+/// keys that depend on that size.
 pub const VERSION_PREFIX: &str = "t/a/v/";
 /// Prefix of completed tasks in the second layout: `t/d/<job>/<chunk>`.
 pub const COMPLETED_CHUNK_PREFIX: &str = "t/d/";
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -57,7 +57,7 @@
     /// Machine types of all keys, with the revision of the key that stores them as one list.
     pub machine_types: Versioned<Vec<MachineType>>,
     /// Revisions of the keys that store one machine type each.
-    pub machine_type_keys: HashMap<String, Revision>,
+    pub machine_type_key_revisions: HashMap<String, Revision>,
     /// Format that each controller reads, as it announced.
     pub versions: BTreeMap<ControllerId, Versioned<VersionRecord>>,
     /// Machines on which tasks may have been started.
@@ -66,15 +66,15 @@
     pub drains: BTreeMap<String, Versioned<DrainRecord>>,
     /// Revisions of the keys of all drains, including cancelled ones. The key of a cancelled drain is
     /// kept, so that a request that was not answered and is executed late fails its precondition.
-    pub drain_keys: BTreeMap<String, Revision>,
+    pub drain_key_revisions: BTreeMap<String, Revision>,
     /// Encoded learned run times by bucket; the value is `None` if the key was removed.
     pub estimates: BTreeMap<u8, Versioned<Option<String>>>,
     /// Revisions of the controllers' lease keys.
     pub controller_leases: BTreeMap<ControllerId, Revision>,
     /// Revisions of the keys by which controllers relay messages.
-    pub relays: HashMap<String, Revision>,
+    pub relay_key_revisions: HashMap<String, Revision>,
     /// Relayed messages that have not been processed yet.
-    pub relayed: Vec<RelayedMessage>,
+    pub relayed_messages: Vec<RelayedMessage>,
 }
 
 impl Cache {
@@ -86,20 +86,20 @@
             leader: None,
             token: Versioned::default(),
             machine_types: Versioned::default(),
-            machine_type_keys: HashMap::new(),
+            machine_type_key_revisions: HashMap::new(),
             versions: BTreeMap::new(),
             machines: BTreeMap::new(),
             drains: BTreeMap::new(),
-            drain_keys: BTreeMap::new(),
+            drain_key_revisions: BTreeMap::new(),
             estimates: BTreeMap::new(),
             controller_leases: BTreeMap::new(),
-            relays: HashMap::new(),
-            relayed: Vec::new(),
+            relay_key_revisions: HashMap::new(),
+            relayed_messages: Vec::new(),
         }
     }
 
     /// Returns the active drains.
-    pub fn drained(&self) -> impl Iterator<Item = &DrainRecord> {
+    pub fn active_drains(&self) -> impl Iterator<Item = &DrainRecord> {
         self.drains.values().map(|drain| &drain.value)
     }
 
@@ -192,13 +192,13 @@
     }
 
     fn apply_drain(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
-        if self.drain_keys.get(key).is_some_and(|known| *known >= rev) {
+        if self.drain_key_revisions.get(key).is_some_and(|known| *known >= rev) {
             return;
         }
         if value.is_some() {
-            self.drain_keys.insert(key.to_owned(), rev);
+            self.drain_key_revisions.insert(key.to_owned(), rev);
         } else {
-            self.drain_keys.remove(key);
+            self.drain_key_revisions.remove(key);
         }
         match value.map(StoreValue::deserialized) {
             Some(Ok(record)) => {
@@ -231,10 +231,11 @@
         rev: Revision,
     ) {
         if let Some(text) = value.and_then(StoreValue::as_text)
-            && self.relays.get(key).is_none_or(|known| *known < rev)
+            && self.relay_key_revisions.get(key).is_none_or(|known| *known < rev)
         {
-            self.relays.insert(key.to_owned(), rev);
-            self.relayed.push(RelayedMessage { route: route.to_owned(), text: text.to_owned() });
+            self.relay_key_revisions.insert(key.to_owned(), rev);
+            self.relayed_messages
+                .push(RelayedMessage { route: route.to_owned(), text: text.to_owned() });
         }
     }
 
@@ -264,9 +265,9 @@
 
     fn apply_machine_type(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
         if let Some(machine_type) = value.and_then(|value| value.deserialized().ok())
-            && self.machine_type_keys.get(key).is_none_or(|known| *known < rev)
+            && self.machine_type_key_revisions.get(key).is_none_or(|known| *known < rev)
         {
-            self.machine_type_keys.insert(key.to_owned(), rev);
+            self.machine_type_key_revisions.insert(key.to_owned(), rev);
             wire::merge(&mut self.machine_types.value, vec![machine_type]);
         }
     }
@@ -282,7 +283,7 @@
         self.controller_leases
             .retain(|name, rev| snapshot.has_controller_lease(name) || *rev > first);
         self.drains.retain(|key, known| snapshot.has_drain(key) || known.revision > first);
-        self.drain_keys.retain(|key, rev| snapshot.has_drain(key) || *rev > first);
+        self.drain_key_revisions.retain(|key, rev| snapshot.has_drain(key) || *rev > first);
         if !snapshot.has_leader()
             && self.leader.as_ref().is_some_and(|known| known.revision <= first)
         {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -206,7 +206,7 @@
 
     /// Requests a linearizable read for a change that a user waits for. It is not delayed to share a
     /// request with other reads.
-    pub fn sync_soon(&mut self, ticket: u64) {
+    pub fn sync_urgently(&mut self, ticket: u64) {
         self.read_index.add_urgent(ticket);
     }
 
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -409,7 +409,7 @@
     assert_eq!(cache.leader, Some(Versioned::new(leader_record(), Revision(1))));
     assert_eq!(cache.token, Versioned::new(FencingToken(41), Revision(2)));
     assert_eq!(cache.machine_types, Versioned::new(vec![flavor()], Revision(3)));
-    assert_eq!(cache.machine_type_keys.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
+    assert_eq!(cache.machine_type_key_revisions.get("t/a/f/0123456789abcdef"), Some(&Revision(4)));
     assert_eq!(cache.controller_leases.get(&node()), Some(&Revision(5)));
     assert_eq!(cache.versions.get(&node()), Some(&Versioned::new(version_record(), Revision(6))));
     assert_eq!(
@@ -418,7 +418,10 @@
     );
     let machine = cache.machines.get(&MachineId::new("i-000231"));
     assert_eq!(machine, Some(&Versioned::new(machine_record(), Revision(8))));
-    assert_eq!(cache.relayed, [RelayedMessage { route: "n-2/n-1".into(), text: "00".into() }]);
+    assert_eq!(
+        cache.relayed_messages,
+        [RelayedMessage { route: "n-2/n-1".into(), text: "00".into() }]
+    );
     let drain = cache.drains.get(&key_of_drain);
     assert_eq!(drain, Some(&Versioned::new(drain_record(DrainKind::Zone), Revision(10))));
 }
