--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -94,8 +94,7 @@
 
 impl CancellationAcks {
     /// Creates the state of a process that knows nothing about its peers yet. Workers stop their tasks `lease_s`
-    /// seconds after the last answer to their heartbeats; a cancelled job's tasks must have stopped within `cancel_s`
-    /// seconds.
+    /// seconds after the last answer to their heartbeats; the tasks of a cancelled job must stop in `cancel_s` seconds.
     pub fn new(peers: Vec<ControllerId>, lease_s: f64, cancel_s: f64) -> CancellationAcks {
         CancellationAcks {
             peers,
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -172,8 +172,7 @@
 }
 
 impl Follower {
-    /// Creates the state of a follower that has not reported yet. A grant of a predecessor may last one full term
-    /// from now.
+    /// Creates the state of a follower without a status. A predecessor's grant may last one full term from now.
     fn new(now: Instant) -> Follower {
         Follower {
             valid_until: now + DELEGATION_TERM.mul_f64(1.0 + DRIFT),
@@ -244,8 +243,7 @@
         self.last_number
     }
 
-    /// Returns the grant with the current number for one follower and extends the time until which that follower may
-    /// answer.
+    /// Returns the grant with the current number for one follower, and records until when that follower may answer.
     pub fn grant(
         &mut self,
         to: &ControllerId,
@@ -272,8 +270,7 @@
         revoked_since: Option<u64>,
     ) -> Option<Instant> {
         let latest = |follower: &Follower| match revoked_since {
-            // The follower obeys the revocation. Any earlier answer was given at the reported time, or before its
-            // process started.
+            // The follower obeys the revocation. It answered earlier at the reported time, or before its process started.
             Some(number) if follower.acknowledged_number >= number => {
                 let started_at = follower.started_at;
                 follower.answered.get(machine).map_or(started_at, |at| (*at).max(started_at))
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -16,8 +16,7 @@
 /// Prefix of keys with one machine type each (second layout), used if the list of all machine types
 /// is too long for one value.
 pub const MACHINE_TYPE_PREFIX: &str = "t/a/f/";
-/// Prefix of the controllers' lease keys, each attached to its controller's lease:
-/// `t/a/p/<controller>`.
+/// Prefix of the controllers' lease keys, each attached to its controller's lease: `t/a/p/<controller>`.
 pub const CONTROLLER_LEASE_PREFIX: &str = "t/a/p/";
 /// Prefix of the keys with the format that a controller reads: `t/a/v/<controller>`. Their values also
 /// contain the chunk size of the first layout. These keys sort, and are therefore read, before all
@@ -65,14 +64,12 @@
     format!("{SPEC_CHUNK_PREFIX}{job}/{hash}/{chunk}")
 }
 
-/// Returns the key of a drain. It contains a hash, since a name may contain characters that a key
-/// may not.
+/// Returns the key of a drain. It contains a hash, since a name may contain characters that a key may not.
 pub fn drain_key(kind: DrainKind, name: &str) -> String {
     format!("{DRAIN_PREFIX}{}", key_hash(&(kind, name)))
 }
 
-/// Returns a short hash in hexadecimal for use in a key. It is the same in every process and contains
-/// no spaces.
+/// Returns a short hash in hexadecimal for use in a key. It is the same in every process and contains no spaces.
 pub fn key_hash<T: Hash>(value: &T) -> String {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -23,8 +23,7 @@
 pub const FORMAT: u32 = FORMAT_HEARTBEAT;
 /// First format with the second layout.
 const FORMAT_SECOND_LAYOUT: u32 = 1;
-/// Maximum number of tasks of a job whose completed tasks are stored in the job's record in both
-/// layouts.
+/// Maximum number of tasks of a job whose completed tasks are stored in the job's record in both layouts.
 pub const RECORD_TASKS: u64 = 1024;
 /// Number of tasks in a chunk of the second layout: 1 KiB of hexadecimal, half of the smallest value
 /// limit that settings may set. It is part of the format and does not depend on any setting.
@@ -156,8 +155,7 @@
     /// never rewrites the record of a finished job.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
-    /// Number of tasks of a finished job that may still be on machines. The oldest version ignores
-    /// this field.
+    /// Number of tasks of a finished job that may still be on machines. The oldest version ignores this field.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub remaining_tasks: Option<u64>,
     /// Location of the description in the second layout. The oldest version would treat a job with
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -109,8 +109,7 @@
             && self.drains.contains_key(&keys::drain_key(DrainKind::Controller, name.as_str()))
     }
 
-    /// Applies the value of one key or, if `value` is `None`, its removal. Older revisions are
-    /// ignored.
+    /// Applies the value of one key or, if `value` is `None`, its removal. Older revisions are ignored.
     pub(super) fn apply(&mut self, key: &str, value: Option<&StoreValue>, rev: Revision) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             if let Some(value) = value {
@@ -274,8 +273,7 @@
 
     /// Removes entries that were cached before a snapshot and are missing in it, since their keys no
     /// longer exist. Keys written while the snapshot was read have newer revisions and are kept. The
-    /// watch continues from the first page's revision, so that changes between pages are received
-    /// again.
+    /// watch continues from the first page's revision, so that changes between pages are received again.
     pub(super) fn finish_snapshot(&mut self, snapshot: &Snapshot) {
         let first = snapshot.first_revision();
         self.machines.retain(|id, known| snapshot.has_machine(id) || known.revision > first);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -160,8 +160,7 @@
         Layout { format, legacy_chunk_tasks, max_operations: limits.txn_ops, value_max }
     }
 
-    /// Queues the announcement that this controller reads the newest format, unless it was announced
-    /// already.
+    /// Queues the announcement that this controller reads the newest format, unless it was announced already.
     pub fn publish_version(&mut self) {
         let Some(me) = self.controllers.first() else { return };
         let known = self.cache.versions.get(me);
@@ -198,8 +197,7 @@
         self.last_response_at.is_none_or(|at| elapsed(at) > STORE_UNAVAILABLE_AFTER)
     }
 
-    /// Requests a linearizable read. [`StoreEvent::Synced`] follows once the cache is as new as the
-    /// store is now.
+    /// Requests a linearizable read. [`StoreEvent::Synced`] follows once the cache is as new as the store is now.
     pub fn sync(&mut self, ticket: u64) {
         self.read_index.add(ticket);
     }
@@ -231,8 +229,7 @@
         self.group_commit.take_queued()
     }
 
-    /// Sends a request of the election at once, even if the rate limit is exhausted, since such
-    /// requests are few.
+    /// Sends a request of the election at once, even if the rate limit is exhausted, since such requests are few.
     pub fn send_election_request(&mut self, request: StoreRequest, now: Instant) {
         let purpose = InFlight::Election { request: request.clone(), sent_at: now };
         self.send(request, purpose, now);
@@ -277,8 +274,7 @@
         }
     }
 
-    /// Returns the earliest time at which a queued request could be sent if no response arrives
-    /// before.
+    /// Returns the earliest time at which a queued request could be sent if no response arrives before.
     pub fn next_due(&self) -> Option<Instant> {
         let watches = self.snapshot.is_some() || !self.watch.is_in_flight();
         let watch = watches.then(|| self.watch.next_at());
@@ -444,8 +440,7 @@
         }
     }
 
-    /// Applies a commit of this controller to the cache at once. The watch delivers it again, which is
-    /// ignored.
+    /// Applies a commit of this controller to the cache at once. The watch delivers it again, which is ignored.
     fn apply_own_commit(&mut self, transaction: &Transaction, rev: Revision) {
         if rev <= self.cache.rev {
             // The watch was faster and may already have delivered later changes.
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -9,14 +9,12 @@
 use foldhash::{HashSet, HashSetExt};
 use tokio::time::Instant;
 
-/// Priority of a write when the rate limit does not admit all queued writes; the first variant is the
-/// most urgent.
+/// Priority of a write when the rate limit does not admit all queued writes; the first variant is the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// A user waits for the write.
     Interactive,
-    /// Another action waits for the write: the end of a job, the first start on a machine, or an
-    /// operator's request.
+    /// Another action waits for the write: the end of a job, the first start on a machine, or an operator's request.
     Blocking,
     /// The write records completed tasks of a job that is not finished.
     Progress,
@@ -158,8 +156,7 @@
         let mut batch = BatchBuilder::new(self.max_operations, self.isolated > 0);
         let mut postponed = Vec::new();
         for queued in std::mem::take(&mut self.queue) {
-            // Once a write has not fitted, later ones wait as well, so that no write is overtaken
-            // forever.
+            // Once a write has not fitted, later ones wait as well, so that no write is overtaken forever.
             let closed = !postponed.is_empty() && batch.writes.len() > self.max_operations;
             let operations = batch.operations_with(&queued);
             if batch.accepts(&queued) && !closed && limiter.has(operations as f64, now) {
@@ -287,8 +284,7 @@
     }
 
     /// Returns whether `other` writes a key that this transaction already writes, or expects a key at
-    /// another revision. Only one precondition is sent per key, so one of the two revisions would not
-    /// be checked.
+    /// another revision. Only one precondition is sent per key, so one of the two revisions would not be checked.
     fn overlaps(&self, other: &Transaction) -> bool {
         let same_key = other.writes.iter().any(|write| self.written_keys.contains(write.key()));
         let mut current = self.transaction.preconditions.iter();
--- a/src/store/messages.rs
+++ b/src/store/messages.rs
@@ -54,11 +54,9 @@
     LeaseGranted(LeaseId),
     /// The lease was renewed, or revoked.
     Done,
-    /// The lease does not exist (status 404), or the revision after which a watch starts is too old
-    /// (status 410).
+    /// The lease does not exist (status 404), or the revision after which a watch starts is too old (status 410).
     Gone,
-    /// The request was certainly not executed, because of an outage, a rate limit or a failed
-    /// connection.
+    /// The request was certainly not executed, because of an outage, a rate limit or a failed connection.
     Unavailable,
     /// The request may have been executed, or may still be executed later.
     Unknown,
--- a/src/store/snapshot.rs
+++ b/src/store/snapshot.rs
@@ -1,5 +1,4 @@
-//! State of a read of all keys, page by page, after a start or when the watch has fallen too far
-//! behind.
+//! State of a read of all keys, page by page, after a start or when the watch has fallen too far behind.
 
 use crate::ids::{ControllerId, MachineId, Revision};
 use crate::schema::keys::{
@@ -26,8 +25,7 @@
         self.last_key.clone()
     }
 
-    /// Returns the revision at which the first page was read. Later changes may be missing in the
-    /// pages.
+    /// Returns the revision at which the first page was read. Later changes may be missing in the pages.
     pub(super) fn first_revision(&self) -> Revision {
         self.first_revision.unwrap_or_default()
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -146,8 +146,7 @@
     assert_eq!(outcomes.last(), Some(&(WriteOrigin::User(2), WriteOutcome::Conflict)));
 }
 
-/// Machine types are stored as one list or under one key each. The cache must merge both, and must
-/// never lose a type.
+/// Machine types are stored as one list or under one key each. The cache must merge both, and must never lose a type.
 #[test]
 fn machine_types_of_both_layouts_are_merged() {
     let machine_type = |name: &str, price: f64| MachineType {
