--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -28,8 +28,9 @@
     /// every earlier cancellation. Its own controller lease ensures that, since no cancellation is committed without
     /// its acknowledgement while that lease is valid; without the lease, it needs recent data from the store.
     pub(super) fn holds_leadership(&self, now: Instant) -> bool {
-        let knows_cancellations = self.controller_lease.knows_cancellations(self.store.synced_at)
-            || self.has_recent_store_data(now);
+        let knows_cancellations =
+            self.controller_lease.knows_all_cancellations(self.store.synced_at)
+                || self.has_recent_store_data(now);
         self.election.holds_leadership(knows_cancellations, now)
     }
 
@@ -78,7 +79,7 @@
             ElectionEvent::Won(token) => {
                 tracing::info!(fencing_token = %token, "elected as leader");
                 self.store.set_leading(true, now);
-                self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
+                self.store.sync_urgently(LEADERSHIP_SYNC_TICKET);
             }
             ElectionEvent::Lost(reason) => self.on_leadership_lost(reason, now),
         }
@@ -111,7 +112,7 @@
         }
         if self.store.cache.machine_types.value.is_empty() {
             // Nothing can be placed without machine types. The cloud delivers them soon; retries after another sync.
-            self.store.sync_soon(LEADERSHIP_SYNC_TICKET);
+            self.store.sync_urgently(LEADERSHIP_SYNC_TICKET);
             return;
         }
         let cache = &self.store.cache;
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -76,7 +76,7 @@
         // controllers acknowledge on behalf of this leader renew a lease for a bounded time only.
         // Once the lease has certainly expired, the worker has killed its tasks.
         let acknowledged_until =
-            self.delegations.answered_until(&machine.id, machine.revoked_since);
+            self.delegations.latest_possible_answer(&machine.id, machine.revoked_since);
         if machine.is_lease_expired(acknowledged_until, self.settings.worker_lease(), self.now) {
             tracing::info!(machine = %machine.id, "machine unreachable, lease expired");
             machine.confirmed = true;
