--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,6 +1,6 @@
-//! What one controller can hold, and which requests it handles first or rejects where it falls behind.
+//! Admission control: capacity limits of one controller, and the order and rejection of requests under overload.
 //!
-//! Cores without clock or I/O. They don't read requests: their callers say of which class each is.
+//! The types have neither clock nor I/O. They don't inspect requests; callers supply the class of each.
 
 mod budget;
 mod load_estimator;
--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,18 +1,18 @@
-//! Processor time of requests.
+//! Processor time budget of requests.
 
 use crate::constants::READ_TOGETHER;
 use crate::settings::Resources;
 use std::time::Duration;
 
-/// Processor time of one request or heartbeat, its packets included.
+/// Processor time of one request or heartbeat, including its network packets.
 pub const REQUEST_COST: Duration = Duration::from_micros(160);
-/// Processor time, at this controller's limit, that requests which are read and not handled yet may need.
+/// Processor time, at this controller's limit, that requests which are read but not yet handled may need in total.
 const READ_AHEAD: Duration = Duration::from_millis(100);
-/// Count. Requests that may be read and not handled yet, however small the limit.
+/// Minimum number of requests that may be read but not yet handled, however small the processor limit.
 const MIN_UNHANDLED_REQUESTS: usize = 16;
 
-/// How many requests may be read and not handled yet. After a failover they come all at once, and behind hundreds of
-/// them the leader's own calls would wait for seconds.
+/// Returns how many requests may be read but not yet handled. After a failover all clients send requests at once; the
+/// leader's own calls would wait for seconds behind hundreds of them.
 pub fn max_unhandled_requests(resources: &Resources) -> usize {
     let affordable = resources.fits(READ_AHEAD, REQUEST_COST) as usize;
     affordable.clamp(MIN_UNHANDLED_REQUESTS, READ_TOGETHER)
--- a/src/admission/machine_limit.rs
+++ b/src/admission/machine_limit.rs
@@ -1,29 +1,29 @@
-//! How many machines may be rented for one leader.
+//! Limit of the machines that may be rented for one leader.
 
 use crate::admission::SocketBudget;
 use crate::settings::Resources;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of the platform's memory limit that what is known of machines may take up.
+/// Share of the platform's memory limit that the state of machines may take up.
 const MACHINE_MEMORY_SHARE: f64 = 0.5;
-/// Bytes. What a leader holds for a machine: its tasks, its connection and its part of the jobs.
+/// Memory of a leader for one machine, in bytes: its tasks, its connection and its part of the jobs.
 pub const MACHINE_BYTES: f64 = 12_000.0;
-/// Pause between two adjustments: longer than a failover keeps a leader busy.
+/// Pause between two adjustments, longer than the time for which a failover keeps a leader busy.
 const ADJUSTMENT_INTERVAL: Duration = Duration::from_secs(15);
-/// Share of the machines that resources allow up to which lateness is no reason to rent fewer.
+/// Share of the machines allowed by resources up to which lateness does not limit scale-out.
 const LARGE_FLEET_SHARE: f64 = 0.5;
-/// Count. Adjustments in which the limit rises from nothing to what resources allow.
+/// Number of adjustments in which the limit rises from zero to the machines allowed by resources.
 const RECOVERY_STEPS: u32 = 40;
 
-/// How many machines a leader can hold: by sockets and memory, and by its processor where that has shown to fall
-/// behind for long.
+/// Maximum number of machines of a leader: by sockets and memory, and by its processor if the leader has fallen behind
+/// for a long time.
 #[derive(Debug)]
 pub struct MachineLimit {
-    /// By the sockets of one controller.
+    /// Machines allowed by the sockets of one controller.
     by_sockets: u32,
     by_memory: u32,
-    /// What resources allow, with the controllers that take heartbeats now.
+    /// Machines allowed by sockets and memory, given the controllers that currently receive heartbeats.
     by_resources: u32,
     current: u32,
     /// Observations since the last adjustment.
@@ -33,11 +33,11 @@
 }
 
 impl MachineLimit {
-    /// The limit of a leader that nothing is known of.
+    /// Creates the limit of a leader whose load has not been observed yet.
     pub fn new(resources: &Resources, now: Instant) -> MachineLimit {
         let by_sockets = SocketBudget::new(resources).max_machines;
         let bytes = resources.memory_mb * 1e6 * MACHINE_MEMORY_SHARE;
-        // Settings that name no memory limit have none.
+        // 0 in the settings means no memory limit.
         let by_memory = if bytes > 0.0 { (bytes / MACHINE_BYTES) as u32 } else { u32::MAX };
         let by_resources = by_sockets.min(by_memory);
         MachineLimit {
@@ -51,30 +51,30 @@
         }
     }
 
-    /// The number of machines that may be rented.
+    /// Returns the number of machines that may be rented.
     pub fn current(&self) -> u32 {
         self.current
     }
 
-    /// Sets how many controllers hold workers' connections.
+    /// Sets the number of controllers that workers are connected to.
     pub fn set_controllers(&mut self, controllers: u32) {
         let by_resources = self.by_sockets.saturating_mul(controllers).min(self.by_memory);
         if by_resources != self.by_resources {
-            // A limit that had come down since its leader fell behind rises from there.
+            // A limit that was reduced because the leader fell behind rises from its current value.
             let is_reduced = self.current != self.by_resources;
             self.current = if is_reduced { self.current.min(by_resources) } else { by_resources };
             self.by_resources = by_resources;
         }
     }
 
-    /// Whether that many machines can keep a leader busy by themselves. The leader of a smaller fleet is late for
-    /// another reason, such as a slow controller or a burst.
+    /// Returns whether that many machines can overload a leader by themselves. The leader of a smaller fleet is late
+    /// for another reason, such as a slow controller or a burst.
     pub fn is_large_fleet(&self, machines: usize) -> bool {
         machines as f64 > f64::from(self.by_resources) * LARGE_FLEET_SHARE
     }
 
-    /// Records whether this process is late. If it is for half of an interval, no more machines may be rented;
-    /// afterwards the limit rises again step by step.
+    /// Records whether this process is late. If it is late in more than half of the observations of an interval, no
+    /// more machines may be rented; afterwards the limit rises again in steps.
     pub fn observe(&mut self, machines: u32, is_late: bool, now: Instant) {
         self.observations += 1;
         self.late_observations += u32::from(is_late);
@@ -86,7 +86,7 @@
             if machines < self.current {
                 tracing::info!(
                     machines,
-                    "leader falls behind, scale-out limited to the current fleet"
+                    "leader falls behind, scale-out limited to the current number of machines"
                 );
             }
             self.current = machines.min(self.current);
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,23 +1,23 @@
-//! The queue of requests that wait to be handled.
+//! Queue of requests that wait to be handled, ordered by class.
 
 use crate::constants::{CHANGE_DEADLINE, USER_DEADLINE};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a request is about, the most important first.
+/// Class of a request, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
     /// Health checks, heartbeats and cancellations.
     Critical,
-    /// Submissions.
+    /// Job submissions.
     Submission,
-    /// Polls.
+    /// Polls of a job's state.
     Poll,
 }
 
 impl RequestClass {
-    /// How long its sender waits for a response.
+    /// Returns the time after which the sender of a request of this class has given up.
     fn timeout(self) -> Duration {
         match self {
             RequestClass::Critical => Duration::MAX,
@@ -30,19 +30,19 @@
 const CLASSES: [RequestClass; 3] =
     [RequestClass::Critical, RequestClass::Submission, RequestClass::Poll];
 
-/// A request that is to be handled next.
+/// A request taken from the queue.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Dequeued<T> {
-    /// The request.
+    /// Request to handle.
     pub request: T,
-    /// Its sender has given up by now.
+    /// Whether the sender no longer waits for a response.
     pub is_expired: bool,
 }
 
 #[derive(Debug)]
 struct Queued<T> {
     request: T,
-    since: Instant,
+    enqueued_at: Instant,
 }
 
 /// Requests that wait to be handled, by class.
@@ -53,25 +53,25 @@
 }
 
 impl<T> AdmissionQueue<T> {
-    /// An empty queue for that many requests.
+    /// Creates an empty queue for `capacity` requests.
     pub fn new(capacity: usize) -> AdmissionQueue<T> {
         AdmissionQueue { queues: std::array::from_fn(|_| VecDeque::new()), capacity }
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds a request. Beyond the capacity it gives back the one that is rejected: the latest of the least important
-    /// class, which has waited least.
+    /// Adds a request. Beyond the capacity it removes and returns a request to be rejected: the newest of the least
+    /// important class, since that one has waited least.
     pub fn push(&mut self, class: RequestClass, request: T, now: Instant) -> Option<T> {
-        self.queues[class as usize].push_back(Queued { request, since: now });
+        self.queues[class as usize].push_back(Queued { request, enqueued_at: now });
         if self.len() <= self.capacity {
             return None;
         }
@@ -79,11 +79,11 @@
         queue.pop_back().map(|queued| queued.request)
     }
 
-    /// The oldest request of the most important class.
+    /// Removes and returns the oldest request of the most important class.
     pub fn pop(&mut self, now: Instant) -> Option<Dequeued<T>> {
         self.queues.iter_mut().zip(CLASSES).find_map(|(queue, class)| {
-            let Queued { request, since } = queue.pop_front()?;
-            let is_expired = now.saturating_duration_since(since) > class.timeout();
+            let Queued { request, enqueued_at } = queue.pop_front()?;
+            let is_expired = now.saturating_duration_since(enqueued_at) > class.timeout();
             Some(Dequeued { request, is_expired })
         })
     }
--- a/src/admission/sharding.rs
+++ b/src/admission/sharding.rs
@@ -1,18 +1,18 @@
-//! Whether workers' heartbeats are sharded over the controllers.
+//! Decision whether workers' heartbeats are sharded over the controllers.
 
 use crate::admission::{REQUEST_COST, SocketBudget};
 use crate::settings::{Settings, ShardHeartbeats};
 
-/// Share of what one controller can take above which heartbeats are sharded.
+/// Share of one controller's capacity above which heartbeats are sharded.
 const SHARD_ABOVE: f64 = 0.6;
-/// Share of what one controller can take at which the leader takes all heartbeats again.
+/// Share of one controller's capacity at or below which the leader receives all heartbeats again.
 const UNSHARD_BELOW: f64 = 0.4;
-/// Count. Workers above which heartbeats are sharded whatever one controller could take: else the leader of many large
-/// controllers would fill to several times what the others hold before they take anything.
+/// Number of workers above which heartbeats are sharded whatever the capacity of one controller. Otherwise the leader of
+/// a cluster with large controllers would carry several times the load of the others before they receive any heartbeat.
 const SHARD_ABOVE_WORKERS: f64 = 1500.0;
 
-/// Whether heartbeats are more than one controller should take alone, by its sockets or by the processor time that
-/// they cost.
+/// Decides whether heartbeats are more than one controller should receive alone, by its sockets or by the processor time
+/// that they cost.
 #[derive(Debug)]
 pub struct ShardingPolicy {
     machines_by_sockets: f64,
@@ -22,7 +22,7 @@
 }
 
 impl ShardingPolicy {
-    /// The policy of a deployment with these settings.
+    /// Creates the policy of a deployment with these settings.
     pub fn new(settings: &Settings) -> ShardingPolicy {
         let resources = &settings.platform.params.resources;
         let heartbeat_interval = settings.heartbeat_interval();
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Decides for that many machines. Sharding goes on until there are clearly too few for it.
+    /// Returns whether to shard the heartbeats of that many machines. Once begun, sharding continues until the number is
+    /// clearly below the threshold at which it begins.
     pub fn update(&mut self, machines: usize) -> bool {
         let capacity = self.machines_by_sockets.min(self.machines_by_processor);
         let share = machines as f64 / capacity.clamp(1.0, SHARD_ABOVE_WORKERS / SHARD_ABOVE);
--- a/src/admission/socket_budget.rs
+++ b/src/admission/socket_budget.rs
@@ -1,65 +1,65 @@
-//! How a controller's sockets are shared out.
+//! Division of a controller's sockets between its purposes.
 
 use crate::settings::Resources;
 
-/// Share of the platform's socket limit that the public listener may hold. The rest is for peers and our own calls,
-/// which need more only while few workers send their heartbeats here.
+/// Share of the platform's socket limit for the public listener. The rest is for peers and outgoing calls, which need
+/// more only while few workers send their heartbeats here.
 const PUBLIC_SHARE: f64 = 0.88;
-/// Share of the public sockets that machines may take up. The rest is for workers that reconnect while their old
-/// connections are not closed yet, for health checks, and for users that have no other controller.
+/// Share of the public sockets for machines. The rest is for workers that reconnect before their old connections are
+/// closed, for health checks, and for users that can reach no other controller.
 const MACHINE_SHARE: f64 = 0.95;
-/// Share of the platform's socket limit that is reserved for peers, the store and the cloud.
+/// Share of the platform's socket limit reserved for peers, the store and the cloud.
 const RESERVED_SHARE: f64 = 0.03;
-/// Share of the platform's socket limit that calls to workers get, however many connections are open.
+/// Minimum share of the platform's socket limit for calls to workers, however many connections are open.
 const MIN_WORKER_CALL_SHARE: f64 = 0.04;
-/// Share of the platform's socket limit that idle connections of ours to workers may hold: it is cheaper to reuse one
-/// than to open another.
+/// Maximum share of the platform's socket limit for idle outgoing connections to workers, which are kept because reusing
+/// one is cheaper than opening another.
 const MAX_IDLE_SHARE: f64 = 0.25;
-/// Share of the public sockets taken up by machines above which a leader sends users to other controllers.
+/// Share of the public sockets used by machines above which a leader sends users to other controllers.
 const SHED_USERS_ABOVE: f64 = 0.65;
-/// Share of the public sockets taken up by machines at which a leader takes users again.
-const TAKE_USERS_BELOW: f64 = 0.5;
+/// Share of the public sockets used by machines at or below which a leader accepts users again.
+const ACCEPT_USERS_BELOW: f64 = 0.5;
 /// Share of the public sockets in use above which pressure is high.
 const HIGH_PRESSURE_ABOVE: f64 = 0.9;
 /// Share of the public sockets in use above which pressure is critical.
 const CRITICAL_PRESSURE_ABOVE: f64 = 0.98;
 
-/// How scarce public sockets are.
+/// Scarcity of public sockets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SocketPressure {
     /// Connections are kept open.
     Normal,
     /// Users' connections are closed after each response.
     High,
-    /// Every connection is closed after a response, also a worker's: more workers than there are sockets then get
-    /// their turns within a lease, since each needs a connection for some milliseconds of its heartbeat interval.
+    /// Every connection is closed after a response, including workers' connections. A worker needs its connection only
+    /// for some milliseconds of its heartbeat interval, so more workers than sockets can renew within a lease.
     Critical,
 }
 
-/// What is left of the sockets for connections that this controller opens.
+/// Sockets available for connections that this controller opens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingSockets {
-    /// Idle connections to workers that may be kept.
+    /// Maximum number of idle connections to workers.
     pub idle: usize,
-    /// Calls to workers that may be in flight.
+    /// Maximum number of calls to workers in flight.
     pub worker_calls: usize,
 }
 
-/// The shares of a controller's socket limit.
+/// Shares of a controller's socket limit, in sockets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketBudget {
-    /// Connections of workers, users and health checks.
+    /// Maximum number of connections of workers, users and health checks.
     pub public: usize,
-    /// Machines whose heartbeats one controller can take.
+    /// Maximum number of machines that can send their heartbeats to one controller.
     pub max_machines: u32,
-    /// All but what is reserved.
+    /// Sockets that are not reserved for peers, the store and the cloud.
     unreserved: usize,
     max_idle: usize,
     min_worker_calls: usize,
 }
 
 impl SocketBudget {
-    /// The shares of the platform's limit.
+    /// Divides the platform's socket limit.
     pub fn new(resources: &Resources) -> SocketBudget {
         let part = |share: f64| (resources.max_sockets as f64 * share) as usize;
         let public = part(PUBLIC_SHARE);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What is left with that many public connections open.
+    /// Returns the sockets available for outgoing connections with that many public connections open.
     pub fn outgoing(&self, open: usize) -> OutgoingSockets {
         let free = self.unreserved.saturating_sub(open);
         let idle = self.max_idle.min(free / 2);
@@ -80,13 +80,13 @@
         OutgoingSockets { idle, worker_calls }
     }
 
-    /// Whether users should go to other controllers, since workers' connections take up most of the public sockets.
+    /// Returns whether users should be sent to other controllers because machines use most of the public sockets.
     pub fn sheds_users(&self, machines: usize, sheds_already: bool) -> bool {
-        let share = if sheds_already { TAKE_USERS_BELOW } else { SHED_USERS_ABOVE };
+        let share = if sheds_already { ACCEPT_USERS_BELOW } else { SHED_USERS_ABOVE };
         machines as f64 > self.public as f64 * share
     }
 
-    /// How scarce public sockets are with that many connections open.
+    /// Returns the scarcity of public sockets with that many connections open.
     pub fn pressure(&self, open: usize) -> SocketPressure {
         let exceeds = |share: f64| open as f64 > self.public as f64 * share;
         if exceeds(CRITICAL_PRESSURE_ABOVE) {
@@ -98,13 +98,13 @@
         }
     }
 
-    /// The least number of calls to workers that [`SocketBudget::outgoing`] allows.
+    /// Returns the smallest number of calls to workers that [`SocketBudget::outgoing`] allows.
     #[cfg(test)]
     pub(super) fn min_worker_calls(&self) -> usize {
         self.min_worker_calls
     }
 
-    /// The largest number of idle connections that [`SocketBudget::outgoing`] allows.
+    /// Returns the largest number of idle connections that [`SocketBudget::outgoing`] allows.
     #[cfg(test)]
     pub(super) fn max_idle(&self) -> usize {
         self.max_idle
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,5 +1,5 @@
-//! Users' requests: a state machine without I/O that decides each response from the cache, after a
-//! linearizable read or a commit where the response needs one.
+//! The users' API: a state machine without I/O that answers each request from the store's cache, after a
+//! linearizable read or a commit where the response requires one.
 
 mod cancellation;
 mod request;
@@ -26,50 +26,50 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Count. Users' requests that wait in one process; beyond it they are refused at once.
+/// Maximum number of pending user requests in one process. Requests beyond it are rejected at once with Retry-After.
 pub const USER_QUEUE_MAX: usize = 2000;
-/// Milliseconds. The longest latency that the histogram tells apart.
+/// Longest latency, in milliseconds, that the latency histogram resolves.
 const LATENCY_MAX_MS: u64 = 60_000;
 
-/// All requests of users that have no response yet, and what the responses need.
+/// User requests without a response, and the state from which responses are built.
 pub struct Api {
     settings: Arc<Settings>,
-    /// The time of day.
+    /// Wall clock for the acceptance and cancellation times of jobs.
     pub wall: WallClock,
     pending: BTreeMap<u64, PendingRequest>,
-    /// Running tasks by job, as the leader last published them.
+    /// Number of running tasks by job, as last published by the leader.
     pub running: BTreeMap<JobId, u32>,
-    /// Jobs of which this process told users that they are cancelled, and when: a leader that is
-    /// cut off from the store learns them from its peers.
+    /// Jobs that this process reported to users as cancelled, with the time of the report. A leader that is
+    /// cut off from the store learns of these cancellations from its peers.
     pub cancelled: Vec<(JobId, Instant)>,
-    /// How long requests took.
+    /// Latencies of completed requests, in milliseconds.
     pub latency_ms: Histogram<u64>,
-    /// Count of requests that were told to be sent again later.
+    /// Total number of requests rejected with Retry-After.
     pub refused: u64,
-    /// What other controllers have acknowledged.
+    /// Cancellations that other controllers have acknowledged.
     pub cancellation_acks: CancellationAcks,
-    /// Cancellations that this controller acknowledged, or is about to commit itself.
+    /// Cancellations that this controller has acknowledged to a peer or is about to commit itself.
     pub acknowledged_cancellations: AcknowledgedCancellations,
-    /// Which controllers are to be asked to acknowledge the cancellation of which job.
+    /// Outgoing requests: the controller that must acknowledge a cancellation, and the job.
     pub ack_requests: Vec<(ControllerId, JobId)>,
-    /// When each was asked last.
-    asked: HashMap<(ControllerId, JobId), Instant>,
+    /// Time of the last acknowledgement request to a controller for a job.
+    last_ack_requests: HashMap<(ControllerId, JobId), Instant>,
 }
 
-/// The response to a request that had to wait.
+/// A response that was not available when its request arrived.
 #[derive(Debug)]
 pub struct Answer {
-    /// Names the request.
+    /// Identifier that the caller gave the request in [`Api::on_request`].
     pub ticket: u64,
-    /// Its response.
+    /// Response to send.
     pub response: Response,
 }
 
 impl Api {
-    /// No requests yet.
+    /// Creates an API without pending requests.
     ///
     /// # Errors
-    /// The histogram of latencies can't be made.
+    /// Fails if the latency histogram cannot be created.
     pub fn new(settings: Arc<Settings>, wall: WallClock) -> Result<Api, CreationError> {
         let platform = &settings.platform;
         let workers = &platform.params.workers;
@@ -78,7 +78,7 @@
             cancellation_acks: CancellationAcks::new(peers, workers.lease_s, workers.cancel_s),
             acknowledged_cancellations: AcknowledgedCancellations::default(),
             ack_requests: Vec::new(),
-            asked: HashMap::new(),
+            last_ack_requests: HashMap::new(),
             settings,
             wall,
             pending: BTreeMap::new(),
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Takes a request in; a response that needs nothing more is returned at once.
+    /// Accepts a request. Returns its response if that requires neither a read nor a commit.
     pub fn on_request(
         &mut self,
         ticket: u64,
@@ -106,7 +106,7 @@
         }
         let id = request.job();
         let job = store.cache.jobs.get(id);
-        // A final state never changes, so the cache may answer.
+        // A final state never changes, so a cached one is valid without a read.
         if let Some(job) = job
             && job.is_finished()
         {
@@ -118,18 +118,22 @@
         {
             return Some(self.retry_later());
         }
-        let allowed = if request.is_change() { CHANGE_DEADLINE } else { USER_DEADLINE };
-        // A change goes to the store at once: its precondition finds out whether the cache was old.
-        let direct = match &request {
+        let timeout = if request.is_change() { CHANGE_DEADLINE } else { USER_DEADLINE };
+        // A change is committed without a read first: its preconditions detect a stale cache.
+        let commits_directly = match &request {
             UserRequest::Submit(_) => job.is_none(),
             UserRequest::Cancel(_) => job.is_some(),
             UserRequest::MalformedSubmission(_) | UserRequest::Poll(_) => false,
         };
-        self.pending.insert(ticket, PendingRequest::new(request, now, now + allowed));
-        if direct { self.decide(ticket, false, store, now) } else { self.sync(ticket, store) }
+        self.pending.insert(ticket, PendingRequest::new(request, now, now + timeout));
+        if commits_directly {
+            self.decide(ticket, false, store, now)
+        } else {
+            self.sync(ticket, store)
+        }
     }
 
-    /// Decides again once the cache is as new as the store was when the request came.
+    /// Requests a linearizable read, after which the request is decided again.
     fn sync(&self, ticket: u64, store: &mut StoreClient) -> Option<Response> {
         match self.pending.get(&ticket).map(|pending| &pending.request) {
             Some(UserRequest::Poll(_)) => store.sync(ticket),
@@ -138,7 +142,7 @@
         None
     }
 
-    /// Responds, or commits, by what the cache says; `is_fresh` if it was synced for this request.
+    /// Responds or commits according to the cache. `is_fresh` says that the cache was synced for this request.
     fn decide(
         &mut self,
         ticket: u64,
@@ -192,7 +196,7 @@
         });
     }
 
-    /// The cache is as new as the store was when this request asked for a linearizable read.
+    /// Continues a request whose linearizable read has completed.
     pub fn on_synced(
         &mut self,
         ticket: u64,
@@ -208,7 +212,7 @@
         self.decide(ticket, true, store, now)
     }
 
-    /// The request's commit has an outcome.
+    /// Handles the outcome of a request's commit.
     pub fn on_outcome(
         &mut self,
         ticket: u64,
@@ -219,9 +223,9 @@
         self.pending.get_mut(&ticket)?.committing = false;
         match outcome {
             WriteOutcome::Committed => self.on_committed(ticket, store, now),
-            // The store will never take it as it is; the log says what.
+            // The store rejects this transaction permanently; the log contains it.
             WriteOutcome::Invalid => Some(self.finish_with_retry(ticket)),
-            // Done by somebody else, perhaps done, or not done: read again, then decide again.
+            // The change was made by another controller, possibly applied, or not applied: read, then decide again.
             WriteOutcome::Conflict | WriteOutcome::NotExecuted | WriteOutcome::Unknown => {
                 self.sync(ticket, store)
             }
@@ -250,7 +254,7 @@
         if status == JobStatus::Cancelled {
             self.cancelled.push((id.clone(), now));
         }
-        // A job that depends on a cancelled one is accepted, and cancelled from the start.
+        // A job that depends on a cancelled job is accepted and immediately cancelled.
         let response = match store.cache.jobs.get(&id) {
             Some(job) => self.job_response(&id, job, code),
             None => encode_view(code, &JobView { id, status, done: 0, running: 0 }),
@@ -258,15 +262,15 @@
         Some(self.finish(ticket, response))
     }
 
-    /// Responds to what has waited too long, and to everything if the store is unavailable.
+    /// Rejects requests past their deadline, or all pending requests if the store is unavailable.
     pub fn tick(&mut self, store: &StoreClient, now: Instant) -> Vec<Answer> {
         let unavailable = store.is_unavailable(now);
-        let overdue = |pending: &PendingRequest| unavailable || now >= pending.deadline;
-        let late = self.pending.iter().filter(|(_, pending)| overdue(pending));
-        let late: Vec<u64> = late.map(|(ticket, _)| *ticket).collect();
-        self.forget_old_cancellations(now);
+        let is_expired = |pending: &PendingRequest| unavailable || now >= pending.deadline;
+        let expired = self.pending.iter().filter(|(_, pending)| is_expired(pending));
+        let expired: Vec<u64> = expired.map(|(ticket, _)| *ticket).collect();
+        self.remove_old_cancellations(now);
         let answer = |ticket| Answer { ticket, response: self.finish_with_retry(ticket) };
-        late.into_iter().map(answer).collect()
+        expired.into_iter().map(answer).collect()
     }
 
     fn job_response(&self, id: &JobId, job: &Job, status_code: u16) -> Response {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations of jobs, which other controllers acknowledge before they are committed.
+//! Cancellation of jobs: other controllers acknowledge a cancellation before it is committed.
 
 use crate::api::{Answer, Api};
 use crate::http::Response;
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a cancellation waits for controllers that are in reach, some milliseconds as a rule;
-/// beyond it the user is told to come back.
+/// Maximum time that a cancellation waits for acknowledgements. Reachable controllers normally answer within
+/// milliseconds; after this time the request is rejected with Retry-After.
 const ACK_WAIT: Duration = Duration::from_millis(800);
-/// Pause before a controller that has not answered is asked again.
+/// Pause before the acknowledgement request to a controller that has not answered is repeated.
 const ACK_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Api {
-    /// Commits the end of a live job, once all controllers that have to know acknowledged it.
+    /// Commits the cancellation of a live job once every controller whose acknowledgement is required has given it.
     pub(super) fn cancel(
         &mut self,
         ticket: u64,
@@ -30,9 +30,9 @@
         let zone_of = |peer: &ControllerId| self.zone_of(peer);
         match self.cancellation_acks.preconditions(id, &store.cache, zone_of, now) {
             Ok(preconditions) => transaction.preconditions.extend(preconditions),
-            Err(missing) => return self.await_acks(ticket, id.clone(), missing, now),
+            Err(blocked) => return self.await_acks(ticket, id.clone(), blocked, now),
         }
-        // Should it be applied late, this controller may be the one cut off by then.
+        // The store may apply the transaction late; by then this controller may itself be the one that is cut off.
         self.acknowledged_cancellations.acknowledge(std::slice::from_ref(id));
         self.commit(ticket, transaction, is_fresh, store);
         None
@@ -43,18 +43,19 @@
         others.iter().find(|other| other.host_name == *peer).map(|other| other.location.clone())
     }
 
-    /// A cancellation that can't be committed yet: asks the controllers that it takes, or tells the
-    /// user at once to come back.
+    /// Requests the acknowledgements that a cancellation needs before it can be committed. Rejects the user's request
+    /// with Retry-After after [`ACK_WAIT`], or at once if a quarantined controller still blocks the cancellation
+    /// although the leader has said in which zones the job may have tasks.
     fn await_acks(
         &mut self,
         ticket: u64,
         id: JobId,
-        missing: CancellationBlocked,
+        blocked: CancellationBlocked,
         now: Instant,
     ) -> Option<Response> {
-        let peers = match &missing {
+        let peers = match &blocked {
             CancellationBlocked::AwaitingAcks(peers) => peers.clone(),
-            // The leader may know that the job has nothing where that one is.
+            // The leader may know that the job has no tasks in the zone of the quarantined controller.
             CancellationBlocked::InQuarantine => {
                 let others = &self.settings.platform.others;
                 others.iter().map(|other| other.host_name.clone()).collect()
@@ -62,23 +63,24 @@
         };
         for peer in peers {
             let key = (peer.clone(), id.clone());
-            if self.asked.get(&key).is_none_or(|at| now >= *at + ACK_REQUEST_INTERVAL) {
-                self.asked.insert(key, now);
+            let last_request = self.last_ack_requests.get(&key);
+            if last_request.is_none_or(|at| now >= *at + ACK_REQUEST_INTERVAL) {
+                self.last_ack_requests.insert(key, now);
                 self.ack_requests.push((peer, id.clone()));
             }
         }
         let pending = self.pending.get_mut(&ticket)?;
-        let until = *pending.acks_deadline.get_or_insert(now + ACK_WAIT);
-        let hopeless =
-            missing == CancellationBlocked::InQuarantine && self.cancellation_acks.knows_zones(&id);
-        if now < until && !hopeless {
+        let acks_deadline = *pending.acks_deadline.get_or_insert(now + ACK_WAIT);
+        let cannot_unblock =
+            blocked == CancellationBlocked::InQuarantine && self.cancellation_acks.knows_zones(&id);
+        if now < acks_deadline && !cannot_unblock {
             return None;
         }
-        tracing::info!(job = %id, ?missing, "job cannot be cancelled yet");
+        tracing::info!(job = %id, ?blocked, "cancellation rejected with Retry-After: acknowledgements are missing");
         Some(self.finish_with_retry(ticket))
     }
 
-    /// Decides again on cancellations that wait for other controllers.
+    /// Retries cancellations that wait for acknowledgements.
     pub fn retry_cancellations(&mut self, store: &mut StoreClient, now: Instant) -> Vec<Answer> {
         let waiting = self.pending.iter().filter(|(_, pending)| pending.acks_deadline.is_some());
         let waiting: Vec<u64> = waiting.map(|(ticket, _)| *ticket).collect();
@@ -93,10 +95,12 @@
         answers
     }
 
-    /// Forgets whom it asked a while ago, and cancellations that every task has heard of by now.
-    pub(super) fn forget_old_cancellations(&mut self, now: Instant) {
-        let keep_s = self.settings.platform.params.workers.cancel_s * 2.0;
-        self.asked.retain(|_, at| now < *at + ACK_REQUEST_INTERVAL);
-        self.cancelled.retain(|(_, at)| now.saturating_duration_since(*at).as_secs_f64() < keep_s);
+    /// Removes acknowledgement requests that may be repeated, and reported cancellations that every task has learned
+    /// of by now: those older than twice `cancel_s`.
+    pub(super) fn remove_old_cancellations(&mut self, now: Instant) {
+        let retention_s = self.settings.platform.params.workers.cancel_s * 2.0;
+        self.last_ack_requests.retain(|_, at| now < *at + ACK_REQUEST_INTERVAL);
+        self.cancelled
+            .retain(|(_, at)| now.saturating_duration_since(*at).as_secs_f64() < retention_s);
     }
 }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -1,4 +1,4 @@
-//! A user's request, and what is known of it while it waits for its response.
+//! Decoded user requests, and their state until they have a response.
 
 use crate::api::routing::{Route, valid_id};
 use crate::api::validation::{is_well_formed, normalize};
@@ -7,18 +7,18 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a user asks for.
+/// A decoded request of a user.
 #[derive(Debug)]
 pub(super) enum UserRequest {
     Submit(Arc<JobSpec>),
-    /// A submission that is malformed but names a job: a known one is never told 400.
+    /// A malformed submission with a valid job id. If the job exists, the response is its state, never 400.
     MalformedSubmission(JobId),
     Poll(JobId),
     Cancel(JobId),
 }
 
 impl UserRequest {
-    /// The request of this route and body; none if it is malformed and names no job.
+    /// Decodes the request of a route and body. Returns `None` if it is malformed and has no valid job id.
     pub(super) fn decode(route: Route, body: &[u8]) -> Option<UserRequest> {
         match route {
             Route::Poll(id) => return Some(UserRequest::Poll(id)),
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Whether it changes a job's state.
+    /// Returns whether the request changes a job's state.
     pub(super) fn is_change(&self) -> bool {
         matches!(self, UserRequest::Submit(_) | UserRequest::Cancel(_))
     }
 
-    /// Whether it submits a job that depends on others.
+    /// Returns whether the request submits a job with dependencies.
     pub(super) fn has_dependencies(&self) -> bool {
         matches!(self, UserRequest::Submit(spec) if spec.depends_on.is_some())
     }
@@ -60,16 +60,17 @@
     pub(super) request: UserRequest,
     pub(super) deadline: Instant,
     pub(super) received_at: Instant,
-    /// What is being committed are chunks of its description, and more is to follow.
+    /// The commit in flight writes chunks of the job's specification, and further commits follow.
     pub(super) writes_spec_chunks: bool,
-    /// A submission with dependencies: the linearizable read that goes beside its commit has
-    /// brought news of them, and it is accepted. A dependency may have been cancelled, and a user
-    /// been told, a moment ago elsewhere; the response has to say so, and comes when both are there.
+    /// The linearizable read that runs in parallel with the commit of a submission with dependencies has
+    /// completed. Another controller may just have reported a dependency to a user as cancelled; the response
+    /// has to reflect that, so it is sent only when this flag and `accepted` are both set.
     pub(super) synced: bool,
+    /// The submission with dependencies is committed.
     pub(super) accepted: bool,
-    /// Its commit is in flight.
+    /// A commit for this request is in flight.
     pub(super) committing: bool,
-    /// A cancellation waits until then for other controllers to acknowledge it.
+    /// Deadline for the acknowledgements of other controllers, if this is a cancellation that waits for them.
     pub(super) acks_deadline: Option<Instant>,
 }
 
--- a/src/api/routing.rs
+++ b/src/api/routing.rs
@@ -1,48 +1,48 @@
-//! Which operation a request asks for, by its method and path.
+//! Routing of requests to operations by method and path.
 
 use crate::admission::RequestClass;
 use crate::http::{Method, Request};
 use crate::ids::JobId;
 use troutspindle_protocol::operator_api;
 
-/// The digits of a job's id.
+/// Allowed number of digits in a job id.
 const ID_DIGITS: std::ops::RangeInclusive<usize> = 1..=40;
 const JOBS_PATH: &str = "/api/jobs";
 
-/// The operation that a request asks for.
+/// Operation of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route {
-    /// Whether the process is up.
+    /// Health check of the process.
     Health,
     /// A worker's heartbeat.
     Heartbeat,
-    /// A user submits a job.
+    /// Submission of a job.
     Submit,
-    /// A user asks for a job's state.
+    /// Query of a job's state.
     Poll(JobId),
-    /// A user cancels a job.
+    /// Cancellation of a job.
     Cancel(JobId),
-    /// Operators ask which jobs are at risk of missing their due time.
+    /// Operators' query of the jobs that are at risk of missing their due time.
     JobsAtRisk,
-    /// Operators ask which jobs starve.
+    /// Operators' query of the jobs that starve.
     FairShareReport,
-    /// Operators drain something.
+    /// Operators' request to drain a machine, zone or controller.
     Drain,
-    /// Operators take a drain back.
+    /// Operators' request to withdraw a drain.
     Undrain,
-    /// Operators ask for all drains.
+    /// Operators' query of all drains.
     Drains,
-    /// There is nothing at this path.
+    /// The path does not exist.
     Unknown,
-    /// There is something at this path for another method.
+    /// The path exists, but not for this method.
     WrongMethod,
 }
 
-/// The operation that a request asks for.
+/// Returns the operation of a request.
 pub fn route(request: &Request) -> Route {
     let path = request.target.split('?').next().unwrap_or("");
     let with = |method, route| if request.method == method { route } else { Route::WrongMethod };
-    // Operators' paths that are disabled don't exist, whatever is asked of them.
+    // Operators' paths can be disabled and then do not exist, so a wrong method must not reveal them.
     let operators = |route| if request.method == Method::Post { route } else { Route::Unknown };
     match path {
         "/up" => with(Method::Get, Route::Health),
@@ -67,7 +67,7 @@
     }
 }
 
-/// How much a request is needed by whoever sent it, by its path alone.
+/// Returns the class by which admission prioritizes a request, from its method and path alone.
 pub fn request_class(request: &Request) -> RequestClass {
     match route(request) {
         Route::Poll(_) => RequestClass::Poll,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whether a text is a job's id, as in `wk-000412`.
+/// Returns whether a text is a valid job id, such as `wk-000412`.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix("wk-").is_some_and(|digits| {
         ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs.
+//! Submission of jobs: checks whether a job can run and commits its acceptance.
 
 use crate::api::Api;
 use crate::api::validation::{check_dependencies, check_runnable};
@@ -10,8 +10,7 @@
 use tokio::time::Instant;
 
 impl Api {
-    /// Commits a job that is not known, or says why not; `is_fresh` if the cache was synced for
-    /// this request.
+    /// Commits a new job or rejects it. `is_fresh` says that the cache was synced for this request.
     pub(super) fn submit(
         &mut self,
         ticket: u64,
@@ -25,23 +24,23 @@
             return Some(self.finish_with_retry(ticket));
         }
         let layout = store.layout();
-        // An old leader would start it before its dependencies are done.
+        // A leader of the previous version would start the job before its dependencies have completed.
         let unsupported = spec.depends_on.is_some() && !layout.is_second();
-        let runnable = check_runnable(spec, &self.settings, machine_types)
+        let check = check_runnable(spec, &self.settings, machine_types)
             .and_then(|()| check_dependencies(spec, &store.cache.jobs));
-        // Another controller may know already that there is no obstacle any more.
-        if !is_fresh && (unsupported || runnable.is_err()) {
+        // The store may already contain what removes the obstacle, so read it before a rejection.
+        if !is_fresh && (unsupported || check.is_err()) {
             return self.sync(ticket, store);
         }
         if unsupported {
-            tracing::info!(job = %spec.id, "not all controllers support dependencies yet");
+            tracing::info!(job = %spec.id, "submission rejected with Retry-After: not all controllers support dependencies yet");
             return Some(self.finish_with_retry(ticket));
         }
-        if let Err(reason) = runnable {
-            tracing::info!(job = %spec.id, team = spec.team, %reason, "request rejected permanently");
+        if let Err(reason) = check {
+            tracing::info!(job = %spec.id, team = spec.team, %reason, "submission rejected permanently");
             return Some(self.finish(ticket, Response::empty(422)));
         }
-        tracing::debug!(job = %spec.id, ?spec, "submitted");
+        tracing::debug!(job = %spec.id, ?spec, "job submitted");
         let accepted_ms = self.wall.ms(now);
         let acceptance = jobs::accept(spec, accepted_ms, &layout, &store.cache.jobs);
         if let Some(pending) = self.pending.get_mut(&ticket) {
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn only_paths_and_ids_of_the_protocol_are_routed() {
+fn route_accepts_only_paths_and_ids_of_the_protocol() {
     let at =
         |method, target: &str| route(&Request { method, target: target.into(), body: Vec::new() });
     assert_eq!(at(Method::Get, "/up"), Route::Health);
@@ -28,7 +28,7 @@
     }
 }
 
-/// The API with a store that executes every request and holds what it is given.
+/// The API with a store client whose store succeeds with every request and changes only by its commits.
 struct TestApi {
     api: Api,
     store: StoreClient,
@@ -38,7 +38,7 @@
 }
 
 impl TestApi {
-    /// Two controllers, of which `upgraded` say that they read the newest format.
+    /// Creates an API in a cluster of two controllers, of which `upgraded` declare that they read the newest format.
     fn new(upgraded: usize) -> TestApi {
         let now = Instant::now();
         let settings =
@@ -111,35 +111,35 @@
 }
 
 #[test]
-fn a_job_may_depend_on_accepted_jobs_only() {
+fn submission_with_dependencies_is_accepted_only_if_they_are_accepted_jobs() {
     let mut api = TestApi::new(2);
     assert_eq!(api.submit("wk-1", JobKind::Array, &[]), 201);
     assert_eq!(api.submit("wk-2", JobKind::Service, &[]), 201);
     assert_eq!(api.submit("wk-3", JobKind::Array, &["wk-1", "wk-1"]), 201);
-    // Accepted without one; the answer then waits for news of what it names.
+    // Committed without a prior read; the response then waits for a read of its dependencies.
     let synced = api.syncs;
     assert_eq!(synced, 1);
     let job = api.store.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
     assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
-    // Never accepted, itself, a service: for good, but only once the store has been api.
+    // A job that was never accepted, the job itself, a service: rejected permanently, but only after a read of the store.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
         assert_eq!(api.submit("wk-4", JobKind::Array, &["wk-1", depends_on]), 422, "{depends_on}");
         assert_eq!(api.syncs, synced + n as u32 + 1);
     }
     assert_eq!(api.submit("wk-4", JobKind::Array, &["job-1"]), 400);
-    // A repeat is known whatever it says now.
+    // A retry returns the job's state even if its content differs.
     assert_eq!(api.submit("wk-3", JobKind::Array, &["wk-9"]), 200);
-    // As many as a body may name, in a record far larger than a value.
-    let many: Vec<String> = (0..3000).map(|n| format!("wk-{}", n + 100)).collect();
-    for id in &many {
+    // Nearly as many dependencies as fit a request body; the record is far larger than a value in the store.
+    let dependencies: Vec<String> = (0..3000).map(|n| format!("wk-{}", n + 100)).collect();
+    for id in &dependencies {
         assert_eq!(api.submit(id, JobKind::Array, &[]), 201);
     }
-    let names: Vec<&str> = many.iter().map(String::as_str).collect();
+    let names: Vec<&str> = dependencies.iter().map(String::as_str).collect();
     assert_eq!(api.submit("wk-5", JobKind::Array, &names), 201);
 }
 
 #[test]
-fn a_malformed_list_of_dependencies_is_rejected_and_null_means_none() {
+fn malformed_dependencies_are_rejected_and_null_means_no_dependencies() {
     let mut api = TestApi::new(2);
     let spec = jobs::fixtures::job_spec("wk-1", 2);
     let StoreValue::Map(fields) = encoding::to_value(&spec) else { panic!() };
@@ -147,14 +147,14 @@
         let fields = fields.iter().cloned().chain([(StoreValue::from("waitsOn"), depends_on)]);
         wire::encode(&StoreValue::Map(fields.collect()))
     };
-    let wrong = [
+    let malformed = [
         StoreValue::from("wk-2"),
         StoreValue::from(7),
         StoreValue::Array(vec![StoreValue::from(7)]),
         StoreValue::Array(vec![StoreValue::Null]),
         StoreValue::Map(vec![]),
     ];
-    for depends_on in wrong {
+    for depends_on in malformed {
         assert_eq!(api.submit_body(&with(depends_on.clone())).status, 400, "{depends_on:?}");
     }
     assert_eq!(api.submit_body(&with(StoreValue::Null)).status, 201);
@@ -162,9 +162,9 @@
     assert_eq!(api.submit_body(&with(StoreValue::from(7))).status, 200);
 }
 
-/// An old leader would start it at once.
+/// A leader of the previous version ignores dependencies and would start the job at once.
 #[test]
-fn a_job_with_dependencies_is_refused_while_any_controller_may_be_old() {
+fn submission_with_dependencies_gets_503_while_a_controller_may_run_the_previous_version() {
     let mut api = TestApi::new(1);
     assert_eq!(api.submit("wk-1", JobKind::Array, &[]), 201);
     let spec = JobSpec {
@@ -177,30 +177,31 @@
     assert!(api.store.cache.jobs.get(&JobId::new("wk-2")).is_none());
 }
 
-/// Guests have neither quota nor limit; each of their jobs was once rejected.
+/// Guest teams have neither quota nor limit. A limit of zero must not be taken as "no capacity", which would reject
+/// each of their jobs.
 #[test]
-fn a_team_without_a_limit_may_run_whatever_fits_a_machine() {
+fn team_without_a_limit_may_run_any_job_that_fits_a_machine() {
     let teams = r#"[{"name":"t","cpus":2.0,"cpus_max":8.0},{"name":"guest"}]"#;
     let settings = crate::settings::fixtures::settings(teams);
-    let flavors = [crate::settings::fixtures::machine_type()];
-    let judge = |team: &str, cpus: f64, tasks: u64| {
+    let machine_types = [crate::settings::fixtures::machine_type()];
+    let rejection = |team: &str, cpus: f64, tasks: u64| {
         let (team, shape) = (team.to_owned(), JobKind::Service);
         let spec = JobSpec { team, cpus, shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
-        check_runnable(&spec, &settings, &flavors).err()
+        check_runnable(&spec, &settings, &machine_types).err()
     };
-    assert_eq!(judge("guest", 4.0, 100_000), None);
-    assert_eq!(judge("guest", 17.0, 1), Some(Rejection::FitsNoMachineType));
-    assert_eq!(judge("t", 4.0, 2), None);
-    assert_eq!(judge("t", 4.0, 3), Some(Rejection::BeyondTeamLimit));
-    assert_eq!(judge("nobody", 1.0, 1), Some(Rejection::UnknownTeam));
+    assert_eq!(rejection("guest", 4.0, 100_000), None);
+    assert_eq!(rejection("guest", 17.0, 1), Some(Rejection::FitsNoMachineType));
+    assert_eq!(rejection("t", 4.0, 2), None);
+    assert_eq!(rejection("t", 4.0, 3), Some(Rejection::BeyondTeamLimit));
+    assert_eq!(rejection("nobody", 1.0, 1), Some(Rejection::UnknownTeam));
 }
 
-/// Each field by its kind, as PROTOCOL's table of `POST /api/jobs` has it.
+/// Kind of a field of `POST /api/jobs`, after the table of the protocol.
 #[derive(Clone, Copy, PartialEq)]
 enum Field {
     Id,
     Name,
-    /// May be empty.
+    /// A text that may be empty.
     Text,
     Word,
     Flag,
@@ -232,7 +233,7 @@
     ("dueS", Field::MayBeNull),
 ];
 
-/// Values of the field's own kind, or near it, that are not allowed.
+/// Returns forbidden values of the field's type or of a similar type.
 fn invalid_values(name: &str, field: Field) -> Vec<StoreValue> {
     let amounts = [-1.0, 1e300, f64::NAN, f64::INFINITY, f64::NEG_INFINITY].map(StoreValue::from);
     match field {
@@ -257,14 +258,14 @@
     }
 }
 
-/// "400: malformed: not CBOR, not a map, or a field is missing or invalid." "Any field that may be null may also be
-/// omitted." "Unknown fields must be ignored by receivers." "Retrying an accepted job returns 200 with the job's
-/// current state", whatever the retry says.
+/// The protocol says: "400: malformed: not CBOR, not a map, or a field is missing or invalid." "Any field that may be
+/// null may also be omitted." "Unknown fields must be ignored by receivers." "Retrying an accepted job returns 200 with
+/// the job's current state". The last rule applies whatever the retry contains.
 #[test]
-fn a_malformed_submission_is_rejected_unless_its_job_is_known() {
+fn malformed_submission_is_rejected_unless_its_job_is_known() {
     let whole = jobs::fixtures::job_spec("wk-1", 2);
     let StoreValue::Map(fields) = encoding::to_value(&whole) else { panic!() };
-    // None: without the field.
+    // `None` removes the field.
     let with = |id: &str, name: &str, value: Option<StoreValue>| {
         let mut fields = fields.clone();
         fields.retain(|(key, _)| !["nameId", name].contains(&key.as_text().unwrap()));
@@ -275,12 +276,12 @@
         wire::encode(&StoreValue::Map(fields))
     };
     let mut api = TestApi::new(2);
-    let mut broken = 0;
+    let mut malformed_count = 0;
     for (name, field) in FIELDS {
         let mut values =
             vec![Some(StoreValue::Array(vec![StoreValue::Null])), Some(StoreValue::Map(vec![]))];
         if field == Field::MayBeNull {
-            let id = format!("wk-9{broken}");
+            let id = format!("wk-9{malformed_count}");
             assert_eq!(
                 api.submit_body(&with(&id, name, Some(StoreValue::Null))).status,
                 201,
@@ -298,18 +299,18 @@
         for value in values {
             let answer = api.submit_body(&with("wk-1", name, value.clone()));
             assert_eq!(answer.status, 400, "{name}: {value:?}");
-            broken += 1;
+            malformed_count += 1;
         }
     }
-    assert!(broken > 100 && api.store.cache.jobs.get(&JobId::new("wk-1")).is_none());
+    assert!(malformed_count > 100 && api.store.cache.jobs.get(&JobId::new("wk-1")).is_none());
     for body in [&b""[..], b"{", b"\xff", &wire::encode(&StoreValue::from("wk-1")), b"\x80"] {
         assert_eq!(api.submit_body(body).status, 400);
     }
-    let mut twice = wire::encode(&whole);
-    twice.push(0);
-    assert_eq!(api.submit_body(&twice).status, 400, "more than one item");
+    let mut with_trailing_byte = wire::encode(&whole);
+    with_trailing_byte.push(0);
+    assert_eq!(api.submit_body(&with_trailing_byte).status, 400, "more than one item");
     assert_eq!(api.submit_body(&with("wk-1", "colour", Some(StoreValue::from("red")))).status, 201);
-    // Known by now.
+    // The job is accepted by now, so the same malformed submissions return its state.
     for (name, _) in FIELDS.into_iter().skip(1) {
         for value in [None, Some(StoreValue::Map(vec![]))] {
             assert_eq!(api.submit_body(&with("wk-1", name, value)).status, 200, "{name}");
@@ -317,13 +318,13 @@
     }
 }
 
-/// "422: can never run: unknown team, a task fits no allowed machine type, or the job needs more than the team's limit
-/// (array: one task; service: all tasks)."
+/// The protocol says: "422: can never run: unknown team, a task fits no allowed machine type, or the job needs more than
+/// the team's limit (array: one task; service: all tasks)."
 #[test]
-fn a_job_that_can_never_run_is_rejected_unless_it_is_known() {
-    let plain = jobs::fixtures::job_spec("wk-1", 2);
-    let spec = || JobSpec { team: "t".into(), ..plain.clone() };
-    let never = [
+fn job_that_can_never_run_is_rejected_unless_it_is_known() {
+    let runnable = jobs::fixtures::job_spec("wk-1", 2);
+    let spec = || JobSpec { team: "t".into(), ..runnable.clone() };
+    let never_runnable = [
         JobSpec { team: "nobody".into(), ..spec() },
         JobSpec { cpus: 9.0, ..spec() },
         JobSpec { gpus: 1.0, ..spec() },
@@ -334,14 +335,14 @@
         JobSpec { shape: JobKind::Service, tasks: 9, cpus: 1.0, ..spec() },
     ];
     let mut api = TestApi::new(2);
-    for spec in &never {
+    for spec in &never_runnable {
         assert_eq!(api.submit_body(&wire::encode(spec)).status, 422, "{spec:?}");
     }
     assert_eq!(
         api.submit_body(&wire::encode(&JobSpec { tasks: 9, cpus: 1.0, ..spec() })).status,
         201
     );
-    for spec in &never {
+    for spec in &never_runnable {
         assert_eq!(api.submit_body(&wire::encode(spec)).status, 200, "known: {spec:?}");
     }
 }
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -1,4 +1,4 @@
-//! Which submissions are malformed, and which can never run.
+//! Validation of submissions: detects malformed ones and jobs that can never run.
 
 use crate::api::routing::valid_id;
 use crate::constants::MAX_TASKS_PER_JOB;
@@ -8,14 +8,15 @@
 use crate::wire::{JobKind, JobSpec, MachineType};
 use foldhash::{HashSet, HashSetExt};
 
-/// Bytes. Names in a submission; far beyond any in use, and small enough for a record's value.
-const TEXT_MAX: usize = 200;
-/// Count. Machine types that a submission may name.
-const MACHINE_TYPES_MAX: usize = 32;
-/// Amounts in a submission are below this.
+/// Maximum length of a name in a submission, in bytes: far longer than any name in use, and short enough for a
+/// record's value in the store.
+const MAX_TEXT_BYTES: usize = 200;
+/// Maximum number of machine types in a submission.
+const MAX_MACHINE_TYPES: usize = 32;
+/// Exclusive upper bound of every amount in a submission.
 const AMOUNT_END: f64 = 1e9;
 
-/// Why a job can never run.
+/// Reason for which a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
     #[error("unknown team")]
@@ -32,18 +33,18 @@
     DependsOnService,
 }
 
-/// Whether every field has a value that the protocol allows.
+/// Returns whether every field has a value that the protocol allows.
 pub(super) fn is_well_formed(spec: &JobSpec) -> bool {
-    let text = |s: &str| !s.is_empty() && s.len() <= TEXT_MAX;
+    let text = |s: &str| !s.is_empty() && s.len() <= MAX_TEXT_BYTES;
     let amount = |x: f64| x.is_finite() && (0.0..AMOUNT_END).contains(&x);
     let amounts = [spec.cpus, spec.gpus, spec.ram_gb, spec.image_gb, spec.expect_s];
     let times = [spec.checkpoint_s, spec.save_s, spec.due_s.unwrap_or(0.0)];
     let machine_types =
-        |list: &Vec<String>| list.len() <= MACHINE_TYPES_MAX && list.iter().all(|name| text(name));
+        |list: &Vec<String>| list.len() <= MAX_MACHINE_TYPES && list.iter().all(|name| text(name));
     valid_id(spec.id.as_str())
         && text(&spec.class)
         && text(&spec.team)
-        && spec.image.len() <= TEXT_MAX
+        && spec.image.len() <= MAX_TEXT_BYTES
         && (1..=MAX_TASKS_PER_JOB).contains(&spec.tasks)
         && amounts.into_iter().chain(times).all(amount)
         && spec.flavors.as_ref().is_none_or(machine_types)
@@ -51,7 +52,7 @@
         && spec.depends_on.iter().flatten().all(|id| valid_id(id.as_str()))
 }
 
-/// A submission in the form in which it is stored: each dependency is named once.
+/// Converts a submission to its stored form, in which each dependency occurs once and an empty list is absent.
 pub(super) fn normalize(mut spec: JobSpec) -> JobSpec {
     if let Some(depends_on) = &mut spec.depends_on {
         let mut seen = HashSet::new();
@@ -61,7 +62,7 @@
     spec
 }
 
-/// Whether a job can ever run.
+/// Checks whether a job can ever run with the limit of its team, the zones and the machine types.
 pub(super) fn check_runnable(
     spec: &JobSpec,
     settings: &Settings,
@@ -82,16 +83,16 @@
         return Err(Rejection::UnknownZone);
     }
     let fits = machine_types.iter().any(|machine_type| {
-        let room = Amount::room(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
+        let capacity = Amount::room(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
         spec.flavors.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
             && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
-            && request.fits(&room)
+            && request.fits(&capacity)
     });
     if fits { Ok(()) } else { Err(Rejection::FitsNoMachineType) }
 }
 
-/// Whether a job can depend on what it names. One that was accepted a moment ago may not be known
-/// here yet.
+/// Checks whether every dependency of a job is an accepted job other than a service. The cache may lack a job that
+/// was accepted a moment ago.
 pub(super) fn check_dependencies(spec: &JobSpec, known: &Jobs) -> Result<(), Rejection> {
     for id in spec.depends_on.iter().flatten() {
         match known.get(id) {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud's interface: scale-out, scale-in, and the listing of machines and their types.
+//! Client of the cloud's API: scale-out, scale-in, and listings of machines and machine types.
 //!
 //! It has neither clock nor I/O: [`CloudClient::poll`] puts requests into [`CloudClient::out`], and
 //! [`CloudClient::on_response`] turns their responses into [`CloudEvent`]s.
@@ -24,19 +24,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two readings of the machine types and prices.
+/// Interval between two reads of the machine types and prices.
 const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(60);
-/// What the cloud's 503 says when a pool has no machine left; any other 503 is an outage.
+/// Error text of the cloud's 503 when a pool has no machine left. Any other 503 is an outage.
 pub const NO_CAPACITY: &str = "no capacity";
 
 /// A request in flight.
 struct InFlight {
     request: CloudRequest,
-    /// Number of the rental, if it is one.
+    /// Number of the rental in the [`RentalQueue`], if the request rents machines.
     rental: Option<u64>,
 }
 
-/// The client of the cloud's interface.
+/// Client of the cloud's API, with its queues of rentals and returns.
 pub struct CloudClient {
     rate_limit: TokenBucket,
     rentals: RentalQueue,
@@ -45,18 +45,18 @@
     machine_types: Schedule,
     in_flight: HashMap<u64, InFlight>,
     last_request: u64,
-    /// No request is sent before this.
+    /// Time before which no request is sent.
     paused_until: Instant,
     is_unavailable: bool,
-    /// Requests to be sent, with the numbers that their responses are given under.
+    /// Requests to send, each with the number to pass with its response to [`CloudClient::on_response`].
     pub out: VecDeque<(u64, CloudRequest)>,
 }
 
 impl CloudClient {
-    /// A client that sends up to a share of `rps` requests a second.
+    /// Creates a client that sends up to [`RATE_LIMIT_SHARE`] of `rps` requests per second.
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
-            // Other controllers may have spent of the same budget just before.
+            // The burst is one request, since other controllers may just have used the same budget.
             rate_limit: TokenBucket::new(rps * RATE_LIMIT_SHARE, 1.0, now),
             rentals: RentalQueue::default(),
             returns: ReturnQueue::default(),
@@ -70,14 +70,14 @@
         }
     }
 
-    /// A new leadership begins: its requests carry its token in their names, so none is used twice.
+    /// Begins a new term as leader. The names of its rentals contain its fencing token, so that no name is used twice.
     pub fn begin_leadership(&mut self, token: FencingToken, now: Instant) {
         self.rentals.begin_leadership(token);
         self.returns.clear();
         self.lister.restart(now);
     }
 
-    /// Rents machines of a pool, whose type and zone have these names.
+    /// Queues the rental of machines of a pool, whose machine type and zone have these names.
     pub fn scale_out(
         &mut self,
         pool: MachinePool,
@@ -89,17 +89,17 @@
         self.rentals.push(pool, machine_type, zone, count, now);
     }
 
-    /// Returns a machine.
+    /// Queues the termination of a machine.
     pub fn scale_in(&mut self, machine: &MachineId, now: Instant) {
         self.returns.push(machine, now);
     }
 
-    /// Whether the cloud takes no requests at all, as far as its last response tells.
+    /// Returns whether the cloud as a whole was unavailable according to its last response.
     pub fn is_unavailable(&self) -> bool {
         self.is_unavailable
     }
 
-    /// Rentals without a response.
+    /// Returns the rentals without a final response.
     pub fn pending_rentals(&self) -> Vec<PendingRental> {
         self.rentals.pending()
     }
@@ -111,12 +111,12 @@
         self.out.push_back((self.last_request, request));
     }
 
-    /// Sends what is due. A follower only reads the machine types.
-    pub fn poll(&mut self, leading: bool, now: Instant) {
+    /// Puts the requests that are due into [`CloudClient::out`]. A follower only reads the machine types.
+    pub fn poll(&mut self, is_leader: bool, now: Instant) {
         if now < self.paused_until {
             return;
         }
-        if leading {
+        if is_leader {
             self.send_returns(now);
             self.send_rentals(now);
             self.send_listing(now);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The response to the request of that number, and what it tells.
+    /// Handles the response to the request with that number and returns the resulting events.
     pub fn on_response(
         &mut self,
         number: u64,
@@ -187,9 +187,9 @@
 
     fn on_machine_types(&mut self, status: u16, body: &[u8], now: Instant) -> Vec<CloudEvent> {
         match wire::decode::<MachineTypes>(body) {
-            Ok(found) if status == 200 => {
+            Ok(response) if status == 200 => {
                 self.machine_types.end(now + MACHINE_TYPES_INTERVAL);
-                vec![CloudEvent::MachineTypes(found.flavors)]
+                vec![CloudEvent::MachineTypes(response.flavors)]
             }
             _ => {
                 self.machine_types.end(now + RETRY_PAUSE * 4);
@@ -213,13 +213,13 @@
         let outcome = match (rented, status) {
             (Some(rented), _) => RentalOutcome::Rented(rented.machines),
             (None, 503) if !is_out_of_capacity(body) => {
-                // The cloud as a whole is out, which tells nothing of its capacity.
+                // An outage of the whole cloud says nothing about the capacity of the pool.
                 if self.rentals.contains(number) {
                     self.paused_until = now + RETRY_PAUSE * 4;
                 }
                 RentalOutcome::CloudUnavailable
             }
-            (None, 503 | 400) => RentalOutcome::Refused,
+            (None, 503 | 400) => RentalOutcome::NoCapacity,
             (None, _) => RentalOutcome::Unknown,
         };
         self.rentals.on_outcome(number, pool, outcome, now)
@@ -245,7 +245,7 @@
     }
 }
 
-/// Whether a 503 is about the pool that was asked for.
+/// Returns whether the body of a 503 says that the requested pool has no capacity.
 fn is_out_of_capacity(body: &[u8]) -> bool {
     wire::decode::<wire::CloudError>(body).is_ok_and(|body| body.error == NO_CAPACITY)
 }
--- a/src/cloud/listing.rs
+++ b/src/cloud/listing.rs
@@ -1,4 +1,4 @@
-//! The listing of rented machines, page by page.
+//! Paged listing of the rented machines.
 
 use super::requests::MachineListing;
 use crate::constants::RETRY_PAUSE;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two listings.
+/// Pause between the end of one listing and the start of the next.
 const LISTING_INTERVAL: Duration = Duration::from_secs(4);
 
-/// When a repeated request is due, of which one is in flight at a time.
+/// Schedule of a periodic request, of which at most one is in flight.
 pub(super) struct Schedule {
     due: Instant,
     in_flight: bool,
@@ -24,49 +24,49 @@
         !self.in_flight && now >= self.due
     }
 
-    /// The request is sent.
+    /// Records that the request is sent.
     pub(super) fn begin(&mut self) {
         self.in_flight = true;
     }
 
-    /// The request ended; the next is due then.
+    /// Records that the request has finished and that the next one is due at `next_due`.
     pub(super) fn end(&mut self, next_due: Instant) {
         (self.in_flight, self.due) = (false, next_due);
     }
 }
 
-/// Lists the rented machines again and again.
+/// Lists the rented machines periodically and assembles the pages of each listing.
 pub(super) struct MachineLister {
     schedule: Schedule,
-    /// When the first page of the listing under way was requested.
+    /// Time at which the first page of the current listing was requested.
     requested_at: Option<Instant>,
-    found: Vec<ListedMachine>,
+    machines: Vec<ListedMachine>,
 }
 
 impl MachineLister {
     pub(super) fn new(now: Instant) -> MachineLister {
-        MachineLister { schedule: Schedule::new(now), requested_at: None, found: Vec::new() }
+        MachineLister { schedule: Schedule::new(now), requested_at: None, machines: Vec::new() }
     }
 
-    /// Drops what was found and begins anew; a request in flight stays.
+    /// Discards the current listing and makes the next one due at once. A request in flight is not cancelled.
     pub(super) fn restart(&mut self, now: Instant) {
         self.schedule.due = now;
         self.requested_at = None;
-        self.found.clear();
+        self.machines.clear();
     }
 
     pub(super) fn is_due(&self, now: Instant) -> bool {
         self.schedule.is_due(now)
     }
 
-    /// A page is requested: the name of the machine after which it begins.
+    /// Records that the next page is requested. Returns the name of the last machine before it, empty for the first page.
     pub(super) fn begin_page(&mut self, now: Instant) -> String {
         self.schedule.begin();
         self.requested_at.get_or_insert(now);
-        self.found.last().map(|machine| machine.machine.to_string()).unwrap_or_default()
+        self.machines.last().map(|machine| machine.machine.to_string()).unwrap_or_default()
     }
 
-    /// Takes a page, or that there was none; returns the listing once it is complete.
+    /// Handles a page, or `None` if its request failed. Returns the listing once it is complete.
     pub(super) fn on_page(
         &mut self,
         page: Option<MachinePage>,
@@ -77,15 +77,15 @@
             return None;
         };
         let has_more = page.truncated && !page.machines.is_empty();
-        self.found.extend(page.machines);
+        self.machines.extend(page.machines);
         if has_more {
-            // The next page is requested at once.
+            // The next page is due at once.
             self.schedule.in_flight = false;
             return None;
         }
         self.schedule.end(now + LISTING_INTERVAL);
         Some(MachineListing {
-            machines: std::mem::take(&mut self.found),
+            machines: std::mem::take(&mut self.machines),
             requested_at: self.requested_at.take().unwrap_or(now),
         })
     }
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -1,4 +1,4 @@
-//! Rentals that the cloud has not answered yet.
+//! Rentals of machines that have no final response from the cloud yet.
 
 use super::requests::{CloudEvent, CloudRequest, MachinePool};
 use crate::constants::{HIRE_MAX, RETRY_PAUSE};
@@ -8,24 +8,24 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Machines of a pool that were asked for.
+/// Machines of a pool that are requested but not rented yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingRental {
-    /// The pool.
+    /// Pool of the requested machines.
     pub pool: MachinePool,
-    /// How many machines.
+    /// Number of requested machines.
     pub count: u32,
 }
 
-/// What became of a rental.
+/// Result of a rental request.
 pub(super) enum RentalOutcome {
-    /// These machines were rented, perhaps fewer than asked for.
+    /// These machines were rented, possibly fewer than requested.
     Rented(Vec<MachineId>),
-    /// The pool has none.
-    Refused,
-    /// The cloud takes no requests.
+    /// The pool has no machine, or the cloud rejected the request as invalid.
+    NoCapacity,
+    /// The cloud as a whole is unavailable, and nothing was rented.
     CloudUnavailable,
-    /// It may have been carried out.
+    /// The request may have been executed.
     Unknown,
 }
 
@@ -34,11 +34,11 @@
     request: RentalRequest,
     not_before: Instant,
     in_flight: bool,
-    /// It may have been carried out, so it must not change: the cloud knows it by its name.
+    /// The cloud may have executed the request. It must not change any more, since the cloud identifies it by its name.
     was_sent: bool,
 }
 
-/// Rentals without a final response.
+/// Queue of the rentals without a final response, by number.
 #[derive(Default)]
 pub(super) struct RentalQueue {
     token: FencingToken,
@@ -52,7 +52,8 @@
         self.open.clear();
     }
 
-    /// Adds machines to rentals of the pool that were not sent yet, since requests are few, or to new ones.
+    /// Adds machines to rentals of the pool that were not sent yet, since the cloud allows few requests, and the rest to
+    /// new rentals.
     pub(super) fn push(
         &mut self,
         pool: MachinePool,
@@ -96,7 +97,7 @@
         self.open.contains_key(&number)
     }
 
-    /// Numbers of the rentals that are due, the largest first.
+    /// Returns the numbers of the rentals that are due, the largest rental first.
     pub(super) fn due(&self, now: Instant) -> Vec<u64> {
         let is_due = |rental: &OpenRental| !rental.in_flight && rental.not_before <= now;
         let due = self.open.iter().filter(|(_, rental)| is_due(rental));
@@ -106,14 +107,14 @@
         due.into_iter().map(|(_, number)| number).collect()
     }
 
-    /// The request of a rental that is sent now.
+    /// Marks a rental as sent and returns its request.
     pub(super) fn begin(&mut self, number: u64) -> Option<CloudRequest> {
         let rental = self.open.get_mut(&number)?;
         (rental.in_flight, rental.was_sent) = (true, true);
         Some(CloudRequest::ScaleOut(rental.pool, rental.request.clone()))
     }
 
-    /// Takes the outcome of a rental; one of an earlier leadership is unknown here.
+    /// Handles the outcome of a rental. Rentals of an earlier term as leader are no longer in the queue and are ignored.
     pub(super) fn on_outcome(
         &mut self,
         number: u64,
@@ -124,7 +125,7 @@
         let Some(rental) = self.open.get_mut(&number) else { return Vec::new() };
         let requested = rental.request.count as usize;
         if matches!(outcome, RentalOutcome::Unknown) {
-            // Repeated under the same name, it gets the same machines.
+            // A retry under the same name returns the same machines.
             rental.in_flight = false;
             rental.not_before = now + RETRY_PAUSE * 2;
             return Vec::new();
@@ -137,7 +138,7 @@
                 events.extend(is_short.then_some(CloudEvent::CapacityExhausted(pool)));
                 events
             }
-            RentalOutcome::Refused => vec![CloudEvent::CapacityExhausted(pool)],
+            RentalOutcome::NoCapacity => vec![CloudEvent::CapacityExhausted(pool)],
             RentalOutcome::CloudUnavailable | RentalOutcome::Unknown => Vec::new(),
         }
     }
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -1,39 +1,39 @@
-//! Requests to the cloud, and what their responses tell.
+//! Requests to the cloud and the events that result from its responses.
 
 use crate::http::{Method, Request};
 use crate::ids::MachineId;
 use crate::wire::{self, ListedMachine, MachineIds, MachineType, RentalRequest};
 use tokio::time::Instant;
 
-/// Machines that are rented alike.
+/// Machines of one type, in one zone, that are all spot or all ordinary machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachinePool {
-    /// Index of their type in the catalogue.
+    /// Index of the machine type in the list of machine types.
     pub flavor: usize,
-    /// Index of their zone in the settings.
+    /// Index of the zone in the settings.
     pub zone: usize,
-    /// They are spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
 }
 
-/// A request to the cloud.
+/// Request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
     /// Reads the machine types and their prices.
     MachineTypes,
     /// Rents machines of a pool.
     ScaleOut(MachinePool, RentalRequest),
-    /// Returns machines.
+    /// Terminates machines.
     ScaleIn(Vec<MachineId>),
     /// Reads a page of the rented machines.
     List {
-        /// Name of the last machine of the page before; empty for the first page.
+        /// Name of the last machine of the previous page; empty for the first page.
         after: String,
     },
 }
 
 impl CloudRequest {
-    /// The request as it is sent.
+    /// Encodes the request for HTTP.
     pub fn request(&self) -> Request {
         let post =
             |target: &str, body| Request { method: Method::Post, target: target.to_owned(), body };
@@ -50,25 +50,25 @@
     }
 }
 
-/// All machines that the cloud lists.
+/// Complete listing of the rented machines.
 #[derive(Debug)]
 pub struct MachineListing {
-    /// The machines.
+    /// Listed machines of all pages.
     pub machines: Vec<ListedMachine>,
-    /// When the first page was requested: later rentals may be missing.
+    /// Time at which the first page was requested. Machines rented later may be missing.
     pub requested_at: Instant,
 }
 
-/// What a response of the cloud tells.
+/// Event that results from a response of the cloud.
 #[derive(Debug)]
 pub enum CloudEvent {
     /// The machine types and their prices.
     MachineTypes(Vec<MachineType>),
     /// Machines of the pool were rented.
     MachinesRented(MachinePool, Vec<MachineId>),
-    /// The pool has no more machines, or none at all.
+    /// The cloud rented fewer machines of the pool than requested, or none.
     CapacityExhausted(MachinePool),
-    /// Machines were returned.
+    /// The cloud confirmed the termination of these machines.
     MachinesReturned(Vec<MachineId>),
     /// A complete listing.
     Listed(MachineListing),
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -1,23 +1,23 @@
-//! Machines that are to be returned, until the cloud confirms it.
+//! Machines to terminate, until the cloud confirms their termination.
 
 use crate::constants::RETRY_PAUSE;
 use crate::ids::MachineId;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Count. Machines in one request at the most, as the cloud's interface has it.
+/// Maximum number of machines in one request, set by the cloud's API.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
 
-/// Machines that are to be returned. One request is in flight at a time.
+/// Queue of the machines to terminate. At most one request is in flight.
 #[derive(Default)]
 pub(super) struct ReturnQueue {
-    /// Each is not sent before its time.
+    /// Machines to terminate, each with the earliest time of its next request.
     machines: BTreeMap<MachineId, Instant>,
     in_flight: bool,
 }
 
 impl ReturnQueue {
-    /// Drops all machines; a request in flight stays.
+    /// Removes all machines. A request in flight is not cancelled.
     pub(super) fn clear(&mut self) {
         self.machines.clear();
     }
@@ -30,7 +30,7 @@
         self.in_flight
     }
 
-    /// Machines for the request that is sent now, if any are due.
+    /// Returns the machines for the next request and marks it as in flight, or `None` if no machine is due.
     pub(super) fn take_due(&mut self, now: Instant) -> Option<Vec<MachineId>> {
         let due = self.machines.iter().filter(|(_, not_before)| **not_before <= now);
         let due: Vec<MachineId> =
@@ -39,7 +39,7 @@
         self.in_flight.then_some(due)
     }
 
-    /// The cloud confirmed a request.
+    /// Removes the machines of a request that the cloud confirmed.
     pub(super) fn confirm(&mut self, machines: &[MachineId]) {
         self.in_flight = false;
         for machine in machines {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A request failed, or may have.
+    /// Schedules a retry for the machines of a request that failed or may have failed.
     pub(super) fn retry(&mut self, machines: &[MachineId], now: Instant) {
         self.in_flight = false;
         for machine in machines {
