--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: `serve` runs a controller, `check` validates its settings.
+//! Command line: `serve` runs a controller, `check` validates its settings.
 
 use crate::controller::ControllerError;
 use crate::settings::{LogFormat, Settings};
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The arguments of the program.
+/// Command-line arguments of the program.
 #[derive(Parser)]
 #[command(version, about = "A cluster scheduler: capped, indexed first fit on rented machines")]
 pub struct Cli {
@@ -16,14 +16,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a controller until it is ended.
-    Serve(Files),
-    /// Read and validate the settings, print what is in force, and end.
-    Check(Files),
+    /// Run a controller until the process is terminated.
+    Serve(SettingsFiles),
+    /// Read and validate the settings, print the effective values, and exit.
+    Check(SettingsFiles),
 }
 
 #[derive(Args)]
-struct Files {
+struct SettingsFiles {
     /// The operators' own settings (YAML); see deploy/operator.example.yaml.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
@@ -32,7 +32,7 @@
     config: PathBuf,
 }
 
-impl Files {
+impl SettingsFiles {
     fn read(&self) -> Result<Settings, ExitCode> {
         Settings::read(&self.config, self.operator.as_deref()).map_err(|error| {
             for line in error.to_string().lines() {
@@ -64,15 +64,15 @@
     let platform = &settings.platform;
     println!("controller {} in {}", platform.host_name, platform.location);
     println!("listen {}, mesh {}", platform.listen, platform.mesh_addr);
-    println!("state service {}, cloud {}", platform.external.state, platform.external.cloud);
+    println!("store {}, cloud {}", platform.external.state, platform.external.cloud);
     println!("zones {}, teams {}", platform.params.zones.join(" "), platform.params.teams.len());
-    let kept = platform.params.state.effective();
+    let limits = platform.params.state.effective();
     println!(
-        "state limits kept to: {} requests and {} changes a second, values of {} bytes, {} writes",
-        kept.rps, kept.write_rps, kept.value_max, kept.txn_ops
+        "effective store limits: {} requests and {} writes per second, {} bytes per value, {} operations per transaction",
+        limits.rps, limits.write_rps, limits.value_max, limits.txn_ops
     );
     match serde_yaml_ng::to_string(&settings.operator) {
-        Ok(text) => print!("operator settings in force:\n{text}"),
+        Ok(text) => print!("effective operator settings:\n{text}"),
         Err(error) => eprintln!("troutspindle: {error}"),
     }
     ExitCode::SUCCESS
@@ -81,8 +81,8 @@
 fn serve(settings: Settings) -> Result<(), ControllerError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ControllerError::Runtime)?;
-    // A task of its own: with a future that it blocks on, the runtime looks at sockets and timers once more before
-    // each poll.
+    // The controller runs as a spawned task, because the runtime checks sockets and timers once more before each poll of
+    // the future that it blocks on.
     let controller = async { tokio::spawn(crate::controller::run(settings)).await };
     runtime.block_on(controller).map_err(ControllerError::Task)?
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,34 +1,34 @@
-//! The time of day, for cores that have no clock: what it was at one moment, carried on by monotonic time.
+//! Wall-clock time for state machines without a clock: one reading, extrapolated by the monotonic clock.
 //!
-//! It orders jobs by age and says when they are due; nothing safe depends on it.
+//! It orders jobs by age and determines when they are due. No safety property depends on it.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The time of day at one moment.
+/// Reading of the wall clock, paired with the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct WallClock {
-    /// The moment.
+    /// Monotonic time of the reading.
     pub at: Instant,
-    /// Milliseconds since 1970 at that moment.
+    /// Wall-clock time of the reading, in milliseconds since the Unix epoch.
     pub ms: u64,
 }
 
 impl WallClock {
-    /// Reads the system's time of day.
+    /// Reads the system's wall clock; `now` is the current monotonic time.
     pub fn read(now: Instant) -> WallClock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         WallClock { at: now, ms: since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64) }
     }
 
-    /// Milliseconds since 1970 at another moment.
+    /// Returns the wall-clock time at the monotonic time `now`, in milliseconds since the Unix epoch.
     pub fn ms(&self, now: Instant) -> u64 {
         let before = self.at.saturating_duration_since(now).as_millis() as u64;
         let after = now.saturating_duration_since(self.at).as_millis() as u64;
         self.ms.saturating_add(after).saturating_sub(before)
     }
 
-    /// How long ago that time of day was; zero for one in the future.
+    /// Returns the time elapsed since the wall-clock time `ms`; zero if it is in the future.
     pub fn since(&self, ms: u64, now: Instant) -> Duration {
         Duration::from_millis(self.ms(now).saturating_sub(ms))
     }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -56,7 +56,7 @@
     /// Creates a client that sends up to [`RATE_LIMIT_SHARE`] of `rps` requests per second.
     pub fn new(rps: f64, now: Instant) -> CloudClient {
         CloudClient {
-            // The burst is one request, since other controllers may just have used the same budget.
+            // The burst covers only one second, since other controllers may just have used the same budget.
             rate_limit: TokenBucket::new(rps * RATE_LIMIT_SHARE, 1.0, now),
             rentals: RentalQueue::default(),
             returns: ReturnQueue::default(),
--- a/src/cloud/returns.rs
+++ b/src/cloud/returns.rs
@@ -8,7 +8,7 @@
 /// Maximum number of machines in one request, set by the cloud's API.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
 
-/// Queue of the machines to terminate. At most one request is in flight.
+/// Queue of the machines to return to the cloud, which terminates them. At most one request is in flight.
 #[derive(Default)]
 pub(super) struct ReturnQueue {
     /// Machines to terminate, each with the earliest time of its next request.
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -1,35 +1,37 @@
-//! Constants that several modules share, each with its unit.
+//! Constants shared by several modules, each with its unit.
 
 use std::time::Duration;
 pub use troutspindle_protocol::constants::*;
 
-/// How long a user's request may take inside; users give a poll 2 s and a submission 5 s.
+/// Deadline for the response to a user's poll. Users wait 2 s for a poll and 5 s for a submission.
 pub const USER_DEADLINE: Duration = Duration::from_millis(1600);
-/// How long a submission or an abort may take inside.
+/// Deadline for the response to a submission or cancellation.
 pub const CHANGE_DEADLINE: Duration = Duration::from_millis(4000);
-/// Pause after a failed call to the state service, grown by a random half.
+/// Pause after a failed call to the store, lengthened by a random amount of up to a half.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Share of the state service's budget that we plan to use; the rest is for its own counting.
+/// Share of the rate limits of the store and the cloud that controllers use. The rest allows for differences in how these
+/// services count.
 pub const RATE_LIMIT_SHARE: f64 = 0.92;
-/// Share by which two steady clocks may disagree: 0.05% each side.
+/// Maximum relative drift between two monotonic clocks: 0.05% for each clock.
 pub const DRIFT: f64 = 0.001;
-/// Added to a worker's lease before its tasks count as dead: packet and timer delays.
+/// Margin for packet and timer delays that is added to a worker's lease before its tasks count as stopped.
 pub const WORKER_MARGIN: Duration = Duration::from_millis(1500);
-/// Count. PROTOCOL's cap on machines in one rental.
+/// Maximum number of machines in one rental request, set by the protocol.
 pub const HIRE_MAX: u32 = 50;
-/// First pause before a failed task is tried again; doubles with each failure.
+/// First pause before a failed task is retried. It doubles with each failure.
 pub const RETRY_FIRST: Duration = Duration::from_secs(1);
-/// Longest such pause.
+/// Longest pause before a failed task is retried.
 pub const RETRY_MOST: Duration = Duration::from_secs(30);
-/// Count. Different jobs that do well elsewhere and must fail on one machine before it is given
-/// back; a job also avoids so many machines on which it failed.
+/// Number of different jobs that must fail on a machine while they succeed elsewhere before the machine is terminated.
+/// Also the maximum number of machines on which a job has failed that the job avoids.
 pub const MACHINE_FAULT_JOBS: usize = 2;
-/// Count. PROTOCOL's cap on the tasks of a job.
+/// Maximum number of tasks in a job, set by the protocol.
 pub const MAX_TASKS_PER_JOB: u64 = 100_000;
-/// How long another controller may answer reports on a leader's behalf after it last heard from
-/// it: longer than the cuts between zones that operators see.
+/// Duration of a delegated lease: the time for which another controller may answer heartbeats on the leader's behalf
+/// after its last contact with the leader. It exceeds the network partitions between zones that operators observe.
 pub const DELEGATION_TERM: Duration = Duration::from_secs(45);
-/// From this format on controllers show heartbeats and promise to stop what is to be cancelled.
+/// First stored format whose controllers hold a controller lease in the store and acknowledge cancellations.
 pub const FORMAT_HEARTBEAT: u32 = 2;
-/// Bytes. A batch, as reckoned before it is encoded: within the limit of a frame.
+/// Maximum size in bytes of a batch of relayed heartbeats or commands, estimated before encoding, so that the encoded
+/// batch stays within the limit of a frame.
 pub const RELAY_FRAME: usize = 48 * 1024;
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -1,51 +1,51 @@
-//! Drains as they are stored: what operators ordered, until they take it back. Older versions pass
-//! the keys over and go on placing tasks there while they lead.
+//! Stored drains: operators' requests to drain machines, zones and controllers, until they are withdrawn. Older versions
+//! ignore these keys and continue to place tasks on drained machines while they lead.
 
 use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
 use troutspindle_protocol::operator_api::DrainKind;
 
-/// The value of the key of a drain that was taken back.
+/// Value stored under the key of a drain that was withdrawn.
 pub const TAKEN_BACK: StoreValue = StoreValue::Bool(false);
 
-/// A drain that an operator ordered.
+/// Drain requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// What is drained: a machine, a zone or a controller.
+    /// Kind of the drained object: a machine, a zone or a controller.
     pub kind: DrainKind,
-    /// Its name.
+    /// Name of the machine, zone or controller.
     pub name: String,
-    /// By when it is to be done, in milliseconds of the time of day.
+    /// Deadline of the drain, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub by_ms: Option<u64>,
-    /// When it was ordered, in milliseconds of the time of day.
+    /// Time of the request, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who ordered it.
+    /// Operator who requested the drain.
     #[serde(default)]
     pub author: String,
-    /// Why.
+    /// Reason given by the operator.
     #[serde(default)]
     pub reason: String,
 }
 
-/// The drains that are in force, looked up for many machines.
+/// Set of the active drains, with queries by zone and machine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DrainSet {
     records: Vec<DrainRecord>,
 }
 
 impl DrainSet {
-    /// Whether nothing is drained.
+    /// Returns whether no drain is active.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether a zone is drained.
+    /// Returns whether a drain of the zone is active.
     pub fn covers_zone(&self, name: &str) -> bool {
         self.records.iter().any(|drain| drain.kind == DrainKind::Zone && drain.name == name)
     }
 
-    /// The drain that covers a machine, the one that is to be done first.
+    /// Returns the drain with the earliest deadline that covers a machine, by its name or its zone.
     pub fn drain_of_machine(&self, machine: &str, zone: &str) -> Option<&DrainRecord> {
         let covers = |drain: &&DrainRecord| match drain.kind {
             DrainKind::Zone => drain.name == zone,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! troutspindle: a cluster scheduler that places tasks on rented machines by capped, indexed
-//! first fit, after the GRMU paper. `docs/ARCHITECTURE.md` shows how the modules work together.
+//! troutspindle: a cluster scheduler that places tasks on rented machines by capped, indexed first
+//! fit, after the GRMU paper. `docs/ARCHITECTURE.md` describes how the modules work together.
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see [`troutspindle::cli`].
+//! Entry point of the controller program; see [`troutspindle::cli`].
 
 #![forbid(unsafe_code)]
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the platform's file (JSON) and the operators' file (YAML), both validated.
+//! Settings of a controller, read from the platform's file (JSON) and the operators' file (YAML) and validated.
 
 mod objectives;
 mod operator;
@@ -21,24 +21,24 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why settings cannot be used.
+/// Error that makes settings unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A file cannot be read.
     #[error("{}: cannot be read: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the unreadable file.
         path: PathBuf,
-        /// Why.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// The platform's file is not what it should be.
+    /// The platform's file is not JSON of the expected form.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The operators' file is not what it should be.
+    /// The operators' file is not YAML of the expected form.
     #[error("operator settings: {0}")]
     Yaml(#[from] serde_yaml_ng::Error),
-    /// Values are not allowed.
+    /// The files are well-formed but contain forbidden values.
     #[error("{0}")]
     Invalid(SettingsFaults),
 }
@@ -46,14 +46,14 @@
 /// All settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's file.
+    /// Settings from the platform's file.
     pub platform: PlatformSettings,
-    /// The operators' file.
+    /// Settings from the operators' file, or their defaults.
     pub operator: OperatorSettings,
 }
 
 impl Settings {
-    /// Reads both files; without an operators' file its defaults hold.
+    /// Reads and validates both files. Without an operators' file its defaults apply.
     pub fn read(platform: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let read = |path: &Path| {
             std::fs::read_to_string(path)
@@ -78,17 +78,17 @@
         }
     }
 
-    /// How wide jobs of the class run, if they are elastic.
+    /// Returns the elastic widths of jobs of the class, if the class is elastic.
     pub fn elastic_class(&self, class: &str) -> Option<&ElasticClass> {
         self.operator.elastic.iter().find(|elastic| elastic.class == class)
     }
 
-    /// How long a worker's lease lasts after an answer.
+    /// Returns the duration of a worker's lease, which each response to a heartbeat renews.
     pub fn worker_lease(&self) -> Duration {
         Duration::from_secs_f64(self.platform.params.workers.lease_s)
     }
 
-    /// Time between two heartbeats of a worker.
+    /// Returns the time between two heartbeats of a worker.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.platform.params.workers.report_s)
     }
--- a/src/settings/fixtures.rs
+++ b/src/settings/fixtures.rs
@@ -1,9 +1,9 @@
-//! Settings for tests here and elsewhere.
+//! Settings for unit tests of the whole package.
 
 use super::Settings;
 use crate::wire::MachineType;
 
-/// Plain settings without peers for tests here and elsewhere, with these teams as JSON.
+/// Returns settings without peers and with two zones; `teams` is the JSON array of teams.
 pub(crate) fn settings(teams: &str) -> Settings {
     let text = r#"{"host_name":"n","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
         "external":{"cloud":"127.0.0.1:8","state":"127.0.0.1:9"},
@@ -14,7 +14,7 @@
     Settings::parse(&text.replace("TEAMS", teams), None).unwrap()
 }
 
-/// A plain machine type in the zones of [`settings`].
+/// Returns a machine type without GPUs in the zones of [`settings`].
 pub(crate) fn machine_type() -> MachineType {
     MachineType {
         name: "f".into(),
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,50 +1,52 @@
-//! The operators' settings file (YAML): field names are its keys.
+//! The operators' settings file (YAML). Field names are its keys.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Default share of machines that the heavy basket may hold; the paper's section 8.2.1.
+/// Default maximum share of machines in the heavy basket, from section 8.2.1 of the GRMU paper.
 const HEAVY_CAP: f64 = 0.3;
-/// Default share of a machine above which a task is heavy.
+/// Default share of any resource of a machine above which a task is heavy.
 const HEAVY_THRESHOLD: f64 = 0.5;
-/// Default seconds that an empty machine stays in its basket before the pool takes it back.
+/// Default time, in seconds, that an empty machine stays in its basket before it returns to the pool.
 const HOLD_S: f64 = 0.0;
-/// Default seconds that an empty ordinary machine is kept before it is returned to the cloud.
+/// Default time, in seconds, that an empty ordinary machine is kept before it is terminated.
 const IDLE_RETURN_S: f64 = 10.0;
-/// Default machines' worth of free room kept ready in each zone for work of the highest priority.
+/// Default free capacity kept in each zone for tasks of the highest priority, in machines.
 const WARM_PER_ZONE: f64 = 0.5;
-/// Default share of a zone's machines that is kept free in it, if that is more.
+/// Default free capacity kept in each zone as a share of the zone's machines, if that is more than [`WARM_PER_ZONE`].
 const WARM_SHARE: f64 = 0.015;
 
 /// The operators' settings file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Share of machines that the heavy basket may hold.
+    /// Maximum share of machines in the heavy basket.
     pub heavy_cap: f64,
-    /// Share of a machine above which a task is heavy.
+    /// Share of any resource of a machine above which a task is heavy.
     pub heavy_threshold: f64,
-    /// Seconds that an empty machine stays in its basket before the pool takes it back.
+    /// Time, in seconds, that an empty machine stays in its basket before it returns to the pool.
     pub hold_s: f64,
-    /// Seconds that an empty ordinary machine is kept before it is returned to the cloud.
+    /// Time, in seconds, that an empty ordinary machine is kept before it is terminated. Spot machines are kept longer, in
+    /// proportion to how much cheaper they are.
     pub idle_return_s: f64,
-    /// Machines' worth of free room kept ready in each zone for work of the highest priority.
+    /// Free capacity kept in each zone for tasks of the highest priority, in machines.
     pub warm_per_zone: f64,
-    /// Share of a zone's machines that is kept free in it, if that is more.
+    /// Free capacity kept in each zone as a share of the zone's machines, if that is more than `warm_per_zone`.
     pub warm_share: f64,
-    /// Whether stored formats that the previous version does not know are held back.
+    /// Whether this controller hides its support of the newest stored format, so that no controller writes a format
+    /// that the previous version cannot read.
     pub hold_format: bool,
-    /// How log lines are written.
+    /// Format of log lines on standard error.
     pub log_format: LogFormat,
-    /// Opens the operators' paths to whoever shows it; empty: they are shut.
+    /// Key that authenticates requests to the operators' paths. If it is empty, these paths do not exist.
     pub operator_key: Secret,
-    /// What learned run times are used for.
+    /// Uses of learned run times.
     pub estimates: EstimateSettings,
-    /// Classes whose jobs run as wide as room allows.
+    /// Classes whose job arrays run as wide as free capacity allows.
     pub elastic: Vec<ElasticClass>,
-    /// Share of its need that each class of each team gets before all others while capacity is scarce.
+    /// Share of its demand that each class of each team is allocated before all other demand while capacity is scarce.
     pub floor: f64,
-    /// Whether heartbeats are divided among the controllers.
+    /// Condition for sharding heartbeats over the controllers.
     pub share_reports: ShardHeartbeats,
 }
 
@@ -68,42 +70,43 @@
     }
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Plain text.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// When workers' heartbeats are divided among the controllers.
+/// Condition under which workers' heartbeats are sharded over the controllers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ShardHeartbeats {
-    /// Where they are more than one controller should take alone.
+    /// Sharded if they are more than one controller should receive alone, by its sockets or processor.
     #[default]
     Auto,
-    /// Always.
+    /// Always sharded.
     Always,
-    /// Never.
+    /// Never sharded: the leader receives all heartbeats.
     Never,
 }
 
-/// How wide the jobs of a class run: job arrays only.
+/// Elastic widths of the job arrays of a class. Services and gangs are never elastic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ElasticClass {
-    /// The class.
+    /// Class of the job arrays.
     pub class: String,
-    /// Tasks for which a job is served as any is: machines are rented for them, and they are preempted last.
+    /// Number of tasks that are scheduled as those of any other job: machines are rented for them, and they are preempted
+    /// last.
     pub least: u64,
-    /// Tasks that run at once at the most, in room that has stayed free.
+    /// Maximum number of tasks that run at once. Tasks beyond `least` run only in capacity that has stayed free.
     pub most: u64,
 }
 
-/// A text that neither a log nor `check` shows.
+/// Text that appears neither in logs nor in the output of `check`.
 #[derive(Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(pub String);
@@ -120,20 +123,20 @@
     }
 }
 
-/// What learned run times are used for.
+/// Uses of run times that are learned from finished tasks. Each field enables one of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EstimateSettings {
-    /// They are learned, and kept in the key-value store. Without it nothing else here has any effect.
+    /// Learns run times and keeps them in the key-value store. Without it the other fields have no effect.
     pub learn: bool,
-    /// Jobs that will probably be late are named in the log.
+    /// Warns of jobs that will probably be late: a log line, a metric and the operators' path.
     pub warn: bool,
-    /// Due times are passed to dependencies, and what can still start in time is found, by them.
+    /// Uses learned run times to pass due times on to dependencies and to find jobs that can still start in time.
     pub due: bool,
-    /// Room for jobs that wait for their dependencies is kept ready by them.
+    /// Uses learned run times to reserve capacity for jobs whose dependencies will soon have completed.
     pub ahead: bool,
-    /// A task that is about to end is not preempted.
+    /// Does not preempt tasks that will soon end.
     pub make_way: bool,
-    /// A task that ends before its spot machine is reclaimed is left to end.
+    /// Lets a task run to its end if it ends before its spot machine is reclaimed.
     pub drain: bool,
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,227 +1,229 @@
-//! The platform's settings file (JSON): field names are its keys.
+//! The platform's settings file (JSON). Field names are its keys.
 
 use crate::ids::{Amount, ControllerId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the key-value store's limit of a value that is filled: the rest is for the store's own counting.
+/// Share of the store's limit of the value size that is used. The rest allows for differences in how the store counts.
 const VALUE_SHARE: f64 = 0.9;
-/// Bytes.
+/// Bytes per KiB.
 const KIB: f64 = 1024.0;
 
 /// The platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PlatformSettings {
-    /// Name of this controller.
+    /// Name of this controller, unique in the cluster.
     pub host_name: ControllerId,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(default)]
     pub location: String,
-    /// Address of the public listener.
+    /// Address of the public listener, for workers, users, operators and health checks.
     pub listen: SocketAddr,
-    /// Address of the listener for other controllers.
+    /// Address of the listener for peers.
     pub mesh_addr: SocketAddr,
-    /// The other controllers.
+    /// Other controllers of the cluster.
     #[serde(default)]
     pub others: Vec<PeerSettings>,
-    /// Services that the controller calls.
+    /// Addresses of the services that the controller calls.
     pub external: ExternalServices,
-    /// What holds for the whole cluster.
+    /// Parameters of the whole cluster.
     pub params: ClusterParams,
 }
 
-/// Another controller.
+/// Address and zone of another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerSettings {
-    /// Its name.
+    /// Name of the controller.
     pub host_name: ControllerId,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(default)]
     pub location: String,
-    /// Address of its listener for other controllers.
+    /// Address of the controller's listener for peers.
     pub peer_addr: SocketAddr,
 }
 
 /// Addresses of the services that the controller calls.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ExternalServices {
-    /// The cloud.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the replicated key-value store.
     pub state: SocketAddr,
 }
 
-/// What holds for the whole cluster.
+/// Parameters of the whole cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ClusterParams {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// The teams.
+    /// Guarantees and limits of the teams.
     pub teams: Vec<TeamSettings>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Timing of workers.
+    /// Timing of workers' heartbeats, leases and cancellations.
     pub workers: WorkerTiming,
     /// Limits of the key-value store.
     pub state: StoreParams,
-    /// Limits of the cloud.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// Limits of this process.
+    /// Resource limits of this process.
     pub resources: Resources,
 }
 
 /// A team's guarantee and limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamSettings {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs guaranteed.
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs at the most; 0 is no limit.
+    /// Maximum number of CPUs; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs guaranteed.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs at the most; 0 is no limit.
+    /// Maximum number of GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl TeamSettings {
-    /// The team's limit. Guests come with neither guarantee nor limit, so zero stands for no limit.
+    /// Returns the team's limit. Guest teams have neither guarantee nor limit, so zero means no limit.
     pub fn limit(&self) -> Amount {
         let Amount { cpu, gpu, .. } = Amount::room(self.cpus_max, self.gpus_max, 0.0);
         let limit = |value: u64| if value == 0 { u64::MAX } else { value };
         Amount { cpu: limit(cpu), gpu: limit(gpu), ram: u64::MAX }
     }
 
-    /// The team's guarantee.
+    /// Returns the team's guarantee of CPUs and GPUs; memory is not limited.
     pub fn guarantee(&self) -> Amount {
         Amount { ram: u64::MAX, ..Amount::room(self.cpus, self.gpus, 0.0) }
     }
 }
 
-/// A service-level objective.
+/// Service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What it is about: `wait`, `finished`, `deadline` or `guarantee`; others are ignored.
+    /// Kind of the objective: `wait`, `finished`, `deadline` or `guarantee`. Other kinds are ignored.
     pub kind: String,
-    /// Class of the jobs that it is about.
+    /// Class of the jobs that the objective applies to.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds.
+    /// Time limit of the objective, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Timing of workers.
+/// Timing of workers' heartbeats, leases and cancellations.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTiming {
-    /// Seconds between two heartbeats.
+    /// Interval between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Seconds that a lease lasts after an answer.
+    /// Duration of a worker's lease after a response to its heartbeat, in seconds.
     pub lease_s: f64,
-    /// Seconds within which a cancelled job's tasks must be gone.
+    /// Time after a cancellation within which the job's tasks must have stopped, in seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreParams {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Operations of a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Limits that come into force at an unknown time.
+    /// Limits that will replace these at an unknown time.
     #[serde(default)]
     pub next: Option<UpcomingStoreParams>,
 }
 
-/// Limits of the key-value store that will change.
+/// Future limits of the key-value store. Absent limits do not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct UpcomingStoreParams {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Writes a second.
+    /// Writes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Operations of a transaction.
+    /// Maximum number of operations in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
-/// The limits that this program keeps to from its start: the lesser of what is in force and what will be.
+/// Store limits that this process observes from its start: for each limit the smaller of the current and the future value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveStoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Operations of a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Bytes of a value, with room to spare.
+    /// Maximum size of a value in bytes, below the store's limit by a margin.
     pub value_max: usize,
-    /// The same by the limit in force: what the previous version has to read cannot be made smaller, and no limit
-    /// changes while it serves.
+    /// Same as `value_max` but derived from the current limit only. Values that the previous version must read cannot be
+    /// made smaller, and no limit changes while that version runs.
     pub legacy_value_max: usize,
-    /// Tasks to a chunk of completed tasks in the first layout ([`crate::schema::records`]). The previous version
-    /// derives it from the limit in force.
+    /// Number of tasks in a chunk of completed tasks in the first layout ([`crate::schema::records`]). The previous
+    /// version derives it from the current limit.
     pub legacy_chunk_tasks: u32,
 }
 
 impl StoreParams {
-    /// The limits to keep to.
+    /// Returns the limits to observe.
     pub fn effective(&self) -> EffectiveStoreLimits {
         let next = self.next.clone().unwrap_or_default();
-        let lesser = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
+        let smaller =
+            |current: f64, next: Option<f64>| next.map_or(current, |next| next.min(current));
         let bytes = |kb: f64| (kb * KIB * VALUE_SHARE) as usize;
         EffectiveStoreLimits {
-            rps: lesser(self.rps, next.rps),
-            write_rps: lesser(self.write_rps, next.write_rps),
+            rps: smaller(self.rps, next.rps),
+            write_rps: smaller(self.write_rps, next.write_rps),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |next| next.min(self.txn_ops)),
-            value_max: bytes(lesser(self.value_kb, next.value_kb)),
+            value_max: bytes(smaller(self.value_kb, next.value_kb)),
             legacy_value_max: bytes(self.value_kb),
             legacy_chunk_tasks: (self.value_kb * KIB) as u32,
         }
     }
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Seconds by which a listing may be out of date.
+    /// Maximum age of the content of a listing of machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// Limits of this process.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Resources {
-    /// Share of a core; 0 is no limit.
+    /// Processor limit in cores; 0 means no limit.
     #[serde(default)]
     pub cpu: f64,
-    /// MB; 0 is no limit.
+    /// Memory limit in MB (10^6 bytes); 0 means no limit.
     #[serde(default)]
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
 
 impl Resources {
-    /// How many pieces of work fit into `within`, where each takes `cost` of a whole core.
+    /// Returns how many operations of `cost` processor time fit into the period `within`. Without a processor limit, one
+    /// core is assumed.
     pub fn fits(&self, within: Duration, cost: Duration) -> f64 {
         let cores = if self.cpu > 0.0 { self.cpu } else { 1.0 };
         within.as_secs_f64() * cores / cost.as_secs_f64()
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of settings: every fault is found and named, with what is allowed.
+//! Validation of settings: reports every fault, with the key and the allowed range.
 
 use super::operator::OperatorSettings;
 use super::platform::{ClusterParams, PlatformSettings, StoreParams};
@@ -6,35 +6,35 @@
 use crate::ids::ControllerId;
 use std::fmt;
 
-/// Bytes. A shorter operators' key can be guessed.
+/// Minimum length of the operators' key, in bytes. A shorter key can be guessed.
 const MIN_KEY_BYTES: f64 = 16.0;
-/// Bytes. A longer operators' key is a mistake.
+/// Maximum length of the operators' key, in bytes. A longer key is taken for a mistake.
 const MAX_KEY_BYTES: f64 = 200.0;
 
-/// A fault in the settings.
+/// Fault in the settings.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsFault {
-    /// A value is not in its range.
+    /// A value is outside its allowed range.
     #[error("{key}: {value} is not between {min} and {max}")]
     OutOfRange {
-        /// Path of the key.
+        /// Path of the settings key.
         key: String,
-        /// Its value.
+        /// Value in the settings.
         value: f64,
-        /// The least value allowed.
+        /// Smallest allowed value.
         min: f64,
-        /// The largest value allowed.
+        /// Largest allowed value.
         max: f64,
     },
-    /// There are no zones.
-    #[error("params.zones: at least one zone is needed")]
+    /// The list of zones is empty.
+    #[error("params.zones: at least one zone is required")]
     NoZones,
-    /// The controller is listed among the others.
-    #[error("others: names this controller, {0}")]
-    NamesItself(ControllerId),
+    /// The controller is listed among its own peers.
+    #[error("others: lists this controller itself, {0}")]
+    ListsItselfAsPeer(ControllerId),
 }
 
-/// All faults of a pair of files.
+/// All faults of a pair of settings files, displayed one per line.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SettingsFaults(pub Vec<SettingsFault>);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The faults of these settings.
+/// Returns the faults of these settings.
 pub(super) fn validate(
     platform: &PlatformSettings,
     operator: &OperatorSettings,
@@ -62,12 +62,12 @@
         faults.push(SettingsFault::NoZones);
     }
     if platform.others.iter().any(|peer| peer.host_name == platform.host_name) {
-        faults.push(SettingsFault::NamesItself(platform.host_name.clone()));
+        faults.push(SettingsFault::ListsItselfAsPeer(platform.host_name.clone()));
     }
     faults
 }
 
-/// Checks of values against their ranges.
+/// Collects the faults of range checks.
 #[derive(Default)]
 struct RangeChecks {
     faults: Vec<SettingsFault>,
@@ -75,7 +75,7 @@
 
 impl RangeChecks {
     fn check(&mut self, key: impl Into<String>, value: f64, min: f64, max: f64) {
-        // Not a number is in no range.
+        // Written so that NaN, which compares false with everything, is out of range.
         if !(value >= min && value <= max) {
             self.faults.push(SettingsFault::OutOfRange { key: key.into(), value, min, max });
         }
@@ -124,7 +124,7 @@
         self.check("floor", operator.floor, 0.0, 1.0);
         let key_bytes = operator.operator_key.0.len();
         if key_bytes > 0 {
-            let key = "operator_key (its length in bytes)";
+            let key = "operator_key (length in bytes)";
             self.check(key, key_bytes as f64, MIN_KEY_BYTES, MAX_KEY_BYTES);
         }
         let max_tasks = MAX_TASKS_PER_JOB as f64;
@@ -134,7 +134,7 @@
             self.check(format!("elastic {class} least"), least, 1.0, max_tasks);
             self.check(format!("elastic {class} most"), most, least, max_tasks);
             let count = operator.elastic.iter().filter(|other| other.class == *class).count();
-            let key = format!("elastic {class} (how often it is named)");
+            let key = format!("elastic {class} (number of entries)");
             self.check(key, count as f64, 1.0, 1.0);
         }
     }
