--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -35,7 +35,7 @@
 pub struct Dequeued<T> {
     /// Request to handle.
     pub request: T,
-    /// Whether the sender no longer waits for a response.
+    /// True if the sender no longer waits for a response.
     pub is_expired: bool,
 }
 
--- a/src/admission/socket_budget.rs
+++ b/src/admission/socket_budget.rs
@@ -12,8 +12,8 @@
 const RESERVED_SHARE: f64 = 0.03;
 /// Minimum share of the platform's socket limit for calls to workers, however many connections are open.
 const MIN_WORKER_CALL_SHARE: f64 = 0.04;
-/// Maximum share of the platform's socket limit for idle outgoing connections to workers, which are kept because reusing
-/// one is cheaper than opening another.
+/// Maximum share of the platform's socket limit for idle outgoing connections to workers, which are kept because
+/// reusing one is cheaper than opening another.
 const MAX_IDLE_SHARE: f64 = 0.25;
 /// Share of the public sockets used by machines above which a leader sends users to other controllers.
 const SHED_USERS_ABOVE: f64 = 0.65;
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -76,7 +76,7 @@
         if now < acks_deadline && !cannot_unblock {
             return None;
         }
-        tracing::info!(job = %id, ?blocked, "cancellation rejected with Retry-After: acknowledgements are missing");
+        tracing::info!(job = %id, ?blocked, "cancellation delayed: acknowledgements are missing");
         Some(self.finish_with_retry(ticket))
     }
 
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -33,11 +33,16 @@
             return self.sync(ticket, store);
         }
         if unsupported {
-            tracing::info!(job = %spec.id, "submission rejected with Retry-After: not all controllers support dependencies yet");
+            tracing::info!(job = %spec.id, "submission delayed: not all controllers support dependencies yet");
             return Some(self.finish_with_retry(ticket));
         }
         if let Err(reason) = check {
-            tracing::info!(job = %spec.id, team = spec.team, %reason, "submission rejected permanently");
+            tracing::info!(
+                job = %spec.id,
+                team = spec.team,
+                %reason,
+                "submission rejected permanently"
+            );
             return Some(self.finish(ticket, Response::empty(422)));
         }
         tracing::debug!(job = %spec.id, ?spec, "job submitted");
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -121,7 +121,8 @@
     assert_eq!(synced, 1);
     let job = api.store.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
     assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
-    // A job that was never accepted, the job itself, a service: rejected permanently, but only after a read of the store.
+    // A job that was never accepted, the job itself, a service: rejected permanently, but only after a read of the
+    // store.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
         assert_eq!(api.submit("wk-4", JobKind::Array, &["wk-1", depends_on]), 422, "{depends_on}");
         assert_eq!(api.syncs, synced + n as u32 + 1);
@@ -318,8 +319,8 @@
     }
 }
 
-/// The protocol says: "422: can never run: unknown team, a task fits no allowed machine type, or the job needs more than
-/// the team's limit (array: one task; service: all tasks)."
+/// The protocol says: "422: can never run: unknown team, a task fits no allowed machine type, or the job needs
+/// more than the team's limit (array: one task; service: all tasks)."
 #[test]
 fn job_that_can_never_run_is_rejected_unless_it_is_known() {
     let runnable = jobs::fixtures::job_spec("wk-1", 2);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -68,7 +68,7 @@
     println!("zones {}, teams {}", platform.params.zones.join(" "), platform.params.teams.len());
     let limits = platform.params.state.effective();
     println!(
-        "effective store limits: {} requests and {} writes per second, {} bytes per value, {} operations per transaction",
+        "effective store limits: {} requests/s, {} writes/s, {} bytes per value, {} operations per transaction",
         limits.rps, limits.write_rps, limits.value_max, limits.txn_ops
     );
     match serde_yaml_ng::to_string(&settings.operator) {
@@ -81,8 +81,8 @@
 fn serve(settings: Settings) -> Result<(), ControllerError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(ControllerError::Runtime)?;
-    // The controller runs as a spawned task, because the runtime checks sockets and timers once more before each poll of
-    // the future that it blocks on.
+    // The controller runs as a spawned task, because the runtime checks sockets and timers once more before each
+    // poll of the future that it blocks on.
     let controller = async { tokio::spawn(crate::controller::run(settings)).await };
     runtime.block_on(controller).map_err(ControllerError::Task)?
 }
--- a/src/cloud/listing.rs
+++ b/src/cloud/listing.rs
@@ -59,7 +59,8 @@
         self.schedule.is_due(now)
     }
 
-    /// Records that the next page is requested. Returns the name of the last machine before it, empty for the first page.
+    /// Records that the next page is requested. Returns the name of the last machine before it, empty for the
+    /// first page.
     pub(super) fn begin_page(&mut self, now: Instant) -> String {
         self.schedule.begin();
         self.requested_at.get_or_insert(now);
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -52,8 +52,8 @@
         self.open.clear();
     }
 
-    /// Adds machines to rentals of the pool that were not sent yet, since the cloud allows few requests, and the rest to
-    /// new rentals.
+    /// Adds machines to rentals of the pool that were not sent yet, since the cloud allows few requests, and the
+    /// rest to new rentals.
     pub(super) fn push(
         &mut self,
         pool: MachinePool,
@@ -114,7 +114,8 @@
         Some(CloudRequest::ScaleOut(rental.pool, rental.request.clone()))
     }
 
-    /// Handles the outcome of a rental. Rentals of an earlier term as leader are no longer in the queue and are ignored.
+    /// Handles the outcome of a rental. Rentals of an earlier term as leader are no longer in the queue and are
+    /// ignored.
     pub(super) fn on_outcome(
         &mut self,
         number: u64,
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -12,7 +12,7 @@
     pub flavor: usize,
     /// Index of the zone in the settings.
     pub zone: usize,
-    /// Whether the machines are spot machines.
+    /// True for spot machines, false for ordinary ones.
     pub spot: bool,
 }
 
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -9,8 +9,8 @@
 pub const CHANGE_DEADLINE: Duration = Duration::from_millis(4000);
 /// Pause after a failed call to the store, lengthened by a random amount of up to a half.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Share of the rate limits of the store and the cloud that controllers use. The rest allows for differences in how these
-/// services count.
+/// Share of the rate limits of the store and the cloud that controllers use. The rest allows for differences in
+/// how these services count.
 pub const RATE_LIMIT_SHARE: f64 = 0.92;
 /// Maximum relative drift between two monotonic clocks: 0.05% for each clock.
 pub const DRIFT: f64 = 0.001;
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -1,5 +1,5 @@
-//! Stored drains: operators' requests to drain machines, zones and controllers, until they are withdrawn. Older versions
-//! ignore these keys and continue to place tasks on drained machines while they lead.
+//! Stored drains: operators' requests to drain machines, zones and controllers, until they are withdrawn. Older
+//! versions ignore these keys and continue to place tasks on drained machines while they lead.
 
 use crate::wire::StoreValue;
 use serde::{Deserialize, Serialize};
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -26,15 +26,15 @@
     pub heavy_threshold: f64,
     /// Time, in seconds, that an empty machine stays in its basket before it returns to the pool.
     pub hold_s: f64,
-    /// Time, in seconds, that an empty ordinary machine is kept before it is terminated. Spot machines are kept longer, in
-    /// proportion to how much cheaper they are.
+    /// Time, in seconds, that an empty ordinary machine is kept before it is terminated. Spot machines are kept
+    /// longer, in proportion to how much cheaper they are.
     pub idle_return_s: f64,
     /// Free capacity kept in each zone for tasks of the highest priority, in machines.
     pub warm_per_zone: f64,
     /// Free capacity kept in each zone as a share of the zone's machines, if that is more than `warm_per_zone`.
     pub warm_share: f64,
-    /// Whether this controller hides its support of the newest stored format, so that no controller writes a format
-    /// that the previous version cannot read.
+    /// If true, this controller does not announce that it reads the newest stored format, so that no controller
+    /// writes a format that the previous version cannot read.
     pub hold_format: bool,
     /// Format of log lines on standard error.
     pub log_format: LogFormat,
@@ -99,8 +99,8 @@
 pub struct ElasticClass {
     /// Class of the job arrays.
     pub class: String,
-    /// Number of tasks that are scheduled as those of any other job: machines are rented for them, and they are preempted
-    /// last.
+    /// Number of tasks that are scheduled as those of any other job: machines are rented for them, and they are
+    /// preempted last.
     pub least: u64,
     /// Maximum number of tasks that run at once. Tasks beyond `least` run only in capacity that has stayed free.
     pub most: u64,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -162,7 +162,8 @@
     pub txn_ops: Option<usize>,
 }
 
-/// Store limits that this process observes from its start: for each limit the smaller of the current and the future value.
+/// Store limits that this process observes from its start: for each limit the smaller of the current and the
+/// future value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveStoreLimits {
     /// Requests per second.
@@ -173,8 +174,8 @@
     pub txn_ops: usize,
     /// Maximum size of a value in bytes, below the store's limit by a margin.
     pub value_max: usize,
-    /// Same as `value_max` but derived from the current limit only. Values that the previous version must read cannot be
-    /// made smaller, and no limit changes while that version runs.
+    /// Same as `value_max` but derived from the current limit only. Values that the previous version must read
+    /// cannot be made smaller, and no limit changes while that version runs.
     pub legacy_value_max: usize,
     /// Number of tasks in a chunk of completed tasks in the first layout ([`crate::schema::records`]). The previous
     /// version derives it from the current limit.
@@ -222,8 +223,8 @@
 }
 
 impl Resources {
-    /// Returns how many operations of `cost` processor time fit into the period `within`. Without a processor limit, one
-    /// core is assumed.
+    /// Returns how many operations of `cost` processor time fit into the period `within`. Without a processor
+    /// limit, one core is assumed.
     pub fn fits(&self, within: Duration, cost: Duration) -> f64 {
         let cores = if self.cpu > 0.0 { self.cpu } else { 1.0 };
         within.as_secs_f64() * cores / cost.as_secs_f64()
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -77,8 +77,8 @@
     assert!(next(r#""write_rps": "x""#).is_err());
 }
 
-/// Resource limits of a controller: an absent or zero limit means no limit, errors name the faulty key, and even with the
-/// smallest processor limit some requests are read ahead.
+/// Resource limits of a controller: an absent or zero limit means no limit, errors name the faulty key, and even
+/// with the smallest processor limit some requests are read ahead.
 #[test]
 fn absent_resource_limits_mean_no_limit_and_faults_are_named() {
     let resources = |text: &str| {
