--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -1,6 +1,6 @@
 //! Queue of requests that wait to be handled, ordered by class.
 
-use crate::constants::{CHANGE_DEADLINE, USER_DEADLINE};
+use crate::constants::{CHANGE_DEADLINE, POLL_DEADLINE};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -22,7 +22,7 @@
         match self {
             RequestClass::Critical => Duration::MAX,
             RequestClass::Submission => CHANGE_DEADLINE,
-            RequestClass::Poll => USER_DEADLINE,
+            RequestClass::Poll => POLL_DEADLINE,
         }
     }
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -12,7 +12,7 @@
 use crate::admission::retry_after_s;
 use crate::api::request::{PendingRequest, UserRequest};
 use crate::clock::WallClock;
-use crate::constants::{CHANGE_DEADLINE, USER_DEADLINE};
+use crate::constants::{CHANGE_DEADLINE, POLL_DEADLINE};
 use crate::http::Response;
 use crate::ids::{ControllerId, JobId};
 use crate::jobs::{FinalState, Job};
@@ -27,7 +27,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of pending user requests in one process. Requests beyond it are rejected at once with Retry-After.
-pub const USER_QUEUE_MAX: usize = 2000;
+pub const MAX_PENDING_REQUESTS: usize = 2000;
 /// Longest latency, in milliseconds, that the latency histogram resolves.
 const LATENCY_MAX_MS: u64 = 60_000;
 
@@ -35,7 +35,7 @@
 pub struct Api {
     settings: Arc<Settings>,
     /// Wall clock for the acceptance and cancellation times of jobs.
-    pub wall: WallClock,
+    pub wall_clock: WallClock,
     pending: BTreeMap<u64, PendingRequest>,
     /// Number of running tasks by job, as last published by the leader.
     pub running: BTreeMap<JobId, u32>,
@@ -45,7 +45,7 @@
     /// Latencies of completed requests, in milliseconds.
     pub latency_ms: Histogram<u64>,
     /// Total number of requests rejected with Retry-After.
-    pub refused: u64,
+    pub rejected: u64,
     /// Cancellations that other controllers have acknowledged.
     pub cancellation_acks: CancellationAcks,
     /// Cancellations that this controller has acknowledged to a peer or is about to commit itself.
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// Fails if the latency histogram cannot be created.
-    pub fn new(settings: Arc<Settings>, wall: WallClock) -> Result<Api, CreationError> {
+    pub fn new(settings: Arc<Settings>, wall_clock: WallClock) -> Result<Api, CreationError> {
         let platform = &settings.platform;
         let workers = &platform.params.workers;
         let peers = platform.others.iter().map(|peer| peer.host_name.clone()).collect();
@@ -80,16 +80,16 @@
             ack_requests: Vec::new(),
             last_ack_requests: HashMap::new(),
             settings,
-            wall,
+            wall_clock,
             pending: BTreeMap::new(),
             running: BTreeMap::new(),
             cancelled: Vec::new(),
             latency_ms: Histogram::new_with_bounds(1, LATENCY_MAX_MS, 2)?,
-            refused: 0,
+            rejected: 0,
         })
     }
 
-    /// Accepts a request. Returns its response if that requires neither a read nor a commit.
+    /// Handles a new request. Returns its response if that requires neither a read nor a commit.
     pub fn on_request(
         &mut self,
         ticket: u64,
@@ -114,11 +114,11 @@
         }
         if store.cache.jobs.is_unreadable(id)
             || store.is_unavailable(now)
-            || self.pending.len() >= USER_QUEUE_MAX
+            || self.pending.len() >= MAX_PENDING_REQUESTS
         {
             return Some(self.retry_later());
         }
-        let timeout = if request.is_change() { CHANGE_DEADLINE } else { USER_DEADLINE };
+        let timeout = if request.is_change() { CHANGE_DEADLINE } else { POLL_DEADLINE };
         // A change is committed without a read first: its preconditions detect a stale cache.
         let commits_directly = match &request {
             UserRequest::Submit(_) => job.is_none(),
@@ -290,8 +290,8 @@
     }
 
     fn retry_later(&mut self) -> Response {
-        self.refused += 1;
-        Response::later_in(503, retry_after_s(self.pending.len(), self.refused))
+        self.rejected += 1;
+        Response::later_in(503, retry_after_s(self.pending.len(), self.rejected))
     }
 
     fn finish_with_retry(&mut self, ticket: u64) -> Response {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -26,7 +26,7 @@
         now: Instant,
     ) -> Option<Response> {
         let job = store.cache.jobs.get(id)?;
-        let mut transaction = jobs::cancel(id, job, self.wall.ms(now), &store.layout())?;
+        let mut transaction = jobs::cancel(id, job, self.wall_clock.ms(now), &store.layout())?;
         let zone_of = |peer: &ControllerId| self.zone_of(peer);
         match self.cancellation_acks.preconditions(id, &store.cache, zone_of, now) {
             Ok(preconditions) => transaction.preconditions.extend(preconditions),
@@ -76,7 +76,7 @@
         if now < acks_deadline && !cannot_unblock {
             return None;
         }
-        tracing::info!(job = %id, ?blocked, "cancellation delayed: acknowledgements are missing");
+        tracing::info!(job = %id, ?blocked, "job cannot be cancelled yet, acknowledgements are missing");
         Some(self.finish_with_retry(ticket))
     }
 
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -33,7 +33,10 @@
             return self.sync(ticket, store);
         }
         if unsupported {
-            tracing::info!(job = %spec.id, "submission delayed: not all controllers support dependencies yet");
+            tracing::info!(
+                job = %spec.id,
+                "submission rejected with Retry-After: not all controllers support dependencies yet"
+            );
             return Some(self.finish_with_retry(ticket));
         }
         if let Err(reason) = check {
@@ -46,7 +49,7 @@
             return Some(self.finish(ticket, Response::empty(422)));
         }
         tracing::debug!(job = %spec.id, ?spec, "job submitted");
-        let accepted_ms = self.wall.ms(now);
+        let accepted_ms = self.wall_clock.ms(now);
         let acceptance = jobs::accept(spec, accepted_ms, &layout, &store.cache.jobs);
         if let Some(pending) = self.pending.get_mut(&ticket) {
             pending.writes_spec_chunks = matches!(acceptance, Acceptance::SpecChunks(_));
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -1,7 +1,7 @@
 //! Rentals of machines that have no final response from the cloud yet.
 
 use super::requests::{CloudEvent, CloudRequest, MachinePool};
-use crate::constants::{HIRE_MAX, RETRY_PAUSE};
+use crate::constants::{MAX_MACHINES_PER_RENTAL, RETRY_PAUSE};
 use crate::ids::{FencingToken, MachineId};
 use crate::wire::RentalRequest;
 use std::cmp::Reverse;
@@ -65,12 +65,12 @@
         let mut remaining = count;
         let unsent = |rental: &&mut OpenRental| rental.pool == pool && !rental.was_sent;
         for rental in self.open.values_mut().filter(unsent) {
-            let added = remaining.min(HIRE_MAX - rental.request.count);
+            let added = remaining.min(MAX_MACHINES_PER_RENTAL - rental.request.count);
             rental.request.count += added;
             remaining -= added;
         }
         while remaining > 0 {
-            let count = remaining.min(HIRE_MAX);
+            let count = remaining.min(MAX_MACHINES_PER_RENTAL);
             remaining -= count;
             self.last_number += 1;
             let request = RentalRequest {
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,5 +1,5 @@
 use super::{CloudClient, CloudEvent, CloudRequest, MachinePool, NO_CAPACITY};
-use crate::constants::{HIRE_MAX, RETRY_PAUSE};
+use crate::constants::{MAX_MACHINES_PER_RENTAL, RETRY_PAUSE};
 use crate::http::{CallError, Response};
 use crate::ids::{FencingToken, MachineId};
 use crate::wire;
@@ -50,8 +50,8 @@
     let mut client = CloudClient::new(100.0, now);
     client.begin_leadership(FencingToken(3), now);
     client.scale_out(POOL, "f", "z", 2, now);
-    client.scale_out(POOL, "f", "z", HIRE_MAX, now);
-    assert_eq!(pending(&client), [(POOL, HIRE_MAX), (POOL, 2)]);
+    client.scale_out(POOL, "f", "z", MAX_MACHINES_PER_RENTAL, now);
+    assert_eq!(pending(&client), [(POOL, MAX_MACHINES_PER_RENTAL), (POOL, 2)]);
     let (id, _) = next_sent_rental(&mut client, now);
     // A rental that was sent is not changed.
     client.scale_out(POOL, "f", "z", 1, now);
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -4,7 +4,7 @@
 pub use troutspindle_protocol::constants::*;
 
 /// Deadline for the response to a user's poll. Users wait 2 s for a poll and 5 s for a submission.
-pub const USER_DEADLINE: Duration = Duration::from_millis(1600);
+pub const POLL_DEADLINE: Duration = Duration::from_millis(1600);
 /// Deadline for the response to a submission or cancellation.
 pub const CHANGE_DEADLINE: Duration = Duration::from_millis(4000);
 /// Pause after a failed call to the store, lengthened by a random amount of up to a half.
@@ -13,25 +13,25 @@
 /// how these services count.
 pub const RATE_LIMIT_SHARE: f64 = 0.92;
 /// Maximum relative drift between two monotonic clocks: 0.05% for each clock.
-pub const DRIFT: f64 = 0.001;
+pub const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Margin for packet and timer delays that is added to a worker's lease before its tasks count as stopped.
-pub const WORKER_MARGIN: Duration = Duration::from_millis(1500);
+pub const WORKER_LEASE_MARGIN: Duration = Duration::from_millis(1500);
 /// Maximum number of machines in one rental request, set by the protocol.
-pub const HIRE_MAX: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// First pause before a failed task is retried. It doubles with each failure.
-pub const RETRY_FIRST: Duration = Duration::from_secs(1);
+pub const INITIAL_TASK_BACKOFF: Duration = Duration::from_secs(1);
 /// Longest pause before a failed task is retried.
-pub const RETRY_MOST: Duration = Duration::from_secs(30);
+pub const MAX_TASK_BACKOFF: Duration = Duration::from_secs(30);
 /// Number of different jobs that must fail on a machine while they succeed elsewhere before the machine is terminated.
-/// Also the maximum number of machines on which a job has failed that the job avoids.
+/// A job also avoids up to this many machines on which it has failed.
 pub const MACHINE_FAULT_JOBS: usize = 2;
 /// Maximum number of tasks in a job, set by the protocol.
 pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// Duration of a delegated lease: the time for which another controller may answer heartbeats on the leader's behalf
 /// after its last contact with the leader. It exceeds the network partitions between zones that operators observe.
-pub const DELEGATION_TERM: Duration = Duration::from_secs(45);
+pub const DELEGATED_LEASE_TTL: Duration = Duration::from_secs(45);
 /// First stored format whose controllers hold a controller lease in the store and acknowledge cancellations.
-pub const FORMAT_HEARTBEAT: u32 = 2;
+pub const FORMAT_CONTROLLER_LEASES: u32 = 2;
 /// Maximum size in bytes of a batch of relayed heartbeats or commands, estimated before encoding, so that the encoded
 /// batch stays within the limit of a frame.
-pub const RELAY_FRAME: usize = 48 * 1024;
+pub const MAX_RELAY_BATCH_BYTES: usize = 48 * 1024;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -129,7 +129,7 @@
 
     /// Sets the time of day anew, since the monotonic clock drifts.
     pub fn set_wall_clock(&mut self, wall: WallClock) {
-        self.api.wall = wall;
+        self.api.wall_clock = wall;
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.set_wall_clock(wall);
         }
--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Count. Requests waiting in one process; beyond it they are rejected at once.
-pub(super) const REQUEST_QUEUE_CAPACITY: usize = crate::api::USER_QUEUE_MAX;
+pub(super) const REQUEST_QUEUE_CAPACITY: usize = crate::api::MAX_PENDING_REQUESTS;
 
 /// Who waits for a response.
 pub(super) struct Waiting {
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use super::ticks::TICK_MIN;
-use crate::constants::FORMAT_HEARTBEAT;
+use crate::constants::FORMAT_CONTROLLER_LEASES;
 use crate::leadership::election::{ElectionEvent, LeadershipLoss};
 use crate::scheduler::Scheduler;
 use crate::store::Versioned;
@@ -64,7 +64,7 @@
         let cache = &self.store.cache;
         self.api.cancellation_acks.observe(cache, now);
         self.api.acknowledged_cancellations.forget_finished(cache);
-        if self.store.layout().format < FORMAT_HEARTBEAT || !cache.loaded {
+        if self.store.layout().format < FORMAT_CONTROLLER_LEASES || !cache.loaded {
             return;
         }
         self.api.cancellation_acks.set_own_lease(&self.controller_lease);
@@ -115,7 +115,7 @@
             return;
         }
         let cache = &self.store.cache;
-        let (settings, wall) = (self.settings.clone(), self.api.wall);
+        let (settings, wall) = (self.settings.clone(), self.api.wall_clock);
         let mut scheduler = Scheduler::new(token, *leader_revision, settings, cache, wall, now);
         scheduler.on_cancellation_acknowledged(&self.api.acknowledged_cancellations.all(), cache);
         let machines = scheduler.machine_count();
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -62,7 +62,7 @@
         let cache = &self.store.cache;
         let found = match &self.scheduler {
             Some(scheduler) if self.holds_leadership(now) => scheduler.drains(cache, now),
-            _ => crate::scheduler::drains::list(cache, self.api.wall, now),
+            _ => crate::scheduler::drains::list(cache, self.api.wall_clock, now),
         };
         json_response(&found)
     }
@@ -77,7 +77,7 @@
         if !self.is_known(&request) || !is_well_formed(&request) {
             return Some(Response::empty(422));
         }
-        let at_ms = self.api.wall.ms(now);
+        let at_ms = self.api.wall_clock.ms(now);
         let record = DrainRecord {
             kind: request.kind,
             name: request.name,
@@ -100,7 +100,7 @@
         if !self.store.cache.drains.contains_key(&key) {
             return Some(Response::empty(422));
         }
-        self.store_drain(ticket, key, drains::TAKEN_BACK)
+        self.store_drain(ticket, key, drains::WITHDRAWN)
     }
 
     /// Whether what is to be drained exists.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::cancellations::{CancellationAck, JobPlacements};
 use super::peer_table::PeerStatusView;
-use crate::constants::FORMAT_HEARTBEAT;
+use crate::constants::FORMAT_CONTROLLER_LEASES;
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId};
 use crate::leadership::delegation::{FollowerStatus, GrantId, GrantedMachines};
 use crate::peers::mesh::{PeerCapabilities, PeerMessage};
@@ -139,7 +139,7 @@
     fn extend_leader_lease(&mut self, status: &PeerStatus, token: FencingToken, now: Instant) {
         let cache = &self.store.cache;
         // Before all controllers keep leases, a leader isn't asked for its own.
-        let has_controller_lease = self.store.layout().format < FORMAT_HEARTBEAT
+        let has_controller_lease = self.store.layout().format < FORMAT_CONTROLLER_LEASES
             || cache.controller_leases.contains_key(&status.from);
         if !self.election.extend_lease(token, cache, has_controller_lease, now) {
             return;
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -184,7 +184,7 @@
         let latency = &self.api.latency_ms;
         tracing::info!(
             queue = self.store.queue_length(),
-            rejected = self.api.refused,
+            rejected = self.api.rejected,
             p50_ms = latency.value_at_quantile(0.5),
             p99_ms = latency.value_at_quantile(0.99),
             store_lost = self.store.is_unavailable(now),
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -6,7 +6,7 @@
 use troutspindle_protocol::operator_api::DrainKind;
 
 /// Value stored under the key of a drain that was withdrawn.
-pub const TAKEN_BACK: StoreValue = StoreValue::Bool(false);
+pub const WITHDRAWN: StoreValue = StoreValue::Bool(false);
 
 /// Drain requested by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -6,7 +6,9 @@
 //! that nothing it answered can outlive the time in which a cancelled job must be gone. The proof is in
 //! `docs/design.md`, "A cut-off zone".
 
-use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, WORKER_MARGIN};
+use crate::constants::{
+    DELEGATED_LEASE_TTL, FORMAT_CONTROLLER_LEASES, MAX_CLOCK_DRIFT, WORKER_LEASE_MARGIN,
+};
 use crate::ids::{ControllerId, JobId, Revision};
 use crate::leadership::controller_lease::{
     CONTROLLER_LEASE_TTL, ControllerLease, controller_lease_key,
@@ -124,7 +126,7 @@
                 Some(observed) if observed.revision == revision => {}
                 Some(observed) => *observed = ObservedLease { revision, since: now },
                 // A version before the leases never had one, nor answers workers without news.
-                None if revision.is_none() && format < FORMAT_HEARTBEAT => {}
+                None if revision.is_none() && format < FORMAT_CONTROLLER_LEASES => {}
                 None => {
                     self.observed.insert(peer.clone(), ObservedLease { revision, since: now });
                 }
@@ -264,11 +266,11 @@
 }
 
 /// How long after a controller's key is gone its answers may keep workers going beyond a cancellation's time: its last
-/// renewal was at least a lease's life earlier, it answers workers for [`DELEGATION_TERM`] from then, and its last
+/// renewal was at least a lease's life earlier, it answers workers for [`DELEGATED_LEASE_TTL`] from then, and its last
 /// answer lasts for a worker's lease.
 fn quarantine(lease_s: f64, cancel_s: f64) -> Duration {
-    let answers = DELEGATION_TERM.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
-    let lasts = answers + lease_s * (1.0 + DRIFT) + WORKER_MARGIN.as_secs_f64();
+    let answers = DELEGATED_LEASE_TTL.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
+    let lasts = answers + lease_s * (1.0 + MAX_CLOCK_DRIFT) + WORKER_LEASE_MARGIN.as_secs_f64();
     Duration::from_secs_f64((lasts + CANCELLATION_MARGIN.as_secs_f64() - cancel_s).max(0.0))
 }
 
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -5,7 +5,7 @@
 //! cancellation is committed only under preconditions on these keys: see
 //! [`cancellation_acks`](crate::leadership::cancellation_acks).
 
-use crate::constants::{DELEGATION_TERM, DRIFT, RETRY_PAUSE};
+use crate::constants::{DELEGATED_LEASE_TTL, MAX_CLOCK_DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, LeaseId, Revision};
 use crate::schema::{encoding, keys};
 use crate::store::{CONTROLLER_LEASE_PREFIX, Cache, StoreRequest, StoreResponse, Versioned};
@@ -170,6 +170,6 @@
     /// Until when workers may be answered without news of the store, which was last read at `synced_at`.
     pub fn may_answer_until(&self, synced_at: Option<Instant>) -> Option<Instant> {
         self.knows_cancellations(synced_at)
-            .then(|| self.renewed_at + DELEGATION_TERM.mul_f64(1.0 - DRIFT))
+            .then(|| self.renewed_at + DELEGATED_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT))
     }
 }
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -6,7 +6,7 @@
 //! acknowledge the grants that they have, and say which machines they answered. Machines that the leader alone
 //! doesn't hear from are delegated: followers answer them though the leader is in reach.
 
-use crate::constants::{DELEGATION_TERM, DRIFT};
+use crate::constants::{DELEGATED_LEASE_TTL, MAX_CLOCK_DRIFT};
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::mesh::PeerMessage;
 use crate::peers::message_route::MessageRoute;
@@ -91,7 +91,7 @@
         };
         self.grant = Some(LeaseGrant {
             id,
-            valid_until: requested_at + DELEGATION_TERM.mul_f64(1.0 - DRIFT),
+            valid_until: requested_at + DELEGATED_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT),
             received_directly,
             revoked: machines.revoked.into_iter().collect(),
             delegated: machines.delegated.into_iter().collect(),
@@ -105,7 +105,7 @@
 
     /// Which machines were answered for a leader, and how many milliseconds ago.
     pub fn answered_for_leader(&mut self, now: Instant) -> Vec<(MachineId, u64)> {
-        let history = DELEGATION_TERM * ANSWER_HISTORY_TERMS;
+        let history = DELEGATED_LEASE_TTL * ANSWER_HISTORY_TERMS;
         self.answered.retain(|_, at| now.saturating_duration_since(*at) < history);
         let age_ms = |at: &Instant| now.saturating_duration_since(*at).as_millis() as u64;
         self.answered.iter().map(|(id, at)| (id.clone(), age_ms(at))).collect()
@@ -173,7 +173,7 @@
     /// A predecessor's grant may last one full term from now.
     fn new(now: Instant) -> Follower {
         Follower {
-            valid_until: now + DELEGATION_TERM.mul_f64(1.0 + DRIFT),
+            valid_until: now + DELEGATED_LEASE_TTL.mul_f64(1.0 + MAX_CLOCK_DRIFT),
             acknowledged_number: 0,
             last_heard: now,
             started_at: now,
@@ -250,7 +250,7 @@
         now: Instant,
     ) -> Option<PeerMessage> {
         let follower = self.followers.get_mut(to)?;
-        follower.valid_until = now + DELEGATION_TERM.mul_f64(1.0 + DRIFT);
+        follower.valid_until = now + DELEGATED_LEASE_TTL.mul_f64(1.0 + MAX_CLOCK_DRIFT);
         Some(PeerMessage::LeaseGrant {
             seq,
             token: self.token,
--- a/src/leadership/delegation/tests.rs
+++ b/src/leadership/delegation/tests.rs
@@ -1,7 +1,7 @@
 use super::{
     DelegatedLease, Delegations, FollowerStatus, GrantId, GrantedMachines, PEER_UNREACHABLE_AFTER,
 };
-use crate::constants::DELEGATION_TERM;
+use crate::constants::DELEGATED_LEASE_TTL;
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::mesh::PeerMessage;
 use crate::peers::message_route::MessageRoute;
@@ -41,7 +41,7 @@
     assert_eq!(lease.answer(&machine(), token, now), None);
     assert_eq!(lease.answer(&machine(), token, later), Some(token));
     assert_eq!(lease.answer(&machine(), FencingToken(4), later), None);
-    assert_eq!(lease.answer(&machine(), token, now + DELEGATION_TERM), None);
+    assert_eq!(lease.answer(&machine(), token, now + DELEGATED_LEASE_TTL), None);
     record(&mut lease, 2, vec![machine()], vec![machine()], now);
     assert_eq!(lease.answer(&machine(), token, later), None);
     // A delegated machine is answered at once.
@@ -101,7 +101,7 @@
             for status in to_leader.extract_if(.., |status| status.due <= now) {
                 let follower = FollowerStatus {
                     acknowledged: status.acknowledged,
-                    uptime: now - start + DELEGATION_TERM,
+                    uptime: now - start + DELEGATED_LEASE_TTL,
                     answered_for_leader: &status.answered_for_leader,
                     route: MessageRoute::Direct,
                 };
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -5,7 +5,7 @@
 //! may go on leading as long as every other controller extends the lease, that is, promises to withhold its own
 //! candidacy for [`LEASE_EXTENSION`].
 
-use crate::constants::{DRIFT, RETRY_PAUSE};
+use crate::constants::{MAX_CLOCK_DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{
     Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
@@ -112,7 +112,7 @@
 
 /// The part of a lease's life, counted from its request, in which it is valid whatever the clocks do.
 fn certain_life(life: Duration) -> Duration {
-    life.mul_f64(1.0 - DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
+    life.mul_f64(1.0 - MAX_CLOCK_DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
 }
 
 impl Election {
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -11,7 +11,7 @@
     FullHeartbeat, HeartbeatResult, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
 
-use crate::constants::RELAY_FRAME;
+use crate::constants::MAX_RELAY_BATCH_BYTES;
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::membership::Membership;
 use crate::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
@@ -215,7 +215,7 @@
         heartbeat: Heartbeat,
         now: Instant,
     ) -> Result<(), OversizedHeartbeat> {
-        if encoded_size(&heartbeat) > RELAY_FRAME {
+        if encoded_size(&heartbeat) > MAX_RELAY_BATCH_BYTES {
             return Err(OversizedHeartbeat(Box::new(heartbeat)));
         }
         let pending = PendingHeartbeat { heartbeat, received: now, in_full: false };
@@ -267,7 +267,7 @@
 
     /// How many of the first tickets fit a frame.
     fn tickets_in_a_frame(&self, tickets: &[u64]) -> usize {
-        let mut free = RELAY_FRAME;
+        let mut free = MAX_RELAY_BATCH_BYTES;
         let fits = |ticket: &&u64| {
             let size = self.pending.get(*ticket).map_or(0, |pending| self.relayed_size(pending));
             let fits = size <= free;
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -10,7 +10,7 @@
 pub(super) use machine_watch::{BOOT_TIMEOUT_FACTOR, BOOT_TIMEOUT_MARGIN};
 
 use crate::cloud::{CloudEvent, MachinePool};
-use crate::constants::HIRE_MAX;
+use crate::constants::MAX_MACHINES_PER_RENTAL;
 use crate::ids::{MachineId, MachineTypeId, ZoneId};
 use crate::placement::MachineTypeOffer;
 use crate::scheduler::Scheduler;
@@ -111,7 +111,7 @@
         self.fair_share.record_cloud_response();
         if let Some(backoff) = self.autoscaler.capacity_backoff.get_mut(&pool) {
             backoff.max_request *= PROBE_GROWTH;
-            if backoff.max_request > HIRE_MAX {
+            if backoff.max_request > MAX_MACHINES_PER_RENTAL {
                 self.autoscaler.capacity_backoff.remove(&pool);
             }
         }
@@ -157,7 +157,7 @@
     /// How many machines may be requested of a pool; none while it is left alone.
     fn available(&self, pool: &MachinePool, fleet: &FleetView, now: Instant) -> Option<u32> {
         let Some(backoff) = self.autoscaler.capacity_backoff.get(pool) else {
-            return Some(HIRE_MAX);
+            return Some(MAX_MACHINES_PER_RENTAL);
         };
         let is_pending = fleet.rental.pending.iter().any(|rental| rental.pool == *pool);
         (backoff.not_before <= now && !is_pending).then_some(backoff.max_request)
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -4,7 +4,7 @@
 //! ends. No live job asks for them any more, so whoever leads next would let their team use the room once more. What
 //! they may take up counts against their team as long as any machine has not confirmed what runs on it.
 
-use crate::constants::DELEGATION_TERM;
+use crate::constants::DELEGATED_LEASE_TTL;
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::OrphanedTasks;
 use crate::jobs::{Job, JobBody, LiveJob};
@@ -54,7 +54,7 @@
     pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
         let within = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
-            + DELEGATION_TERM
+            + DELEGATED_LEASE_TTL
             + ORPHANED_TASK_SLACK;
         let now_ms = self.wall_clock.ms(now);
         let lately = |ended_ms: u64| now_ms < ended_ms.saturating_add(within.as_millis() as u64);
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,7 +3,7 @@
 //! Owns the way from a heartbeat's facts to `work` and to the entries of the machine that told. It starts nothing,
 //! rents nothing, and writes nothing: what it learns the planner and the store's part act on.
 
-use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST};
+use crate::constants::{INITIAL_TASK_BACKOFF, MACHINE_FAULT_JOBS};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
@@ -80,7 +80,7 @@
                 if machine.probe_zone_reachable {
                     machine.unanswered_probe = Some(machine.direct_sent_at);
                 }
-                machine.next_direct_at = now + RETRY_FIRST * 2;
+                machine.next_direct_at = now + INITIAL_TASK_BACKOFF * 2;
                 true
             }
         }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,6 +1,6 @@
 //! What follows from the end of a task that a heartbeat reports.
 
-use crate::constants::{RETRY_FIRST, RETRY_MOST};
+use crate::constants::{INITIAL_TASK_BACKOFF, MAX_TASK_BACKOFF};
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
@@ -54,9 +54,10 @@
         if self.was_stopped() {
             Duration::ZERO
         } else if NOT_STARTED.contains(&self.why.as_str()) {
-            RETRY_FIRST
+            INITIAL_TASK_BACKOFF
         } else {
-            RETRY_MOST.min(RETRY_FIRST * 2u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS)))
+            MAX_TASK_BACKOFF
+                .min(INITIAL_TASK_BACKOFF * 2u32.pow(failures.min(MAX_BACKOFF_DOUBLINGS)))
         }
     }
 
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -1,7 +1,7 @@
 //! Machines that answer nobody: their deletion is the proof that nothing runs on them any more, and it
 //! comes long before their lease is surely over.
 
-use crate::constants::WORKER_MARGIN;
+use crate::constants::WORKER_LEASE_MARGIN;
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
 use crate::scheduler::fleet::FleetSummary;
@@ -50,7 +50,7 @@
             up[machine.zone] += 1;
             silent[machine.zone] += usize::from(machine.time_since_heartbeat(now) > late);
         }
-        let lease = self.settings.worker_lease() + WORKER_MARGIN;
+        let lease = self.settings.worker_lease() + WORKER_LEASE_MARGIN;
         let mut lost = Vec::new();
         for machine in self.fleet.machines.values() {
             let Some(asked) = machine.unanswered_probe else { continue };
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -10,7 +10,7 @@
 //! ([`Layout::is_second`]). The first layout can go once no cluster runs a version that needs it
 //! and no job is live that such a version accepted.
 
-use crate::constants::FORMAT_HEARTBEAT;
+use crate::constants::FORMAT_CONTROLLER_LEASES;
 use crate::ids::{Amount, ControllerId, FencingToken};
 use crate::schema::encoding::json_len;
 use crate::wire::JobSpec;
@@ -19,7 +19,7 @@
 
 /// The newest format that this program reads and writes: 1 brought the second layout, 2 the
 /// controllers' leases ([`crate::leadership::controller_lease`]). The oldest version says none: 0.
-pub const FORMAT: u32 = FORMAT_HEARTBEAT;
+pub const FORMAT: u32 = FORMAT_CONTROLLER_LEASES;
 /// The first format with the second layout.
 const FORMAT_SECOND_LAYOUT: u32 = 1;
 /// Count. Tasks up to which the completed ones stand in the job's record in both layouts.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -42,7 +42,7 @@
     pub operator_key: Secret,
     /// Uses of learned run times.
     pub estimates: EstimateSettings,
-    /// Classes whose job arrays run as wide as free capacity allows.
+    /// Classes whose job arrays run as wide as free capacity allows, within the limits of each class.
     pub elastic: Vec<ElasticClass>,
     /// Share of its demand that each class of each team is allocated before all other demand while capacity is scarce.
     pub floor: f64,
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -203,7 +203,7 @@
             Some(Ok(record)) => {
                 self.drains.insert(key.to_owned(), Versioned::new(record, rev));
             }
-            Some(Err(error)) if value != Some(&drains::TAKEN_BACK) => {
+            Some(Err(error)) if value != Some(&drains::WITHDRAWN) => {
                 tracing::error!(key, %error, "drain record is unreadable");
             }
             Some(Err(_)) | None => {
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -11,7 +11,7 @@
 pub use forwarded::{CommandResultFrame, ForwardedCalls};
 pub use pending::{CompletedCall, DeliveryFrame, PendingDeliveries};
 
-use crate::constants::RELAY_FRAME;
+use crate::constants::MAX_RELAY_BATCH_BYTES;
 use crate::http::CallError;
 use crate::ids::{FencingToken, MachineId};
 use crate::peers::heartbeat_relay::{FullHeartbeat, RelayedCommand};
@@ -105,7 +105,7 @@
         let bytes = size(&item);
         if bytes > free || frames.is_empty() {
             frames.push(Vec::new());
-            free = RELAY_FRAME;
+            free = MAX_RELAY_BATCH_BYTES;
         }
         free = free.saturating_sub(bytes);
         if let Some(frame) = frames.last_mut() {
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -4,7 +4,7 @@
 //! kept per job with the machines on which they happened, and count against a machine only once the job has succeeded
 //! elsewhere. Until a job has, failures on several machines are attributed to it, and one task at a time is tried.
 
-use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST, RETRY_MOST};
+use crate::constants::{INITIAL_TASK_BACKOFF, MACHINE_FAULT_JOBS, MAX_TASK_BACKOFF};
 use crate::ids::MachineId;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -40,8 +40,8 @@
         }
         // A task that fails before the next trial is due was started before the last failure: it was no trial.
         if self.is_job_faulty() && self.trial.is_none_or(|trial| now >= trial.due) {
-            let pause = self.trial.map_or(RETRY_FIRST, |trial| trial.backoff);
-            self.trial = Some(Trial { due: now + pause, backoff: RETRY_MOST.min(pause * 2) });
+            let pause = self.trial.map_or(INITIAL_TASK_BACKOFF, |trial| trial.backoff);
+            self.trial = Some(Trial { due: now + pause, backoff: MAX_TASK_BACKOFF.min(pause * 2) });
         }
     }
 
--- a/src/workers/failure_attribution/tests.rs
+++ b/src/workers/failure_attribution/tests.rs
@@ -1,5 +1,5 @@
 use super::{FailureAttribution, JOB_FAULT_MACHINES};
-use crate::constants::RETRY_MOST;
+use crate::constants::MAX_TASK_BACKOFF;
 use crate::ids::MachineId;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
     }
     assert!(attribution.is_job_faulty());
     let mut trials = 0;
-    let end = now + RETRY_MOST * 10;
+    let end = now + MAX_TASK_BACKOFF * 10;
     while now < end {
         match attribution.allowed_starts(0, now) {
             Ok(most) => {
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of a machine's worker, and the worker's lease.
 
 use super::{AttemptSpec, JOB_FINISHED, Machine, MachineState, PlacedAttempt, TaskEvent};
-use crate::constants::{DRIFT, WORKER_MARGIN};
+use crate::constants::{MAX_CLOCK_DRIFT, WORKER_LEASE_MARGIN};
 use crate::ids::{Amount, Attempt, FencingToken, TaskId};
 use crate::peers::heartbeat_relay::UnchangedHeartbeat;
 use crate::wire::{Heartbeat, Priority, TaskState, TaskStatus};
@@ -217,7 +217,7 @@
         now: Instant,
     ) -> bool {
         let last = answered_by_others.map_or(self.last_answered, |at| at.max(self.last_answered));
-        now > last + lease.mul_f64(1.0 + DRIFT) + WORKER_MARGIN
+        now > last + lease.mul_f64(1.0 + MAX_CLOCK_DRIFT) + WORKER_LEASE_MARGIN
     }
 
     /// Time since the last heartbeat, or since this leader knows the machine.
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
-use troutspindle::drains::{DrainRecord, TAKEN_BACK};
+use troutspindle::drains::{DrainRecord, WITHDRAWN};
 use troutspindle::ids::{ControllerId, FencingToken, JobId, LeaseId, MachineId, Revision};
 use troutspindle::jobs::{self, Acceptance, FinalState, Jobs};
 use troutspindle::leadership::controller_lease::{ControllerLease, controller_lease_key};
@@ -243,7 +243,7 @@
             &plain_drain_record(),
             &["by_ms", "author", "reason"],
         ),
-        Sample::written("record-drain-taken-back", wire::encode(&TAKEN_BACK)),
+        Sample::written("record-drain-taken-back", wire::encode(&WITHDRAWN)),
     ]
 }
 
