--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Maximum number of queued requests per process; further requests are rejected at once.
-pub(super) const REQUEST_QUEUE_CAPACITY: usize = crate::api::USER_QUEUE_MAX;
+pub(super) const REQUEST_QUEUE_CAPACITY: usize = crate::api::MAX_PENDING_REQUESTS;
 
 /// A response that a client waits for.
 pub(super) struct PendingResponse {
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -6,7 +6,9 @@
 //! had none for so long that no task it kept running can outlive the deadline by which a cancelled job's tasks must
 //! have stopped. The proof is in `docs/design.md`, "A cut-off zone".
 
-use crate::constants::{DELEGATION_TERM, DRIFT, FORMAT_HEARTBEAT, WORKER_MARGIN};
+use crate::constants::{
+    DELEGATED_LEASE_TTL, FORMAT_CONTROLLER_LEASES, MAX_CLOCK_DRIFT, WORKER_LEASE_MARGIN,
+};
 use crate::ids::{ControllerId, JobId, Revision};
 use crate::leadership::controller_lease::{
     CONTROLLER_LEASE_TTL, ControllerLease, controller_lease_key,
@@ -125,7 +127,7 @@
                 Some(observed) => *observed = ObservedLease { revision, since: now },
                 // A controller of a version without controller leases never had one, and never answers workers
                 // without reading the store.
-                None if revision.is_none() && format < FORMAT_HEARTBEAT => {}
+                None if revision.is_none() && format < FORMAT_CONTROLLER_LEASES => {}
                 None => {
                     self.observed.insert(peer.clone(), ObservedLease { revision, since: now });
                 }
@@ -267,10 +269,11 @@
 
 /// Returns the time after the removal of a controller's key during which its answers may keep tasks running beyond the
 /// deadline of a cancellation. The controller's last renewal was at least [`CONTROLLER_LEASE_TTL`] before the removal,
-/// it answers workers for [`DELEGATION_TERM`] from that renewal on, and its last answer lasts for a worker's lease.
+/// it answers workers for [`DELEGATED_LEASE_TTL`] from that renewal on, and its last answer lasts for a worker's lease.
 fn quarantine(lease_s: f64, cancel_s: f64) -> Duration {
-    let answering_s = DELEGATION_TERM.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
-    let tasks_running_s = answering_s + lease_s * (1.0 + DRIFT) + WORKER_MARGIN.as_secs_f64();
+    let answering_s = DELEGATED_LEASE_TTL.saturating_sub(CONTROLLER_LEASE_TTL).as_secs_f64();
+    let tasks_running_s =
+        answering_s + lease_s * (1.0 + MAX_CLOCK_DRIFT) + WORKER_LEASE_MARGIN.as_secs_f64();
     Duration::from_secs_f64(
         (tasks_running_s + CANCELLATION_MARGIN.as_secs_f64() - cancel_s).max(0.0),
     )
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -6,7 +6,7 @@
 //! and followers acknowledge the grants that they received and report which machines they answered. Machines that only
 //! the leader cannot reach are delegated: followers answer them even while they can reach the leader.
 
-use crate::constants::{DELEGATION_TERM, DRIFT};
+use crate::constants::{DELEGATED_LEASE_TTL, MAX_CLOCK_DRIFT};
 use crate::ids::{ControllerId, FencingToken, MachineId};
 use crate::peers::mesh::PeerMessage;
 use crate::peers::message_route::MessageRoute;
@@ -91,7 +91,7 @@
         };
         self.grant = Some(LeaseGrant {
             id,
-            valid_until: requested_at + DELEGATION_TERM.mul_f64(1.0 - DRIFT),
+            valid_until: requested_at + DELEGATED_LEASE_TTL.mul_f64(1.0 - MAX_CLOCK_DRIFT),
             received_directly,
             revoked: machines.revoked.into_iter().collect(),
             delegated: machines.delegated.into_iter().collect(),
@@ -105,7 +105,7 @@
 
     /// Returns the machines that were answered for a leader, each with the milliseconds since its last answer.
     pub fn answered_for_leader(&mut self, now: Instant) -> Vec<(MachineId, u64)> {
-        let history = DELEGATION_TERM * ANSWER_HISTORY_TERMS;
+        let history = DELEGATED_LEASE_TTL * ANSWER_HISTORY_TERMS;
         self.answered.retain(|_, at| now.saturating_duration_since(*at) < history);
         let age_ms = |at: &Instant| now.saturating_duration_since(*at).as_millis() as u64;
         self.answered.iter().map(|(id, at)| (id.clone(), age_ms(at))).collect()
@@ -175,7 +175,7 @@
     /// Creates the state of a follower without a status. A predecessor's grant may last one full term from now.
     fn new(now: Instant) -> Follower {
         Follower {
-            valid_until: now + DELEGATION_TERM.mul_f64(1.0 + DRIFT),
+            valid_until: now + DELEGATED_LEASE_TTL.mul_f64(1.0 + MAX_CLOCK_DRIFT),
             acknowledged_number: 0,
             last_direct_status_at: now,
             started_at: now,
@@ -252,7 +252,7 @@
         now: Instant,
     ) -> Option<PeerMessage> {
         let follower = self.followers.get_mut(to)?;
-        follower.valid_until = now + DELEGATION_TERM.mul_f64(1.0 + DRIFT);
+        follower.valid_until = now + DELEGATED_LEASE_TTL.mul_f64(1.0 + MAX_CLOCK_DRIFT);
         Some(PeerMessage::LeaseGrant {
             seq,
             token: self.token,
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -5,7 +5,7 @@
 //! leader keeps its leadership as long as every other controller extends the lease, that is, agrees not to become a
 //! candidate for [`LEASE_EXTENSION`].
 
-use crate::constants::{DRIFT, RETRY_PAUSE};
+use crate::constants::{MAX_CLOCK_DRIFT, RETRY_PAUSE};
 use crate::ids::{ControllerId, FencingToken, LeaseId, Revision};
 use crate::store::{
     Cache, LEADER_KEY, LeaderRecord, StoreRequest, StoreResponse, TOKEN_KEY, Versioned,
@@ -116,7 +116,7 @@
 /// Returns the part of a lease's duration, counted from its request, in which the lease is valid in spite of clock
 /// drift and delayed packets.
 fn guaranteed_validity(duration: Duration) -> Duration {
-    duration.mul_f64(1.0 - DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
+    duration.mul_f64(1.0 - MAX_CLOCK_DRIFT).saturating_sub(LEASE_SAFETY_MARGIN)
 }
 
 impl Election {
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -4,7 +4,7 @@
 //! They belong to no live job, so a new leader would let their team use that capacity a second time. Their requests
 //! therefore count against the team until every machine is confirmed.
 
-use crate::constants::DELEGATION_TERM;
+use crate::constants::DELEGATED_LEASE_TTL;
 use crate::ids::{Amount, JobId, TaskId};
 use crate::jobs::OrphanedTasks;
 use crate::jobs::{Job, JobBody, LiveJob};
@@ -55,7 +55,7 @@
     pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
         let max_run = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
-            + DELEGATION_TERM
+            + DELEGATED_LEASE_TTL
             + ORPHANED_TASK_SLACK;
         let now_ms = self.wall_clock.ms(now);
         let is_recent =
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -3,7 +3,7 @@
 //! Updates job progress and the attempts of the reporting machine. It starts no task, rents no machine and writes
 //! nothing to the store: planning and persistence act on the updated state.
 
-use crate::constants::{MACHINE_FAULT_JOBS, RETRY_FIRST};
+use crate::constants::{INITIAL_TASK_BACKOFF, MACHINE_FAULT_JOBS};
 use crate::ids::{Amount, Attempt, JobId, MachineId, TaskId};
 use crate::jobs::{Job, JobBody, LiveJob};
 use crate::scheduler::Scheduler;
@@ -83,7 +83,7 @@
                 if machine.probe_zone_reachable {
                     machine.unanswered_probe = Some(machine.direct_sent_at);
                 }
-                machine.next_direct_at = now + RETRY_FIRST * 2;
+                machine.next_direct_at = now + INITIAL_TASK_BACKOFF * 2;
                 true
             }
         }
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -1,6 +1,6 @@
 //! Handles task exits that heartbeats report.
 
-use crate::constants::{RETRY_FIRST, RETRY_MOST};
+use crate::constants::{INITIAL_TASK_BACKOFF, MAX_TASK_BACKOFF};
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::jobs::LiveJob;
 use crate::scheduler::Scheduler;
@@ -51,9 +51,10 @@
         if self.was_stopped() {
             Duration::ZERO
         } else if NOT_STARTED.contains(&self.why.as_str()) {
-            RETRY_FIRST
+            INITIAL_TASK_BACKOFF
         } else {
-            RETRY_MOST.min(RETRY_FIRST * 2u32.pow(previous_failures.min(MAX_BACKOFF_DOUBLINGS)))
+            MAX_TASK_BACKOFF
+                .min(INITIAL_TASK_BACKOFF * 2u32.pow(previous_failures.min(MAX_BACKOFF_DOUBLINGS)))
         }
     }
 
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -2,7 +2,7 @@
 //!
 //! A confirmed deletion proves that nothing runs on a machine, long before its lease is certain to have expired.
 
-use crate::constants::WORKER_MARGIN;
+use crate::constants::WORKER_LEASE_MARGIN;
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
 use crate::scheduler::fleet::FleetSummary;
@@ -55,7 +55,7 @@
             up[machine.zone] += 1;
             silent[machine.zone] += usize::from(machine.time_since_heartbeat(now) > late_after);
         }
-        let lease = self.settings.worker_lease() + WORKER_MARGIN;
+        let lease = self.settings.worker_lease() + WORKER_LEASE_MARGIN;
         let mut to_terminate = Vec::new();
         for machine in self.fleet.machines.values() {
             let Some(probed_at) = machine.unanswered_probe else { continue };
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Processing of heartbeats, and expiry of the worker's lease.
 
 use super::{AttemptSpec, JOB_FINISHED, Machine, MachineState, PlacedAttempt, TaskEvent};
-use crate::constants::{DRIFT, WORKER_MARGIN};
+use crate::constants::{MAX_CLOCK_DRIFT, WORKER_LEASE_MARGIN};
 use crate::ids::{Amount, Attempt, FencingToken, TaskId};
 use crate::peers::heartbeat_relay::UnchangedHeartbeat;
 use crate::wire::{Heartbeat, Priority, TaskState, TaskStatus};
@@ -221,7 +221,7 @@
     ) -> bool {
         let last_renewal =
             answered_by_others.map_or(self.last_answered, |at| at.max(self.last_answered));
-        now > last_renewal + lease.mul_f64(1.0 + DRIFT) + WORKER_MARGIN
+        now > last_renewal + lease.mul_f64(1.0 + MAX_CLOCK_DRIFT) + WORKER_LEASE_MARGIN
     }
 
     /// Returns the time since the last heartbeat, or since this leader first knew of the machine if there was none.
