--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -22,12 +22,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time during which a pool that refused a rental is not requested again.
+/// Time after a refused rental during which no request is made to that pool.
 const REFUSED_POOL_BACKOFF: Duration = Duration::from_secs(6);
-/// Number of machines in the first request to a pool that refused a rental; small because tasks
-/// reserved on machines that the cloud doesn't have wait in vain while other pools have some.
+/// Maximum number of machines in the first request to a pool after it refused a rental. It is
+/// small, because tasks reserved on machines that the cloud doesn't have wait in vain, while other
+/// pools may have machines.
 pub(super) const PROBE_REQUEST: u32 = 2;
-/// Factor by which that number grows with each granted request.
+/// Factor by which the maximum request to such a pool grows with each granted request.
 const PROBE_GROWTH: u32 = 4;
 /// Delay before a new leader rents machines, so that its first machine list can show what previous
 /// leaders rented.
@@ -57,7 +58,7 @@
 /// Limits on requests to a pool that refused a rental.
 #[derive(Debug)]
 pub(super) struct CapacityBackoff {
-    /// Time of the next allowed request.
+    /// Earliest time of the next request.
     pub(super) not_before: Instant,
     /// Maximum number of machines per request.
     pub(super) max_request: u32,
@@ -65,7 +66,7 @@
 
 /// A pool with the machines that can be rented from it.
 pub(super) struct PoolOffer {
-    /// Machine type, zone, and whether the machines are spot machines.
+    /// Machine type, zone and pricing (spot or on demand) of the machines.
     pub(super) pool: MachinePool,
     /// Price, capacity and number of available machines, as placement needs them.
     pub(super) offer: MachineTypeOffer,
@@ -131,8 +132,8 @@
         self.autoscaler.capacity_backoff.insert(pool, backoff);
     }
 
-    /// Returns what can be rented now. A pool that refused is skipped for a while; after that,
-    /// small requests are made, one at a time.
+    /// Returns the machines that can be rented now. A pool that refused a rental is skipped for
+    /// [`REFUSED_POOL_BACKOFF`]; after that, small requests are made to it, one at a time.
     pub(super) fn offers(&self, fleet: &FleetView, now: Instant) -> Vec<PoolOffer> {
         let mut machine_counts = vec![MachineCount::default(); self.fleet.zone_count()];
         for machine in self.fleet.machines.values() {
@@ -154,7 +155,8 @@
         offers
     }
 
-    /// Returns how many machines may be requested from a pool; none while it is in backoff.
+    /// Returns how many machines may be requested from a pool; `None` for a pool in backoff, or
+    /// for one with a pending request after a refusal.
     fn available(&self, pool: &MachinePool, fleet: &FleetView, now: Instant) -> Option<u32> {
         let Some(backoff) = self.autoscaler.capacity_backoff.get(pool) else {
             return Some(HIRE_MAX);
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -10,11 +10,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Multiple of the cloud's stated list lag by which a list may actually be outdated.
+/// Factor on the list lag that the cloud states. A list is presumed to be outdated by at most the
+/// product plus [`LIST_LAG_MARGIN_S`].
 const LIST_LAG_FACTOR: f64 = 2.0;
-/// Additional lag allowed for, in seconds.
+/// Time added to the lag given by [`LIST_LAG_FACTOR`], in seconds.
 const LIST_LAG_MARGIN_S: f64 = 1.0;
-/// Maximum machine age in seconds; greater ages are reduced to it.
+/// Maximum machine age in seconds; greater listed ages are clamped to it.
 const MAX_AGE_S: f64 = 1e7;
 
 impl Scheduler {
@@ -37,7 +38,8 @@
         self.terminate_unlisted(&present, requested_at);
     }
 
-    /// Requests the deletion of a failed machine, which stays in the list until it is deleted.
+    /// Reports the tasks of a failed machine as lost and marks it for deletion. The cloud lists it
+    /// until it is deleted.
     fn terminate_failed_machine(&mut self, row: &ListedMachine, cache: &Cache, now: Instant) {
         self.remove_machine(&row.machine, "failed", cache, now);
         self.autoscaler.reserved_machines.remove(&row.machine);
@@ -53,7 +55,7 @@
             self.fleet.add_machine(&row.machine, pool, now);
         }
         let Some(machine) = self.fleet.machines.get_mut(&row.machine) else { return };
-        // A new leader learns from this how long a machine has been paid for.
+        // A new leader learns from the listed age how long a machine has been paid for.
         let age = Duration::from_secs_f64(row.age_s.clamp(0.0, MAX_AGE_S));
         let rented = now.checked_sub(age).unwrap_or(machine.rented_at);
         machine.rented_at = machine.rented_at.min(rented);
@@ -64,7 +66,7 @@
 
     /// Terminates machines that are silent and not listed. A machine once listed stays listed until
     /// it is terminated, but a list may be older than the one before, so a missing machine is only
-    /// suspected to be terminated. Its deletion gives the proof.
+    /// suspected to be terminated. Only its deletion proves that it is.
     fn terminate_unlisted(&mut self, present: &HashSet<MachineId>, requested_at: Instant) {
         let list_lag_s = self.settings.platform.params.cloud.list_lag_s;
         let list_lag = Duration::from_secs_f64(list_lag_s * LIST_LAG_FACTOR + LIST_LAG_MARGIN_S);
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Removes a terminated machine, and reports the tasks that it had as lost.
+    /// Removes a terminated machine, and reports its tasks as lost.
     pub(super) fn remove_machine(
         &mut self,
         id: &MachineId,
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -15,36 +15,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Multiple of the nominal boot time after which a machine that is not up is terminated.
+/// Multiple of the nominal boot time after which a machine that is not up is terminated. The limit
+/// is doubled while no machine rented later is up.
 pub(in crate::scheduler) const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
 /// Time added to the limit given by [`BOOT_TIMEOUT_FACTOR`].
 pub(in crate::scheduler) const BOOT_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
-/// Multiple of the nominal boot time after which a machine that is not up is overdue.
+/// Multiple of the nominal boot time after which a machine that is not up is overdue, so that no
+/// more tasks are reserved on it.
 const BOOT_OVERDUE_FACTOR: f64 = 1.8;
 /// Time added to the limit given by [`BOOT_OVERDUE_FACTOR`].
 const BOOT_OVERDUE_MARGIN: Duration = Duration::from_secs(2);
-/// Number of overdue machines from which all of them are presumed to be delayed by a common cause.
+/// Minimum number of overdue machines for which a common cause of the delay is presumed.
 const COMMON_DELAY_MIN_MACHINES: usize = 3;
-/// Minimum age at which an idle machine is terminated: at least a minute is billed, so it is kept
-/// for nearly that long.
-const MIN_BILLED_TIME: Duration = Duration::from_secs(55);
+/// Minimum age at which an idle machine is terminated: at least a minute is billed, so the machine
+/// is kept for nearly that long.
+const MIN_SCALE_IN_AGE: Duration = Duration::from_secs(55);
 /// Delay before a new leader terminates idle machines, as a multiple of [`RENTAL_SETTLE_TIME`].
 const IDLE_WAIT_SETTLE_TIMES: u32 = 4;
 
 /// Inputs for the checks of machines.
-struct MachineWatch<'a> {
+struct MachineChecks<'a> {
     settings: &'a Settings,
     delegations: &'a Delegations,
     term: &'a LeaderTerm,
     autoscaler: &'a Autoscaler,
     machine_types: &'a [MachineType],
     summary: &'a FleetSummary,
-    /// Whether a zone is or recently was unreachable as a whole, indexed by zone.
+    /// True if a zone is or recently was unreachable as a whole; indexed by zone.
     unreachable_zones: &'a [bool],
     now: Instant,
 }
 
-impl MachineWatch<'_> {
+impl MachineChecks<'_> {
     /// Checks one machine and returns events for the tasks that are lost with it.
     fn check(&self, machine: &mut Machine) -> Vec<TaskEvent> {
         let presumed_expired = self.is_lease_presumed_expired(machine);
@@ -58,8 +60,8 @@
         lost
     }
 
-    /// Returns whether a machine's lease has expired as far as is known, including renewals that
-    /// followers have reported, and its zone is otherwise reachable.
+    /// Returns whether a machine's lease has expired, as far as this leader and the followers'
+    /// reports of renewals show, and the machine's zone is otherwise reachable.
     fn is_lease_presumed_expired(&self, machine: &Machine) -> bool {
         let last_acknowledged = self.delegations.last_answered(&machine.id);
         machine.state == MachineState::Up
@@ -69,7 +71,7 @@
 
     fn check_lease(&self, machine: &mut Machine, presumed_expired: bool) -> Vec<TaskEvent> {
         if machine.confirmed && machine.attempts.is_empty() {
-            // No task can be running there.
+            // No task can be running on the machine.
             return Vec::new();
         }
         // The previous leader's lease had expired before this term began, and heartbeats that other
@@ -97,7 +99,7 @@
         let mut boot_timeout = Duration::from_secs_f64(machine_type.boot_s * BOOT_TIMEOUT_FACTOR)
             + BOOT_TIMEOUT_MARGIN;
         if !self.summary.newer_machine_is_up()(machine) {
-            // No machine rented later is up either: all are delayed, and so would be replacements.
+            // No machine rented later is up either: all are delayed, and replacements would be too.
             boot_timeout *= 2;
         }
         let age = self.now.saturating_duration_since(machine.rented_at);
@@ -136,7 +138,7 @@
         let age = self.now.saturating_duration_since(machine.rented_at);
         if machine.confirmed
             && idle_for > self.idle_limit(machine)
-            && age >= MIN_BILLED_TIME
+            && age >= MIN_SCALE_IN_AGE
             && !self.autoscaler.reserved_machines.contains(&machine.id)
             && self.now > self.term.started_at + RENTAL_SETTLE_TIME * IDLE_WAIT_SETTLE_TIMES
         {
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Checks all machines, and terminates those that are faulty, lost or idle.
+    /// Checks all machines, and terminates those that are faulty, lost, idle or boot too late.
     pub(in crate::scheduler) fn watch_machines(
         &mut self,
         cache: &Cache,
@@ -202,7 +204,7 @@
         if summary.status_unanswered {
             self.terminate_unreachable(&unreachable_zones, cache, now);
         }
-        let watch = MachineWatch {
+        let checks = MachineChecks {
             settings: &self.settings,
             delegations: &self.delegations,
             term: &self.term,
@@ -214,7 +216,7 @@
         };
         let mut events = Vec::new();
         for machine in self.fleet.machines.values_mut() {
-            let lost = watch.check(machine);
+            let lost = checks.check(machine);
             events.extend(lost.into_iter().map(|event| (machine.id.clone(), event)));
             if machine.state == MachineState::Terminating {
                 cloud.scale_in(&machine.id, now);
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -23,12 +23,13 @@
 pub(super) const CONSOLIDATION_INTERVAL: Duration = Duration::from_secs(10);
 /// Share of all running service replicas that one round may move.
 pub(super) const MAX_MOVED_REPLICA_SHARE: f64 = 0.02;
-/// Share of all running tasks with checkpoints that one round may move. It is larger because these
-/// lose only a few seconds of work.
+/// Share of all running tasks with checkpoints that one round may move. It is larger than
+/// [`MAX_MOVED_REPLICA_SHARE`] because such a task loses only a few seconds of work.
 const MAX_MOVED_CHECKPOINTING_SHARE: f64 = 0.1;
 /// Maximum number of machines that one round searches, least used first, to bound its duration.
 const MAX_MACHINES_SEARCHED: usize = 60;
-/// Minimum run time before a move: users don't count a start that is undone within half a minute.
+/// Minimum run time before a move: to users, a start that is undone within half a minute doesn't
+/// count as a start.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(45);
 /// Maximum used share of a machine's CPU for it to be emptied.
 const MAX_USED_CPU_SHARE: f64 = 0.55;
@@ -55,9 +56,9 @@
     checkpointing: f64,
 }
 
-/// A task with its move's target.
+/// A move of one task.
 struct TaskMove {
-    /// Position of the bin that the task would move to.
+    /// Position of the bin that the task moves to.
     target: usize,
     resources: Amount,
 }
@@ -95,15 +96,16 @@
 }
 
 /// Returns whether a task of the job can be moved: a replica of a service, which is down only
-/// between the stop and start commands, or a task that saves its progress when it is stopped.
+/// between the stop and start commands, or a task that saves its progress when it is stopped. Jobs
+/// that are restricted to certain machine types are not moved.
 fn is_movable(job: &LiveJob) -> bool {
     let saves = job.spec.shape == JobKind::Array && job.spec.checkpoint_s > 0.0;
     (job.spec.shape == JobKind::Service || saves) && job.spec.flavors.is_none()
 }
 
 impl Scheduler {
-    /// Empties the least used machines whose tasks all fit on others that have their images. The
-    /// more tasks run, the more may be moved; one machine is emptied in any case.
+    /// Empties the least used machines whose tasks all fit on others that have their images. A
+    /// round moves a limited share of the running tasks, but may always empty one machine.
     pub(super) fn consolidate(&mut self, machines: &MachineBins, cache: &Cache, now: Instant) {
         for evacuation in self.choose_evacuations(machines, cache, now) {
             self.evacuate(&evacuation.machine, cache, now);
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Returns a target for each task of a machine; none unless all of them fit elsewhere.
+    /// Returns a target for each task of a machine; `None` unless all of them fit elsewhere.
     fn find_evacuation(
         &self,
         source: usize,
@@ -309,7 +311,8 @@
         !spec.spread || self.tasks_in_zone(scheduler, bin.zone, job) < zone_limit
     }
 
-    /// Returns how many of a job's tasks are in a zone or would move there, except this machine's.
+    /// Returns how many of a job's tasks run in a zone or would move there. Tasks that still run on
+    /// the machine to empty are not counted.
     fn tasks_in_zone(&self, scheduler: &Scheduler, zone: ZoneId, job: &JobId) -> u32 {
         let progress = scheduler.jobs.progress.get(job);
         let placed = progress.into_iter().flat_map(|progress| progress.placed.values());
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -20,7 +20,7 @@
 pub(super) struct ElasticLimit {
     /// Maximum number of tasks to start.
     pub(super) max_starts: u64,
-    /// Whether these starts grow an elastic job beyond its minimum width.
+    /// True if these starts grow an elastic job beyond its minimum width.
     pub(super) is_growth: bool,
 }
 
@@ -67,8 +67,8 @@
         self.jobs.progress.get(id).map_or(0, |progress| progress.placed.len() as u64)
     }
 
-    /// Limits how many tasks of a job may start now: an elastic job below its minimum width may
-    /// start tasks up to that width, one at or above it the tasks that it may grow by.
+    /// Returns how many tasks of a job may start now. An elastic job below its minimum width may
+    /// start tasks up to that width; above that, its growth in this pass is the limit.
     pub(super) fn elastic_limit(
         &self,
         id: &JobId,
@@ -87,14 +87,14 @@
         ElasticLimit { max_starts: limit.min(growth), is_growth: true }
     }
 
-    /// Returns the cost in seconds that is added to preempting a task of the job, if the job is at
-    /// or below its minimum width.
+    /// Returns the additional cost of preempting a task of the job, in seconds: 0 unless the job is
+    /// elastic and at or below its minimum width.
     pub(super) fn minimum_width_cost_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
         if self.width(id) <= elastic.least { MINIMUM_WIDTH_COST_S } else { 0.0 }
     }
 
-    /// Records that tasks of these jobs were preempted: the jobs pause before they grow again.
+    /// Records that tasks of these jobs were preempted, so that the jobs don't grow for a while.
     pub(super) fn pause_elastic_growth(&mut self, jobs: &[JobId], now: Instant) {
         if self.settings.operator.elastic.is_empty() {
             return;
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -1,8 +1,8 @@
 //! Fair shares of a scarce fleet: which tasks are placed first, and which may be preempted.
 //!
 //! While capacity is scarce, each group of work (a job class of a team) has a floor. Requests of a
-//! group below its floor are placed first, and a group's tasks are not preempted as long as it is
-//! at or below its floor. While capacity is not scarce this module changes nothing.
+//! group below its floor are placed first, and preemption never takes a group below its floor.
+//! While capacity is not scarce this module changes nothing.
 //!
 //! Owns [`FairShare`]; reads the jobs, the fleet and the settings. It starts, stops and rents
 //! nothing. Its state is not stored: a new leader derives it from records and heartbeats.
@@ -11,7 +11,7 @@
 mod priority;
 mod scarcity;
 
-pub(super) use priority::FairShareWeight;
+pub(super) use priority::FairShareRank;
 
 use crate::ids::{Amount, JobId, TeamId};
 use crate::jobs::LiveJob;
@@ -40,15 +40,16 @@
 /// The leader's view of the demand of all accepted work, compared with the fleet's capacity.
 pub(super) struct FairShare {
     scarcity: ScarcityTracker<DemandGroup>,
-    /// Indexes of the job classes.
+    /// Names of the job classes, interned as the indexes that [`DemandGroup`] uses.
     classes: Interner,
     /// Demand of each group in the last planning pass.
     demands: BTreeMap<DemandGroup, Demand>,
     /// Capacity of the fleet in the last planning pass.
     supply: Supply,
-    /// Number of tasks that waited after the last planning pass; kept while capacity is scarce.
+    /// Number of tasks that waited after the last planning pass; empty while capacity is not
+    /// scarce.
     waiting: BTreeMap<WaitingCause, u64>,
-    /// Whether the cloud has granted or refused a rental to this leader.
+    /// True if the cloud has granted or refused a rental to this leader.
     cloud_responded: bool,
     /// Machine-seconds of work in each group's arrays that arrived under this leader.
     arrived: BTreeMap<DemandGroup, f64>,
@@ -82,7 +83,8 @@
         self.scarcity.since().is_some()
     }
 
-    /// Returns the amount that each group holds above its floor; none while capacity is not scarce.
+    /// Returns the capacity that each group holds above its floor; `None` while capacity is not
+    /// scarce.
     pub(super) fn surplus(&self) -> Option<BTreeMap<DemandGroup, Capacity>> {
         let group_shares = self.scarcity.group_shares();
         self.is_scarce().then(|| {
@@ -91,7 +93,7 @@
     }
 }
 
-/// Share of its group that one task uses.
+/// Capacity that one task uses, and the group that it counts towards.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GroupShare {
     /// Group that the task belongs to.
@@ -100,8 +102,9 @@
     pub(super) capacity: Capacity,
 }
 
-/// Returns the share of a machine that an amount uses, by its dominant resource. `largest` is the
-/// largest amount of each resource that any machine type has.
+/// Returns the share of a machine that an amount uses, by its dominant resource, in parts of
+/// [`UNITS_PER_MACHINE`]. `largest` is the largest amount of each resource that any machine type
+/// has.
 fn machine_share(amount: &Amount, largest: &Amount) -> Capacity {
     let share = |amount: u64, whole: u64| match u128::from(whole) {
         0 => 0,
@@ -129,12 +132,14 @@
         Some(DemandGroup { class, team: TeamId::new(self.team_of(&job.spec.team)) })
     }
 
-    /// Returns the seconds that a task occupies its capacity, with the gap before the next task.
+    /// Returns the seconds for which a task occupies its capacity, including the gap before the
+    /// next task starts.
     fn task_occupancy_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         self.run_s(id, job, self.settings.operator.estimates.learn) + STAGE_OVERHEAD.as_secs_f64()
     }
 
-    /// Returns a task's share of its group; none for a class that is not known yet.
+    /// Returns the group and the capacity of a task that uses these resources; `None` for a job
+    /// class that is not known yet.
     pub(super) fn group_share(
         &self,
         job: &LiveJob,
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Returns what each group holds, its floor, and its need, in machines, by the group's name.
+    /// Returns three amounts for each group, in machines: the capacity that it holds, its floor,
+    /// and the capacity that it needs. The key names the group.
     pub(super) fn group_shares(&self) -> BTreeMap<String, [f64; 3]> {
         let row = |(group, group_share): (&DemandGroup, &GroupShare)| {
             let GroupName { class, team } = self.group_name(group);
@@ -49,7 +50,7 @@
         self.fair_share.scarcity.group_shares().map(row).collect()
     }
 
-    /// Returns demand and supply for the log, as JSON; none if floors are disabled.
+    /// Returns demand and supply for the log, as JSON; `None` if floors are disabled.
     pub(in crate::scheduler) fn demand_line(&self, now: Instant) -> Option<String> {
         if self.settings.operator.floor <= 0.0 {
             return None;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Reports the groups below their floors to operators.
+    /// Returns the report on groups below their floors, for operators.
     pub fn fair_share_report(&self, now: Instant) -> FairShareReport {
         let fair_share = &self.fair_share;
         let since = fair_share.scarcity.since();
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -13,12 +13,12 @@
 
 /// Rank of a request while capacity is scarce.
 #[derive(Debug, Clone, Copy)]
-pub(in crate::scheduler) struct FairShareWeight {
+pub(in crate::scheduler) struct FairShareRank {
     group: DemandGroup,
     /// Estimated work left in the job, as CPU amount times seconds; 0 for a service. Arrays with
     /// the least work left come first, so that many finish instead of all being half finished.
     remaining_work: u64,
-    /// Whether the request must not be split: its limits per zone count all of its tasks, and a
+    /// True if the request must not be split: its limits per zone count all of its tasks, and a
     /// gang starts as a whole.
     indivisible: bool,
 }
@@ -31,13 +31,13 @@
 }
 
 impl Scheduler {
-    /// Returns a request's rank; none while capacity is not scarce.
-    pub(in crate::scheduler) fn fair_share_weight(
+    /// Returns a request's rank; `None` while capacity is not scarce.
+    pub(in crate::scheduler) fn fair_share_rank(
         &mut self,
         id: &JobId,
         job: &LiveJob,
         request: &PlacementRequest,
-    ) -> Option<FairShareWeight> {
+    ) -> Option<FairShareRank> {
         if !self.fair_share.is_scarce() {
             return None;
         }
@@ -49,15 +49,16 @@
         } else {
             tasks * self.task_occupancy_s(id, job) * request.resources.cpu as f64
         };
-        Some(FairShareWeight {
+        Some(FairShareRank {
             group,
             remaining_work: remaining_work as u64,
             indivisible: spec.spread || spec.one_zone || request.gang,
         })
     }
 
-    /// Moves requests of groups below their floors to the front, groups with the smallest fraction
-    /// of their floor first. A request is split if only some of its tasks fit below the floor.
+    /// Moves requests of groups below their floors to the front, starting with the group that holds
+    /// the smallest fraction of its floor. A request is split if the floor covers only some of its
+    /// tasks.
     pub(in crate::scheduler) fn prioritize_below_floor(
         &self,
         requests: &mut Vec<JobRequest>,
@@ -74,23 +75,24 @@
                 FloorDeficit { capacity: group_share.owed, reached: group_share.reached() },
             );
         }
-        let mut first: Vec<JobRequest> = Vec::new();
+        let mut prioritized: Vec<JobRequest> = Vec::new();
         for n in deficit_order(requests, &deficits) {
-            let JobRequest { request, weight: Some(weight), .. } = &requests[n] else { continue };
+            let JobRequest { request, rank: Some(rank), .. } = &requests[n] else { continue };
             let Some(deficit) =
-                deficits.get_mut(&weight.group).filter(|deficit| deficit.capacity > 0)
+                deficits.get_mut(&rank.group).filter(|deficit| deficit.capacity > 0)
             else {
                 continue;
             };
-            let each = machine_share(&request.resources, &largest).max(1);
-            let missing_tasks = u32::try_from(deficit.capacity.div_ceil(each)).unwrap_or(u32::MAX);
+            let task_capacity = machine_share(&request.resources, &largest).max(1);
+            let missing_tasks =
+                u32::try_from(deficit.capacity.div_ceil(task_capacity)).unwrap_or(u32::MAX);
             let count =
-                if weight.indivisible { request.count } else { missing_tasks.min(request.count) };
-            deficit.capacity = deficit.capacity.saturating_sub(each * u64::from(count));
-            first.push(requests[n].take(count));
+                if rank.indivisible { request.count } else { missing_tasks.min(request.count) };
+            deficit.capacity = deficit.capacity.saturating_sub(task_capacity * u64::from(count));
+            prioritized.push(requests[n].take(count));
         }
         requests.retain(|request| request.request.count > 0);
-        requests.splice(0..0, first);
+        requests.splice(0..0, prioritized);
     }
 
     /// Records why tasks of each group wait, for operators.
@@ -110,10 +112,10 @@
         ];
         for (cause, remaining) in causes {
             for RequestTasks { request, tasks: count } in remaining {
-                let Some(weight) = tasks.get(request.0).and_then(|tasks| tasks.weight) else {
+                let Some(rank) = tasks.get(request.0).and_then(|tasks| tasks.rank) else {
                     continue;
                 };
-                let key = WaitingCause { group: weight.group, cause };
+                let key = WaitingCause { group: rank.group, cause };
                 *waiting.entry(key).or_default() += u64::from(*count);
             }
         }
@@ -126,12 +128,12 @@
     deficits: &BTreeMap<DemandGroup, FloorDeficit>,
 ) -> Vec<usize> {
     let deficit_of = |n: usize| {
-        let weight = requests[n].weight?;
-        Some((weight, deficits.get(&weight.group).filter(|deficit| deficit.capacity > 0)?))
+        let rank = requests[n].rank?;
+        Some((rank, deficits.get(&rank.group).filter(|deficit| deficit.capacity > 0)?))
     };
     let mut order: Vec<usize> = (0..requests.len()).filter(|n| deficit_of(*n).is_some()).collect();
     order.sort_by_key(|n| {
-        deficit_of(*n).map(|(weight, deficit)| (deficit.reached, weight.remaining_work, *n))
+        deficit_of(*n).map(|(rank, deficit)| (deficit.reached, rank.remaining_work, *n))
     });
     order
 }
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -15,11 +15,11 @@
 
 /// Target time to finish arrays without a completion objective, in seconds.
 const DEFAULT_FINISH_S: f64 = 300.0;
-/// Multiple of the jobs' completion objective within which a backlog is to be processed: a factor
-/// of 1 would take all capacity from services.
+/// Multiple of the jobs' completion objective within which a backlog is to be finished. A factor of
+/// 1 would take all capacity from services.
 const BACKLOG_TIME_FACTOR: f64 = 3.0;
-/// Share of the arrays' need that counts as demand: arrays can make up later for capacity that they
-/// lack now, services can't.
+/// Share of the arrays' need that counts as demand: an array can later make up for capacity that it
+/// lacks now, a service can't.
 const ARRAY_DEMAND_SHARE: f64 = 0.7;
 /// Maximum time during which a new leader presumes that capacity is scarce if demand exceeds supply
 /// and the cloud has not responded yet: its first machine list and first rentals take this long.
@@ -27,13 +27,14 @@
 
 /// Running totals of the demand of all jobs.
 struct DemandTotals {
-    /// Largest amount of each resource that any machine type has; the unit of demand.
+    /// Largest amount of each resource that any machine type has. Demand is measured as a share of
+    /// a machine of this size.
     largest: Amount,
     /// Time since this leader's term began.
     elapsed: Duration,
     /// Current time in milliseconds since the Unix epoch.
     now_ms: u64,
-    /// Whether unconfirmed machines have free capacity.
+    /// True if unconfirmed machines have free capacity.
     has_unconfirmed: bool,
     demands: BTreeMap<DemandGroup, Demand>,
     /// Capacity needed to finish each group's arrays within the backlog's target time.
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Counts an array's work, in machine-seconds, once.
+    /// Records the arrival of an array's work, in machine-seconds. Called once per array.
     fn record_arrival(
         &mut self,
         group: DemandGroup,
@@ -169,7 +170,7 @@
         demands
     }
 
-    /// Counts tasks that are being stopped as waiting instead of held.
+    /// Counts the capacity of tasks that are being stopped as waiting instead of held.
     fn exclude_stopping_tasks(
         &self,
         demands: &mut BTreeMap<DemandGroup, Demand>,
@@ -203,7 +204,7 @@
         elapsed: Duration,
     ) -> Supply {
         let rental = &fleet.rental;
-        let is_exhausted = || rental.remaining == 0 || self.all_pools_refuse(fleet, cloud);
+        let is_exhausted = || rental.remaining == 0 || self.are_rentals_impossible(fleet, cloud);
         let mut supply = Supply {
             exhausted: rental.allowed && is_exhausted(),
             presumed: !self.fair_share.cloud_responded
@@ -220,7 +221,7 @@
 
     /// Returns whether no more machines can be rented now: each pool has refused a request or is
     /// closed, or the cloud is unavailable.
-    fn all_pools_refuse(&self, fleet: &FleetView, cloud: &CloudClient) -> bool {
+    fn are_rentals_impossible(&self, fleet: &FleetView, cloud: &CloudClient) -> bool {
         let refuses = |pool: MachinePool| {
             fleet.closed_zones[pool.zone] || self.autoscaler.capacity_backoff.contains_key(&pool)
         };
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -14,8 +14,8 @@
 
 /// Multiple of the nominal boot time within which most machines are up and have an image.
 const TYPICAL_BOOT_FACTOR: f64 = 1.5;
-/// Number of parts per machine in which warm capacity is requested; the size of a part is that of
-/// the first machine type divided by this.
+/// Number of equal parts into which a machine of the first type is divided; warm capacity is
+/// requested in such parts.
 const WARM_PARTS_PER_MACHINE: u64 = 4;
 
 /// Context shared by the requests of a pass.
@@ -35,8 +35,8 @@
 }
 
 impl Scheduler {
-    /// Returns a job's request for zero tasks, from its specification; none for an unknown zone or
-    /// team.
+    /// Returns a request with the constraints of a job's specification and a task count of zero;
+    /// `None` if the job's zone or team is unknown.
     pub(super) fn base_request(
         &mut self,
         id: &JobId,
@@ -78,8 +78,8 @@
         names.iter().filter_map(position).map(MachineTypeId::new).collect()
     }
 
-    /// Returns a job's request for at most `max_tasks` of its waiting tasks, which are counted
-    /// instead of iterated over.
+    /// Returns a job's request for at most `max_tasks` of its waiting tasks; `None` if none may
+    /// start now. Waiting tasks are counted without iterating over them.
     pub(super) fn job_request(
         &mut self,
         id: &JobId,
@@ -117,8 +117,8 @@
         Some(request)
     }
 
-    /// Returns how many waiting tasks of a job are not in backoff, at most `max_tasks`; none if
-    /// nothing may start.
+    /// Returns how many waiting tasks of a job are not in backoff, at most `max_tasks`; `None` if
+    /// no task may start.
     fn startable_tasks(
         &mut self,
         id: &JobId,
@@ -132,7 +132,7 @@
         let waiting = progress.waiting(job);
         let all_in_backoff = waiting > 0 && waiting <= progress.backing_off.len() as u64;
         if progress.failures.is_job_faulty() && !is_gang && all_in_backoff {
-            // The job's own backoff has expired, so that of its next task is ignored.
+            // The job's own backoff has expired, so the backoff of its next task is ignored.
             let first = progress.backing_off.pop_first();
             progress.requeued.extend(first.map(|expiry| expiry.task));
         }
@@ -142,7 +142,7 @@
             context.note_backoff(Some(first.at));
         }
         let count = max_tasks.min(waiting.saturating_sub(backing_off));
-        // A gang with a missing task would wait for that task forever once it runs.
+        // A gang that runs without one of its tasks would wait for that task forever.
         let has_missing_task = is_gang && backing_off > 0;
         (count > 0 && !has_missing_task).then_some(count)
     }
@@ -178,8 +178,8 @@
         Some(())
     }
 
-    /// Returns the seconds until the job misses its next start objective or its deadline; none if
-    /// it has missed all.
+    /// Returns the seconds until the job misses its next start objective or its deadline; `None` if
+    /// it has missed all of them.
     pub(super) fn slo_slack_s(
         &self,
         id: &JobId,
@@ -197,7 +197,7 @@
     }
 
     /// Returns whether a task can wait for a booting machine on which capacity is reserved for it:
-    /// it starts in time there, or has missed its objectives already.
+    /// it starts in time there, or has already missed its objectives. Production tasks never wait.
     pub(super) fn can_wait_for_boot(&self, request: &PlacementRequest) -> bool {
         let boot_s = self.typical_boot_s();
         request.priority > Priority::Production
@@ -211,8 +211,8 @@
     }
 
     /// Adds reservations of warm capacity for production work. Capacity used by low-priority tasks
-    /// counts as free: these are preempted at once, and would otherwise fill each machine rented as
-    /// warm capacity.
+    /// counts as free: such tasks are preempted at once, and if their capacity did not count, they
+    /// would fill each machine that is rented as warm capacity.
     pub(super) fn reserve_warm_capacity(
         &self,
         reservations: &mut Vec<PlacementRequest>,
@@ -260,7 +260,7 @@
 
     /// Returns the warm capacity to keep in a zone, in parts of a machine.
     fn warm_parts(&self, machines_up: usize) -> u64 {
-        // The number of tasks that arrive at once grows with the fleet, so warm capacity does too.
+        // The number of tasks that arrive at once grows with the fleet, and so does warm capacity.
         let share = self.settings.operator.warm_share * machines_up as f64;
         let machines = self.settings.operator.warm_per_zone.max(share);
         (machines * WARM_PARTS_PER_MACHINE as f64).round() as u64
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -32,7 +32,7 @@
 use crate::workers::machine::{Machine, MachineState};
 use tokio::time::Instant;
 
-/// Causes for which tasks still wait after a pass, as reported to operators.
+/// Causes that operators see for tasks that still wait after a pass.
 pub(super) mod waiting_cause {
     /// The job's attempts fail on every machine.
     pub(in crate::scheduler) const FAILS_EVERYWHERE: &str = "fails everywhere";
@@ -56,7 +56,8 @@
 /// Delay before the next pass if time alone may change its outcome, in units of
 /// [`MIN_PASS_INTERVAL`].
 const RETRY_PASS_INTERVALS: u32 = 4;
-/// Shorter delay that applies if a task's retry backoff expires within [`RETRY_PASS_INTERVALS`].
+/// Shorter delay, in the same unit, for a retry backoff that expires within
+/// [`RETRY_PASS_INTERVALS`].
 const BACKOFF_PASS_INTERVALS: u32 = 2;
 
 impl Scheduler {
@@ -102,8 +103,9 @@
         if !fleet.unconfirmed.is_empty() {
             return;
         }
-        // Waiting low-priority tasks don't prevent consolidation: they can use the machines that it
-        // empties, and capacity that they need themselves isn't free, so no task is moved into it.
+        // Waiting low-priority tasks don't prevent consolidation: they can use the emptied
+        // machines, and moved tasks don't take capacity from them, because capacity that fits them
+        // isn't free.
         let requests = &demand.requests;
         let only_low_priority = requests.iter().all(|job| job.request.priority == Priority::Low);
         if only_low_priority && now >= self.consolidation.next_round && !self.is_draining() {
@@ -113,7 +115,8 @@
         self.evacuate_drained(&fleet.machines.bins, &fleet.machines.ids, cache, now);
     }
 
-    /// Carries out a decision: starts, preempts, rents, and schedules the next pass.
+    /// Carries out a decision: starts and preempts tasks, rents machines and schedules the next
+    /// pass.
     fn apply(
         &mut self,
         mut decision: PlanningDecision,
--- a/src/scheduler/planning/decision.rs
+++ b/src/scheduler/planning/decision.rs
@@ -16,7 +16,7 @@
     pub(in crate::scheduler) placement: PlacementPlan,
     /// Waiting tasks, indexed by request. Requests with indexes beyond these are reservations.
     pub(in crate::scheduler) tasks: Vec<WaitingTasks>,
-    /// Machine of each bin; none for a machine that is still to be rented.
+    /// Machine of each bin; `None` for a machine of a pending rental.
     pub(in crate::scheduler) machine_ids: Vec<Option<MachineId>>,
     /// Machines to rent, by pool.
     pub(in crate::scheduler) rentals: Vec<PendingRental>,
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -8,7 +8,7 @@
 use crate::jobs::LiveJob;
 use crate::placement::{PlacementRequest, QueuedJob, ScaleOutPolicy, max_copies};
 use crate::scheduler::Scheduler;
-use crate::scheduler::fair_share::FairShareWeight;
+use crate::scheduler::fair_share::FairShareRank;
 use crate::scheduler::placement_requests::RequestContext;
 use crate::store::Cache;
 use crate::wire::{JobKind, Priority};
@@ -20,8 +20,8 @@
     pub(in crate::scheduler) job: JobId,
     /// Resources, constraints and number of tasks.
     pub(in crate::scheduler) request: PlacementRequest,
-    /// Rank of the request while capacity is scarce; none otherwise.
-    pub(in crate::scheduler) weight: Option<FairShareWeight>,
+    /// Rank of the request while capacity is scarce; `None` otherwise.
+    pub(in crate::scheduler) rank: Option<FairShareRank>,
 }
 
 impl JobRequest {
@@ -29,7 +29,7 @@
     pub(in crate::scheduler) fn take(&mut self, count: u32) -> JobRequest {
         let request = PlacementRequest { count, ..self.request.clone() };
         self.request.count -= count;
-        JobRequest { job: self.job.clone(), request, weight: self.weight }
+        JobRequest { job: self.job.clone(), request, rank: self.rank }
     }
 }
 
@@ -39,9 +39,9 @@
     pub(in crate::scheduler) job: JobId,
     /// Number of tasks not started yet.
     pub(in crate::scheduler) remaining: u32,
-    /// Rank of the request while capacity is scarce; none otherwise.
-    pub(in crate::scheduler) weight: Option<FairShareWeight>,
-    /// The request, if other tasks may be preempted for it.
+    /// Rank of the request while capacity is scarce; `None` otherwise.
+    pub(in crate::scheduler) rank: Option<FairShareRank>,
+    /// The request; `None` if no other tasks may be preempted for it.
     pub(in crate::scheduler) preemptor: Option<PlacementRequest>,
 }
 
@@ -54,7 +54,7 @@
         WaitingTasks {
             job: job.job.clone(),
             remaining: request.count,
-            weight: job.weight,
+            rank: job.rank,
             preemptor: may_preempt.then(|| request.clone()),
         }
     }
@@ -64,8 +64,8 @@
 pub(in crate::scheduler) struct DemandQueue {
     /// Requests of jobs.
     pub(in crate::scheduler) requests: Vec<JobRequest>,
-    /// Capacity to keep free for future tasks. Placed after all jobs' requests; no task starts in
-    /// it.
+    /// Reservations of capacity for future tasks. They are placed after all jobs' requests, and no
+    /// task starts in that capacity.
     pub(in crate::scheduler) reservations: Vec<PlacementRequest>,
     /// Time at which the first retry backoff expires.
     pub(in crate::scheduler) next_backoff_expiry: Option<Instant>,
@@ -97,10 +97,10 @@
             request.slo_slack_s = self.slo_slack_s(id, job, *over_quota, now);
             if width.is_growth {
                 request.scale_out = ScaleOutPolicy::Nothing;
-                growth_requests.push(JobRequest { job: id.clone(), request, weight: None });
+                growth_requests.push(JobRequest { job: id.clone(), request, rank: None });
             } else {
-                let weight = self.fair_share_weight(id, job, &request);
-                requests.push(JobRequest { job: id.clone(), request, weight });
+                let rank = self.fair_share_rank(id, job, &request);
+                requests.push(JobRequest { job: id.clone(), request, rank });
             }
         }
         let next_backoff_expiry = context.next_backoff_expiry;
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time during which best-effort tasks are not placed on a machine that tasks of higher priority
-/// just left: the next task of higher priority would stop them again.
+/// Time during which best-effort tasks are not placed on a machine after tasks of higher priority
+/// have left it: the next task of higher priority would stop them again.
 const VACATED_MACHINE_COOLDOWN: Duration = Duration::from_secs(5);
 /// Maximum time that a new leader waits for the cloud's first machine list, as a multiple of
 /// [`RENTAL_SETTLE_TIME`].
@@ -27,15 +27,16 @@
 pub(in crate::scheduler) struct FleetView {
     /// Capacity of one machine, indexed by machine type.
     pub(in crate::scheduler) capacities: Vec<Amount>,
-    /// Machines on which tasks may run that no heartbeat to this leader has shown yet.
+    /// Machines that may run tasks unknown to this leader, since they have sent it no heartbeat
+    /// yet.
     pub(in crate::scheduler) unconfirmed: UnconfirmedMachines,
     /// Unused part of each team's limit, indexed by team. The last entry is unlimited: it is for
     /// reservations, which belong to no team.
     pub(in crate::scheduler) team_headroom: Vec<Amount>,
     /// Summary of the state of all machines.
     pub(in crate::scheduler) summary: FleetSummary,
-    /// Whether a zone is closed to reservations and rentals: unreachable or drained; indexed by
-    /// zone.
+    /// True if a zone is closed to reservations and rentals, because it is unreachable or drained;
+    /// indexed by zone.
     pub(in crate::scheduler) closed_zones: Vec<bool>,
     /// Machines that placement may use.
     pub(in crate::scheduler) machines: MachineBins,
@@ -62,7 +63,7 @@
 pub(in crate::scheduler) struct MachineBins {
     /// Free capacity and constraints of each machine.
     pub(in crate::scheduler) bins: Vec<Bin>,
-    /// Machine of each bin; none for a machine that is still to be rented.
+    /// Machine of each bin; `None` for a machine of a pending rental.
     pub(in crate::scheduler) ids: Vec<Option<MachineId>>,
 }
 
@@ -70,7 +71,7 @@
 pub(in crate::scheduler) struct RentalState {
     /// Rentals that the cloud has not answered yet.
     pub(in crate::scheduler) pending: Vec<PendingRental>,
-    /// Whether this leader knows enough of previous leaders' rentals to rent machines itself.
+    /// True if this leader knows enough of previous leaders' rentals to rent machines itself.
     pub(in crate::scheduler) allowed: bool,
     /// Number of additional machines that the controllers can serve.
     pub(in crate::scheduler) remaining: u32,
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Returns each team's limit minus what its tasks use, or may use on unconfirmed machines.
+    /// Returns each team's limit minus the resources that its tasks use or may use on unconfirmed
+    /// machines.
     fn team_headroom(
         &mut self,
         capacities: &[Amount],
@@ -237,9 +239,9 @@
     }
 }
 
-/// Returns whether tasks may be placed on a machine that is up.
+/// Returns whether a machine is up and tasks may be placed on it.
 fn is_usable(machine: &Machine, silence_limit: Duration, now: Instant) -> bool {
-    // A machine that is being emptied takes no tasks until it is empty.
+    // A machine that is being consolidated takes no tasks until it is empty.
     let emptying = machine.last_consolidated.is_some_and(|at| now < at + CONSOLIDATION_INTERVAL);
     machine.state == MachineState::Up
         && (!emptying || machine.is_empty())
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -26,7 +26,7 @@
     pub(super) maybe_used: Vec<Amount>,
 }
 
-/// The ready jobs in order of service, with their possible usage of unconfirmed machines.
+/// The ready jobs in order of service, with each team's possible usage of unconfirmed machines.
 struct ServiceQueue {
     queue: Vec<QueuedJob>,
     maybe_used: Vec<Amount>,
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -91,8 +91,8 @@
     fn start(&mut self, id: &MachineId, task: TaskId, cache: &Cache, now: Instant) {
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return };
         if !live.is_ready() {
-            // Jobs that are not ready make no request; this check is a last guard against early
-            // starts.
+            // Jobs that are not ready make no request; this check is the last safeguard against a
+            // start that comes too early.
             tracing::error!(%task, "not started: dependencies are not met");
             return;
         }
@@ -104,7 +104,8 @@
         else {
             return;
         };
-        // The tasks of a gang find each other by a common attempt, which each generation shares.
+        // The tasks of a gang find each other by their attempt, which all tasks of a generation
+        // share.
         let is_gang = live.spec.shape == JobKind::Gang;
         let gang_attempt = || progress.placed.values().map(|placed| placed.attempt).max();
         let attempt = match is_gang.then(gang_attempt).flatten() {
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -14,16 +14,16 @@
 const PASS_PAUSE_FACTOR: u32 = 4;
 /// Initial rate limit on starts of low-priority tasks, per second.
 const LOW_PRIORITY_STARTS_INITIAL: f64 = 100.0;
-/// Minimum rate, in starts per second: ten keep an array making progress.
+/// Minimum rate, in starts per second: enough for an array to make progress.
 const LOW_PRIORITY_STARTS_MIN: f64 = 10.0;
-/// Maximum rate, in starts per second: thousands of tasks of a few seconds each mainly fill
-/// heartbeats, which a new leader has to process all at once.
+/// Maximum rate, in starts per second. Starting thousands of tasks of a few seconds each mainly
+/// fills heartbeats, which a new leader has to process all at once.
 const LOW_PRIORITY_STARTS_MAX: f64 = 250.0;
 /// Increase of the rate, in starts per second, at each adjustment without a late tick.
 const LOW_PRIORITY_STARTS_STEP: f64 = 5.0;
 /// Interval between adjustments of the rate.
 pub(super) const PACE_ADJUSTMENT_INTERVAL: Duration = Duration::from_millis(250);
-/// Lateness of a tick from which the process counts as falling behind.
+/// Lateness of a tick above which the process counts as falling behind.
 pub(crate) const LATE_TICK: Duration = Duration::from_millis(150);
 
 /// Due times of planning passes and of the periodic check of machines.
@@ -33,16 +33,16 @@
     pub(super) next_watch: Instant,
     /// Earliest time of the next planning pass.
     pub(super) next_pass: Instant,
-    /// Whether an event occurred that may change the plan.
+    /// True if an event occurred that may change the plan.
     pub(super) pass_requested: bool,
-    /// Time at which a pass is due even if no task waits.
+    /// Time from which a pass is due even if no work is pending.
     pub(super) next_unconditional_pass: Instant,
-    /// Whether the event being handled included a pass.
+    /// True if the event that is being handled included a pass.
     pub(super) pass_in_this_event: bool,
 }
 
 impl PlanningClock {
-    /// Creates a clock by which everything is due now.
+    /// Creates a clock for which a pass and the check of machines are due now.
     pub(super) fn new(now: Instant) -> PlanningClock {
         PlanningClock {
             next_watch: now,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns when the next pass is due, if one is requested.
+    /// Returns the time at which the next pass is due, if one is requested.
     pub(super) fn next_due(&self) -> Option<Instant> {
         self.pass_requested.then_some(self.next_pass)
     }
@@ -81,7 +81,8 @@
 }
 
 /// Limits the rate at which low-priority tasks are started. If the process falls behind, the rate
-/// drops, so that thousands of small tasks of one array don't cost all other users their leader.
+/// drops, so that thousands of small tasks of one array don't overload the leader until it loses
+/// its leadership, at the expense of all other users.
 #[derive(Debug)]
 pub(super) struct StartPacer {
     /// Token bucket for starts of low-priority tasks.
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Adjusts the rate by how late the process is.
+    /// Adjusts the rate to the lateness of the last tick: halves it after a late tick, and
+    /// otherwise increases it by [`LOW_PRIORITY_STARTS_STEP`].
     pub(super) fn adjust(&mut self, late: Duration, now: Instant) {
         if now < self.next_adjustment {
             return;
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -25,8 +25,8 @@
 
 /// Share of the tightest start objective that a victim may spend on saving its progress.
 const SAVE_SHARE_OF_SLO: f64 = 0.25;
-/// Share of the tightest start objective. If fetching an image takes longer than this, tasks are
-/// preempted on a machine that has the image.
+/// Share of the tightest start objective. A production task whose image takes longer than this to
+/// fetch preempts tasks on a machine that has the image.
 const FETCH_SHARE_OF_SLO: f64 = 0.8;
 
 /// Stop reason for a task preempted in favor of one of higher priority.
@@ -34,7 +34,7 @@
 /// Stop reason for a task that is moved to another machine.
 pub(super) const MOVED: &str = "moved";
 
-/// Tasks of a request that no machine had free capacity for.
+/// Tasks of a request for which no machine had enough free capacity.
 pub(super) struct UnplacedTasks {
     /// Number of tasks.
     pub(super) count: u32,
@@ -54,23 +54,23 @@
     exhausted: Vec<PlacementRequest>,
 }
 
-/// Capacity to free by preemption: for `count` tasks of a request.
+/// Capacity to free by preemption, enough for `count` tasks of a request.
 struct CapacityNeeded<'a> {
     request: &'a PlacementRequest,
     count: u64,
-    /// Whether to search only machines that have the image.
+    /// True if only machines that have the image are searched.
     requires_image: bool,
     /// Maximum time that victims may take to save their progress, in seconds.
     max_save_s: f64,
 }
 
-/// An attempt to stop.
+/// An attempt that is to be stopped.
 struct VictimStop {
     attempt: TaskAttempt,
     grace_s: f64,
 }
 
-/// Attempts to stop on one machine, which together make one task fit.
+/// The attempts that are to be stopped on one machine so that one task fits.
 struct Preemption {
     machine: MachineId,
     stops: Vec<VictimStop>,
@@ -99,7 +99,8 @@
             return;
         }
         let mut being_freed = self.resources_being_freed();
-        // Not the victims collected before the starts of this pass: those have used free capacity.
+        // Victims collected before the starts of this pass are outdated: the starts have used free
+        // capacity.
         let mut victims = VictimCache::default();
         for UnplacedTasks { count, request } in unplaced {
             if request.gang {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Returns the resources that earlier preemptions are about to free. The amount counts, not the
-    /// number of tasks: one task may need the capacity of sixteen small ones.
+    /// Returns the resources that earlier preemptions are about to free. The result is an amount
+    /// and not a number of tasks: one task may need the capacity of sixteen small ones.
     fn resources_being_freed(&self) -> Amount {
         self.fleet
             .machines
@@ -125,8 +126,8 @@
             .fold(Amount::default(), |sum, entry| sum.plus(&entry.request))
     }
 
-    /// Returns whether fetching the image on this machine would use up too much of the tightest
-    /// start objective of the job's class.
+    /// Returns whether a production job's image takes longer to fetch on this machine than
+    /// [`FETCH_SHARE_OF_SLO`] of the tightest start objective of the job's class.
     pub(super) fn fetch_is_late(&self, job: &JobId, machine: &MachineId, cache: &Cache) -> bool {
         let Some(live) = cache.jobs.get(job).and_then(Job::live) else { return false };
         let Some(machine) = self.fleet.machines.get(machine) else { return false };
@@ -139,7 +140,8 @@
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
 
-    /// Preempts tasks for one task on a machine that has its image, and returns whether it could.
+    /// Preempts tasks for one task on a machine that has its image. Returns false if there is no
+    /// such machine with suitable victims.
     pub(super) fn preempt_for_image(
         &mut self,
         request: &PlacementRequest,
@@ -150,7 +152,8 @@
         self.preempt_for(request, 1, true, victims, cache, now) > 0
     }
 
-    /// Preempts tasks for up to `count` tasks, cheapest first, and returns for how many it could.
+    /// Preempts tasks for up to `count` tasks of a request, cheapest first. Returns the number of
+    /// tasks for which enough capacity is being freed.
     fn preempt_for(
         &mut self,
         request: &PlacementRequest,
@@ -203,7 +206,7 @@
 
 impl CapacityNeeded<'_> {
     /// Chooses the tasks to stop. A preemption changes the costs on its own machine only, so each
-    /// machine is searched once, and once more after each choice on it.
+    /// machine is searched once at first, and again after each preemption on it.
     fn choose(
         &self,
         machines: &mut [VictimMachine],
--- a/src/scheduler/preemption/budget.rs
+++ b/src/scheduler/preemption/budget.rs
@@ -26,7 +26,8 @@
         })
     }
 
-    /// Deducts these tasks from their groups' budgets and returns true, if the budgets cover all.
+    /// Deducts these tasks from their groups' budgets if the budgets cover all of them, and returns
+    /// whether they do.
     pub(super) fn spend(&mut self, shares: impl Iterator<Item = GroupShare>) -> bool {
         let Some(budget) = &mut self.0 else { return true };
         let mut sums: BTreeMap<DemandGroup, Capacity> = BTreeMap::new();
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -14,8 +14,8 @@
 use ordered_float::OrderedFloat;
 use tokio::time::Instant;
 
-/// Remaining run time in seconds below which a task is not preempted: stopping it and hearing of
-/// the stop in a heartbeat take as long.
+/// Remaining run time in seconds below which a task is not preempted: stopping it and receiving the
+/// heartbeat that confirms the stop take as long.
 const MIN_REMAINING_RUN_S: f64 = 3.0;
 /// Seconds of work that may be repeated so that a task starts where its image is. A fetch takes a
 /// few seconds, while an array that repeats minutes of work finishes late.
@@ -134,12 +134,12 @@
         } else {
             None
         };
-        // A group's tasks up to its floor are not preempted.
+        // Preemption must not take the group below its floor.
         if share.is_some_and(|share| !rules.budget.covers(share)) {
             return None;
         }
-        // Victims of a job that was preempted before cost more: otherwise the same small jobs are
-        // stopped repeatedly until they finish late.
+        // Tasks of a job that was preempted before cost more: otherwise the same small jobs would
+        // be stopped repeatedly until they finish late.
         let preemptions = self.jobs.progress.get(id).map_or(0, |progress| progress.preemptions);
         let repeat_weight = 1.0 + f64::from(preemptions) / spec.tasks as f64;
         let minimum_width_cost_s = self.minimum_width_cost_s(id, live);
@@ -192,15 +192,16 @@
                 break;
             }
             if victim.priority > request.priority {
-                // Scaled by size: the lost work matters, not the number of tasks that it is divided
-                // into.
+                // Weighted by CPU: the amount of lost work matters, not the number of tasks that
+                // did it.
                 let share = victim.resources.cpu as f64 / request.resources.cpu.max(1) as f64;
                 loss_s += share * victim.loss_s(needed.max_save_s);
                 free = free.plus(&victim.resources);
                 victims.push(n);
             }
         }
-        // A machine that already has the image justifies a limited amount of repeated work.
+        // Starting on a machine that has the image justifies only a limited amount of repeated
+        // work.
         if !request.resources.fits(&free)
             || victims.is_empty()
             || (needed.requires_image && loss_s > MISSING_IMAGE_COST_S)
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -62,7 +62,7 @@
         assert!(width(&bench, &elastic) >= previous_width, "width shrank without preemption");
         previous_width = width(&bench, &elastic);
     }
-    // Each growth step takes half of the free capacity beside the warm capacity; some stays free.
+    // Each growth step takes half of the free capacity that is not kept warm, so some stays free.
     assert!((8..=16).contains(&previous_width), "{previous_width}");
     let production = bench.job("wk-2", JobKind::Service, 14);
     let Some(job) = bench.store.cache.jobs.all.get_mut(&production) else { panic!() };
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -12,10 +12,10 @@
 use troutspindle_protocol::operator_api::FairShareReport;
 
 /// An array fills the only four machines, then a service requests all of them. Without floors the
-/// service preempts the whole array. With floors the array keeps its floor, and the capacity above
-/// it goes first to the group below its floor.
+/// service preempts the whole array. With floors the array keeps the capacity up to its floor, and
+/// the capacity above goes first to the group that is below its floor.
 #[test]
-fn preemption_leaves_groups_their_floor_and_serves_groups_below_theirs() {
+fn preemption_stops_at_a_group_floor_and_serves_groups_below_their_floor() {
     let running_count = |bench: &TestLeader, id: &JobId| {
         let machines = bench.scheduler.fleet.machines.values();
         let entries = machines.flat_map(|m| m.attempts.iter());
@@ -71,5 +71,5 @@
     assert_eq!(array_tasks, 12, "{report:?}");
     assert!(report.scarce_for_s.is_some() && report.nothing_to_rent);
     let below: Vec<&str> = report.groups.iter().map(|group| group.class.as_str()).collect();
-    assert_eq!(below, ["urgent"], "the capacity preempted for it is not free yet");
+    assert_eq!(below, ["urgent"], "the capacity preempted for the service is not free yet");
 }
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -7,8 +7,8 @@
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeSet;
 
-/// No machine is rented beyond the limit of the controllers, waiting tasks report this cause, and
-/// all workers are called in turn if only a few calls may be in flight at once.
+/// No machine is rented beyond the limit of the controllers, and waiting tasks report this cause.
+/// If only a few calls may be in flight at once, all workers are called in turn.
 #[test]
 fn rentals_and_direct_calls_stay_within_controller_limits() {
     let mut bench = TestLeader::new();
@@ -45,7 +45,7 @@
 /// machines is computed. Each machine has one task per two of its CPUs, there is one job per three
 /// tasks, and names and images have a realistic length.
 #[test]
-fn memory_per_machine_stays_below_the_estimate_of_the_machine_limit() {
+fn memory_per_machine_stays_below_the_estimate_behind_the_machine_limit() {
     const MACHINES: usize = 300;
     let mut kept_leader = None;
     let allocations = allocation_counter::measure(|| {
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::direct_calls::OutgoingCall;
 use crate::scheduler::planning_clock::MIN_PASS_INTERVAL;
 use crate::settings::Settings;
-use crate::settings::fixtures::machine_type as flavor;
+use crate::settings::fixtures::machine_type;
 use crate::wire::{JobKind, TaskState};
 use crate::workers::command_delivery::DirectCall;
 use crate::workers::machine::MachineState;
@@ -32,9 +32,9 @@
         bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
     };
     let boot_timeout =
-        Duration::from_secs_f64(flavor().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
+        Duration::from_secs_f64(machine_type().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
     bench.pass(boot_timeout / 2);
-    let flavor = flavor();
+    let machine_type = machine_type();
     let overdue_count = |bench: &TestLeader| {
         let summary = bench.scheduler.fleet_summary(bench.now);
         let is_overdue = bench.scheduler.boot_overdue(&summary, bench.now);
@@ -43,7 +43,7 @@
             .fleet
             .machines
             .values()
-            .filter(|m| m.up_since.is_none() && is_overdue(m, &flavor))
+            .filter(|m| m.up_since.is_none() && is_overdue(m, &machine_type))
             .count()
     };
     assert_eq!(overdue_count(&bench), 0);
@@ -56,9 +56,9 @@
     assert_eq!(booting(&bench), 0);
 }
 
-/// A machine with replicas that answers nobody is terminated long before its lease expires, but
-/// only if other machines of its zone were reachable when it was called: unanswered calls during a
-/// network partition prove nothing.
+/// A machine with replicas that answers no controller is terminated long before its lease expires,
+/// but only if other machines of its zone were reachable when it was called: unanswered calls
+/// during a network partition prove nothing.
 #[test]
 fn unreachable_machine_is_terminated_before_lease_expiry_only_if_others_are_reachable() {
     for others_reachable in [true, false] {
@@ -70,14 +70,14 @@
         machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
         bench.job("wk-1", JobKind::Service, 1);
         bench.pass(MIN_PASS_INTERVAL * 5);
-        let orders = bench.report("i-1", vec![]);
-        let running = task_statuses(&orders, TaskState::Running);
+        let commands = bench.report("i-1", vec![]);
+        let running = task_statuses(&commands, TaskState::Running);
         assert_eq!(running.len(), 1);
         bench.report("i-1", running);
         let heartbeat_late_after = bench.scheduler.heartbeat_late_after();
         let until = bench.now + heartbeat_late_after * 3;
         while bench.now < until {
-            // During a partition no machine is heard until it ends.
+            // During a partition the leader receives no heartbeat until the partition ends.
             if others_reachable || bench.now + TICK_MAX * 2 >= until {
                 machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
             }
@@ -86,7 +86,7 @@
                 bench.scheduler.take_direct_calls()
             {
                 let sent = match direct {
-                    DirectCall::Do(orders) => Some(orders),
+                    DirectCall::Do(commands) => Some(commands),
                     DirectCall::Status => None,
                 };
                 let no_response = Err(crate::http::CallError::Unknown);
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Thousands of small tasks of one low-priority array must not overload the leader of all users.
+/// Thousands of small tasks of one low-priority array must not overload the leader, on which all
+/// users depend.
 #[test]
 fn low_priority_start_rate_drops_when_the_leader_falls_behind() {
     let count_starts = |late: Duration| {
@@ -33,9 +34,9 @@
     assert!((50..200).contains(&starts), "{starts}");
 }
 
-/// A leader marks a machine dirty only if it still has to send it something: heartbeats that
-/// confirm the known state mark none, however many arrive, and one that shows a task to stop marks
-/// only its own machine. Counts machines instead of measuring time.
+/// A leader marks a machine dirty only if it still has to send something to its worker. Heartbeats
+/// that confirm the known state mark no machine, however many arrive, and a heartbeat that shows a
+/// task to stop marks only its own machine. Counts machines instead of measuring time.
 #[test]
 fn heartbeats_without_changes_mark_no_machine_dirty() {
     let mut bench = TestLeader::new();
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A machine that already has the image doesn't justify repeating minutes of work: preferring it at
-/// any cost lost an array 242 s of work.
+/// Preemption doesn't repeat minutes of work to start a task on a machine that has its image:
+/// preferring such machines at any cost made an array lose 242 s of work.
 #[test]
 fn preemption_chooses_the_least_lost_work_even_on_a_machine_without_the_image() {
     let mut bench = TestLeader::new();
