--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -242,8 +242,8 @@
 
     /// Runs all work that is due. Called frequently, and only while this process holds the leader lease.
     pub fn tick(&mut self, store: &mut StoreClient, cloud: &mut CloudClient, now: Instant) {
-        if now >= self.planning_clock.next_watch {
-            self.planning_clock.next_watch = now + CHECK_INTERVAL;
+        if now >= self.planning_clock.next_check {
+            self.planning_clock.next_check = now + CHECK_INTERVAL;
             self.run_periodic_checks(store, cloud, now);
         }
         self.enqueue_due_writes(store, now);
@@ -261,7 +261,7 @@
         now: Instant,
     ) {
         self.direct_calls.all_dirty = true;
-        self.watch_machines(&store.cache, cloud, now);
+        self.check_machines(&store.cache, cloud, now);
         self.delete_machine_records(store);
         self.read_drains(&store.cache);
         self.collect_garbage(store, now);
--- a/src/scheduler/autoscaling/machine_watch.rs
+++ b/src/scheduler/autoscaling/machine_watch.rs
@@ -192,7 +192,7 @@
     }
 
     /// Checks all machines, and terminates those that are faulty, lost, idle or boot too late.
-    pub(in crate::scheduler) fn watch_machines(
+    pub(in crate::scheduler) fn check_machines(
         &mut self,
         cache: &Cache,
         cloud: &mut CloudClient,
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -54,8 +54,9 @@
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let elastic_job = ElasticJob { need: job.request.cpu, width, most: elastic.most, waiting };
-        (width >= elastic.least).then_some(elastic_job)
+        let elastic_job =
+            ElasticJob { need: job.request.cpu, width, most: elastic.max_width, waiting };
+        (width >= elastic.min_width).then_some(elastic_job)
     }
 
     /// Returns the elastic widths of an array's class, if it has any.
@@ -80,8 +81,11 @@
             return ElasticLimit { max_starts: limit, is_growth: false };
         };
         let width = self.width(id);
-        if width < elastic.least {
-            return ElasticLimit { max_starts: limit.min(elastic.least - width), is_growth: false };
+        if width < elastic.min_width {
+            return ElasticLimit {
+                max_starts: limit.min(elastic.min_width - width),
+                is_growth: false,
+            };
         }
         let growth = growth.get(id).copied().unwrap_or(0);
         ElasticLimit { max_starts: limit.min(growth), is_growth: true }
@@ -91,7 +95,7 @@
     /// elastic and at or below its minimum width.
     pub(super) fn minimum_width_cost_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
-        if self.width(id) <= elastic.least { MINIMUM_WIDTH_COST_S } else { 0.0 }
+        if self.width(id) <= elastic.min_width { MINIMUM_WIDTH_COST_S } else { 0.0 }
     }
 
     /// Records that tasks of these jobs were preempted, so that the jobs don't grow for a while.
--- a/src/scheduler/planning_clock.rs
+++ b/src/scheduler/planning_clock.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct PlanningClock {
     /// Time of the next check of all machines.
-    pub(super) next_watch: Instant,
+    pub(super) next_check: Instant,
     /// Earliest time of the next planning pass.
     pub(super) next_pass: Instant,
     /// True if an event occurred that may change the plan.
@@ -45,7 +45,7 @@
     /// Creates a clock for which a pass and the check of machines are due now.
     pub(super) fn new(now: Instant) -> PlanningClock {
         PlanningClock {
-            next_watch: now,
+            next_check: now,
             next_pass: now,
             pass_requested: true,
             next_unconditional_pass: now,
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -16,7 +16,8 @@
     let mut bench = TestLeader::new();
     let settings = Arc::make_mut(&mut bench.scheduler.settings);
     let class = jobs::fixtures::job_spec("wk-1", 1).class;
-    settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
+    settings.operator.elastic =
+        vec![crate::settings::ElasticClass { class, min_width: 2, max_width: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let mut statuses_by_worker: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     // Each worker carries out its commands at once.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -98,9 +98,11 @@
     /// The class.
     pub class: String,
     /// Tasks for which a job is served as any is: machines are rented for them, and they are preempted last.
-    pub least: u64,
+    #[serde(rename = "least")]
+    pub min_width: u64,
     /// Tasks that run at once at the most, in room that has stayed free.
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max_width: u64,
 }
 
 /// A text that neither a log nor `check` shows.
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -130,7 +130,7 @@
         let max_tasks = MAX_TASKS_PER_JOB as f64;
         for elastic in &operator.elastic {
             let class = &elastic.class;
-            let (least, most) = (elastic.least as f64, elastic.most as f64);
+            let (least, most) = (elastic.min_width as f64, elastic.max_width as f64);
             self.check(format!("elastic {class} least"), least, 1.0, max_tasks);
             self.check(format!("elastic {class} most"), most, least, max_tasks);
             let count = operator.elastic.iter().filter(|other| other.class == *class).count();
--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -136,7 +136,7 @@
         log_format: LogFormat::Json,
         operator_key: Secret("a key of sixteen or more".into()),
         estimates,
-        elastic: vec![ElasticClass { class: "float-audit".into(), least: 4, most: 60 }],
+        elastic: vec![ElasticClass { class: "float-audit".into(), min_width: 4, max_width: 60 }],
         floor: 0.375,
         share_reports: ShardHeartbeats::Always,
     };
