--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -20,7 +20,7 @@
 pub(super) struct ElasticLimit {
     /// Maximum number of tasks to start.
     pub(super) max_starts: u64,
-    /// Whether these starts grow an elastic job beyond its minimum width.
+    /// True if these starts grow an elastic job beyond its minimum width.
     pub(super) is_growth: bool,
 }
 
@@ -54,8 +54,9 @@
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let elastic_job = ElasticJob { need: job.request.cpu, width, most: elastic.most, waiting };
-        (width >= elastic.least).then_some(elastic_job)
+        let elastic_job =
+            ElasticJob { need: job.request.cpu, width, most: elastic.max_width, waiting };
+        (width >= elastic.min_width).then_some(elastic_job)
     }
 
     /// Returns the elastic widths of an array's class, if it has any.
@@ -67,8 +68,8 @@
         self.jobs.progress.get(id).map_or(0, |progress| progress.placed.len() as u64)
     }
 
-    /// Limits how many tasks of a job may start now: an elastic job below its minimum width may
-    /// start tasks up to that width, one at or above it the tasks that it may grow by.
+    /// Returns how many tasks of a job may start now. An elastic job below its minimum width may
+    /// start tasks up to that width; above that, its growth in this pass is the limit.
     pub(super) fn elastic_limit(
         &self,
         id: &JobId,
@@ -80,21 +81,24 @@
             return ElasticLimit { max_starts: limit, is_growth: false };
         };
         let width = self.width(id);
-        if width < elastic.least {
-            return ElasticLimit { max_starts: limit.min(elastic.least - width), is_growth: false };
+        if width < elastic.min_width {
+            return ElasticLimit {
+                max_starts: limit.min(elastic.min_width - width),
+                is_growth: false,
+            };
         }
         let growth = growth.get(id).copied().unwrap_or(0);
         ElasticLimit { max_starts: limit.min(growth), is_growth: true }
     }
 
-    /// Returns the cost in seconds that is added to preempting a task of the job, if the job is at
-    /// or below its minimum width.
+    /// Returns the additional cost of preempting a task of the job, in seconds: 0 unless the job is
+    /// elastic and at or below its minimum width.
     pub(super) fn minimum_width_cost_s(&self, id: &JobId, job: &LiveJob) -> f64 {
         let Some(elastic) = self.settings.elastic_class(&job.spec.class) else { return 0.0 };
-        if self.width(id) <= elastic.least { MINIMUM_WIDTH_COST_S } else { 0.0 }
+        if self.width(id) <= elastic.min_width { MINIMUM_WIDTH_COST_S } else { 0.0 }
     }
 
-    /// Records that tasks of these jobs were preempted: the jobs pause before they grow again.
+    /// Records that tasks of these jobs were preempted, so that the jobs don't grow for a while.
     pub(super) fn pause_elastic_growth(&mut self, jobs: &[JobId], now: Instant) {
         if self.settings.operator.elastic.is_empty() {
             return;
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -16,7 +16,8 @@
     let mut bench = TestLeader::new();
     let settings = Arc::make_mut(&mut bench.scheduler.settings);
     let class = jobs::fixtures::job_spec("wk-1", 1).class;
-    settings.operator.elastic = vec![crate::settings::ElasticClass { class, least: 2, most: 20 }];
+    settings.operator.elastic =
+        vec![crate::settings::ElasticClass { class, min_width: 2, max_width: 20 }];
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let mut statuses_by_worker: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     // Each worker carries out its commands at once.
@@ -62,7 +63,7 @@
         assert!(width(&bench, &elastic) >= previous_width, "width shrank without preemption");
         previous_width = width(&bench, &elastic);
     }
-    // Each growth step takes half of the free capacity beside the warm capacity; some stays free.
+    // Each growth step takes half of the free capacity that is not kept warm, so some stays free.
     assert!((8..=16).contains(&previous_width), "{previous_width}");
     let production = bench.job("wk-2", JobKind::Service, 14);
     let Some(job) = bench.store.cache.jobs.all.get_mut(&production) else { panic!() };
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -101,9 +101,11 @@
     pub class: String,
     /// Number of tasks that are scheduled as those of any other job: machines are rented for them, and they are
     /// preempted last.
-    pub least: u64,
+    #[serde(rename = "least")]
+    pub min_width: u64,
     /// Maximum number of tasks that run at once. Tasks beyond `least` run only in capacity that has stayed free.
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max_width: u64,
 }
 
 /// Text that appears neither in logs nor in the output of `check`.
