--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -61,8 +61,8 @@
 
 /// Interval between two runs of the periodic checks, such as those for silent and aged machines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum interval between two requested planning passes while no task waits: these passes maintain warm capacity,
-/// book drained machines and determine scarcity.
+/// Interval after which a requested planning pass runs although no task waits. Such passes maintain warm capacity,
+/// account for drained machines and determine scarcity.
 const UNCONDITIONAL_PASS_INTERVAL: Duration = Duration::from_millis(480);
 /// The leader's view of machines and tasks, and everything that it decides from it.
 pub struct Scheduler {
@@ -144,11 +144,11 @@
         };
         for (id, known) in &cache.machines {
             let record = &known.value;
-            let Some(kind) = scheduler.fleet.pool(&record.machine_type, &record.zone, record.spot)
+            let Some(pool) = scheduler.fleet.pool(&record.machine_type, &record.zone, record.spot)
             else {
                 continue;
             };
-            let machine = scheduler.fleet.add_machine(id, kind, now);
+            let machine = scheduler.fleet.add_machine(id, pool, now);
             machine.recorded = true;
             machine.confirmed = false;
             machine.state = MachineState::Up;
@@ -156,7 +156,8 @@
         }
         for (id, job) in &cache.jobs.all {
             if let Some(live) = job.live() {
-                // The cache contains all that previous leaders committed, so they started no task of a waiting job.
+                // The cache contains everything that previous leaders committed. They therefore started no task of a
+                // job that still waits for its dependencies here.
                 let progress = JobProgress::of_predecessor(live.is_ready());
                 scheduler.jobs.progress.insert(id.clone(), progress);
             }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -19,7 +19,7 @@
 pub(super) struct InheritedPriorities {
     /// Inherited values by job, combined with the job's own.
     pub(super) inherited: HashMap<JobId, InheritedPriority>,
-    /// Whether jobs changed since the values were computed.
+    /// True if jobs changed since the values were computed.
     pub(super) stale: bool,
 }
 
@@ -36,7 +36,8 @@
         self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.priority)
     }
 
-    /// Returns whether the start or end of a job has an objective: that of its class, or its own or inherited deadline.
+    /// Returns whether a job has an objective for its start or end: one of its class, or a deadline of its own or of a
+    /// dependent.
     pub(super) fn has_objective(&self, id: &JobId, job: &LiveJob) -> bool {
         self.settings.has_objective(&job.spec.class)
             || self
@@ -46,9 +47,9 @@
                 .is_some_and(|inherited| inherited.due_ms.is_some())
     }
 
-    /// Returns the time that a job takes once it is ready: its run time, the fetch of its image and the stage
-    /// overhead. The run time is the learned one if `use_learned` is set and one is known, otherwise the estimate of
-    /// the job's owner.
+    /// Returns the time that a job takes once it is ready: its run time, the fetch of its image on the slowest machine
+    /// type and the stage overhead. The run time is the learned one if `use_learned` is set and one is known,
+    /// otherwise the estimate of the job's owner.
     fn stage_duration(&self, id: &JobId, job: &LiveJob, use_learned: bool) -> Duration {
         let rates = self
             .fleet
@@ -67,7 +68,8 @@
             return;
         }
         let own_priority = |job: &LiveJob| {
-            // Any other due time is only the owner's guess at a time that nobody waits for.
+            // A due time is a deadline if the job has dependencies or its class has deadlines. Any other due time is
+            // only its owner's estimate, and nobody waits for the job to finish by then.
             let has_deadline =
                 !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
             let due = job.spec.due_s.filter(|_| has_deadline);
@@ -155,8 +157,8 @@
         upcoming.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Returns the seconds that a ready job still takes: its stage duration since the latest placement of a task, or
-    /// the whole duration while any task waits.
+    /// Returns the seconds that a ready job still takes: its stage duration minus the time since its latest placement,
+    /// or the whole duration while any of its tasks waits.
     fn remaining_s(&self, id: &JobId, job: &LiveJob, now: Instant) -> f64 {
         let duration = self.stage_duration(id, job, self.settings.operator.estimates.ahead);
         let progress = self.jobs.progress.get(id);
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -17,12 +17,12 @@
 
 /// CPU time of one call to a worker on a whole core, including the connection that it may have to open.
 const CALL_COST: Duration = Duration::from_micros(200);
-/// Share of its CPU allowance that a new leader spends on calls to unconfirmed machines. Most machines send a
-/// heartbeat in the meantime, which makes the call unnecessary.
+/// Share of its CPU allowance that a new leader spends on calls that confirm machines, i.e. show that their workers
+/// have seen its fencing token. Most machines send a heartbeat in the meantime, which makes the call unnecessary.
 const CONFIRM_SHARE: f64 = 0.4;
-/// Burst of these calls, in seconds of their rate.
+/// Maximum burst of these calls: as many as their mean rate allows in this number of seconds.
 const CONFIRM_BURST_S: f64 = 0.2;
-/// Agent epoch of a worker that has never lost its lease: PROTOCOL starts a worker's epochs at this number.
+/// Agent epoch of a worker whose lease has never expired: PROTOCOL starts a worker's epochs at this number.
 const FIRST_AGENT_EPOCH: u64 = 1;
 
 /// A call to a worker that is ready to be sent.
@@ -36,7 +36,7 @@
     pub call: DirectCall,
 }
 
-/// Inputs of the decision which workers to call, apart from the machines themselves.
+/// Parameters by which the leader decides which workers to call.
 pub(super) struct CallRules {
     pub(super) token: FencingToken,
     /// Time since a worker's last heartbeat after which its status is requested.
@@ -57,14 +57,14 @@
     confirmation_budget: TokenBucket,
     /// Machines for which a call may be pending.
     pub(super) dirty_machines: BTreeSet<MachineId>,
-    /// Whether a call may be pending for any machine.
+    /// True if a call may be pending for any machine.
     pub(super) all_dirty: bool,
     /// Machine at which the next round resumes, if the last one reached `max_in_flight`.
     resume_from: Option<MachineId>,
 }
 
 impl DirectCalls {
-    /// Creates a state without calls in flight in which any machine may be called.
+    /// Creates the state of a new leader: no call is in flight, and any machine may have one pending.
     pub(super) fn new(settings: &Settings, now: Instant) -> DirectCalls {
         let allowed = &settings.platform.params.resources;
         let confirmations = allowed.fits(Duration::from_secs(1), CALL_COST) * CONFIRM_SHARE;
@@ -161,9 +161,9 @@
 enum NextDirectCall {
     /// No call is pending.
     Nothing,
-    /// A call is pending, but not before `next_direct_at`.
+    /// Commands are due, but no call may be made before the machine's `next_direct_at`.
     Later,
-    /// A call to this address is pending.
+    /// This call to this address may be made now.
     Call(SocketAddr, DirectCall),
 }
 
@@ -202,7 +202,8 @@
         } else if machine.delegated
             || machine.time_since_heartbeat(now) > rules.heartbeat_late_after
         {
-            // A response shows that the machine is reachable from this leader again, or that its worker is alive.
+            // A response shows that a delegated machine is reachable from this leader again, or that the worker of a
+            // silent machine is alive.
             NextDirectCall::Call(address, DirectCall::Status)
         } else {
             NextDirectCall::Nothing
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -23,8 +23,8 @@
 
 /// Interval between two rounds of moves off drained machines.
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(1);
-/// Time in seconds by which a task that saves its progress is stopped earlier than its save time requires: covers the
-/// stop command and the heartbeat that reports the exit.
+/// Time in seconds that a task which saves its progress gets before a drain's deadline in addition to its save time,
+/// for the delivery of the stop command and for the heartbeat that reports the exit.
 const DRAIN_MARGIN_S: f64 = 5.0;
 
 /// The drains of operators and the schedule of evacuation rounds.
@@ -37,8 +37,8 @@
 }
 
 impl Scheduler {
-    /// Returns whether any drained machine still has tasks. Meanwhile other moves could stop a second replica of a
-    /// service, so they are suspended.
+    /// Returns whether any drained machine still has tasks. While that is so, all other moves are suspended, because
+    /// they could stop a second replica of a service.
     pub(super) fn is_draining(&self) -> bool {
         !self.drains.drained.is_empty()
             && self.fleet.machines.values().any(|m| !m.is_empty() && self.is_drained(m))
@@ -84,7 +84,8 @@
         Some((self.drain_of(machine)?.by_ms? as f64 - self.wall_clock.ms(now) as f64) / 1000.0)
     }
 
-    /// Runs one round of moves and stops. `bins` are the machines that may take tasks; drained ones are not among them.
+    /// Runs one round of moves and stops. `bins` are the machines on which tasks may be placed, without the drained
+    /// ones.
     pub(super) fn evacuate_drained(
         &mut self,
         bins: &[Bin],
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Returns the tasks to move off drained machines: replicas, one per service at a time and none while another is
-    /// down, and tasks that save their progress; as many as there is free capacity for elsewhere.
+    /// Returns the tasks to move off drained machines, as far as there is free capacity for them elsewhere: tasks that
+    /// save their progress, and replicas, one per service at a time and none while another replica is down.
     fn tasks_to_move(
         &self,
         bins: &[Bin],
@@ -129,7 +130,8 @@
                     deadline_s.min(self.drain_left_s(machine, now).unwrap_or(f64::INFINITY));
             }
         }
-        // The same rate as other moves, or a higher one if half of the time to the nearest deadline requires it.
+        // Tasks move at the rate of other moves, or at a higher rate if that is needed to empty the machines within
+        // half of the time to the nearest deadline.
         let usual = total as f64 * MAX_MOVED_REPLICA_SHARE;
         let urgent =
             drained as f64 * EVACUATION_INTERVAL.as_secs_f64() / (deadline_s / 2.0).max(1.0);
@@ -175,7 +177,7 @@
         evacuations
     }
 
-    /// Returns the index in `bins` of another machine for the task, preferably one that has its image.
+    /// Returns the index in `bins` of the machine that the task can move to, preferably one that has its image.
     #[allow(clippy::too_many_arguments)]
     fn find_target(
         &self,
@@ -212,8 +214,8 @@
     }
 
     /// Returns tasks of arrays and gangs on machines whose drain deadline is reached; tasks that save their progress
-    /// are included early enough to save before it. Replicas that can't be placed elsewhere keep running, since
-    /// stopping them helps nobody.
+    /// are included early enough to save before it. Replicas that can't be placed elsewhere keep running, because
+    /// nobody benefits from stopping them.
     fn tasks_to_stop(&self, cache: &Cache, now: Instant) -> Vec<Evacuation> {
         let mut evacuations = Vec::new();
         for machine in self.fleet.machines.values().filter(|m| m.state == MachineState::Up) {
@@ -235,7 +237,7 @@
         evacuations
     }
 
-    /// Lists the drains with the number of tasks that are left and the number of those that are stuck.
+    /// Lists the drains, each with the number of tasks left on its machines and the number of those that are stuck.
     pub fn drains(&self, cache: &Cache, now: Instant) -> Drains {
         let mut drains = list(cache, self.wall_clock, now);
         for drain in &mut drains.drains {
@@ -281,7 +283,7 @@
     }
 }
 
-/// Lists the drains from the cache, without task counts; any controller can do this.
+/// Lists the drains from the cache, without task counts, as any controller can.
 pub fn list(cache: &Cache, wall: WallClock, now: Instant) -> Drains {
     let now_ms = wall.ms(now) as f64;
     let drains = cache.active_drains().map(|record| Drain {
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -13,7 +13,8 @@
 
 /// All machines of this term and the catalogue of their types.
 pub struct Fleet {
-    /// Rented machines until their deletion is confirmed. Ordered, so that the same events have the same effects.
+    /// Machines that are rented or booting, or whose deletion is not confirmed yet. Ordered, so that the same events
+    /// always have the same effects.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Zone names; a zone's index is its position in this list.
     zone_names: Vec<String>,
@@ -25,9 +26,10 @@
     pub(super) image_ids: Interner,
     /// Machines whose deletion is confirmed. A stale listing of the cloud may still contain them.
     pub(super) terminated: HashSet<MachineId>,
-    /// Whether the cloud has listed its machines to this leader.
+    /// True if the cloud has listed its machines to this leader.
     pub(super) listed_once: bool,
-    /// Machines that are up and have no committed record yet. Others are removed at the next pass over the set.
+    /// Machines that are up and have no committed record yet. Machines that no longer qualify are removed when the due
+    /// writes are next enqueued.
     pub(super) unrecorded: BTreeSet<MachineId>,
     /// Time at which each zone was last found unreachable as a whole.
     pub(super) zone_unreachable_at: Vec<Option<Instant>>,
@@ -66,8 +68,9 @@
 
     /// Returns the pool of machines of a type in a zone, if both are known.
     pub(super) fn pool(&self, machine_type: &str, zone: &str, spot: bool) -> Option<MachinePool> {
-        let flavor = self.machine_types.iter().position(|known| known.name == machine_type)?;
-        Some(MachinePool { flavor, zone: self.zone(zone)?, spot })
+        let machine_type =
+            self.machine_types.iter().position(|known| known.name == machine_type)?;
+        Some(MachinePool { flavor: machine_type, zone: self.zone(zone)?, spot })
     }
 
     /// Returns the capacity of a machine of this type; zero for an unknown type.
@@ -76,8 +79,9 @@
         found.map(|found| Amount::room(found.cpus, found.gpus, found.ram_gb)).unwrap_or_default()
     }
 
-    /// Adds a machine, or returns it if it is known. Indices alternate between the zones, and a machine gets the lowest
-    /// free index of its zone, so the loss of a zone never affects most of a basket.
+    /// Adds a machine, or returns it if it is known. Indices are assigned round-robin over the zones, and a machine
+    /// gets the lowest free index of its zone. Placement fills a basket in the order of the indices, so the loss of a
+    /// zone never affects most of a basket.
     pub(super) fn add_machine(
         &mut self,
         id: &MachineId,
@@ -130,18 +134,18 @@
     pub(super) up: Vec<usize>,
     /// Number of those that sent a heartbeat recently, by zone.
     pub(super) reachable: Vec<usize>,
-    /// Whether any machine is booting.
+    /// True if any machine is booting.
     pub(super) booting: bool,
-    /// Whether any worker did not respond to its last direct call.
+    /// True if a worker has not answered a direct call that was made while its zone was reachable.
     pub(super) status_unanswered: bool,
-    /// Whether several jobs failed on the same machine.
+    /// True if at least `MACHINE_FAULT_JOBS` jobs have failed on the same machine.
     pub(super) failing: bool,
-    /// Time at which the newest machine that is up was rented.
+    /// Latest rental time of the machines that have come up.
     newest: Option<Instant>,
 }
 
 impl FleetSummary {
-    /// Returns a predicate: whether a machine that was rented later than the given one is up.
+    /// Returns a predicate that is true for a machine if one that was rented later has already come up.
     pub(super) fn newer_machine_is_up(&self) -> impl Fn(&Machine) -> bool + use<> {
         let newest = self.newest;
         move |machine| newest.is_some_and(|at| at > machine.rented_at)
--- a/src/scheduler/garbage_collection.rs
+++ b/src/scheduler/garbage_collection.rs
@@ -1,7 +1,8 @@
 //! Removes unused entries from the store, a few at a time and at the lowest write priority.
 //!
-//! These are leftovers of finished jobs besides their records, records of jobs that are cancelled by a dependency, and
-//! spec chunks of incomplete submissions. A new leader finds the remaining garbage in the store.
+//! It deletes what finished jobs have in the store besides their records, and the spec chunks of incomplete
+//! submissions, and replaces the records of jobs that were cancelled by a dependency with their final ones. A failover
+//! loses nothing, because a new leader finds the remaining garbage in the store.
 
 use crate::ids::JobId;
 use crate::jobs::{GarbageWrite, OrphanedSpecChunk};
@@ -84,7 +85,8 @@
     /// Applies the outcome of a round's transaction.
     pub(super) fn on_garbage_collected(&mut self, outcome: WriteOutcome, store: &mut StoreClient) {
         if outcome == WriteOutcome::Conflict {
-            // One of the keys differs from the cache. They are dropped from it; the next full read shows their state.
+            // At least one key has changed since it was cached. The keys are no longer treated as garbage until the
+            // next full read of the store shows their state.
             self.garbage_collector.keys.iter().for_each(|key| store.cache.jobs.forget_garbage(key));
         }
     }
--- a/src/scheduler/heartbeat_delegation.rs
+++ b/src/scheduler/heartbeat_delegation.rs
@@ -9,12 +9,13 @@
 
 impl Scheduler {
     /// Returns the fencing token with which this controller may still answer a heartbeat after its leader lease has
-    /// expired, like any controller with a delegated lease. A successor allows for such answers for a full delegation
-    /// term from its start.
+    /// expired, as peers with a delegated lease may. A successor assumes that such answers are possible for a full
+    /// delegation term after the start of its own term.
     pub fn answer_for_leader(&mut self, id: &MachineId, now: Instant) -> Option<FencingToken> {
         let interval = self.settings.heartbeat_interval();
         let machine = self.fleet.machines.get_mut(id)?;
-        // A machine that was revoked for its silence is still answered: this controller accounts for its own answers.
+        // A machine that was revoked because it was silent is still answered: this controller takes its own answers
+        // into account.
         if machine.time_since_heartbeat(now) > interval && machine.must_lose_lease() {
             return None;
         }
@@ -53,7 +54,8 @@
                 continue;
             }
             machine.revoked_since = None;
-            // Only this controller may fail to reach the machine, so peers answer it even if they reach the leader.
+            // The machine may be unreachable from this controller alone, so peers answer it even while they reach the
+            // leader.
             machine.delegated = machine.state == MachineState::Up
                 && machine.time_since_heartbeat(now) >= interval * 3 / 2;
             if machine.delegated {
--- a/src/scheduler/job_machines.rs
+++ b/src/scheduler/job_machines.rs
@@ -9,13 +9,13 @@
 use foldhash::HashMap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that may have tasks of a job, by job.
+/// Machines on which each job may have tasks.
 #[derive(Debug, Default)]
 pub(super) struct JobMachines {
     machines: HashMap<JobId, BTreeSet<MachineId>>,
 }
 
-/// Number of recorded machines of a job below which stale ones are not removed.
+/// Number of recorded machines of a job below which stale ones are never removed.
 const PRUNE_THRESHOLD: usize = 64;
 
 impl JobMachines {
@@ -24,12 +24,15 @@
         &mut self,
         job: &JobId,
         machine: &MachineId,
-        all: &BTreeMap<MachineId, Machine>,
+        known_machines: &BTreeMap<MachineId, Machine>,
     ) {
         let recorded = self.machines.entry(job.clone()).or_default();
-        // A service that runs for months leaves stale machines behind; they are removed when the number has doubled.
+        // A service that runs for months accumulates stale machines. They are removed whenever the number of recorded
+        // machines has doubled, i.e. reaches the threshold or a higher power of two.
         if recorded.len() >= PRUNE_THRESHOLD && recorded.len().is_power_of_two() {
-            recorded.retain(|id| all.get(id).is_some_and(|machine| has_attempt(machine, job)));
+            recorded.retain(|id| {
+                known_machines.get(id).is_some_and(|machine| has_attempt(machine, job))
+            });
         }
         recorded.insert(machine.clone());
     }
@@ -39,7 +42,7 @@
         self.machines.get(job).into_iter().flatten().cloned().collect()
     }
 
-    /// Removes a finished job. Tasks of it that a later heartbeat shows are handled with that heartbeat.
+    /// Removes a finished job. Tasks of it that a later heartbeat shows are stopped when that heartbeat is applied.
     pub(super) fn remove(&mut self, job: &JobId) {
         self.machines.remove(job);
     }
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -17,7 +17,7 @@
     pub(super) progress: BTreeMap<JobId, JobProgress>,
     /// Index of the machines on which each job may have tasks.
     pub(super) machines: JobMachines,
-    /// Jobs with uncommitted completions. Jobs without any left are removed at the next pass over the set.
+    /// Jobs with uncommitted completions. Jobs without any left are removed when completions are next stored.
     pub(super) completing: BTreeSet<JobId>,
     /// Jobs whose cancellation this or another controller acknowledged to a user while the cache still has them as
     /// live. None of their tasks is started any more.
@@ -26,12 +26,12 @@
     pub(super) orphaned_capacity: OrphanedCapacity,
 }
 
-/// The machine and attempt with which a task runs or will run.
+/// The machine on which a task runs or will run, and the attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Placement {
     /// The machine that the start command was or will be sent to.
     pub(super) machine: MachineId,
-    /// The attempt that was started on that machine.
+    /// The attempt that was or will be started on that machine.
     pub(super) attempt: Attempt,
 }
 
@@ -40,7 +40,7 @@
 pub(super) struct DuplicateAttempt {
     /// The index of the task within its job.
     pub(super) task: u32,
-    /// The machine that the heartbeat came from, and the attempt.
+    /// The machine whose heartbeat showed the attempt, and the attempt itself.
     pub(super) placement: Placement,
 }
 
@@ -65,13 +65,13 @@
 /// The state of a live job's tasks that is not in the store's record.
 #[derive(Debug, Default)]
 pub(super) struct JobProgress {
-    /// Whether the job was ready before this term began, so that a previous leader may have started its tasks.
+    /// True if the job was ready before this term began, so that a previous leader may have started its tasks.
     pub(super) predates_leadership: bool,
     /// Time at which this leader first saw the job ready to run.
     pub(super) first_seen: Option<Instant>,
     /// Placements of the tasks that run or will run, by task index.
     pub(super) placed: BTreeMap<u32, Placement>,
-    /// Attempts that a stale heartbeat showed beside the placed one. A task is free only once it has none left.
+    /// Attempts that stale heartbeats showed beside the placed ones. A task is free only once none of them is left.
     pub(super) duplicate_attempts: Vec<DuplicateAttempt>,
     /// Completed tasks that are not committed yet.
     pub(super) completing: BTreeSet<u32>,
@@ -85,7 +85,7 @@
     pub(super) failures: FailureAttribution,
     /// Number of preemptions of its tasks by jobs of higher priority.
     pub(super) preemptions: u32,
-    /// Whether its tasks were counted as demand on its arrival.
+    /// True if its tasks were already counted as arrived demand.
     pub(super) counted_as_demand: bool,
     /// Demand group that the job belongs to.
     pub(super) demand_group: Option<DemandGroup>,
@@ -109,7 +109,7 @@
             .saturating_sub(self.placed.len() as u64)
     }
 
-    /// Returns the end of a task's backoff, if it lies in the future.
+    /// Returns the end of a task's backoff, if it has not expired.
     fn backoff_of(&self, task: u32, now: Instant) -> Option<Instant> {
         self.retries.get(&task).map(|retry| retry.not_before).filter(|at| *at > now)
     }
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time added to the longest possible run of an orphaned task when a new leader counts it against its team. It
-/// exceeds both the clock skew between two controllers and the time for which a transaction is queued.
+/// Time for which a new leader counts an orphaned task against its team beyond the longest time for which it can run.
+/// It exceeds both the clock skew between two controllers and the time for which a transaction is queued.
 const ORPHANED_TASK_SLACK: Duration = Duration::from_secs(10);
 
 /// Capacity that orphaned tasks may still use, by team index.
@@ -43,23 +43,25 @@
     }
 }
 
-/// Returns the capacity of the orphaned tasks beyond those that are placed; unlimited if their number was not stored.
+/// Returns the capacity that a job's orphaned tasks use, except for the `placed` ones, which are counted elsewhere. The
+/// result is unlimited if the number of orphaned tasks was not stored.
 fn orphaned_amount(orphaned: &OrphanedTasks, placed: u64) -> Amount {
     orphaned.request.times(orphaned.tasks.map_or(u64::MAX, |tasks| tasks.saturating_sub(placed)))
 }
 
 impl Scheduler {
     /// Counts the tasks of recently finished jobs that may still run, at the start of a term. Records of older
-    /// versions don't contain the finish time; such a job counts as recent if its revision is higher than that of
-    /// every job that is known to have finished long ago.
+    /// versions don't contain the finish time. Such a job counts as recent if its revision is higher than the highest
+    /// revision of the jobs that are known not to have finished recently.
     pub(super) fn find_orphaned_tasks(&mut self, cache: &Cache, now: Instant) {
         let workers = &self.settings.platform.params.workers;
-        let max_run = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
+        let max_remaining_run = Duration::from_secs_f64(workers.cancel_s + workers.lease_s)
             + DELEGATION_TERM
             + ORPHANED_TASK_SLACK;
         let now_ms = self.wall_clock.ms(now);
-        let is_recent =
-            |ended_ms: u64| now_ms < ended_ms.saturating_add(max_run.as_millis() as u64);
+        let is_recent = |finished_ms: u64| {
+            now_ms < finished_ms.saturating_add(max_remaining_run.as_millis() as u64)
+        };
         let jobs = cache.jobs.all.values();
         let finished_long_ago =
             jobs.clone().filter(|job| job.finished_ms().is_some_and(|ms| !is_recent(ms)));
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Counts the unreported tasks that a previous leader may have started of a job that is finished or cancelled.
+    /// Counts the tasks of a finished or cancelled job that a previous leader may have started but no heartbeat has
+    /// shown to this one.
     pub(super) fn count_orphaned_tasks(&mut self, progress: &JobProgress, job: &Job) {
         let placed = progress.placed.len() as u64;
         let (team, amount) = match &job.body {
@@ -98,14 +101,14 @@
         progress: &JobProgress,
         live: &LiveJob,
     ) -> u64 {
-        let runs = |(index, placed): (&u32, &Placement)| {
+        let not_exited = |(index, placed): (&u32, &Placement)| {
             let task = TaskId { job: id.clone(), index: *index };
             let machine = self.fleet.machines.get(&placed.machine)?;
             let entry = machine.attempts.get(&(task, placed.attempt))?;
             (entry.state != TaskState::Exited).then_some(())
         };
-        let known =
-            progress.placed.iter().filter_map(runs).count() + progress.duplicate_attempts.len();
+        let known = progress.placed.iter().filter_map(not_exited).count()
+            + progress.duplicate_attempts.len();
         let may_be_hidden = progress.predates_leadership
             && self.fleet.machines.values().any(|machine| !machine.confirmed);
         known as u64 + if may_be_hidden { live.spec.tasks } else { 0 }
--- a/src/scheduler/persistence.rs
+++ b/src/scheduler/persistence.rs
@@ -18,13 +18,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval between writes of completed tasks that finish no job: one write carries all completions of a job that
-/// arrived since the last one, and every controller reads each write.
+/// Interval between writes of completed tasks of jobs that have tasks left. One write carries all completions of a job
+/// that arrived since the last one, and every controller reads each write.
 const PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(1000);
 /// The schedule of progress writes of jobs that have tasks left.
 #[derive(Debug)]
 pub(super) struct PersistenceSchedule {
-    /// The earliest time of the next write that finishes no job.
+    /// The earliest time of the next such write.
     pub(super) next_progress_write: Instant,
 }
 
@@ -92,8 +92,8 @@
     }
 
     /// Stops the tasks of jobs whose cancellation was acknowledged to users. While the store is unreachable, this is
-    /// the only way in which the leader learns of these cancellations. A job that is not in the cache yet was
-    /// accepted a moment ago.
+    /// the only way in which the leader learns of these cancellations. A job that is not in the cache yet was accepted
+    /// only just before, so it may be live.
     pub fn on_cancellation_acknowledged(&mut self, ids: &[JobId], cache: &Cache) {
         for id in ids {
             let may_be_live = cache.jobs.get(id).is_none_or(|job| job.live().is_some());
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Writes completed tasks; writes that finish a job go first.
+    /// Enqueues writes of completed tasks; those that finish a job have the higher priority.
     pub(super) fn store_completions(&mut self, store: &mut StoreClient, now: Instant) {
         let progress_due = now >= self.persistence.next_progress_write && !store.is_backlogged();
         if progress_due {
@@ -250,8 +250,9 @@
         let completing =
             self.jobs.completing.iter().filter_map(|id| all_progress.get_key_value(id));
         let mut completing: Vec<(&JobId, &JobProgress)> = completing.collect();
-        // One write carries all completions of a job that arrived so far, so the longer they wait the fewer writes
-        // they take. While the store is backlogged, only writes that finish a job are enqueued.
+        // One write carries all completions of a job that have arrived, so longer waits mean fewer writes. The jobs
+        // with the most completions go first. While the store is backlogged, only writes that finish a job are
+        // enqueued.
         completing.sort_by_key(|(_, progress)| Reverse(progress.completing.len()));
         for (id, progress) in completing {
             let origin = WriteOrigin::Completion(id.clone());
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Run time after which a running task counts as a success of its job: faulty jobs fail at once.
+/// Run time after which a running task counts as a success of its job, because the tasks of faulty jobs fail at once.
 pub(super) const SUCCESS_AFTER_RUNNING: Duration = Duration::from_secs(10);
 
 impl Scheduler {
@@ -39,16 +39,16 @@
             machine.relayed_by = None;
         }
         if self.fleet.terminated.contains(&heartbeat.machine) {
-            // The network delayed this heartbeat since before the machine was deleted.
+            // The heartbeat was sent before the machine was deleted, and the network delayed it.
             return Some(self.answer(Vec::new()));
         }
         if !self.fleet.machines.contains_key(&heartbeat.machine) {
-            let Some(kind) = self.fleet.pool(&heartbeat.flavor, &heartbeat.zone, heartbeat.spot)
+            let Some(pool) = self.fleet.pool(&heartbeat.flavor, &heartbeat.zone, heartbeat.spot)
             else {
                 return Some(self.answer(Vec::new()));
             };
             tracing::info!(machine = %heartbeat.machine, "heartbeat of an unknown machine");
-            self.fleet.add_machine(&heartbeat.machine, kind, now);
+            self.fleet.add_machine(&heartbeat.machine, pool, now);
         }
         if !self.apply_heartbeat(heartbeat, cache, now) {
             return None;
@@ -96,9 +96,10 @@
         now: Instant,
     ) -> Option<Vec<WorkerCommand>> {
         let machine = self.fleet.machines.get_mut(id)?;
-        // The answer renews the lease, which may now last for one full lease from this time.
+        // The answer renews the lease, which may now last for its full duration from this time.
         machine.last_answered = now;
         let commands = machine.commands_for_answer();
+        // Starts and stops are repeated by direct call until a heartbeat confirms them. Most answers contain neither.
         machine.commands_due =
             commands.iter().any(|command| !matches!(command, WorkerCommand::Forget { .. }));
         if machine.commands_due || !machine.confirmed {
@@ -177,8 +178,8 @@
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
             }
-            TaskEvent::Exited { task, attempt, exit_cause: why, saved } => {
-                let exit = TaskExit { machine: machine.clone(), task, attempt, why, saved };
+            TaskEvent::Exited { task, attempt, exit_cause, saved } => {
+                let exit = TaskExit { machine: machine.clone(), task, attempt, exit_cause, saved };
                 self.on_exit(&exit, cache, now);
             }
         }
@@ -211,8 +212,8 @@
     }
 
     /// Adopts an attempt that a previous leader started and a heartbeat shows. If its job is not live or its
-    /// cancellation is acknowledged, the attempt is stopped; if the task is already placed elsewhere, the earlier of the
-    /// two attempts is stopped as a duplicate.
+    /// cancellation is acknowledged, the attempt is stopped; if the task is already placed elsewhere, the earlier of
+    /// the two attempts is stopped as a duplicate.
     pub(super) fn adopt_attempt(
         &mut self,
         machine: &MachineId,
@@ -221,15 +222,18 @@
         cache: &Cache,
     ) {
         let job = cache.jobs.get(&task.job);
-        let (team, need, image, priority) = match job.map(|job| &job.body) {
+        let (team, request, image, priority) = match job.map(|job| &job.body) {
             Some(JobBody::Live(live)) => {
                 let image = Arc::from(live.spec.image.as_str());
                 let priority = self.effective_priority(&task.job, live);
                 (self.team_of(&live.spec.team), live.request, image, priority)
             }
-            Some(JobBody::Finished { orphaned_tasks: Some(rest), .. }) => {
-                (self.team_of(&rest.team), rest.request, Arc::from(""), Priority::Production)
-            }
+            Some(JobBody::Finished { orphaned_tasks: Some(orphaned), .. }) => (
+                self.team_of(&orphaned.team),
+                orphaned.request,
+                Arc::from(""),
+                Priority::Production,
+            ),
             _ => (usize::MAX, Amount::default(), Arc::from(""), Priority::Production),
         };
         self.jobs.machines.record(&task.job, machine, &self.fleet.machines);
@@ -238,7 +242,7 @@
         let Some(machine) = self.fleet.machines.get_mut(machine) else { return };
         machine.commands_due = true;
         let Some(entry) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
-        (entry.team, entry.request, entry.image, entry.priority) = (team, need, image, priority);
+        (entry.team, entry.request, entry.image, entry.priority) = (team, request, image, priority);
         let exited = entry.state == TaskState::Exited;
         let key = (task.clone(), attempt);
         machine.adopt_attempt(&key);
@@ -254,7 +258,7 @@
             return;
         }
         // No attempt is started until all earlier ones have terminated, so the heartbeat of the earlier attempt is
-        // stale. The later attempt continues; the task is free only when no heartbeat shows either of them.
+        // stale. The later attempt continues; the task is free once no heartbeat shows either of them.
         tracing::info!(%task, %attempt, other = %placed.machine, theirs = %placed.attempt, "stale heartbeat shows a duplicate attempt");
         let duplicate = if attempt > placed.attempt {
             progress.placed.insert(task.index, found);
@@ -273,7 +277,8 @@
         }
     }
 
-    /// Frees a task whose attempt has terminated, unless a heartbeat still shows another attempt at it.
+    /// Frees a task whose attempt has terminated. If heartbeats still show another attempt at it, the task stays placed
+    /// with that attempt.
     pub(super) fn release(&mut self, task: &TaskId, attempt: Attempt, now: Instant) {
         if let Some(progress) = self.jobs.progress.get_mut(&task.job) {
             progress.duplicate_attempts.retain(|duplicate| {
@@ -307,8 +312,9 @@
         }
     }
 
-    /// Clears suspected jobs that have a task running for `SUCCESS_AFTER_RUNNING`, and marks machines as faulty on which
-    /// enough jobs failed that succeed elsewhere. A completed job counts as successful; a cancelled one does not count.
+    /// Records a success of each job with failures that has a task running for `SUCCESS_AFTER_RUNNING`. Marks a machine
+    /// as faulty if at least `MACHINE_FAULT_JOBS` jobs failed on it that succeed elsewhere. A completed job counts as
+    /// successful; a cancelled one does not count.
     pub(super) fn attribute_failures(
         &mut self,
         summary: &FleetSummary,
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -64,7 +64,7 @@
         if !record(machine) {
             return HeartbeatResult::ResendInFull;
         }
-        // Nothing was placed on the machine while it was silent.
+        // No task is placed on a silent machine, so it may have free capacity for waiting tasks now.
         self.planning_clock.pass_requested |= was_silent;
         machine.relayed_by = Some(Relayer { controller: from.clone(), received_at: now });
         self.fleet.zone_last_heartbeat[machine.zone] = Some(now);
@@ -74,7 +74,7 @@
         HeartbeatResult::Accepted(commands.into_iter().map(RelayedCommand::from).collect())
     }
 
-    /// Returns the controller that relayed the worker's last heartbeat, if that heartbeat is not late yet.
+    /// Returns the controller that relayed the worker's last heartbeat, unless the next heartbeat is already late.
     pub fn relay_of(&self, id: &MachineId, now: Instant) -> Option<&ControllerId> {
         let relayer = self.fleet.machines.get(id)?.relayed_by.as_ref()?;
         let is_recent =
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -1,6 +1,6 @@
 //! Learns run times from tasks that exit and warns of jobs that will probably miss their deadline.
 //!
-//! Each other use of the learned run times has its own switch in the operators' settings.
+//! Every use of the learned run times by another module has its own switch in the operators' settings.
 
 use crate::ids::{Amount, JobId, MachineId, Revision, TaskId};
 use crate::jobs::{Job, LiveJob};
@@ -27,16 +27,18 @@
 const ESTIMATES_PER_PASS: usize = 30;
 /// Maximum age of an estimate that decisions use.
 const ESTIMATE_MAX_AGE: Duration = Duration::from_secs(5);
-/// Run time in seconds within which a retried task that completes is taken to have only returned its previous result.
+/// Run time in seconds below which a retried task that completes is assumed to have returned the result of an earlier
+/// attempt.
 const RESULT_REPLAY_MAX_S: f64 = 1.0;
-/// Maximum number of lateness checks per round, with five rounds a second. Each takes up to a quarter of a millisecond.
+/// Maximum number of jobs checked for lateness per round. There are five rounds a second, and each check takes up to a
+/// quarter of a millisecond.
 const WARNING_CHECKS_PER_ROUND: usize = 3;
-/// Probability of lateness from which a warning is issued. With lower values, more than one in ten warnings were wrong in
-/// replayed histories.
+/// Probability of lateness from which a warning is issued. With lower values, more than one in ten warnings were wrong
+/// in replayed histories.
 pub(crate) const WARNING_PROBABILITY: f64 = 0.9;
 /// Probability of lateness from which a job is in the operators' list of jobs at risk.
 const AT_RISK_PROBABILITY: f64 = 0.5;
-/// Number of tasks that must have completed before a warning is issued for a job without any history.
+/// Number of its tasks that must have completed before a warning is issued for a job without any history.
 const WARNING_MIN_TASKS: u32 = 3;
 
 /// The run of one attempt, as far as heartbeats showed it.
@@ -44,9 +46,9 @@
 pub(super) struct ObservedRun {
     /// Run time; `None` if no heartbeat showed the start.
     pub(super) duration: Option<Duration>,
-    /// Whether the task completed.
+    /// True if the task completed.
     pub(super) completed: bool,
-    /// Whether the task saved its progress.
+    /// True if the task saved its progress.
     pub(super) saved: bool,
 }
 
@@ -54,7 +56,7 @@
 #[derive(Debug)]
 struct JobObservations {
     spec: Arc<JobSpec>,
-    need: Amount,
+    request: Amount,
     accepted_ms: u64,
     /// Run times of the job's tasks so far.
     run_times: Current,
@@ -66,7 +68,7 @@
     late_probability: f64,
     /// Seconds from the last check to the median expected end of the job.
     done_in_s: f64,
-    /// Whether a warning was issued.
+    /// True if a warning was issued.
     warned: bool,
 }
 
@@ -86,13 +88,13 @@
     late_unwarned: u64,
 }
 
-fn profile<'a>(id: &'a JobId, spec: &'a JobSpec, need: &Amount) -> Profile<'a> {
+fn profile<'a>(id: &'a JobId, spec: &'a JobSpec, request: &Amount) -> Profile<'a> {
     Profile {
         job: id.as_str(),
         class: &spec.class,
         team: &spec.team,
         image: &spec.image,
-        size: [need.cpu, need.gpu, need.ram],
+        size: [request.cpu, request.gpu, request.ram],
         expect_s: spec.expect_s,
         tasks: spec.tasks,
     }
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Returns the seconds that a task which has run for `ran_s` still takes, if history gives an estimate.
+    /// Returns the expected remaining run time, in seconds, of a task that has run for `ran_s`; `None` if no estimate
+    /// is based on history.
     pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
         let (estimate, _) = self.observations.get(id)?.estimate?;
         (estimate.grade > Grade::Unknown).then(|| estimate.centre.rest_s(ran_s))
@@ -126,7 +129,7 @@
     fn observations_of(&mut self, id: &JobId, live: &LiveJob) -> &mut JobObservations {
         self.observations.entry(id.clone()).or_insert_with(|| JobObservations {
             spec: live.spec.clone(),
-            need: live.request,
+            request: live.request,
             accepted_ms: live.accepted_ms,
             run_times: Current::default(),
             saved_s: HashMap::new(),
@@ -168,7 +171,7 @@
         let job = self.runtime_predictor.observations_of(&task.job, live);
         let saved_s = job.saved_s.get(&task.index).copied();
         match (run.completed, saved_s) {
-            // An earlier attempt had completed, and the machine only returned its result again.
+            // An earlier attempt had completed, and the machine returned that attempt's result.
             (true, None) if !is_first && run_s < RESULT_REPLAY_MAX_S => {}
             (true, saved_s) => job.run_times.ended(run_s + saved_s.unwrap_or(0.0)),
             (false, saved_s) => {
@@ -187,12 +190,13 @@
         }
     }
 
-    /// Learns from the run of a finished job and, unless it was cancelled, counts whether its warning was right.
+    /// Learns from the run of a finished job. Unless the job was cancelled, counts whether it was late and whether a
+    /// warning had been issued.
     pub(super) fn record_job_end(&mut self, id: &JobId, cancelled: bool, now: Instant) {
         let Some(job) = self.runtime_predictor.observations.remove(id) else { return };
         let hour = self.hour(now);
         self.runtime_predictor.learner.learn(
-            &profile(id, &job.spec, &job.need),
+            &profile(id, &job.spec, &job.request),
             &job.run_times,
             hour,
         );
@@ -218,7 +222,8 @@
         hour_of(self.wall_clock.ms(now) / 1000)
     }
 
-    /// Returns the deadline in milliseconds of the time of day: the earlier of the job's own and that of its class.
+    /// Returns the deadline in milliseconds of the time of day: the earlier of the job's due time, which counts only if
+    /// its class has deadlines, and the finish objective of its class.
     fn due_ms(&self, spec: &JobSpec, accepted_ms: u64) -> Option<u64> {
         let due_s = spec.due_s.filter(|_| self.settings.has_deadline(&spec.class));
         let due_s = due_s.into_iter().chain(self.settings.finish_objective(&spec.class));
@@ -227,7 +232,8 @@
             .map(|due_s| accepted_ms.saturating_add((due_s * 1000.0) as u64))
     }
 
-    /// Returns a job's estimate, recomputed if it is older than `ESTIMATE_MAX_AGE`. Services have none.
+    /// Returns a job's estimate, recomputed if it is older than `ESTIMATE_MAX_AGE`; `None` for services and while
+    /// learning is switched off.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
         if live.spec.shape == JobKind::Service || !self.is_learning() {
             return None;
@@ -248,8 +254,8 @@
         Some(estimate)
     }
 
-    /// Refreshes the estimates that the decisions of a planning pass use. Each pass refreshes a limited number, in turn,
-    /// so that a user's thousands of jobs don't prolong any pass.
+    /// Refreshes the estimates that the decisions of a planning pass use. Each pass refreshes a limited number, in
+    /// turn, so that a user's thousands of jobs don't prolong any pass.
     pub(super) fn refresh_estimates(&mut self, live: &[(&JobId, &LiveJob)], now: Instant) {
         let switches = &self.settings.operator.estimates;
         if !(switches.due || switches.ahead || switches.make_way || switches.drain) {
@@ -271,8 +277,8 @@
         }
     }
 
-    /// Returns the expected run time of a task in seconds: the learned median if `use_learned` is set and an estimate is
-    /// based on history, otherwise the estimate of the job's owner.
+    /// Returns the expected run time of a task in seconds: the learned median if `use_learned` is set and the estimate
+    /// is based on history, otherwise the run time that the job's owner expects.
     pub(super) fn run_s(&self, id: &JobId, job: &LiveJob, use_learned: bool) -> f64 {
         let latest = self.runtime_predictor.observations.get(id).and_then(|job| job.estimate);
         match latest.filter(|(estimate, _)| use_learned && estimate.grade > Grade::Unknown) {
@@ -424,7 +430,8 @@
         }
     }
 
-    /// Returns the counts of warnings, warned jobs that were late, warned jobs in time, and late jobs without a warning.
+    /// Returns the counts of warnings, of warned jobs that were late, of warned jobs that were in time, and of late
+    /// jobs without a warning.
     pub(super) fn warnings(&self) -> [u64; 4] {
         let counts = &self.runtime_predictor;
         [counts.warned, counts.warned_late, counts.warned_in_time, counts.late_unwarned]
--- a/src/scheduler/statistics.rs
+++ b/src/scheduler/statistics.rs
@@ -1,4 +1,4 @@
-//! Counters for logs and for the leader's monitoring.
+//! Counters for logs and for the parts of the process that monitor the leader.
 
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -6,8 +6,9 @@
 /// Counters of this term.
 #[derive(Debug)]
 pub(super) struct Statistics {
-    /// Time of the last heartbeat of any worker; the start of the term before the first one.
+    /// Time of the last heartbeat of any worker, or the start of the term if there was none.
     pub(super) last_heartbeat: Instant,
+    /// Number of heartbeats received, including relayed ones.
     pub(super) heartbeats: u64,
     /// Number of task starts.
     pub(super) starts: u64,
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 
 impl Scheduler {
-    /// Returns the zones in which a job may have tasks. Callers have already committed to cancelling the job, so none of
-    /// its tasks is started in another zone, and the user who cancels it need not wait for zones without tasks.
+    /// Returns the zones in which a job may have tasks. Callers have already committed to cancelling the job, so none
+    /// of its tasks is started in another zone, and the user who cancels it need not wait for zones without tasks.
     pub fn zones_of(&self, id: &JobId, cache: &Cache) -> Vec<String> {
         let predates_term =
             self.jobs.progress.get(id).is_none_or(|progress| progress.predates_leadership);
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -31,9 +31,9 @@
     pub(super) machine: MachineId,
     pub(super) task: TaskId,
     pub(super) attempt: Attempt,
-    /// Exit cause in the worker's words, such as `DONE`.
-    pub(super) why: String,
-    /// Whether the task saved its progress.
+    /// Exit cause as the worker reported it, such as [`DONE`].
+    pub(super) exit_cause: String,
+    /// True if the task saved its progress.
     pub(super) saved: bool,
 }
 
@@ -43,14 +43,14 @@
     }
 
     fn was_stopped(&self) -> bool {
-        self.why == STOPPED
+        self.exit_cause == STOPPED
     }
 
     /// Returns the backoff before the next attempt, given the number of failures before this exit.
     fn retry_backoff(&self, previous_failures: u32) -> Duration {
         if self.was_stopped() {
             Duration::ZERO
-        } else if NOT_STARTED.contains(&self.why.as_str()) {
+        } else if NOT_STARTED.contains(&self.exit_cause.as_str()) {
             RETRY_FIRST
         } else {
             RETRY_MOST.min(RETRY_FIRST * 2u32.pow(previous_failures.min(MAX_BACKOFF_DOUBLINGS)))
@@ -58,11 +58,11 @@
     }
 
     fn log(&self) {
-        let TaskExit { machine, task, attempt, why, saved } = self;
-        if self.was_stopped() || why == DONE {
-            tracing::debug!(%machine, %task, %attempt, why, saved, "task exited");
+        let TaskExit { machine, task, attempt, exit_cause, saved } = self;
+        if self.was_stopped() || exit_cause == DONE {
+            tracing::debug!(%machine, %task, %attempt, exit_cause, saved, "task exited");
         } else {
-            tracing::info!(%machine, %task, %attempt, why, saved, "task exited");
+            tracing::info!(%machine, %task, %attempt, exit_cause, saved, "task exited");
         }
     }
 }
@@ -73,7 +73,7 @@
         self.record_vacated(exit, now);
         let live = self.live(cache, &exit.task.job);
         let completed =
-            exit.why == DONE && live.is_some_and(|live| live.spec.shape != JobKind::Service);
+            exit.exit_cause == DONE && live.is_some_and(|live| live.spec.shape != JobKind::Service);
         let first_report = live.is_some_and(|live| !self.is_completing(&exit.task, live));
         if (completed && first_report) || exit.was_stopped() {
             let run = self.observed_run(exit, completed, now);
@@ -95,7 +95,8 @@
         self.release(&exit.task, exit.attempt, now);
     }
 
-    /// Records that a task above low priority left its machine: for a while, low-priority tasks don't get its capacity.
+    /// Records that a task above low priority has vacated capacity on its machine. Low-priority tasks don't get that
+    /// capacity for a while.
     fn record_vacated(&mut self, exit: &TaskExit, now: Instant) {
         if let Some(machine) = self.fleet.machines.get_mut(&exit.machine)
             && let Some(entry) = machine.attempts.get(&exit.key())
@@ -145,7 +146,7 @@
         let failures = previous_failures + u32::from(!exit.was_stopped());
         let not_before = now + exit.retry_backoff(previous_failures);
         progress.retries.insert(exit.task.index, RetryBackoff { not_before, failures });
-        if exit.why == FAILED {
+        if exit.exit_cause == FAILED {
             self.attribute_failure(exit, now);
         }
     }
--- a/src/scheduler/tests/cancellation.rs
+++ b/src/scheduler/tests/cancellation.rs
@@ -5,8 +5,8 @@
 use crate::wire::{JobKind, TaskState};
 
 /// The leader may know of a cancellation only from an acknowledgement, before the store has it. The exit of one of the
-/// job's tasks must not create new progress for the job: its other tasks, on machines behind a network partition,
-/// would be started twice.
+/// job's tasks must not create new progress for the job. Otherwise its other tasks, which run on machines behind a
+/// network partition, would be started twice.
 #[test]
 fn job_with_acknowledged_cancellation_is_never_started_again() {
     let mut leader = TestLeader::new();
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -9,7 +9,7 @@
 use crate::workers::machine::{JOB_FINISHED, StopRequest};
 
 /// A stale heartbeat of a task's previous machine may reach a new leader before the heartbeat of the machine on which
-/// the task runs. The leader must not stop the running attempt, which would start the task a third time.
+/// the task runs. The leader must not stop the running attempt; otherwise the task would be started a third time.
 #[test]
 fn latest_attempt_continues_when_a_stale_heartbeat_shows_an_earlier_one() {
     for stale_first in [true, false] {
@@ -59,13 +59,13 @@
         }
         leader.store.cache.jobs.apply_record(id.clone(), &data, Revision(9));
         leader.begin_new_term();
-        let need = Amount::need(4.0, 0.0, 4.0);
-        assert_eq!(leader.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{case}");
+        let request = Amount::need(4.0, 0.0, 4.0);
+        assert_eq!(leader.scheduler.jobs.orphaned_capacity.of(0), request.times(tasks), "{case}");
         leader.report("i-1", vec![]);
         leader.pass(MIN_PASS_INTERVAL * 5);
         assert_eq!(
             leader.scheduler.jobs.orphaned_capacity.of(0),
-            need.times(tasks),
+            request.times(tasks),
             "{case}: one machine unconfirmed"
         );
         leader.report("i-2", vec![]);
@@ -78,9 +78,9 @@
     }
 }
 
-/// During a store outage, a leader whose lease has expired still answers a worker that reconnects to it, even if it
-/// revoked the worker's delegation itself. The exception is a worker that a delayed start of a cancelled job may still
-/// reach: its lease has to expire.
+/// During a store outage, a leader whose lease has expired still answers a worker that reconnects to it, even if the
+/// leader revoked the worker's machine itself. The exception is a machine that a delayed start of a cancelled job may
+/// still reach: its lease has to expire.
 #[test]
 fn leader_without_lease_answers_revoked_machines_unless_a_delayed_start_may_reach_them() {
     let mut leader = TestLeader::new();
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -7,8 +7,8 @@
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Jobs that fail everywhere must not mark machines as faulty, and must not be retried without backoff. Otherwise faulty
-/// submissions cause good machines to be terminated (247 in one run, after 2,354 attempts on them).
+/// Jobs that fail everywhere must not mark machines as faulty, and must not be retried without backoff. Otherwise
+/// faulty submissions cause good machines to be terminated: 247 in one run, with 2,354 attempts on them.
 #[test]
 fn faulty_jobs_mark_no_machine_as_faulty_and_are_retried_rarely() {
     let mut leader = TestLeader::new();
@@ -58,7 +58,7 @@
     for (id, tasks) in [("wk-1", 8), ("wk-2", 24), ("wk-3", 8)] {
         leader.job(id, JobKind::Array, tasks);
     }
-    let is_job_faulty = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
+    let is_of_faulty_job = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
     let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
         leader.pass(MIN_PASS_INTERVAL);
@@ -67,7 +67,7 @@
             let commands = leader.report(machine, tasks.clone());
             let mut tasks = [tasks, task_statuses(&commands, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
-            for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_job_faulty(task)) {
+            for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_of_faulty_job(task)) {
                 (task.state, task.why) = (TaskState::Exited, Some("error".into()));
             }
             running.insert(machine, tasks);
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -5,18 +5,20 @@
 use crate::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::jobs;
 use crate::scheduler::Scheduler;
-use crate::settings::fixtures::machine_type as flavor;
+use crate::settings::fixtures::machine_type;
 use crate::store::{MachineRecord, StoreClient, Versioned};
 use crate::wire::{Heartbeat, JobKind, JobSpec, TaskState, TaskStatus, WorkerCommand, Write};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// A leader without peers whose clock the test advances.
 pub(super) struct TestLeader {
     pub(super) scheduler: Scheduler,
     pub(super) store: StoreClient,
     pub(super) cloud: CloudClient,
     pub(super) now: Instant,
+    /// Sequence number of the last heartbeat of any machine.
     pub(super) seq: u64,
 }
 
@@ -27,7 +29,7 @@
         let now = Instant::now();
         let limits = settings.platform.params.state.effective();
         let mut store = StoreClient::new(limits, vec![ControllerId::new("n")], 1, now);
-        store.cache.machine_types = Versioned::new(vec![flavor()], Revision(1));
+        store.cache.machine_types = Versioned::new(vec![machine_type()], Revision(1));
         let wall = WallClock { at: now, ms: 0 };
         let scheduler =
             Scheduler::new(FencingToken(1), Revision(2), settings, &store.cache, wall, now);
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -87,7 +87,7 @@
 fn successor_reads_stored_estimates_and_ignores_damaged_ones() {
     let mut leader = learning_leader();
     let completed = run_array(&mut leader, "wk-1", 30);
-    // Two heartbeats report the same completions, which count once.
+    // Two heartbeats report the same completions, which must count only once.
     leader.report("i-1", completed.clone());
     leader.report("i-1", completed);
     finish_job(&mut leader, "wk-1");
@@ -95,7 +95,7 @@
     assert!((known - 30.0).abs() < 2.5, "{known}");
     // One entry each for the exact profile, team, class and owner: at most four values.
     assert!((1..=4).contains(&write_estimates(&mut leader)));
-    assert_eq!(write_estimates(&mut leader), 0, "nothing new, nothing written");
+    assert_eq!(write_estimates(&mut leader), 0, "nothing new was learned");
     let mut successor = learning_leader();
     successor.store.cache.estimates = leader.store.cache.estimates.clone();
     successor.scheduler.store_estimates(&mut successor.store, successor.now);
@@ -110,7 +110,7 @@
     run_array(&mut damaged, "wk-3", 1);
 }
 
-/// The start time of an adopted task is unknown, so its completion must not add a run time.
+/// The start time of an adopted task is unknown, so no run time may be learned from its completion.
 #[test]
 fn adopted_task_adds_no_runtime() {
     let mut predecessor = learning_leader();
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -14,7 +14,7 @@
 
 /// Number of heartbeat intervals after which a heartbeat is late: PROTOCOL varies each interval by a quarter.
 const HEARTBEAT_LATE_FACTOR: f64 = 1.25;
-/// Time added to the late threshold, for a lost packet and its retransmission.
+/// Time added to these intervals before a heartbeat is late, for a lost packet and its retransmission.
 const HEARTBEAT_LATE_MARGIN: Duration = Duration::from_millis(1000);
 /// Remaining lease above which an unreachable, unconfirmed machine is terminated at once instead of waiting for its
 /// lease to expire: about twice the time that its tasks take to start elsewhere, including the image fetch.
@@ -101,7 +101,7 @@
         })
     }
 
-    /// Returns, by zone, whether it is unreachable as a whole: less than a quarter of its machines send heartbeats, so
+    /// Returns, by zone, whether it is unreachable as a whole: fewer than a quarter of its machines send heartbeats, so
     /// the network is cut rather than each machine dead.
     pub(super) fn unreachable_zones(&self, summary: &FleetSummary, now: Instant) -> Vec<bool> {
         let (up, reachable) = (&summary.up, &summary.reachable);
