--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -109,7 +109,7 @@
         demand.ordinary &= !job.spec.spot;
         demand.held += task_capacity * placed;
         demand.waiting += task_capacity * waiting;
-        if progress.predates_leadership && totals.has_unconfirmed {
+        if progress.predates_term && totals.has_unconfirmed {
             *totals.maybe_started.entry(group).or_default() += task_capacity * waiting;
         }
         if job.spec.shape == JobKind::Service {
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -118,7 +118,7 @@
             }
             summary.booting |= machine.state == MachineState::Booting;
             summary.status_unanswered |= machine.unanswered_probe.is_some();
-            summary.failing |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
+            summary.has_failing_machine |= machine.failed_jobs.len() >= MACHINE_FAULT_JOBS;
             if machine.up_since.is_some() {
                 summary.newest = summary.newest.max(Some(machine.rented_at));
             }
@@ -139,7 +139,7 @@
     /// True if a worker has not answered a direct call that was made while its zone was reachable.
     pub(super) status_unanswered: bool,
     /// True if at least `MACHINE_FAULT_JOBS` jobs have failed on the same machine.
-    pub(super) failing: bool,
+    pub(super) has_failing_machine: bool,
     /// Latest rental time of the machines that have come up.
     newest: Option<Instant>,
 }
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 pub(super) struct JobProgress {
     /// True if the job was ready before this term began, so that a previous leader may have started its tasks.
-    pub(super) predates_leadership: bool,
+    pub(super) predates_term: bool,
     /// Time at which this leader first saw the job ready to run.
     pub(super) first_seen: Option<Instant>,
     /// Placements of the tasks that run or will run, by task index.
@@ -97,7 +97,7 @@
 impl JobProgress {
     /// Creates the progress of a job that was live before this term began.
     pub(super) fn of_predecessor(may_have_started: bool) -> JobProgress {
-        JobProgress { predates_leadership: may_have_started, ..JobProgress::default() }
+        JobProgress { predates_term: may_have_started, ..JobProgress::default() }
     }
 
     /// Returns the number of the job's tasks that are neither completed nor placed. Until the commit of a completion
--- a/src/scheduler/orphaned_tasks.rs
+++ b/src/scheduler/orphaned_tasks.rs
@@ -82,7 +82,7 @@
     pub(super) fn count_orphaned_tasks(&mut self, progress: &JobProgress, job: &Job) {
         let placed = progress.placed.len() as u64;
         let (team, amount) = match &job.body {
-            _ if !progress.predates_leadership => return,
+            _ if !progress.predates_term => return,
             JobBody::Live(live) => (&live.spec.team, live.request.times(progress.waiting(live))),
             JobBody::Finished { orphaned_tasks: Some(orphaned), .. } => {
                 (&orphaned.team, orphaned_amount(orphaned, placed))
@@ -109,7 +109,7 @@
         };
         let known = progress.placed.iter().filter_map(not_exited).count()
             + progress.duplicate_attempts.len();
-        let may_be_hidden = progress.predates_leadership
+        let may_be_hidden = progress.predates_term
             && self.fleet.machines.values().any(|machine| !machine.confirmed);
         known as u64 + if may_be_hidden { live.spec.tasks } else { 0 }
     }
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -90,7 +90,7 @@
         let is_gang = job.spec.shape == JobKind::Gang;
         let mut request = self.base_request(id, job, &context.fleet.capacities)?;
         let progress = self.jobs.progress.get(id)?;
-        if progress.predates_leadership && may_run_on_unconfirmed(&request, context.fleet) {
+        if progress.predates_term && may_run_on_unconfirmed(&request, context.fleet) {
             let waiting = progress.waiting(job);
             self.statistics.add_waiting(waiting_cause::UNCONFIRMED_MACHINE, waiting);
             return None;
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -77,7 +77,7 @@
                 ..self.queued_job(id, job, team, now)
             });
             let progress = &self.jobs.progress[*id];
-            if progress.predates_leadership && has_unconfirmed {
+            if progress.predates_term && has_unconfirmed {
                 let resources = job.request.times(progress.waiting(job));
                 maybe_used[team] = maybe_used[team].plus(&resources);
             }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -341,7 +341,7 @@
         for id in successful {
             self.record_success(&id, now);
         }
-        if !summary.failing {
+        if !summary.has_failing_machine {
             return;
         }
         for machine in
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -171,7 +171,7 @@
         let job = self.runtime_predictor.observations_of(&task.job, live);
         let saved_s = job.saved_s.get(&task.index).copied();
         match (run.completed, saved_s) {
-            // An earlier attempt had completed, and the machine returned that attempt's result.
+            // An earlier attempt had completed, and the machine returned its result without running the task again.
             (true, None) if !is_first && run_s < RESULT_REPLAY_MAX_S => {}
             (true, saved_s) => job.run_times.ended(run_s + saved_s.unwrap_or(0.0)),
             (false, saved_s) => {
--- a/src/scheduler/status.rs
+++ b/src/scheduler/status.rs
@@ -16,7 +16,7 @@
     /// of its tasks is started in another zone, and the user who cancels it need not wait for zones without tasks.
     pub fn zones_of(&self, id: &JobId, cache: &Cache) -> Vec<String> {
         let predates_term =
-            self.jobs.progress.get(id).is_none_or(|progress| progress.predates_leadership);
+            self.jobs.progress.get(id).is_none_or(|progress| progress.predates_term);
         let attempts = attempts_of(id);
         let names = &self.settings.platform.params.zones;
         let spec = cache.jobs.get(id).and_then(Job::live).map(|job| &job.spec);
--- a/src/scheduler/tests/cancellation.rs
+++ b/src/scheduler/tests/cancellation.rs
@@ -11,13 +11,13 @@
 fn job_with_acknowledged_cancellation_is_never_started_again() {
     let mut leader = TestLeader::new();
     let id = leader.job("wk-1", JobKind::Service, 4);
-    leader.report("i-1", vec![]);
+    leader.heartbeat("i-1", vec![]);
     leader.pass(MIN_PASS_INTERVAL * 5);
-    let commands = leader.report("i-1", vec![]);
+    let commands = leader.heartbeat("i-1", vec![]);
     assert_eq!(task_statuses(&commands, TaskState::Running).len(), 4);
-    leader.report("i-1", task_statuses(&commands, TaskState::Running));
+    leader.heartbeat("i-1", task_statuses(&commands, TaskState::Running));
     leader.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&id), &leader.store.cache);
-    leader.report("i-1", task_statuses(&commands, TaskState::Exited));
+    leader.heartbeat("i-1", task_statuses(&commands, TaskState::Exited));
     leader.scheduler.on_jobs(&[id], &leader.store.cache, leader.now);
     for _ in 0..20 {
         leader.pass(MIN_PASS_INTERVAL);
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -19,18 +19,18 @@
             heartbeats.reverse();
         }
         for (machine, task) in heartbeats {
-            leader.report(machine, vec![task]);
+            leader.heartbeat(machine, vec![task]);
         }
         for round in 0..20 {
             leader.pass(MIN_PASS_INTERVAL * 5);
             let is_start = |command: &WorkerCommand| matches!(command, WorkerCommand::Start { .. });
-            let commands = leader.report("i-1", vec![]);
+            let commands = leader.heartbeat("i-1", vec![]);
             assert!(!commands.iter().any(is_start), "round {round}: {commands:?}");
-            let commands = leader.report("i-2", vec![running_status(&job, 9)]);
+            let commands = leader.heartbeat("i-2", vec![running_status(&job, 9)]);
             assert!(commands.is_empty(), "round {round}: {commands:?}");
         }
         // The task is free only once no heartbeat shows an attempt at it.
-        leader.report("i-2", vec![]);
+        leader.heartbeat("i-2", vec![]);
         leader.pass(MIN_PASS_INTERVAL * 5);
         let placed = &leader.scheduler.jobs.progress[&job].placed;
         assert!(placed.len() == 1 && placed[&0].attempt > Attempt(9), "{placed:?}");
@@ -61,14 +61,14 @@
         leader.begin_new_term();
         let request = Amount::need(4.0, 0.0, 4.0);
         assert_eq!(leader.scheduler.jobs.orphaned_capacity.of(0), request.times(tasks), "{case}");
-        leader.report("i-1", vec![]);
+        leader.heartbeat("i-1", vec![]);
         leader.pass(MIN_PASS_INTERVAL * 5);
         assert_eq!(
             leader.scheduler.jobs.orphaned_capacity.of(0),
             request.times(tasks),
             "{case}: one machine unconfirmed"
         );
-        leader.report("i-2", vec![]);
+        leader.heartbeat("i-2", vec![]);
         leader.pass(MIN_PASS_INTERVAL * 5);
         assert_eq!(
             leader.scheduler.jobs.orphaned_capacity.of(0),
@@ -84,7 +84,7 @@
 #[test]
 fn leader_without_lease_answers_revoked_machines_unless_a_delayed_start_may_reach_them() {
     let mut leader = TestLeader::new();
-    leader.report("i-1", vec![]);
+    leader.heartbeat("i-1", vec![]);
     let id = leader.job("wk-1", JobKind::Array, 1);
     leader.pass(MIN_PASS_INTERVAL * 5);
     let machine = MachineId::new("i-1");
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -13,15 +13,15 @@
 fn faulty_jobs_mark_no_machine_as_faulty_and_are_retried_rarely() {
     let mut leader = TestLeader::new();
     let machines = ["i-1", "i-2", "i-3", "i-4"];
-    machines.iter().for_each(|machine| drop(leader.report(machine, vec![])));
+    machines.iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
     for id in ["wk-1", "wk-2", "wk-3"] {
         leader.job(id, JobKind::Array, 16);
     }
     for _ in 0..400 {
         leader.pass(MIN_PASS_INTERVAL);
         for machine in machines {
-            let commands = leader.report(machine, vec![]);
-            leader.report(machine, failed_statuses(&commands));
+            let commands = leader.heartbeat(machine, vec![]);
+            leader.heartbeat(machine, failed_statuses(&commands));
         }
     }
     assert!(leader.scheduler.fleet.machines.values().all(|m| !m.faulty));
@@ -35,13 +35,13 @@
     let mut running = Vec::new();
     while running.is_empty() {
         leader.pass(MIN_PASS_INTERVAL);
-        running = task_statuses(&leader.report("i-1", vec![]), TaskState::Running);
+        running = task_statuses(&leader.heartbeat("i-1", vec![]), TaskState::Running);
     }
-    leader.report("i-1", running.clone());
+    leader.heartbeat("i-1", running.clone());
     leader.pass(SUCCESS_AFTER_RUNNING + MIN_PASS_INTERVAL);
-    leader.report("i-1", running);
+    leader.heartbeat("i-1", running);
     for _ in 0..10 {
-        machines[1..].iter().for_each(|machine| drop(leader.report(machine, vec![])));
+        machines[1..].iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
         leader.pass(MIN_PASS_INTERVAL);
     }
     assert!(
@@ -64,7 +64,7 @@
         leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
             let tasks = running.remove(machine).unwrap_or_default();
-            let commands = leader.report(machine, tasks.clone());
+            let commands = leader.heartbeat(machine, tasks.clone());
             let mut tasks = [tasks, task_statuses(&commands, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
             for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_of_faulty_job(task)) {
@@ -88,8 +88,8 @@
     for step in 0..300 {
         leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
-            let commands = leader.report(machine, vec![]);
-            leader.report(machine, failed_statuses(&commands));
+            let commands = leader.heartbeat(machine, vec![]);
+            leader.heartbeat(machine, failed_statuses(&commands));
         }
         assert_eq!(leader.scheduler.statistics.starts % 6, 0, "step {step}");
     }
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -16,48 +16,48 @@
 /// it goes first to the group below its floor.
 #[test]
 fn preemption_leaves_groups_their_floor_and_serves_groups_below_theirs() {
-    let running_count = |bench: &TestLeader, id: &JobId| {
-        let machines = bench.scheduler.fleet.machines.values();
+    let running_count = |leader: &TestLeader, id: &JobId| {
+        let machines = leader.scheduler.fleet.machines.values();
         let entries = machines.flat_map(|m| m.attempts.iter());
         entries.filter(|((task, _), e)| task.job == *id && e.stop.is_none()).count()
     };
     let run_with_floor = |floor: f64| {
-        let mut bench = TestLeader::new();
-        Arc::make_mut(&mut bench.scheduler.settings).operator.floor = floor;
-        bench.scheduler.fair_share = FairShare::new(floor);
+        let mut leader = TestLeader::new();
+        Arc::make_mut(&mut leader.scheduler.settings).operator.floor = floor;
+        leader.scheduler.fair_share = FairShare::new(floor);
         let names = ["i-1", "i-2", "i-3", "i-4"];
-        names.iter().for_each(|name| drop(bench.report(name, vec![])));
-        bench.scheduler.fleet.listed_once = true;
-        bench.now += RENTAL_SETTLE_TIME * 2;
-        names.iter().for_each(|name| drop(bench.report(name, vec![])));
+        names.iter().for_each(|name| drop(leader.heartbeat(name, vec![])));
+        leader.scheduler.fleet.listed_once = true;
+        leader.now += RENTAL_SETTLE_TIME * 2;
+        names.iter().for_each(|name| drop(leader.heartbeat(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
             let pool = MachinePool { flavor: 0, zone, spot };
-            let backoff = CapacityBackoff { not_before: bench.now, max_request: PROBE_REQUEST };
-            bench.scheduler.autoscaler.capacity_backoff.insert(pool, backoff);
+            let backoff = CapacityBackoff { not_before: leader.now, max_request: PROBE_REQUEST };
+            leader.scheduler.autoscaler.capacity_backoff.insert(pool, backoff);
         }
-        let array = bench.job("wk-1", JobKind::Array, 400);
-        let run_one_second = |bench: &mut TestLeader| {
-            bench.pass(Duration::from_secs(1));
+        let array = leader.job("wk-1", JobKind::Array, 400);
+        let run_one_second = |leader: &mut TestLeader| {
+            leader.pass(Duration::from_secs(1));
             for name in names {
-                let commands = bench.report(name, vec![]);
-                bench.report(name, task_statuses(&commands, TaskState::Running));
+                let commands = leader.heartbeat(name, vec![]);
+                leader.heartbeat(name, task_statuses(&commands, TaskState::Running));
             }
         };
-        run_one_second(&mut bench);
-        assert_eq!(running_count(&bench, &array), 16);
+        run_one_second(&mut leader);
+        assert_eq!(running_count(&leader, &array), 16);
         for _ in 0..5 {
-            run_one_second(&mut bench);
+            run_one_second(&mut leader);
         }
-        let service = bench.job("wk-2", JobKind::Service, 16);
-        let live = bench.store.cache.jobs.all.get_mut(&service);
+        let service = leader.job("wk-2", JobKind::Service, 16);
+        let live = leader.store.cache.jobs.all.get_mut(&service);
         let Some(JobBody::Live(live)) = live.map(|job| &mut job.body) else { panic!() };
         let spec = Arc::make_mut(&mut live.spec);
         (spec.urgency, spec.class) = (Priority::Production, "urgent".into());
         for _ in 0..5 {
-            bench.pass(Duration::from_millis(500));
+            leader.pass(Duration::from_millis(500));
         }
-        let report = bench.scheduler.fair_share_report(bench.now);
-        (running_count(&bench, &array), running_count(&bench, &service), report)
+        let report = leader.scheduler.fair_share_report(leader.now);
+        (running_count(&leader, &array), running_count(&leader, &service), report)
     };
     let (array_tasks, _, report) = run_with_floor(0.0);
     let leader = report.leader.clone();
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -60,7 +60,11 @@
     }
 
     /// Applies a heartbeat with these tasks, marks all machines as recorded and returns the answer's commands.
-    pub(super) fn report(&mut self, machine: &str, tasks: Vec<TaskStatus>) -> Vec<WorkerCommand> {
+    pub(super) fn heartbeat(
+        &mut self,
+        machine: &str,
+        tasks: Vec<TaskStatus>,
+    ) -> Vec<WorkerCommand> {
         self.seq += 1;
         let heartbeat = Heartbeat {
             machine: MachineId::new(machine),
--- a/src/scheduler/tests/job_machines.rs
+++ b/src/scheduler/tests/job_machines.rs
@@ -18,9 +18,9 @@
         why: None,
         saved: None,
     };
-    leader.report("i-1", vec![adopted]);
+    leader.heartbeat("i-1", vec![adopted]);
     for machine in ["i-2", "i-3"] {
-        leader.report(machine, Vec::new());
+        leader.heartbeat(machine, Vec::new());
     }
     for _ in 0..3 {
         leader.pass(Duration::from_secs(1));
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -11,29 +11,31 @@
 /// all workers are called in turn if only a few calls may be in flight at once.
 #[test]
 fn rentals_and_direct_calls_stay_within_controller_limits() {
-    let mut bench = TestLeader::new();
-    (0..9).for_each(|n| drop(bench.report(&format!("i-{n}"), vec![])));
-    bench.scheduler.fleet.listed_once = true;
-    bench.scheduler.autoscaler.max_machines = 12;
-    bench.job("wk-1", JobKind::Array, 400);
+    let mut leader = TestLeader::new();
+    (0..9).for_each(|n| drop(leader.heartbeat(&format!("i-{n}"), vec![])));
+    leader.scheduler.fleet.listed_once = true;
+    leader.scheduler.autoscaler.max_machines = 12;
+    leader.job("wk-1", JobKind::Array, 400);
     for _ in 0..20 {
-        bench.pass(MIN_PASS_INTERVAL * 5);
+        leader.pass(MIN_PASS_INTERVAL * 5);
     }
-    let requested: u32 = bench.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
+    let requested: u32 = leader.cloud.pending_rentals().iter().map(|rental| rental.count).sum();
     assert_eq!(requested, 3);
-    assert!(bench.scheduler.statistics.waiting_by_cause["controllers hold no more machines"] > 300);
-    bench.scheduler.direct_calls.max_in_flight = 2;
+    assert!(
+        leader.scheduler.statistics.waiting_by_cause["controllers hold no more machines"] > 300
+    );
+    leader.scheduler.direct_calls.max_in_flight = 2;
     let mut called: Vec<MachineId> = Vec::new();
     for _ in 0..5 {
-        for machine in bench.scheduler.fleet.machines.values_mut() {
+        for machine in leader.scheduler.fleet.machines.values_mut() {
             (machine.direct_in_flight, machine.commands_due) = (false, true);
-            machine.next_direct_at = bench.now;
+            machine.next_direct_at = leader.now;
         }
-        (bench.scheduler.direct_calls.in_flight, bench.scheduler.direct_calls.all_dirty) =
+        (leader.scheduler.direct_calls.in_flight, leader.scheduler.direct_calls.all_dirty) =
             (0, true);
-        bench.scheduler.take_direct_calls();
-        bench.scheduler.send_direct_calls(bench.now);
-        let calls = bench.scheduler.take_direct_calls();
+        leader.scheduler.take_direct_calls();
+        leader.scheduler.send_direct_calls(leader.now);
+        let calls = leader.scheduler.take_direct_calls();
         assert!(calls.len() <= 2);
         called.extend(calls.into_iter().map(|call| call.machine));
     }
@@ -49,7 +51,7 @@
     const MACHINES: usize = 300;
     let mut kept_leader = None;
     let allocations = allocation_counter::measure(|| {
-        let mut bench = TestLeader::new();
+        let mut leader = TestLeader::new();
         for n in 0..MACHINES {
             let task = |index: u32| TaskStatus {
                 task: TaskId {
@@ -62,16 +64,16 @@
                 saved: None,
             };
             (0..3).for_each(|job| {
-                drop(bench.job(&format!("wk-{:09}", n * 3 + job), JobKind::Array, 9))
+                drop(leader.job(&format!("wk-{:09}", n * 3 + job), JobKind::Array, 9))
             });
-            bench.report(&format!("i-{n:06}"), (0..8).map(task).collect());
+            leader.heartbeat(&format!("i-{n:06}"), (0..8).map(task).collect());
         }
-        bench.pass(MIN_PASS_INTERVAL * 5);
-        kept_leader = Some(bench);
+        leader.pass(MIN_PASS_INTERVAL * 5);
+        kept_leader = Some(leader);
     });
-    let bench = kept_leader.unwrap();
+    let leader = kept_leader.unwrap();
     assert_eq!(
-        bench.scheduler.fleet.machines.values().map(|m| m.attempts.len()).sum::<usize>(),
+        leader.scheduler.fleet.machines.values().map(|m| m.attempts.len()).sum::<usize>(),
         MACHINES * 8
     );
     let bytes_per_machine = allocations.bytes_current as f64 / MACHINES as f64;
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -19,26 +19,32 @@
 /// that was rented later is up, the delayed ones are overdue and are terminated.
 #[test]
 fn machines_delayed_together_are_kept_until_one_rented_later_is_up() {
-    let mut bench = TestLeader::new();
-    bench.report("i-0", vec![]);
-    bench.job("wk-1", JobKind::Array, 4);
+    let mut leader = TestLeader::new();
+    leader.heartbeat("i-0", vec![]);
+    leader.job("wk-1", JobKind::Array, 4);
     let names: Vec<String> = (1..6).map(|n| format!("i-{n}")).collect();
     let machine_ids = names.iter().map(|name| MachineId::new(name)).collect();
     let pool = MachinePool { flavor: 0, zone: 1, spot: true };
-    bench.pass(MIN_PASS_INTERVAL);
+    leader.pass(MIN_PASS_INTERVAL);
     let rented_event = CloudEvent::MachinesRented(pool, machine_ids);
-    bench.scheduler.on_cloud(rented_event, &bench.store.cache, bench.now);
-    let booting = |bench: &TestLeader| {
-        bench.scheduler.fleet.machines.values().filter(|m| m.state == MachineState::Booting).count()
+    leader.scheduler.on_cloud(rented_event, &leader.store.cache, leader.now);
+    let booting = |leader: &TestLeader| {
+        leader
+            .scheduler
+            .fleet
+            .machines
+            .values()
+            .filter(|m| m.state == MachineState::Booting)
+            .count()
     };
     let boot_timeout =
         Duration::from_secs_f64(flavor().boot_s * BOOT_TIMEOUT_FACTOR) + BOOT_TIMEOUT_MARGIN;
-    bench.pass(boot_timeout / 2);
+    leader.pass(boot_timeout / 2);
     let flavor = flavor();
-    let overdue_count = |bench: &TestLeader| {
-        let summary = bench.scheduler.fleet_summary(bench.now);
-        let is_overdue = bench.scheduler.boot_overdue(&summary, bench.now);
-        bench
+    let overdue_count = |leader: &TestLeader| {
+        let summary = leader.scheduler.fleet_summary(leader.now);
+        let is_overdue = leader.scheduler.boot_overdue(&summary, leader.now);
+        leader
             .scheduler
             .fleet
             .machines
@@ -46,14 +52,14 @@
             .filter(|m| m.up_since.is_none() && is_overdue(m, &flavor))
             .count()
     };
-    assert_eq!(overdue_count(&bench), 0);
-    bench.pass(boot_timeout / 2 + MIN_PASS_INTERVAL);
-    assert_eq!(booting(&bench), 5);
+    assert_eq!(overdue_count(&leader), 0);
+    leader.pass(boot_timeout / 2 + MIN_PASS_INTERVAL);
+    assert_eq!(booting(&leader), 5);
     // A machine that was rented later is up.
-    bench.report("i-9", vec![]);
-    assert_eq!(overdue_count(&bench), 5);
-    bench.pass(MIN_PASS_INTERVAL * 2);
-    assert_eq!(booting(&bench), 0);
+    leader.heartbeat("i-9", vec![]);
+    assert_eq!(overdue_count(&leader), 5);
+    leader.pass(MIN_PASS_INTERVAL * 2);
+    assert_eq!(booting(&leader), 0);
 }
 
 /// A machine with replicas that answers nobody is terminated long before its lease expires, but
@@ -62,39 +68,39 @@
 #[test]
 fn unreachable_machine_is_terminated_before_lease_expiry_only_if_others_are_reachable() {
     for others_reachable in [true, false] {
-        let mut bench = TestLeader::new();
-        let mut settings = Settings::clone(&bench.scheduler.settings);
+        let mut leader = TestLeader::new();
+        let mut settings = Settings::clone(&leader.scheduler.settings);
         settings.platform.params.workers.lease_s = 60.0;
-        bench.scheduler.settings = Arc::new(settings);
+        leader.scheduler.settings = Arc::new(settings);
         let machines = ["i-1", "i-2", "i-3"];
-        machines.iter().for_each(|machine| drop(bench.report(machine, vec![])));
-        bench.job("wk-1", JobKind::Service, 1);
-        bench.pass(MIN_PASS_INTERVAL * 5);
-        let orders = bench.report("i-1", vec![]);
+        machines.iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
+        leader.job("wk-1", JobKind::Service, 1);
+        leader.pass(MIN_PASS_INTERVAL * 5);
+        let orders = leader.heartbeat("i-1", vec![]);
         let running = task_statuses(&orders, TaskState::Running);
         assert_eq!(running.len(), 1);
-        bench.report("i-1", running);
-        let heartbeat_late_after = bench.scheduler.heartbeat_late_after();
-        let until = bench.now + heartbeat_late_after * 3;
-        while bench.now < until {
+        leader.heartbeat("i-1", running);
+        let heartbeat_late_after = leader.scheduler.heartbeat_late_after();
+        let until = leader.now + heartbeat_late_after * 3;
+        while leader.now < until {
             // During a partition no machine is heard until it ends.
-            if others_reachable || bench.now + TICK_MAX * 2 >= until {
-                machines[1..].iter().for_each(|machine| drop(bench.report(machine, vec![])));
+            if others_reachable || leader.now + TICK_MAX * 2 >= until {
+                machines[1..].iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
             }
-            bench.pass(TICK_MAX);
+            leader.pass(TICK_MAX);
             for OutgoingCall { machine: id, call: direct, .. } in
-                bench.scheduler.take_direct_calls()
+                leader.scheduler.take_direct_calls()
             {
                 let sent = match direct {
                     DirectCall::Do(orders) => Some(orders),
                     DirectCall::Status => None,
                 };
                 let no_response = Err(crate::http::CallError::Unknown);
-                let (cache, now) = (&bench.store.cache, bench.now);
-                bench.scheduler.on_worker_response(&id, sent.as_ref(), no_response, cache, now);
+                let (cache, now) = (&leader.store.cache, leader.now);
+                leader.scheduler.on_worker_response(&id, sent.as_ref(), no_response, cache, now);
             }
         }
-        let state = bench.scheduler.fleet.machines[&MachineId::new("i-1")].state;
+        let state = leader.scheduler.fleet.machines[&MachineId::new("i-1")].state;
         assert_eq!(state == MachineState::Terminating, others_reachable);
     }
 }
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -14,19 +14,19 @@
 #[test]
 fn low_priority_start_rate_drops_when_the_leader_falls_behind() {
     let count_starts = |late: Duration| {
-        let mut bench = TestLeader::new();
+        let mut leader = TestLeader::new();
         for n in 0..100 {
-            bench.report(&format!("i-{n}"), vec![]);
+            leader.heartbeat(&format!("i-{n}"), vec![]);
         }
-        let id = bench.job("wk-1", JobKind::Array, 400);
-        let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
+        let id = leader.job("wk-1", JobKind::Array, 400);
+        let Some(job) = leader.store.cache.jobs.all.get_mut(&id) else { panic!() };
         let JobBody::Live(live) = &mut job.body else { panic!() };
         Arc::make_mut(&mut live.spec).urgency = Priority::Low;
         for _ in 0..20 {
-            bench.scheduler.adjust_pace(late, bench.now);
-            bench.pass(PACE_ADJUSTMENT_INTERVAL);
+            leader.scheduler.adjust_pace(late, leader.now);
+            leader.pass(PACE_ADJUSTMENT_INTERVAL);
         }
-        bench.scheduler.statistics.starts
+        leader.scheduler.statistics.starts
     };
     assert_eq!(count_starts(Duration::ZERO), 400);
     let starts = count_starts(LATE_TICK * 2);
@@ -38,18 +38,18 @@
 /// only its own machine. Counts machines instead of measuring time.
 #[test]
 fn heartbeats_without_changes_mark_no_machine_dirty() {
-    let mut bench = TestLeader::new();
+    let mut leader = TestLeader::new();
     let names: Vec<String> = (0..40).map(|n| format!("i-{n:02}")).collect();
     for name in &names {
-        bench.report(name, vec![]);
+        leader.heartbeat(name, vec![]);
     }
-    let job = bench.job("wk-1", JobKind::Service, 60);
-    (0..3).for_each(|_| bench.pass(MIN_PASS_INTERVAL * 5));
-    assert_eq!(bench.scheduler.jobs.progress[&job].placed.len(), 60);
+    let job = leader.job("wk-1", JobKind::Service, 60);
+    (0..3).for_each(|_| leader.pass(MIN_PASS_INTERVAL * 5));
+    assert_eq!(leader.scheduler.jobs.progress[&job].placed.len(), 60);
     let mut reported_statuses = HashMap::new();
     for state in [TaskState::Fetching, TaskState::Running] {
         for name in &names {
-            let starts: Vec<WorkerCommand> = bench.scheduler.fleet.machines[&MachineId::new(name)]
+            let starts: Vec<WorkerCommand> = leader.scheduler.fleet.machines[&MachineId::new(name)]
                 .attempts
                 .keys()
                 .map(|(task, attempt)| WorkerCommand::Start {
@@ -58,24 +58,24 @@
                 })
                 .collect();
             reported_statuses.insert(name.clone(), task_statuses(&starts, state));
-            bench.report(name, reported_statuses[name].clone());
+            leader.heartbeat(name, reported_statuses[name].clone());
         }
     }
-    bench.pass(MIN_PASS_INTERVAL * 5);
+    leader.pass(MIN_PASS_INTERVAL * 5);
     assert!(
-        !bench.scheduler.direct_calls.all_dirty
-            && bench.scheduler.direct_calls.dirty_machines.is_empty()
+        !leader.scheduler.direct_calls.all_dirty
+            && leader.scheduler.direct_calls.dirty_machines.is_empty()
     );
     // The usual heartbeats, which confirm the known state.
     for name in &names {
-        assert_eq!(bench.report(name, reported_statuses[name].clone()), []);
+        assert_eq!(leader.heartbeat(name, reported_statuses[name].clone()), []);
     }
-    assert!(!bench.scheduler.direct_calls.all_dirty);
-    assert_eq!(bench.scheduler.direct_calls.dirty_machines, BTreeSet::new());
+    assert!(!leader.scheduler.direct_calls.all_dirty);
+    assert_eq!(leader.scheduler.direct_calls.dirty_machines, BTreeSet::new());
     // The tasks of a finished job are stopped, and its machines stay dirty until notified.
-    bench.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &bench.store.cache);
+    leader.scheduler.on_cancellation_acknowledged(std::slice::from_ref(&job), &leader.store.cache);
     let first_machine = &names[0];
-    bench.report(first_machine, reported_statuses[first_machine].clone());
-    assert_eq!(bench.scheduler.direct_calls.dirty_machines.len(), 1);
-    assert!(!bench.scheduler.has_pending_work(&bench.store.cache));
+    leader.heartbeat(first_machine, reported_statuses[first_machine].clone());
+    assert_eq!(leader.scheduler.direct_calls.dirty_machines.len(), 1);
+    assert!(!leader.scheduler.has_pending_work(&leader.store.cache));
 }
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -14,34 +14,35 @@
 /// any cost lost an array 242 s of work.
 #[test]
 fn preemption_chooses_the_least_lost_work_even_on_a_machine_without_the_image() {
-    let mut bench = TestLeader::new();
-    let fill = |bench: &mut TestLeader, machine: &str, id: &str, image: &str| {
-        bench.report(machine, vec![]);
-        bench.job(id, JobKind::Array, 4);
-        bench.pass(MIN_PASS_INTERVAL * 5);
-        let commands = bench.report(machine, vec![]);
+    let mut leader = TestLeader::new();
+    let fill = |leader: &mut TestLeader, machine: &str, id: &str, image: &str| {
+        leader.heartbeat(machine, vec![]);
+        leader.job(id, JobKind::Array, 4);
+        leader.pass(MIN_PASS_INTERVAL * 5);
+        let commands = leader.heartbeat(machine, vec![]);
         let statuses = task_statuses(&commands, TaskState::Running);
         assert_eq!(statuses.len(), 4);
-        bench.report(machine, statuses.clone());
+        leader.heartbeat(machine, statuses.clone());
         let machine_state =
-            bench.scheduler.fleet.machines.get_mut(&MachineId::new(machine)).unwrap();
+            leader.scheduler.fleet.machines.get_mut(&MachineId::new(machine)).unwrap();
         machine_state.images = vec![Arc::from(image)];
         machine_state.image_ids = Default::default();
         statuses
     };
-    let first_statuses = fill(&mut bench, "i-1", "wk-1", "i");
+    let first_statuses = fill(&mut leader, "i-1", "wk-1", "i");
     let run_time = Duration::from_secs_f64(MISSING_IMAGE_COST_S * 2.0);
-    for entry in bench.scheduler.fleet.machines.values_mut().flat_map(|m| m.attempts.values_mut()) {
-        entry.running_since = bench.now.checked_sub(run_time);
+    for entry in leader.scheduler.fleet.machines.values_mut().flat_map(|m| m.attempts.values_mut())
+    {
+        entry.running_since = leader.now.checked_sub(run_time);
     }
-    fill(&mut bench, "i-2", "wk-2", "other");
-    bench.report("i-1", first_statuses);
-    let id = bench.job("wk-3", JobKind::Service, 1);
-    let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
+    fill(&mut leader, "i-2", "wk-2", "other");
+    leader.heartbeat("i-1", first_statuses);
+    let id = leader.job("wk-3", JobKind::Service, 1);
+    let Some(job) = leader.store.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
     Arc::make_mut(&mut live.spec).urgency = Priority::Production;
-    bench.pass(MIN_PASS_INTERVAL * 5);
+    leader.pass(MIN_PASS_INTERVAL * 5);
     let has_stop = |machine: &Machine| machine.attempts.values().any(|e| e.stop.is_some());
-    let stopped: Vec<_> = bench.scheduler.fleet.machines.values().map(has_stop).collect();
+    let stopped: Vec<_> = leader.scheduler.fleet.machines.values().map(has_stop).collect();
     assert_eq!(stopped, [false, true]);
 }
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -19,14 +19,14 @@
 
 /// Runs an array of four tasks for `run_s` seconds and returns their completed statuses, not yet reported.
 fn run_array(leader: &mut TestLeader, id: &str, run_s: u64) -> Vec<TaskStatus> {
-    leader.report("i-1", vec![]);
+    leader.heartbeat("i-1", vec![]);
     leader.job(id, JobKind::Array, 4);
     leader.pass(MIN_PASS_INTERVAL * 5);
-    let commands = leader.report("i-1", vec![]);
+    let commands = leader.heartbeat("i-1", vec![]);
     assert_eq!(task_statuses(&commands, TaskState::Fetching).len(), 4);
-    leader.report("i-1", task_statuses(&commands, TaskState::Fetching));
+    leader.heartbeat("i-1", task_statuses(&commands, TaskState::Fetching));
     leader.now += Duration::from_secs(7);
-    leader.report("i-1", task_statuses(&commands, TaskState::Running));
+    leader.heartbeat("i-1", task_statuses(&commands, TaskState::Running));
     leader.now += Duration::from_secs(run_s);
     let mut completed = task_statuses(&commands, TaskState::Exited);
     completed.iter_mut().for_each(|task| task.why = Some("done".into()));
@@ -88,8 +88,8 @@
     let mut leader = learning_leader();
     let completed = run_array(&mut leader, "wk-1", 30);
     // Two heartbeats report the same completions, which must count only once.
-    leader.report("i-1", completed.clone());
-    leader.report("i-1", completed);
+    leader.heartbeat("i-1", completed.clone());
+    leader.heartbeat("i-1", completed);
     finish_job(&mut leader, "wk-1");
     let known = estimated_run_s(&mut leader, "wk-2").unwrap();
     assert!((known - 30.0).abs() < 2.5, "{known}");
@@ -122,9 +122,9 @@
         why: None,
         ..task
     });
-    leader.report("i-1", running.collect());
+    leader.heartbeat("i-1", running.collect());
     leader.now += Duration::from_secs(2);
-    leader.report("i-1", completed);
+    leader.heartbeat("i-1", completed);
     finish_job(&mut leader, "wk-1");
     assert_eq!(estimated_run_s(&mut leader, "wk-2"), None);
 }
