--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -7,21 +7,21 @@
 use crate::wire::{JobKind, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Jobs that fail everywhere must not mark machines as faulty, and must not be retried without backoff. Otherwise faulty
-/// submissions cause good machines to be terminated (247 in one run, after 2,354 attempts on them).
+/// Jobs that fail everywhere must not mark machines as faulty, and must not be retried without backoff. Otherwise
+/// faulty submissions cause good machines to be terminated: 247 in one run, with 2,354 attempts on them.
 #[test]
 fn faulty_jobs_mark_no_machine_as_faulty_and_are_retried_rarely() {
     let mut leader = TestLeader::new();
     let machines = ["i-1", "i-2", "i-3", "i-4"];
-    machines.iter().for_each(|machine| drop(leader.report(machine, vec![])));
+    machines.iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
     for id in ["wk-1", "wk-2", "wk-3"] {
         leader.job(id, JobKind::Array, 16);
     }
     for _ in 0..400 {
         leader.pass(MIN_PASS_INTERVAL);
         for machine in machines {
-            let commands = leader.report(machine, vec![]);
-            leader.report(machine, failed_statuses(&commands));
+            let commands = leader.heartbeat(machine, vec![]);
+            leader.heartbeat(machine, failed_statuses(&commands));
         }
     }
     assert!(leader.scheduler.fleet.machines.values().all(|m| !m.faulty));
@@ -35,13 +35,13 @@
     let mut running = Vec::new();
     while running.is_empty() {
         leader.pass(MIN_PASS_INTERVAL);
-        running = task_statuses(&leader.report("i-1", vec![]), TaskState::Running);
+        running = task_statuses(&leader.heartbeat("i-1", vec![]), TaskState::Running);
     }
-    leader.report("i-1", running.clone());
+    leader.heartbeat("i-1", running.clone());
     leader.pass(SUCCESS_AFTER_RUNNING + MIN_PASS_INTERVAL);
-    leader.report("i-1", running);
+    leader.heartbeat("i-1", running);
     for _ in 0..10 {
-        machines[1..].iter().for_each(|machine| drop(leader.report(machine, vec![])));
+        machines[1..].iter().for_each(|machine| drop(leader.heartbeat(machine, vec![])));
         leader.pass(MIN_PASS_INTERVAL);
     }
     assert!(
@@ -58,16 +58,16 @@
     for (id, tasks) in [("wk-1", 8), ("wk-2", 24), ("wk-3", 8)] {
         leader.job(id, JobKind::Array, tasks);
     }
-    let is_job_faulty = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
+    let is_of_faulty_job = |task: &TaskStatus| task.task.job == JobId::new("wk-3");
     let mut running: BTreeMap<&str, Vec<TaskStatus>> = BTreeMap::new();
     for step in 0..200 {
         leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
             let tasks = running.remove(machine).unwrap_or_default();
-            let commands = leader.report(machine, tasks.clone());
+            let commands = leader.heartbeat(machine, tasks.clone());
             let mut tasks = [tasks, task_statuses(&commands, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
-            for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_job_faulty(task)) {
+            for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_of_faulty_job(task)) {
                 (task.state, task.why) = (TaskState::Exited, Some("error".into()));
             }
             running.insert(machine, tasks);
@@ -88,8 +88,8 @@
     for step in 0..300 {
         leader.pass(MIN_PASS_INTERVAL);
         for machine in ["i-1", "i-2", "i-3", "i-4"] {
-            let commands = leader.report(machine, vec![]);
-            leader.report(machine, failed_statuses(&commands));
+            let commands = leader.heartbeat(machine, vec![]);
+            leader.heartbeat(machine, failed_statuses(&commands));
         }
         assert_eq!(leader.scheduler.statistics.starts % 6, 0, "step {step}");
     }
