--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -1,4 +1,4 @@
-//! Measures how long a planning pass takes at 1,400 machines with 100,000 tasks waiting.
+//! Benchmark of a planning pass at 1,400 machines with 100,000 waiting tasks.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::sync::Arc;
@@ -17,20 +17,20 @@
 };
 use troutspindle::workers::machine::MachineState;
 
-/// Machines in the fleet.
+/// Number of machines in the fleet.
 const MACHINES: u64 = 1400;
-/// Machines that have no task yet.
+/// Number of machines that run no task at first.
 const IDLE_MACHINES: u64 = 100;
-/// Tasks that wait in most scenarios.
+/// Number of waiting tasks in most scenarios.
 const WAITING_TASKS: u64 = 100_000;
 const TEAMS: usize = 20;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Time between two passes.
+/// Time between two planning passes.
 const PASS_INTERVAL: Duration = Duration::from_millis(600);
-/// Passes until the leader finds that capacity is scarce.
+/// Number of passes after which the leader considers capacity scarce.
 const PASSES_UNTIL_SCARCE: u32 = 8;
 
-/// A leader with a fleet that is full but for a few machines.
+/// Leader of a fleet in which all but [`IDLE_MACHINES`] machines run tasks.
 struct Leader {
     scheduler: Scheduler,
     state: StoreClient,
@@ -76,14 +76,14 @@
     MachineId::new(&format!("i-{n:06}"))
 }
 
-/// The status by which a worker acknowledges a start.
+/// Returns the task status with which a worker acknowledges a start command.
 fn running_status(command: WorkerCommand) -> Option<TaskStatus> {
     let WorkerCommand::Start { task, attempt } = command else { return None };
     Some(TaskStatus { task, attempt, state: TaskState::Running, why: None, saved: None })
 }
 
 impl Leader {
-    /// A leader whose tasks run on all machines but a few.
+    /// Creates the leader, its machines and the tasks that run on them.
     fn new() -> Leader {
         let settings = settings();
         let now = Instant::now();
@@ -114,13 +114,13 @@
         leader
     }
 
-    /// The commands that a worker's heartbeat is answered with.
+    /// Takes the commands with which the leader answers a worker's heartbeat.
     fn commands(&mut self, n: u64) -> Vec<WorkerCommand> {
         let machine = self.scheduler.fleet.machines.get_mut(&machine_id(n));
         machine.map(|machine| machine.commands_for_answer()).unwrap_or_default()
     }
 
-    /// Submits a job; `adapt` changes its specification from that of a small array.
+    /// Submits a job; `adapt` modifies the default specification, which is a small array.
     fn submit(&mut self, team: usize, tasks: u64, adapt: impl FnOnce(&mut JobSpec)) {
         self.jobs += 1;
         self.revision += 1;
@@ -154,7 +154,7 @@
         self.scheduler.on_jobs(&[id], &self.state.cache, self.now);
     }
 
-    /// Sends a worker's heartbeat and acts as if its machine's record were committed.
+    /// Delivers a worker's heartbeat and marks the machine's record as committed.
     fn send_heartbeat(&mut self, n: u64, seq: u64, tasks: Vec<TaskStatus>) {
         let heartbeat = Heartbeat {
             machine: machine_id(n),
@@ -175,14 +175,14 @@
         }
     }
 
-    /// Makes a planning pass.
+    /// Runs a planning pass.
     fn pass(&mut self) {
         self.now += PASS_INTERVAL;
         self.scheduler.tick(&mut self.state, &mut self.cloud, self.now);
     }
 }
 
-/// A scenario: what waits when the pass is measured.
+/// Set of jobs that wait when the pass is measured.
 struct Scenario {
     name: &'static str,
     prepare: fn(&mut Leader),
@@ -228,12 +228,12 @@
     (0..6250).for_each(|n| leader.submit(n % TEAMS, 16, make_service));
 }
 
-/// The cloud refuses every pool, and more is submitted than the fleet can run.
+/// Submits more than the fleet can run while the cloud has no capacity in any pool.
 fn submit_beyond_capacity(leader: &mut Leader) {
     for zone in 0..ZONES.len() {
         for spot in [true, false] {
-            let refused = CloudEvent::CapacityExhausted(MachinePool { flavor: 0, zone, spot });
-            leader.scheduler.on_cloud(refused, &leader.state.cache, leader.now);
+            let exhausted = CloudEvent::CapacityExhausted(MachinePool { flavor: 0, zone, spot });
+            leader.scheduler.on_cloud(exhausted, &leader.state.cache, leader.now);
         }
     }
     let listing = MachineListing { machines: Vec::new(), requested_at: leader.now };
@@ -259,7 +259,7 @@
             prepare(&mut leader);
             leader
         };
-        // The first pass starts what fits; the others find that nothing has changed.
+        // The first pass starts the tasks that fit; the following passes find nothing to start.
         group.bench_function(format!("{name}, first"), |bench| {
             bench.iter_batched_ref(set_up, Leader::pass, BatchSize::PerIteration);
         });
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,11 +1,12 @@
-//! Decides which waiting task runs on which machine, and which machines to rent for the others.
+//! Assigns waiting tasks to machines and selects the machines to rent for the remaining tasks.
 //!
-//! Machines are divided into two baskets, light and heavy, and a pool of unassigned ones; tasks go
-//! first fit, in order of a fixed machine index, into their basket, and the heavy basket has an
-//! upper limit. `docs/design.md` names the paper that the algorithm follows.
+//! Machines belong to one of two baskets, light and heavy, or to a pool of unassigned machines.
+//! Each task is placed first fit, in order of a fixed machine index, into its basket; the number of
+//! machines in the heavy basket is limited. `docs/design.md` names the paper that the algorithm
+//! follows.
 //!
-//! The module is pure: the caller passes machines as [`Bin`]s and waiting tasks as
-//! [`PlacementRequest`]s in order of service, and [`plan`] returns a [`PlacementPlan`].
+//! The module has no state and no side effects: the caller passes machines as [`Bin`]s and waiting
+//! tasks as [`PlacementRequest`]s in order of service, and [`plan`] returns a [`PlacementPlan`].
 
 mod basket;
 mod capacity_index;
--- a/src/placement/basket.rs
+++ b/src/placement/basket.rs
@@ -1,8 +1,8 @@
-//! The two baskets, and which of them a task belongs to.
+//! Classification of tasks into the light and the heavy basket.
 
 use crate::ids::Amount;
 
-/// The part of the fleet that a machine is assigned to while tasks run on it.
+/// Part of the fleet that a machine belongs to while tasks run on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Basket {
     /// Tasks that share a machine with many others.
@@ -12,8 +12,9 @@
 }
 
 impl Basket {
-    /// The basket of a task that needs `resources`: heavy if it takes all GPUs of the machine size
-    /// with most GPUs, or more than `heavy_threshold` of the largest machine's CPUs or memory.
+    /// Returns the basket of a task that needs `resources`. A task with GPUs is heavy if it needs
+    /// at least as many GPUs as any machine size has. A task without GPUs is heavy if it needs more
+    /// than the share `heavy_threshold` of the largest machine's CPUs or memory.
     pub fn classify(resources: &Amount, machine_sizes: &[Amount], heavy_threshold: f64) -> Basket {
         let largest =
             |field: fn(&Amount) -> u64| machine_sizes.iter().map(field).max().unwrap_or(0);
@@ -21,7 +22,8 @@
             let gpus = largest(|size| size.gpu);
             gpus > 0 && resources.gpu >= gpus
         } else {
-            let exceeds = |part: u64, whole: u64| part as f64 > whole as f64 * heavy_threshold;
+            let exceeds =
+                |required: u64, largest: u64| required as f64 > largest as f64 * heavy_threshold;
             exceeds(resources.cpu, largest(|size| size.cpu))
                 || exceeds(resources.ram, largest(|size| size.ram))
         };
--- a/src/placement/capacity_index.rs
+++ b/src/placement/capacity_index.rs
@@ -1,9 +1,9 @@
-//! Finds the next machine, in index order, that has room for a task.
+//! Search for the next machine, in index order, that has enough free capacity for a task.
 //!
-//! First fit scans machines one after the other, which is most of a planning pass at hundreds of
-//! machines and hundreds of waiting jobs. Here the machines of one zone, type and kind form a
-//! group in index order, with a segment tree of their free resources for each basket. A search
-//! skips branches without room and finds exactly what a scan finds.
+//! A linear first-fit scan takes most of a planning pass at hundreds of machines and hundreds of
+//! waiting jobs. This index groups the machines that agree in every field of [`GroupKey`], sorts
+//! each group by machine index, and keeps a segment tree of free resources for each basket. A
+//! search skips branches without enough capacity and finds the same machine as a scan.
 
 mod segment_tree;
 
@@ -13,10 +13,10 @@
 use segment_tree::SegmentTree;
 use std::collections::BTreeMap;
 
-/// One for each basket and one for the pool.
+/// Number of segment trees in a group: one for each basket and one for the pool.
 const TREES: usize = 3;
 
-/// The tree of a basket; none is the pool.
+/// Returns the position of a basket's tree; `None` stands for the pool.
 fn tree_number(basket: Option<Basket>) -> usize {
     match basket {
         Some(Basket::Light) => 0,
@@ -25,7 +25,7 @@
     }
 }
 
-/// What the machines of a group have in common.
+/// Properties that all machines of a group share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GroupKey {
     pub(super) booting: bool,
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GroupNumber(usize);
 
-/// A machine with room for a task, and its slot in its group.
+/// Machine with enough free capacity for a task, and its slot in its group.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) bin: BinIndex,
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 struct Group {
     key: GroupKey,
-    /// The group's machines, in order of their index.
+    /// Machines of the group, in order of their index; the position is the machine's slot.
     bins: Vec<BinIndex>,
     trees: [SegmentTree; TREES],
 }
@@ -71,7 +71,7 @@
         group
     }
 
-    /// Builds trees that have a leaf for each machine.
+    /// Builds the trees from scratch, wide enough to have a leaf for each machine.
     fn rebuild(&mut self, bins: &[Bin]) {
         let width = self.bins.len().next_power_of_two();
         self.trees = std::array::from_fn(|_| SegmentTree::new(width));
@@ -83,21 +83,21 @@
     }
 
     fn update(&mut self, slot: usize, bin: &Bin) {
-        let own = tree_number(bin.basket);
+        let own_tree = tree_number(bin.basket);
         for (number, tree) in self.trees.iter_mut().enumerate() {
-            tree.update(slot, if number == own { bin.free } else { Amount::default() });
+            tree.update(slot, if number == own_tree { bin.free } else { Amount::default() });
         }
     }
 }
 
-/// Where a machine stands in the index.
+/// Location of a machine in the index.
 #[derive(Debug, Clone, Copy, Default)]
 struct Position {
     group: GroupNumber,
     slot: usize,
 }
 
-/// Machines by group, basket and free resources.
+/// Index of machines by group, basket and free resources.
 #[derive(Debug)]
 pub(super) struct CapacityIndex {
     groups: Vec<Group>,
@@ -122,13 +122,13 @@
         CapacityIndex { groups, positions }
     }
 
-    /// Takes in that free resources or basket of a machine have changed.
+    /// Updates a machine whose free resources or basket have changed.
     pub(super) fn update(&mut self, index: usize, bin: &Bin) {
         let Position { group, slot } = self.positions[index];
         self.groups[group.0].update(slot, bin);
     }
 
-    /// Adds the last of the machines, whose index is beyond those of all others.
+    /// Adds the last machine of `bins`; its machine index must not precede that of any other.
     pub(super) fn push(&mut self, bins: &[Bin]) {
         let Some((last, bin)) = bins.iter().enumerate().next_back() else { return };
         let key = GroupKey::of(bin);
@@ -148,13 +148,13 @@
         }
     }
 
-    /// All groups, with what their machines have in common.
+    /// Returns all groups with their keys.
     pub(super) fn groups(&self) -> impl Iterator<Item = (GroupNumber, &GroupKey)> {
         self.groups.iter().enumerate().map(|(n, group)| (GroupNumber(n), &group.key))
     }
 
-    /// The first machine of a group and basket (none: the pool), at or after a slot, that has room
-    /// for the resources.
+    /// Returns the first machine of a group and basket (`None`: the pool) at or after slot `from`
+    /// into which `resources` fit.
     pub(super) fn first_fit(
         &self,
         group: GroupNumber,
@@ -164,7 +164,7 @@
     ) -> Option<Candidate> {
         let group = &self.groups[group.0];
         let slot = group.trees[tree_number(basket)].first_fit(resources, from)?;
-        // A task that needs nothing would fit beyond the last machine.
+        // A task that needs no resources also fits the empty leaves after the last machine.
         group.bins.get(slot).map(|bin| Candidate { bin: *bin, slot })
     }
 }
--- a/src/placement/capacity_index/segment_tree.rs
+++ b/src/placement/capacity_index/segment_tree.rs
@@ -1,9 +1,9 @@
-//! A segment tree of maxima: the first position whose value is large enough, without a scan.
+//! Segment tree of maxima that finds the first sufficiently large value without a linear scan.
 
 use crate::ids::Amount;
 
-/// The componentwise maximum of the amounts below each node; the root is node 1, and the leaves
-/// begin at `width`.
+/// Binary tree in which each node holds the componentwise maximum of the amounts below it. The root
+/// is node 1, and the leaves begin at `width`.
 #[derive(Debug, Default)]
 pub(super) struct SegmentTree {
     width: usize,
@@ -11,16 +11,17 @@
 }
 
 impl SegmentTree {
-    /// A tree whose leaves are all zero; `width` is a power of two.
+    /// Creates a tree of `width` leaves that are all zero; `width` must be a power of two.
     pub(super) fn new(width: usize) -> SegmentTree {
         SegmentTree { width, maxima: vec![Amount::default(); width * 2] }
     }
 
+    /// Returns the number of leaves.
     pub(super) fn width(&self) -> usize {
         self.width
     }
 
-    /// Sets a leaf and leaves the nodes above it stale until [`SegmentTree::rebuild`].
+    /// Sets a leaf without updating the nodes above it: call [`SegmentTree::rebuild`] afterwards.
     pub(super) fn set_leaf(&mut self, leaf: usize, value: Amount) {
         self.maxima[self.width + leaf] = value;
     }
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Changes a leaf and the nodes above it.
+    /// Sets a leaf and updates the nodes above it.
     pub(super) fn update(&mut self, leaf: usize, value: Amount) {
         let mut node = self.width + leaf;
         if self.maxima[node] == value {
@@ -49,8 +50,9 @@
         }
     }
 
-    /// The first leaf at or after `from` into which `resources` fit. The inner nodes compare each
-    /// resource by itself, so a branch may look promising and have no such leaf.
+    /// Returns the first leaf at or after `from` into which `resources` fit. An inner node holds the
+    /// maximum of each resource separately, so a node may pass the check although no leaf below it
+    /// does.
     pub(super) fn first_fit(&self, resources: &Amount, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
@@ -64,7 +66,7 @@
                 node *= 2;
                 continue;
             }
-            // On to the next branch to the right.
+            // Continues with the next branch to the right.
             while node % 2 == 1 {
                 node /= 2;
             }
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -1,11 +1,11 @@
-//! Gang scheduling and requests that must stay in one zone.
+//! Placement of gangs and of requests whose tasks must all run in one zone.
 
 use super::basket::Basket;
 use super::model::{Bin, PlacementRequest, RequestIndex, ZoneLimits, max_copies};
 use super::packing::Packer;
 use crate::ids::{Amount, ZoneId};
 
-/// The state that a gang's placement changes, from before its first task.
+/// Copy of the state that placing a gang changes, taken before its first task.
 struct Snapshot {
     bins: Vec<Bin>,
     team_headroom: Vec<Amount>,
@@ -15,9 +15,9 @@
 }
 
 impl Packer {
-    /// Places a gang and returns how many of its tasks remain. A gang whose tasks don't all find
-    /// room on machines that are up starts none of them, though what it would need is booked and
-    /// rented all the same.
+    /// Places a gang and returns the number of tasks that remain. If machines that are up can't fit
+    /// all of its tasks, none starts, but the capacity booked on booting machines and the machines
+    /// rented for the gang are kept.
     pub(super) fn place_gang(
         &mut self,
         index: RequestIndex,
@@ -40,16 +40,18 @@
         request.count
     }
 
+    /// Restores the state from before a gang's first task, except that booting machines keep their
+    /// allocations and rented machines stay in the plan.
     fn roll_back(&mut self, index: RequestIndex, request: &mut PlacementRequest, before: Snapshot) {
         self.plan.starts.truncate(before.starts);
         self.plan.booked.retain(|booked| booked.request != index);
         request.zone_limits = before.zone_limits;
         request.zone = before.zone;
         self.team_headroom = before.team_headroom;
-        for (i, old) in before.bins.into_iter().enumerate() {
+        for (i, previous) in before.bins.into_iter().enumerate() {
             let bin = &mut self.bins[i];
-            if bin.ready && (bin.free, bin.basket) != (old.free, old.basket) {
-                *bin = old;
+            if bin.ready && (bin.free, bin.basket) != (previous.free, previous.basket) {
+                *bin = previous;
                 self.capacity_index.update(i, &self.bins[i]);
             }
         }
@@ -57,21 +59,21 @@
         self.heavy_machines = self.bins.iter().filter(is_heavy).count();
     }
 
-    /// The zone in which most of the tasks find room on machines that are up, and of several such
-    /// the first.
+    /// Returns the zone whose machines that are up fit the most of the request's tasks, and the
+    /// first of several such zones.
     pub(super) fn best_single_zone(&self, request: &PlacementRequest) -> Option<ZoneId> {
-        let wanted = u64::from(request.count);
-        let room_for = |zone: &ZoneId| -> u64 {
-            let room = self
+        let task_count = u64::from(request.count);
+        let fitting_tasks = |zone: &ZoneId| -> u64 {
+            let per_machine = self
                 .bins
                 .iter()
                 .filter(|bin| bin.ready && bin.zone == *zone)
                 .filter(|bin| request.allows(bin.zone, bin.machine_type, bin.spot))
                 .filter(|bin| bin.basket.is_none_or(|basket| basket == request.basket))
-                .map(|bin| max_copies(&bin.free, &request.resources).min(wanted));
-            room.sum::<u64>().min(wanted)
+                .map(|bin| max_copies(&bin.free, &request.resources).min(task_count));
+            per_machine.sum::<u64>().min(task_count)
         };
-        // Of equal zones `max_by_key` takes the last.
-        request.zone_limits.zones().rev().max_by_key(room_for)
+        // `max_by_key` returns the last of equal zones, so the reversed order selects the first.
+        request.zone_limits.zones().rev().max_by_key(fitting_tasks)
     }
 }
--- a/src/placement/image_index.rs
+++ b/src/placement/image_index.rs
@@ -1,18 +1,19 @@
-//! Which machines have an image.
+//! Index of machines by container image.
 
 use super::model::{Bin, BinIndex, PlacementRequest};
 use crate::ids::Amount;
 use foldhash::HashMap;
 use std::sync::Arc;
 
-/// For each requested image, the machines that have it and may have room, in order of their index.
+/// Machines that have an image and may have enough free capacity, in order of their index, for each
+/// requested image.
 pub(super) struct ImageIndex(HashMap<u32, Arc<[BinIndex]>>);
 
 impl ImageIndex {
     pub(super) fn new(bins: &[Bin], requests: &[PlacementRequest]) -> ImageIndex {
         let mut by_image: HashMap<u32, Vec<BinIndex>> =
             requests.iter().map(|request| (request.image, Vec::new())).collect();
-        // Most machines of a busy fleet have no room for any request.
+        // Skips machines that can't fit even the smallest request: in a busy fleet, most of them.
         let smallest: Amount = requests
             .iter()
             .map(|request| request.resources)
@@ -32,7 +33,7 @@
         ImageIndex(sorted.collect())
     }
 
-    /// The machines that have the image.
+    /// Returns the indexed machines that have the image.
     pub(super) fn bins_with(&self, image: u32) -> Arc<[BinIndex]> {
         self.0.get(&image).cloned().unwrap_or_default()
     }
--- a/src/placement/model.rs
+++ b/src/placement/model.rs
@@ -1,50 +1,51 @@
-//! The planner's input and output types.
+//! Input and output types of the planner.
 
 use super::basket::Basket;
 use crate::ids::{Amount, MachineTypeId, TeamId, ZoneId};
 use crate::wire::Priority;
 use std::sync::Arc;
 
-/// The container images on a machine, as numbers that the caller assigns.
+/// Container images on a machine, as numbers that the caller assigns.
 pub type Images = Arc<[u32]>;
 
 /// Position of a request in [`PlacementInput::requests`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestIndex(pub usize);
 
-/// Position of a bin in [`PlacementInput::bins`], or beyond them for a machine to be rented.
+/// Position of a bin in [`PlacementInput::bins`]; machines to be rented follow after the last bin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BinIndex(pub usize);
 
-/// A machine, as placement sees it.
+/// Machine that tasks can be placed on.
 #[derive(Debug, Clone)]
 pub struct Bin {
-    /// The machine's fixed index, by which machines are filled; [`Bin::NEW`] for one to be rented.
+    /// Fixed index that determines the order in which machines are filled; [`Bin::NEW`] for a
+    /// machine to be rented.
     pub index: u64,
-    /// Where the machine is.
+    /// Zone that the machine runs in.
     pub zone: ZoneId,
-    /// What kind of machine it is.
+    /// Type of the machine, which requests may restrict.
     pub machine_type: MachineTypeId,
-    /// Whether it is preemptible.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     /// Resources that no task uses.
     pub free: Amount,
-    /// The basket that it belongs to; none while it is in the pool.
+    /// Basket that the machine belongs to; `None` while it is in the pool.
     pub basket: Option<Basket>,
-    /// False for a machine that is still booting: tasks are booked on it, but not started.
+    /// False for a machine that is still booting: tasks are booked on it but not started.
     pub ready: bool,
-    /// Images that it is believed to have.
+    /// Images expected to be in the machine's cache.
     pub images: Images,
-    /// Tasks of higher priority left it a moment ago and may return, so that best-effort tasks
-    /// keep off.
+    /// Tasks of higher priority left the machine recently and may return, so no best-effort task
+    /// is placed on it.
     pub recently_vacated: bool,
 }
 
 impl Bin {
-    /// The index of machines that are not up yet: beyond those of all others.
+    /// Index of machines that are not up yet, which orders them after all others.
     pub const NEW: u64 = u64::MAX;
 
-    /// A machine that is rented and has nothing on it yet.
+    /// Returns a newly rented machine that runs no tasks and has no images.
     pub fn booting(zone: ZoneId, machine_type: MachineTypeId, spot: bool, free: Amount) -> Bin {
         Bin {
             index: Bin::NEW,
@@ -60,34 +61,34 @@
     }
 }
 
-/// How many more tasks of a job each zone may hold.
+/// Number of additional tasks of a job that each zone may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneLimits(Vec<u32>);
 
 impl ZoneLimits {
     const UNLIMITED: u32 = u32::MAX;
 
-    /// No limit in any of `zones` zones.
+    /// Creates limits that allow any number of tasks in each of `zones` zones.
     pub fn unlimited(zones: usize) -> ZoneLimits {
         ZoneLimits::uniform(zones, ZoneLimits::UNLIMITED)
     }
 
-    /// The same limit in each of `zones` zones.
+    /// Creates the same limit for each of `zones` zones.
     pub fn uniform(zones: usize, limit: u32) -> ZoneLimits {
         ZoneLimits(vec![limit; zones])
     }
 
-    /// How many more tasks the zone may hold.
+    /// Returns the number of additional tasks that the zone may run.
     pub fn remaining(&self, zone: ZoneId) -> u32 {
         self.0[zone.index()]
     }
 
-    /// Whether the zone may hold another task.
+    /// Returns whether the zone may run another task.
     pub fn is_open(&self, zone: ZoneId) -> bool {
         self.remaining(zone) > 0
     }
 
-    /// Counts tasks that were placed in the zone.
+    /// Deducts tasks that were placed in the zone from its limit, unless it is unlimited.
     pub fn consume(&mut self, zone: ZoneId, tasks: u32) {
         let limit = &mut self.0[zone.index()];
         if *limit != ZoneLimits::UNLIMITED {
@@ -95,62 +96,62 @@
         }
     }
 
-    /// All zones, in order.
+    /// Returns all zones, in order.
     pub fn zones(&self) -> impl DoubleEndedIterator<Item = ZoneId> + use<> {
         (0..self.0.len()).map(ZoneId::new)
     }
 
-    /// Whether every zone that is open here is open there.
+    /// Returns whether every zone that is open in `self` is also open in `other`.
     pub fn open_within(&self, other: &ZoneLimits) -> bool {
-        self.0.iter().zip(&other.0).all(|(here, there)| *here == 0 || *there > 0)
+        self.0.iter().zip(&other.0).all(|(own, other)| *own == 0 || *other > 0)
     }
 
-    /// Whether the same zones are open.
+    /// Returns whether the same zones are open in `self` and `other`.
     pub fn same_open_zones(&self, other: &ZoneLimits) -> bool {
         let is_open = |limit: &u32| *limit > 0;
         self.0.iter().map(is_open).eq(other.0.iter().map(is_open))
     }
 }
 
-/// Waiting tasks of one job that are interchangeable.
+/// Interchangeable waiting tasks of one job.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest {
-    /// The team whose limit they count towards.
+    /// Team whose limit the tasks count towards.
     pub team: TeamId,
-    /// Their priority.
+    /// Priority of the job; `Production` prefers a machine with the image to one of its own basket.
     pub priority: Priority,
-    /// What each of them needs.
+    /// Resources that each task needs.
     pub resources: Amount,
-    /// The basket that they belong to.
+    /// Basket that the tasks belong to.
     pub basket: Basket,
-    /// How many there are.
+    /// Number of tasks to place.
     pub count: u32,
-    /// The zone that they must run in, if it matters.
+    /// Zone that the tasks must run in, if the job is bound to one.
     pub zone: Option<ZoneId>,
-    /// The machine types that they may run on; none: any.
+    /// Machine types that the tasks may run on; `None` allows any.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// Whether they may run on spot machines.
+    /// Whether the tasks may run on spot machines.
     pub allows_spot: bool,
-    /// How many more of them each zone may hold.
+    /// Number of additional tasks that each zone may run.
     pub zone_limits: ZoneLimits,
-    /// They must all run in one zone, whichever that is.
+    /// All tasks must run in the same zone; if `zone` is `None`, the planner selects it.
     pub single_zone: bool,
-    /// Their container image.
+    /// Container image of the tasks.
     pub image: u32,
     /// Indices of machines on which tasks of this job failed.
     pub excluded_machines: Vec<u64>,
-    /// Gang scheduling: all of them start at once, or none does.
+    /// Gang scheduling: either all tasks start together or none starts.
     pub gang: bool,
-    /// Seconds: the tightest objective for the start of a job of this class.
+    /// Tightest objective for the start of a job of this class, in seconds.
     pub start_slo_s: Option<f64>,
-    /// Seconds until the job misses its next objective; none if it has missed them all.
+    /// Time until the job misses its next objective, in seconds; `None` if it has missed them all.
     pub slo_slack_s: Option<f64>,
-    /// Which machines may be rented for them.
+    /// Kinds of machines that may be rented for the tasks.
     pub scale_out: ScaleOutPolicy,
 }
 
 impl PlacementRequest {
-    /// Whether the tasks may use machines of this zone, type and kind.
+    /// Returns whether the tasks may run on spot (or on-demand) machines of this zone and type.
     pub fn allows(&self, zone: ZoneId, machine_type: MachineTypeId, spot: bool) -> bool {
         (self.allows_spot || !spot)
             && self.zone.is_none_or(|required| required == zone)
@@ -158,88 +159,88 @@
     }
 }
 
-/// Which machines may be rented for a request.
+/// Kinds of machines that may be rented for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScaleOutPolicy {
-    /// Machines of any kind.
+    /// Both spot and on-demand machines.
     Any,
-    /// Spot machines only: best-effort work takes what room there is, and cheap machines.
+    /// Spot machines only: best-effort tasks use existing free capacity and cheap machines.
     Spot,
-    /// None.
+    /// No machines: the tasks use existing capacity only.
     Nothing,
 }
 
-/// A kind of machine that can be rented.
+/// Offer of machines of one type in one zone, either spot or on-demand.
 #[derive(Debug, Clone)]
 pub struct MachineTypeOffer {
-    /// The machine type.
+    /// Type of the offered machines.
     pub machine_type: MachineTypeId,
-    /// The zone that it is rented in.
+    /// Zone that the machines are rented in.
     pub zone: ZoneId,
-    /// Whether it is preemptible.
+    /// Whether these are spot machines, which the cloud may reclaim.
     pub spot: bool,
-    /// What it costs in an hour.
+    /// Price of one machine per hour.
     pub price: f64,
-    /// The resources of one machine.
+    /// Resources of one machine.
     pub capacity: Amount,
-    /// How many may still be requested.
+    /// Number of machines that may still be requested.
     pub available: u32,
-    /// How many of our machines are in this zone already: zones are kept balanced.
+    /// Number of machines of the fleet that are already in this zone, used to balance the zones.
     pub held: u32,
 }
 
-/// All that a planning pass decides by.
+/// Input of one planning pass.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementInput {
     /// Machines that are up or booting.
     pub bins: Vec<Bin>,
-    /// What waits, in order of service.
+    /// Waiting tasks, in order of service.
     pub requests: Vec<PlacementRequest>,
-    /// What each team may use beyond what its tasks use now.
+    /// Resources that each team may use in addition to those of its running tasks.
     pub team_headroom: Vec<Amount>,
-    /// What can be rented.
+    /// Machines that can be rented.
     pub offers: Vec<MachineTypeOffer>,
-    /// How many machines the heavy basket may hold.
+    /// Maximum number of machines in the heavy basket while light tasks wait.
     pub heavy_limit: usize,
-    /// How many more machines may be rented, of whatever kind.
+    /// Number of machines that may still be rented, over all offers.
     pub rental_limit: u32,
 }
 
-/// A task of a request that starts on a machine now.
+/// Start of one of a request's tasks on a machine that is up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedStart {
-    /// The request that the task belongs to.
+    /// Request that the task belongs to.
     pub request: RequestIndex,
-    /// The machine that it starts on.
+    /// Machine that the task starts on.
     pub bin: BinIndex,
 }
 
-/// A number of a request's tasks.
+/// Number of tasks of one request; the tasks are interchangeable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestTasks {
-    /// The request.
+    /// Request that the tasks belong to.
     pub request: RequestIndex,
-    /// How many of its tasks.
+    /// Number of its tasks that the entry counts.
     pub tasks: u32,
 }
 
-/// What a planning pass decides.
+/// Result of one planning pass.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlacementPlan {
-    /// Tasks to be started now, one entry a task.
+    /// Tasks to be started now, one entry per task.
     pub starts: Vec<PlannedStart>,
-    /// Tasks that wait for machines that are booting or to be rented.
+    /// Tasks booked on machines that are booting or to be rented.
     pub booked: Vec<RequestTasks>,
-    /// Tasks for which there is neither room nor an offer.
+    /// Tasks for which there is neither free capacity nor a usable offer.
     pub unplaceable: Vec<RequestTasks>,
-    /// How many machines to rent of each offer.
+    /// Number of machines to rent of each offer, in the order of [`PlacementInput::offers`].
     pub scale_out: Vec<u32>,
 }
 
-/// How many tasks that need `resources` each fit into `room`.
-pub fn max_copies(room: &Amount, resources: &Amount) -> u64 {
-    let copies = |room: u64, each: u64| room.checked_div(each).unwrap_or(u64::MAX);
-    copies(room.cpu, resources.cpu)
-        .min(copies(room.gpu, resources.gpu))
-        .min(copies(room.ram, resources.ram))
+/// Returns the number of tasks that fit into `free` if each needs `resources`.
+pub fn max_copies(free: &Amount, resources: &Amount) -> u64 {
+    let copies = |free: u64, each: u64| free.checked_div(each).unwrap_or(u64::MAX);
+    copies(free.cpu, resources.cpu)
+        .min(copies(free.gpu, resources.gpu))
+        .min(copies(free.ram, resources.ram))
 }
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -1,4 +1,4 @@
-//! The first-fit packer: requests in order of service, machines in order of preference.
+//! First-fit packer: places requests in order of service on machines in order of preference.
 
 use super::basket::Basket;
 use super::capacity_index::{Candidate, CapacityIndex, GroupNumber};
@@ -11,7 +11,7 @@
 use crate::ids::Amount;
 use crate::wire::Priority;
 
-/// Decides which tasks start where, and which machines are rented for the others.
+/// Selects the tasks to start on existing machines and the machines to rent for the others.
 pub fn plan(input: PlacementInput) -> PlacementPlan {
     let PlacementInput { bins, mut requests, team_headroom, offers, heavy_limit, rental_limit } =
         input;
@@ -23,37 +23,38 @@
         scale_out: ScaleOut::new(offers, rental_limit),
         team_headroom,
         heavy_limit,
-        exhausted: Vec::new(),
+        unsatisfied: Vec::new(),
         plan: PlacementPlan::default(),
     };
     packer.place_all(&mut requests);
     PlacementPlan { scale_out: packer.scale_out.into_counts(), ..packer.plan }
 }
 
-/// The state of one planning pass.
+/// State of one planning pass.
 pub(super) struct Packer {
     pub(super) bins: Vec<Bin>,
     pub(super) capacity_index: CapacityIndex,
     image_index: ImageIndex,
     scale_out: ScaleOut,
     pub(super) team_headroom: Vec<Amount>,
-    /// Machines in the heavy basket.
+    /// Number of machines in the heavy basket.
     pub(super) heavy_machines: usize,
     heavy_limit: usize,
-    /// Requests of which tasks remained. Room only shrinks within a pass, so that an equivalent
-    /// request needs no search: users submit hundreds of equal small jobs.
-    exhausted: Vec<PlacementRequest>,
+    /// Requests that could not be placed completely. Free capacity only shrinks within a pass, so an
+    /// equivalent request needs no search. Users submit hundreds of equal small jobs.
+    unsatisfied: Vec<PlacementRequest>,
     pub(super) plan: PlacementPlan,
 }
 
-/// A group of machines that is filled before the next.
+/// Group of machines that is filled before the next tier.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Tier {
     booting: bool,
     on_demand: bool,
 }
 
-/// Machines that are up come before those that boot, spot before on-demand machines.
+/// Tiers in the order in which they are filled: machines that are up before booting ones, spot
+/// before on-demand machines.
 const TIERS: [Tier; 4] = [
     Tier { booting: false, on_demand: false },
     Tier { booting: false, on_demand: true },
@@ -61,27 +62,28 @@
     Tier { booting: true, on_demand: true },
 ];
 
-/// Machines of a tier that are filled together.
+/// Machines of a tier that are filled together: those of one basket (`None`: the pool), limited to
+/// those that have the image if `with_image` is set.
 struct Stage {
     basket: Option<Basket>,
     with_image: bool,
 }
 
-/// The order within a tier: the request's own basket before the pool, machines that have the image
-/// before those that don't. For the highest priority the image comes before the basket, because a
-/// fetch takes longer than its users wait.
+/// Returns the order in which a tier is filled: the request's own basket before the pool, and in
+/// each of them machines that have the image before the others. For the highest priority the image
+/// takes precedence over the basket, because fetching it takes longer than its users wait.
 fn stages(request: &PlacementRequest) -> [Stage; 4] {
     let stage = |basket, with_image| Stage { basket, with_image };
-    let own = Some(request.basket);
+    let own_basket = Some(request.basket);
     if request.priority == Priority::Production {
-        [stage(own, true), stage(None, true), stage(own, false), stage(None, false)]
+        [stage(own_basket, true), stage(None, true), stage(own_basket, false), stage(None, false)]
     } else {
-        [stage(own, true), stage(own, false), stage(None, true), stage(None, false)]
+        [stage(own_basket, true), stage(own_basket, false), stage(None, true), stage(None, false)]
     }
 }
 
-/// A request while its tasks are placed. They are interchangeable, so a machine that is full for
-/// one of them is full for all.
+/// Progress of placing one request. Its tasks are interchangeable, so a machine that can't fit one
+/// of them can't fit any other.
 struct Allocation<'a> {
     index: RequestIndex,
     request: &'a mut PlacementRequest,
@@ -90,14 +92,16 @@
     heavy_limit: usize,
 }
 
-/// Whether a search that was in vain for one request is in vain for the other, zone limits aside.
+/// Returns whether a failed search for one request implies that a search for the other fails too,
+/// apart from zone limits.
 fn is_equivalent(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     (a.team, a.resources, a.basket, a.zone, a.allows_spot, a.scale_out)
         == (b.team, b.resources, b.basket, b.zone, b.allows_spot, b.scale_out)
         && a.machine_types == b.machine_types
 }
 
-/// Whether nothing but what [`is_equivalent`] compares, and zone limits, decides where it may go.
+/// Returns whether the request's placement depends only on zone limits and on the fields that
+/// [`is_equivalent`] compares.
 fn is_unconstrained(request: &PlacementRequest) -> bool {
     !request.gang
         && !request.single_zone
@@ -106,23 +110,23 @@
 }
 
 impl Packer {
-    /// Places all requests. Heavy tasks that the basket's limit left over are placed beyond it
-    /// while no light task waits.
+    /// Places all requests. Heavy tasks that remain because of the heavy basket's limit are placed
+    /// beyond that limit if no light task waits.
     fn place_all(&mut self, requests: &mut [PlacementRequest]) {
-        let mut light_waits = false;
-        let mut heavy_left: Vec<RequestTasks> = Vec::new();
+        let mut light_tasks_wait = false;
+        let mut remaining_heavy: Vec<RequestTasks> = Vec::new();
         for (i, request) in requests.iter_mut().enumerate() {
             let index = RequestIndex(i);
             let tasks = self.place(index, request, self.heavy_limit);
             if tasks > 0 && request.basket == Basket::Heavy {
-                heavy_left.push(RequestTasks { request: index, tasks });
+                remaining_heavy.push(RequestTasks { request: index, tasks });
             } else if tasks > 0 {
-                light_waits = true;
+                light_tasks_wait = true;
                 self.plan.unplaceable.push(RequestTasks { request: index, tasks });
             }
         }
-        for RequestTasks { request: index, mut tasks } in heavy_left {
-            if !light_waits {
+        for RequestTasks { request: index, mut tasks } in remaining_heavy {
+            if !light_tasks_wait {
                 let request = &mut requests[index.0];
                 request.count = tasks;
                 tasks = self.place(index, request, usize::MAX);
@@ -133,7 +137,8 @@
         }
     }
 
-    /// Places a request's tasks and returns how many remain.
+    /// Places a request's tasks and returns the number that remain. Skips the search if it already
+    /// failed for an equivalent request in this pass.
     fn place(
         &mut self,
         index: RequestIndex,
@@ -146,20 +151,21 @@
         if !is_unconstrained(request) {
             return self.place_tasks(index, request, heavy_limit);
         }
-        let searched_in_vain = self.exhausted.iter().any(|other| {
+        let already_failed = self.unsatisfied.iter().any(|other| {
             is_equivalent(request, other) && request.zone_limits.open_within(&other.zone_limits)
         });
-        if searched_in_vain {
+        if already_failed {
             return request.count;
         }
         let remaining = self.place_tasks(index, request, heavy_limit);
         if remaining > 0 {
-            self.exhausted.push(request.clone());
+            self.unsatisfied.push(request.clone());
         }
         remaining
     }
 
-    /// Places a request's tasks one by one and returns how many remain.
+    /// Places a request's tasks tier by tier, rents machines for the rest, and returns the number of
+    /// tasks that remain.
     pub(super) fn place_tasks(
         &mut self,
         index: RequestIndex,
@@ -196,7 +202,7 @@
             return;
         }
         for stage in stages(allocation.request) {
-            if !self.may_continue(allocation) {
+            if !self.can_place_more(allocation) {
                 return;
             }
             if stage.with_image {
@@ -207,22 +213,22 @@
         }
     }
 
-    /// Whether tasks remain that their team's limit permits.
-    fn may_continue(&self, allocation: &Allocation<'_>) -> bool {
+    /// Returns whether tasks remain and the team's limit permits another one.
+    fn can_place_more(&self, allocation: &Allocation<'_>) -> bool {
         let request = &allocation.request;
         let headroom = &self.team_headroom[request.team.index()];
         allocation.remaining > 0 && request.resources.fits(headroom)
     }
 
-    /// Whether no machine of this basket (none: the pool) may be taken, because the heavy basket
-    /// is full.
+    /// Returns whether `basket` stands for the pool and the request, being heavy, may not take a
+    /// machine from it because the heavy basket has reached its limit.
     fn is_at_heavy_limit(&self, allocation: &Allocation<'_>, basket: Option<Basket>) -> bool {
         basket.is_none()
             && allocation.request.basket == Basket::Heavy
             && self.heavy_machines >= allocation.heavy_limit
     }
 
-    /// Fills machines of the tier and basket that have the request's image.
+    /// Assigns tasks to machines of the tier and basket that have the request's image.
     fn fill_with_image(
         &mut self,
         allocation: &mut Allocation<'_>,
@@ -230,7 +236,7 @@
         tier: Tier,
     ) {
         for &index in self.image_index.bins_with(allocation.request.image).iter() {
-            if !self.may_continue(allocation) {
+            if !self.can_place_more(allocation) {
                 return;
             }
             let bin = &self.bins[index.0];
@@ -244,8 +250,8 @@
         }
     }
 
-    /// Fills machines of the basket in index order, whatever images they have: those that have the
-    /// request's image are full already.
+    /// Assigns tasks to machines of the basket in index order, regardless of their images: those with
+    /// the request's image were filled in an earlier stage.
     fn fill_in_order(
         &mut self,
         allocation: &mut Allocation<'_>,
@@ -257,14 +263,14 @@
             .iter()
             .map(|group| self.capacity_index.first_fit(*group, basket, &resources, 0))
             .collect();
-        while self.may_continue(allocation) && !self.is_at_heavy_limit(allocation, basket) {
+        while self.can_place_more(allocation) && !self.is_at_heavy_limit(allocation, basket) {
             let first = candidates
                 .iter()
                 .enumerate()
                 .filter_map(|(n, candidate)| Some((n, (*candidate)?)))
                 .min_by_key(|(_, candidate)| (self.bins[candidate.bin.0].index, candidate.bin));
             let Some((n, Candidate { bin, slot })) = first else { return };
-            // A task that needs nothing fits into any basket's tree.
+            // A task that needs no resources also fits the empty leaves of machines in other baskets.
             if self.bins[bin.0].basket == basket {
                 self.assign(allocation, bin);
             }
@@ -277,7 +283,7 @@
     }
 
     fn rent_machines(&mut self, allocation: &mut Allocation<'_>) {
-        while self.may_continue(allocation) && !self.is_at_heavy_limit(allocation, None) {
+        while self.can_place_more(allocation) && !self.is_at_heavy_limit(allocation, None) {
             let Some(bin) = self.scale_out.rent(allocation.request, self.bins.len()) else {
                 return;
             };
@@ -287,7 +293,7 @@
         }
     }
 
-    /// Assigns as many tasks to a machine as fit and may run there.
+    /// Assigns to a machine as many tasks as fit and as the zone and team limits permit.
     fn assign(&mut self, allocation: &mut Allocation<'_>, index: BinIndex) {
         let request = &mut *allocation.request;
         let bin = &mut self.bins[index.0];
@@ -298,10 +304,10 @@
             return;
         }
         let headroom = &mut self.team_headroom[request.team.index()];
-        let room =
+        let fitting =
             max_copies(&bin.free, &request.resources).min(max_copies(headroom, &request.resources));
-        let room = u32::try_from(room).unwrap_or(u32::MAX);
-        let count = allocation.remaining.min(request.zone_limits.remaining(bin.zone)).min(room);
+        let fitting = u32::try_from(fitting).unwrap_or(u32::MAX);
+        let count = allocation.remaining.min(request.zone_limits.remaining(bin.zone)).min(fitting);
         if count == 0 {
             return;
         }
--- a/src/placement/scale_out.rs
+++ b/src/placement/scale_out.rs
@@ -1,12 +1,13 @@
-//! Which machines to rent for tasks that find no room.
+//! Selection of machines to rent for tasks that fit on no existing machine.
 
 use super::model::{Bin, MachineTypeOffer, PlacementRequest, ScaleOutPolicy, max_copies};
 use std::cmp::Ordering;
 
-/// The limit of machines is near when fewer rentals remain than one for this many machines.
+/// Number of machines in the fleet per remaining rental above which the machine limit counts as
+/// near: the planner then prefers large machines to cheap ones.
 pub(super) const FLEET_PER_RENTAL_NEAR_LIMIT: usize = 8;
 
-/// What can be rented, and what is to be rented by this pass.
+/// Offers of machines, and the machines that the current planning pass rents.
 pub(super) struct ScaleOut {
     offers: Vec<MachineTypeOffer>,
     remaining: u32,
@@ -19,14 +20,14 @@
         ScaleOut { offers, remaining: limit, rented }
     }
 
-    /// How many machines to rent of each offer.
+    /// Returns the number of machines to rent of each offer.
     pub(super) fn into_counts(self) -> Vec<u32> {
         self.rented
     }
 
-    /// Rents a machine of the cheapest offer that the request may use; among equals, in the zone
-    /// that holds fewest machines. Where the fleet of `fleet_size` machines can't grow by much
-    /// more, machines that hold most tasks come first.
+    /// Rents a machine of the usable offer with the lowest price per task; among equals, in the zone
+    /// with the fewest machines. When the fleet of `fleet_size` machines is near the machine limit,
+    /// the machine that fits the most tasks is chosen first.
     pub(super) fn rent(&mut self, request: &PlacementRequest, fleet_size: usize) -> Option<Bin> {
         if self.remaining == 0 {
             return None;
--- a/src/placement/service_order.rs
+++ b/src/placement/service_order.rs
@@ -1,54 +1,57 @@
-//! The order in which jobs are served.
+//! Order in which the planner serves waiting jobs.
 
 use crate::ids::TeamId;
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
-/// What decides when a job is served; the fields stand in order of weight.
+/// Sort key of a waiting job; the derived order compares the fields from first to last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuedJob {
-    /// The job's priority, including what it inherits from jobs that depend on it.
+    /// Effective priority, which includes the priority inherited from dependent jobs.
     pub priority: Priority,
-    /// False for a service whose replicas ran before: a replica that is moved must find the room
-    /// that it was moved for, or it is down while another task starts there.
+    /// False for a service whose replicas ran before. These go first, because the capacity freed
+    /// for a moved replica could otherwise go to another task while the replica is down.
     pub first_start: bool,
-    /// It doesn't fit into its team's quota together with the team's earlier jobs.
+    /// The job exceeds its team's quota when added to the team's earlier jobs.
     pub over_quota: bool,
-    /// Its class has no service-level objective.
+    /// The job's class has no service-level objective.
     pub without_slo: bool,
-    /// It has started as many tasks as its team may run at once, so that a large job doesn't
-    /// starve the small ones behind it.
+    /// The job has started as many tasks as its team may run at once. It then yields to jobs that
+    /// have not, so that a large job doesn't starve the small ones behind it.
     pub had_turn: bool,
-    /// Objectives for its start that it has missed: what can still start in time goes first.
+    /// Number of start objectives that the job has missed. Jobs that can still start in time go
+    /// first.
     pub missed_slos: usize,
-    /// Its number of tasks; zero for a job that has missed every objective, so that such jobs go
-    /// by age and none waits for ever behind smaller ones that are just as late.
+    /// Number of tasks; zero for a job that has missed every objective, so that such jobs are served
+    /// by age and none waits indefinitely behind smaller jobs that are equally late.
     pub size: u64,
-    /// Its position among all jobs by age, oldest first.
+    /// Position among all jobs by age, oldest first.
     pub age_rank: usize,
-    /// The team that owns it.
+    /// Team that owns the job.
     pub team: TeamId,
 }
 
-/// A run of jobs within which a team's own order applies.
+/// Group of jobs that share the team's own order: one team's jobs of one priority.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct TeamTurns {
+struct TeamPositionsKey {
     priority: Priority,
     team: TeamId,
 }
 
-/// Sorts jobs into the order of service: priority, what ran before, quota, turn, missed
-/// objectives, then size, because objectives count jobs and many small jobs start in the time that
-/// one large one takes. Among teams the quota decides first; which of its jobs a team serves in
-/// its turns doesn't depend on the quota.
+/// Sorts jobs into the order of service, which is the order of the fields of [`QueuedJob`]. Smaller
+/// jobs go first because objectives count jobs, and many small jobs start in the time that one
+/// large job takes.
+///
+/// That order, with the quota, decides which positions a team gets. Which of the team's jobs takes
+/// which of these positions doesn't depend on the quota.
 pub fn sort_by_service_order(jobs: &mut [QueuedJob]) {
     jobs.sort();
-    let mut turns: BTreeMap<TeamTurns, Vec<usize>> = BTreeMap::new();
+    let mut positions_by_team: BTreeMap<TeamPositionsKey, Vec<usize>> = BTreeMap::new();
     for (position, job) in jobs.iter().enumerate() {
-        let key = TeamTurns { priority: job.priority, team: job.team };
-        turns.entry(key).or_default().push(position);
+        let key = TeamPositionsKey { priority: job.priority, team: job.team };
+        positions_by_team.entry(key).or_default().push(position);
     }
-    for positions in turns.values() {
+    for positions in positions_by_team.values() {
         let mut team_jobs: Vec<QueuedJob> =
             positions.iter().map(|position| jobs[*position]).collect();
         team_jobs.sort_by_key(|job| {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -9,35 +9,38 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// The order in which machines are considered: those that are up before booting ones, spot before
-/// on-demand ones, the own basket before the pool, those that have the image before the others,
-/// then the fixed index. For the highest priority the image comes before the basket.
+/// Returns the sort key by which machines are considered: up before booting, spot before on-demand,
+/// the own basket before the pool, machines with the image before the others, then the fixed index.
+/// For the highest priority the image takes precedence over the basket.
 fn preference(request: &PlacementRequest, bin: &Bin) -> impl Ord + use<> {
-    let cold = !bin.images.contains(&request.image);
-    let pool = bin.basket.is_none();
-    let (first, second) =
-        if request.priority == Priority::Production { (cold, pool) } else { (pool, cold) };
+    let lacks_image = !bin.images.contains(&request.image);
+    let in_pool = bin.basket.is_none();
+    let (first, second) = if request.priority == Priority::Production {
+        (lacks_image, in_pool)
+    } else {
+        (in_pool, lacks_image)
+    };
     (!bin.ready, !bin.spot, first, second, bin.index)
 }
 
-/// The reference: one task at a time, each considering every machine anew.
+/// Reference implementation: places one task at a time and compares all machines for each.
 fn reference_starts(input: &PlacementInput) -> Vec<PlannedStart> {
     let mut bins = input.bins.clone();
     let mut headroom = input.team_headroom.clone();
     let mut starts = Vec::new();
     let mut waiting = Vec::new();
-    let mut light_waits = false;
+    let mut light_tasks_wait = false;
     let mut requests = input.requests.clone();
     for round in 0..2 {
         for (at, request) in requests.iter_mut().enumerate() {
-            if round == 1 && (light_waits || !waiting.contains(&at)) {
+            if round == 1 && (light_tasks_wait || !waiting.contains(&at)) {
                 continue;
             }
             let before = (bins.clone(), headroom.clone(), starts.len(), request.clone());
             while request.count > 0 {
                 let heavy = bins.iter().filter(|b| b.basket == Some(Basket::Heavy)).count();
-                let full = round == 0 && heavy >= input.heavy_limit;
-                let fit = |b: &Bin| {
+                let at_heavy_limit = round == 0 && heavy >= input.heavy_limit;
+                let is_eligible = |b: &Bin| {
                     b.ready
                         && (!b.spot || request.allows_spot)
                         && request.zone.is_none_or(|z| z == b.zone)
@@ -52,11 +55,11 @@
                         && (request.scale_out != ScaleOutPolicy::Spot || !b.recently_vacated)
                         && match b.basket {
                             Some(basket) => basket == request.basket,
-                            None => request.basket == Basket::Light || !full,
+                            None => request.basket == Basket::Light || !at_heavy_limit,
                         }
                 };
                 let best = (0..bins.len())
-                    .filter(|&i| fit(&bins[i]))
+                    .filter(|&i| is_eligible(&bins[i]))
                     .min_by_key(|&i| preference(request, &bins[i]));
                 let Some(i) = best else { break };
                 bins[i].free = bins[i].free.minus(&request.resources);
@@ -73,7 +76,7 @@
             }
             if round == 0 && request.count > 0 {
                 waiting.push(at);
-                light_waits |= request.basket == Basket::Light;
+                light_tasks_wait |= request.basket == Basket::Light;
             }
         }
     }
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn small_jobs_of_a_team_go_first_without_delaying_other_teams() {
+fn smaller_jobs_of_a_team_go_first_without_changing_the_order_of_teams() {
     let mut random = StdRng::seed_from_u64(5);
     for _ in 0..200 {
         let count = random.random_range(0..20);
@@ -98,36 +101,36 @@
                 team: TeamId::new(random.random_range(0..3)),
             })
             .collect();
-        let mut plain = jobs.clone();
-        plain.sort();
+        let mut sorted = jobs.clone();
+        sorted.sort();
         sort_by_service_order(&mut jobs);
-        let turn = |job: &QueuedJob| (job.priority, job.team);
-        assert!(jobs.iter().map(turn).eq(plain.iter().map(turn)));
+        let team_position = |job: &QueuedJob| (job.priority, job.team);
+        assert!(jobs.iter().map(team_position).eq(sorted.iter().map(team_position)));
         for (at, a) in jobs.iter().enumerate() {
-            for b in jobs[at + 1..].iter().filter(|b| turn(b) == turn(a)) {
-                let first = |job: &QueuedJob| {
+            for b in jobs[at + 1..].iter().filter(|b| team_position(b) == team_position(a)) {
+                let order_before_size = |job: &QueuedJob| {
                     (job.first_start, job.without_slo, job.missed_slos, job.had_turn)
                 };
-                assert!(first(a) <= first(b));
-                if first(a) == first(b) {
+                assert!(order_before_size(a) <= order_before_size(b));
+                if order_before_size(a) == order_before_size(b) {
                     assert!((a.size, a.age_rank) < (b.size, b.age_rank));
                 }
             }
         }
         jobs.sort();
-        assert_eq!(jobs, plain);
+        assert_eq!(jobs, sorted);
     }
 }
 
 const MACHINE_SIZE: Amount = Amount { cpu: 16_000_000, gpu: 0, ram: 64_000_000 };
 
-/// The index of the n-th machine: machines are passed out of order.
+/// Returns the index of the n-th machine, so that machines are passed out of index order.
 fn shuffled_index(n: u64) -> u64 {
     (n * 7919) % 10_007
 }
 
 fn random_bin(random: &mut StdRng, n: u64) -> Bin {
-    let used = Amount::need(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
+    let allocated = Amount::need(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
     let basket = match random.random_range(0..3) {
         0 => Some(Basket::Heavy),
         1 => Some(Basket::Light),
@@ -138,7 +141,7 @@
         zone: ZoneId::new(random.random_range(0..3)),
         machine_type: MachineTypeId::new(random.random_range(0..2)),
         spot: random.random(),
-        free: if basket.is_some() { MACHINE_SIZE.minus(&used) } else { MACHINE_SIZE },
+        free: if basket.is_some() { MACHINE_SIZE.minus(&allocated) } else { MACHINE_SIZE },
         basket,
         ready: true,
         images: (0..3u32).filter(|_| random.random()).collect(),
@@ -192,9 +195,9 @@
 }
 
 #[test]
-fn the_planner_starts_what_the_reference_starts() {
+fn plan_starts_the_same_tasks_as_the_reference_implementation() {
     for seed in 0..3000 {
-        // Most are small, so that a failure is easily understood; some have hundreds of machines.
+        // Most inputs are small, so that a failure is easy to analyse; some have hundreds of machines.
         let (machines, tasks) = if seed % 100 == 0 { (600, 300) } else { (12, 9) };
         let input = random_input(&mut StdRng::seed_from_u64(seed), machines, tasks);
         let expected = reference_starts(&input);
@@ -261,17 +264,17 @@
     assert!(plan.unplaceable.is_empty());
 }
 
-/// Near the limit of machines, larger ones go before those that are cheaper for their size; beyond
-/// the limit nothing is rented.
+/// Near the machine limit, larger machines take precedence over those with a lower price per task;
+/// at the limit nothing is rented.
 #[test]
-fn large_machines_are_rented_near_the_machine_limit() {
+fn larger_machines_are_rented_first_near_the_machine_limit() {
     let unlimited = Amount { cpu: u64::MAX, gpu: 0, ram: u64::MAX };
     let large = MachineTypeOffer {
         capacity: offer(ZONE_A, false, 0.0).capacity.times(4),
         ..offer(ZONE_A, false, 9.0)
     };
     let small = MachineTypeOffer { available: 1000, ..offer(ZONE_A, true, 0.3) };
-    let full = Bin {
+    let fully_used = Bin {
         index: 0,
         zone: ZONE_A,
         machine_type: MachineTypeId::new(0),
@@ -285,7 +288,7 @@
     let rented = |rental_limit: u32| {
         let input = PlacementInput {
             bins: (0..FLEET_PER_RENTAL_NEAR_LIMIT as u64 * 3)
-                .map(|n| Bin { index: n, ..full.clone() })
+                .map(|n| Bin { index: n, ..fully_used.clone() })
                 .collect(),
             requests: vec![request(200, 4.0)],
             team_headroom: vec![unlimited],
@@ -297,8 +300,8 @@
     };
     assert_eq!(rented(0), [0, 0]);
     assert_eq!(rented(2), [0, 2]);
-    let plenty = rented(10_000);
-    assert!(plenty[0] > 0 && plenty[1] == 0, "{plenty:?}");
+    let far_from_limit = rented(10_000);
+    assert!(far_from_limit[0] > 0 && far_from_limit[1] == 0, "{far_from_limit:?}");
 }
 
 #[test]
