--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,5 +1,5 @@
-//! Controllers among themselves: their frames, which of them takes which workers' heartbeats, and heartbeats
-//! that are relayed to the leader.
+//! Communication between controllers: the frames that they exchange, the assignment of workers to controllers,
+//! and the relay of heartbeats to the leader.
 
 pub mod heartbeat_relay;
 pub mod membership;
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -1,9 +1,10 @@
-//! The relay of heartbeats: a controller takes its workers' heartbeats and passes them on to the leader.
+//! Relay of heartbeats: a controller receives its workers' heartbeats and sends them on to the leader.
 //!
-//! It keeps the worker's request open, sends the heartbeat in a batch, and answers with the leader's result for
-//! just this heartbeat. It decides nothing: *every answer that renews a lease is the leader's own, given after the
-//! heartbeat was sent*, so whatever happens on the way, the leader's own record of its last answer bounds the
-//! worker's lease. A heartbeat that says what the one before it said travels as its number alone.
+//! The relay keeps the worker's request open, sends the heartbeat in a batch, and answers with the leader's result for
+//! exactly this heartbeat. It makes no decisions: *every answer that renews a lease is the leader's own, given after
+//! the heartbeat was sent*. The leader's record of its last answer therefore bounds the worker's lease, regardless of
+//! delays and losses on the way. A heartbeat with the same content as the previous one is sent as its sequence number
+//! only.
 
 mod messages;
 
@@ -21,21 +22,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an assignment holds after it was received: three of the leader's messages.
+/// Validity of an assignment after it was received: three of the leader's messages.
 pub const RELAY_TERM: Duration = Duration::from_millis(1600);
-/// How long after the last assignment a new leader is waited for: thousands of workers redirected to it at once would
-/// use up its sockets.
+/// Time after the last assignment during which heartbeats wait for a new leader's assignment. Redirecting thousands of
+/// workers to the new leader at once would exhaust its sockets.
 pub const RELAY_RESUMES_WITHIN: Duration = Duration::from_secs(12);
-/// How long the leader's result for a heartbeat is waited for. The worker, which waits for 4 s, still does by then.
+/// Timeout for the leader's result for a heartbeat. The worker waits for 4 s, so its request is still open then.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
-/// How long unchanged heartbeats wait for others to go with them.
+/// Time that unchanged heartbeats wait for others to be sent in the same batch.
 pub const RELAY_PAUSE: Duration = Duration::from_millis(60);
-/// How long heartbeats wait of which one says something new.
+/// Time that heartbeats wait if one of them has changed.
 pub const RELAY_PAUSE_NEWS: Duration = Duration::from_millis(12);
-/// Count. Batches in flight at the most, so that a leader that falls behind gets fewer and larger ones.
+/// Maximum number of batches in flight, so that a leader that falls behind receives fewer and larger batches.
 pub const RELAY_BATCHES: usize = 8;
 
-/// The leader's permission to relay heartbeats to it, and the controllers that do.
+/// The leader's permission to relay heartbeats to it, with the controllers that do so.
 #[derive(Debug)]
 struct Assignment {
     token: FencingToken,
@@ -50,12 +51,12 @@
     }
 }
 
-/// A heartbeat whose worker waits for the answer.
+/// Heartbeat whose worker waits for the answer.
 #[derive(Debug)]
 struct PendingHeartbeat {
     heartbeat: Heartbeat,
     received: Instant,
-    /// It has to be sent in full.
+    /// The heartbeat has to be sent in full.
     in_full: bool,
 }
 
@@ -65,12 +66,12 @@
     }
 }
 
-/// Tickets of heartbeats that are not sent yet.
+/// Tickets of heartbeats that are not yet sent.
 #[derive(Debug, Default)]
 struct SendQueue {
     tickets: Vec<u64>,
     since: Option<Instant>,
-    /// Some of them say something new.
+    /// At least one of the heartbeats has changed.
     has_changes: bool,
 }
 
@@ -81,66 +82,66 @@
         self.since.get_or_insert(now);
     }
 
-    /// When the next batches are due; changes wait less for others to go with them.
+    /// Returns the time at which the next batches are due; it is earlier if a heartbeat has changed.
     fn due(&self) -> Option<Instant> {
         let pause = if self.has_changes { RELAY_PAUSE_NEWS } else { RELAY_PAUSE };
         self.since.map(|since| since + pause)
     }
 }
 
-/// A heartbeat that is too large to be relayed.
+/// Error that returns a heartbeat that is too large to be relayed.
 #[derive(Debug, thiserror::Error)]
 #[error("a heartbeat is too large to be relayed")]
 pub struct OversizedHeartbeat(pub Box<Heartbeat>);
 
-/// A heartbeat that the leader did not answer in time.
+/// Heartbeat that the leader did not answer in time.
 #[derive(Debug)]
 pub struct OverdueHeartbeat {
     /// Ticket of the worker's request.
     pub ticket: u64,
-    /// The heartbeat.
+    /// Heartbeat as the worker sent it.
     pub heartbeat: Heartbeat,
 }
 
-/// The answer to a worker's request.
+/// Answer to a worker's request.
 #[derive(Debug)]
 pub struct WorkerReply {
     /// Ticket of the request.
     pub ticket: u64,
-    /// What the leader says.
+    /// Commands from the leader, with its fencing token.
     pub commands: CommandBatch,
 }
 
-/// A batch on its way to the leader.
+/// Batch of heartbeats to be sent to the leader.
 #[derive(Debug, PartialEq)]
 pub struct HeartbeatBatch {
-    /// The leader.
+    /// Leader to which the batch is sent.
     pub leader: ControllerId,
-    /// Its token.
+    /// Fencing token of the leader.
     pub token: FencingToken,
-    /// Number of the batch.
+    /// Number of the batch, which the results repeat.
     pub number: u64,
-    /// The heartbeats.
+    /// Heartbeats of the batch; results refer to them by index.
     pub heartbeats: Vec<RelayedHeartbeat>,
 }
 
-/// Heartbeats on their way to the leader, at the controller that took them.
+/// Heartbeats that this controller received and relays to the leader.
 #[derive(Debug)]
 pub struct HeartbeatRelay {
     assignment: Option<Assignment>,
-    /// By the ticket of the request.
+    /// Heartbeats without an answer, by the ticket of the request.
     pending: BTreeMap<u64, PendingHeartbeat>,
     queue: SendQueue,
-    /// Tickets of batches without results, by the number of the batch.
+    /// Tickets of the batches that have no results yet, by batch number.
     in_flight: BTreeMap<u64, Vec<u64>>,
     last_batch: u64,
-    /// The last heartbeat of each worker that the leader accepted without any command.
+    /// Last heartbeat of each worker, if the leader accepted it without commands.
     accepted: HashMap<MachineId, Heartbeat>,
 }
 
 impl HeartbeatRelay {
-    /// A relay that numbers its batches from `first_batch` on: random, so that results for an earlier incarnation
-    /// of this process match none.
+    /// Creates a relay that numbers its batches starting after `first_batch`. The caller passes a random number, so that
+    /// results for an earlier run of this process match no batch.
     pub fn new(first_batch: u64) -> HeartbeatRelay {
         HeartbeatRelay {
             assignment: None,
@@ -152,7 +153,8 @@
         }
     }
 
-    /// A leader permits that heartbeats are relayed to it, by these members.
+    /// Records that a leader permits these members to relay heartbeats to it. Ignores a leader with an older fencing
+    /// token than the current one.
     pub fn on_assignment(
         &mut self,
         token: FencingToken,
@@ -170,7 +172,8 @@
         self.assignment = Some(Assignment { token, leader, members, received: now });
     }
 
-    /// The new leader knows nothing of what its predecessor was told, and no result of that one is waited for.
+    /// Queues all unanswered heartbeats for the new leader, in full, because it does not know the heartbeats sent to its
+    /// predecessor. Results of the predecessor are no longer expected.
     fn on_new_leader(&mut self, now: Instant) {
         self.accepted.clear();
         let unanswered = std::mem::take(&mut self.in_flight);
@@ -189,26 +192,27 @@
         })
     }
 
-    /// The members of the current assignment, where `newest` is the latest token that is known.
+    /// Returns the members of the current assignment; `newest` is the highest fencing token known to this controller.
     pub fn members(&self, newest: FencingToken, now: Instant) -> Option<&Membership> {
         self.current_assignment(newest, now).map(|assignment| &assignment.members)
     }
 
-    /// Time since the leader with that token last permitted that heartbeats are relayed, if it did.
+    /// Returns the time since the leader with this fencing token last permitted the relay, if its last assignment had
+    /// members.
     pub fn time_since_assignment(&self, token: FencingToken, now: Instant) -> Option<Duration> {
         let assignment = self.assignment.as_ref()?;
         let permits = assignment.token == token && !assignment.members.is_empty();
         permits.then(|| assignment.age(now))
     }
 
-    /// Whether heartbeats were relayed a moment ago, so that the next leader may soon permit it as well.
+    /// Returns whether the relay was permitted recently, so that the next leader is likely to permit it soon.
     pub fn may_resume(&self, now: Instant) -> bool {
         self.assignment.as_ref().is_some_and(|assignment| {
             !assignment.members.is_empty() && assignment.age(now) < RELAY_RESUMES_WITHIN
         })
     }
 
-    /// Takes a heartbeat whose worker waits under this ticket; gives it back if it is too large to be relayed.
+    /// Queues a heartbeat whose worker waits under this ticket. Returns it as an error if it is too large to be relayed.
     pub fn accept(
         &mut self,
         ticket: u64,
@@ -225,19 +229,19 @@
         Ok(())
     }
 
-    /// When the next batch is due, or a heartbeat overdue.
+    /// Returns the time at which the next batch is due or the oldest heartbeat becomes overdue, whichever is earlier.
     pub fn next_due(&self) -> Option<Instant> {
         let oldest = self.pending.values().next().map(|pending| pending.received + RELAY_TIMEOUT);
         self.queue.due().into_iter().chain(oldest).min()
     }
 
-    /// The accepted heartbeat that says the same, if this one need not be sent in full.
+    /// Returns the accepted heartbeat with the same content, unless this one has to be sent in full.
     fn unchanged_since(&self, pending: &PendingHeartbeat) -> Option<&Heartbeat> {
         let previous = self.accepted.get(&pending.heartbeat.machine)?;
         (!pending.in_full && is_unchanged(previous, &pending.heartbeat)).then_some(previous)
     }
 
-    /// The batches that are due.
+    /// Returns the batches that are due and records them as in flight.
     pub fn take_batches(&mut self, newest: FencingToken, now: Instant) -> Vec<HeartbeatBatch> {
         let due = self.queue.due().is_some_and(|due| now >= due);
         if !due || self.in_flight.len() >= RELAY_BATCHES {
@@ -250,7 +254,7 @@
         unsent.retain(|ticket| self.pending.contains_key(ticket));
         let mut unsent = unsent.as_slice();
         while !unsent.is_empty() {
-            let (tickets, rest) = unsent.split_at(self.tickets_in_a_frame(unsent));
+            let (tickets, rest) = unsent.split_at(self.tickets_per_frame(unsent));
             if tickets.is_empty() {
                 break;
             }
@@ -265,13 +269,13 @@
         batches
     }
 
-    /// How many of the first tickets fit a frame.
-    fn tickets_in_a_frame(&self, tickets: &[u64]) -> usize {
-        let mut free = RELAY_FRAME;
+    /// Returns the number of leading tickets whose heartbeats fit into one frame.
+    fn tickets_per_frame(&self, tickets: &[u64]) -> usize {
+        let mut free_bytes = RELAY_FRAME;
         let fits = |ticket: &&u64| {
             let size = self.pending.get(*ticket).map_or(0, |pending| self.relayed_size(pending));
-            let fits = size <= free;
-            free = free.saturating_sub(size);
+            let fits = size <= free_bytes;
+            free_bytes = free_bytes.saturating_sub(size);
             fits
         };
         tickets.iter().take_while(fits).count()
@@ -297,7 +301,8 @@
         }
     }
 
-    /// The leader's results for a batch: the replies to its workers.
+    /// Processes the leader's results for a batch and returns the replies to the workers. Ignores results under another
+    /// fencing token and for batches that are not in flight.
     pub fn on_results(
         &mut self,
         token: FencingToken,
@@ -318,8 +323,9 @@
                 HeartbeatResult::Accepted(commands) => {
                     let Some(pending) = self.pending.remove(&ticket) else { continue };
                     self.record_accepted(pending.heartbeat, commands.is_empty());
-                    let orders = commands.into_iter().map(WorkerCommand::from).collect();
-                    let commands = CommandBatch { token, agent_epoch: None, orders };
+                    let worker_commands = commands.into_iter().map(WorkerCommand::from).collect();
+                    let commands =
+                        CommandBatch { token, agent_epoch: None, orders: worker_commands };
                     replies.push(WorkerReply { ticket, commands });
                 }
             }
@@ -334,8 +340,8 @@
         }
     }
 
-    /// A heartbeat that was answered with commands is no base for later ones: the leader may have dropped what
-    /// the worker still shows.
+    /// Keeps a heartbeat that was accepted without commands as the reference for later ones. One answered with commands
+    /// is not kept, because the leader may have removed attempts that the worker still reports.
     fn record_accepted(&mut self, heartbeat: Heartbeat, without_commands: bool) {
         if without_commands {
             self.accepted.insert(heartbeat.machine.clone(), heartbeat);
@@ -344,9 +350,9 @@
         }
     }
 
-    /// Heartbeats that the leader did not answer in time; later results for them are ignored.
+    /// Removes and returns the heartbeats that the leader did not answer in time; later results for them are ignored.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<OverdueHeartbeat> {
-        // Tickets rise with time.
+        // Tickets increase with time.
         let oldest = self.pending.iter().take_while(|(_, pending)| pending.is_overdue(now));
         let overdue: Vec<u64> = oldest.map(|(ticket, _)| *ticket).collect();
         if overdue.is_empty() {
@@ -371,7 +377,8 @@
         heartbeats
     }
 
-    /// Forgets accepted heartbeats once there are more than `limit`: most are of workers that moved elsewhere.
+    /// Drops all accepted heartbeats once there are more than `limit`: by then, most belong to workers that moved to
+    /// other controllers.
     pub fn evict_beyond(&mut self, limit: usize) {
         if self.accepted.len() > limit {
             self.accepted.clear();
@@ -379,16 +386,16 @@
     }
 }
 
-/// Whether a heartbeat says what the previous one said, so that it changes nothing but the time of the last
-/// heartbeat. A task that ended, or a notice of reclamation, is sent in full each time.
+/// Returns whether a heartbeat has the same content as the previous one, so that it only updates the time of the last
+/// heartbeat. A heartbeat with a finished task or a notice of reclamation is always sent in full.
 fn is_unchanged(previous: &Heartbeat, heartbeat: &Heartbeat) -> bool {
-    let running = |task: &TaskStatus| task.state != TaskState::Exited;
+    let is_not_finished = |task: &TaskStatus| task.state != TaskState::Exited;
     (previous.agent_epoch, previous.token) == (heartbeat.agent_epoch, heartbeat.token)
         && previous.seq < heartbeat.seq
         && (previous.notice_s, heartbeat.notice_s) == (None, None)
         && previous.address == heartbeat.address
         && previous.tasks == heartbeat.tasks
-        && heartbeat.tasks.iter().all(running)
+        && heartbeat.tasks.iter().all(is_not_finished)
 }
 
 #[cfg(test)]
--- a/src/peers/heartbeat_relay/messages.rs
+++ b/src/peers/heartbeat_relay/messages.rs
@@ -1,22 +1,22 @@
-//! Heartbeats and commands in the form that travels between controllers.
+//! Heartbeats and commands as they are sent between controllers.
 //!
-//! The wire form is postcard: the order of variants and of fields is part of it, their names are not.
+//! They are encoded with postcard: the order of variants and fields is part of the encoding, their names are not.
 
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use crate::wire::{Heartbeat, TaskState, TaskStatus, WorkerCommand};
 use serde::{Deserialize, Serialize};
 
-/// Bytes. What a heartbeat without its tasks takes in a frame at the most.
+/// Maximum encoded size of a heartbeat without its tasks, in bytes.
 pub(super) const HEARTBEAT_BYTES: usize = 200;
-/// Bytes. What a task of a heartbeat takes in a frame at the most.
+/// Maximum encoded size of one task of a heartbeat, in bytes.
 const TASK_BYTES: usize = 80;
 
-/// Bytes that a heartbeat takes in a frame at the most.
+/// Returns the maximum encoded size of a heartbeat, in bytes.
 pub(super) fn encoded_size(heartbeat: &Heartbeat) -> usize {
     HEARTBEAT_BYTES + heartbeat.tasks.len() * TASK_BYTES
 }
 
-/// A complete heartbeat.
+/// Complete heartbeat, with the same content as [`Heartbeat`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FullHeartbeat {
     machine: MachineId,
@@ -32,7 +32,7 @@
 }
 
 impl FullHeartbeat {
-    /// Bytes that it takes in a frame at the most.
+    /// Returns the maximum encoded size, in bytes.
     pub fn encoded_size(&self) -> usize {
         HEARTBEAT_BYTES + self.tasks.len() * TASK_BYTES
     }
@@ -95,36 +95,36 @@
     }
 }
 
-/// A heartbeat that says what an earlier one of the same agent epoch said.
+/// Heartbeat whose content is the same as that of an earlier one of the same agent epoch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnchangedHeartbeat {
-    /// The worker's machine.
+    /// Machine that the worker runs on.
     pub machine: MachineId,
-    /// The worker's agent epoch.
+    /// Agent epoch of the worker, in which both heartbeats were sent.
     pub agent_epoch: u64,
-    /// Number of the earlier heartbeat.
+    /// Sequence number of the earlier heartbeat.
     pub previous_seq: u64,
-    /// Number of this one.
+    /// Sequence number of this heartbeat.
     pub seq: u64,
 }
 
-/// A heartbeat of a batch.
+/// Heartbeat in a batch sent to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RelayedHeartbeat {
-    /// All of it.
+    /// Complete heartbeat.
     Full(FullHeartbeat),
-    /// Only that nothing has changed.
+    /// Reference to an earlier heartbeat with the same content.
     Unchanged(UnchangedHeartbeat),
 }
 
-/// A command for a worker.
+/// Command for a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RelayedCommand {
-    /// Start an attempt.
+    /// Starts an attempt.
     Start(TaskId, Attempt),
-    /// Stop an attempt within so many seconds.
+    /// Stops an attempt; the last field is the grace period in seconds.
     Stop(TaskId, Attempt, f64),
-    /// Drop what is known of an attempt that ended.
+    /// Removes the record of a finished attempt.
     Forget(TaskId, Attempt),
 }
 
@@ -152,17 +152,17 @@
     }
 }
 
-/// The leader's result for a heartbeat of a batch. Heartbeats without one are accepted without commands.
+/// The leader's result for a heartbeat in a batch. A heartbeat without a result is accepted without commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HeartbeatResult {
-    /// The worker's lease is renewed, and it gets these commands.
+    /// The worker's lease is renewed, and the worker receives these commands.
     Accepted(Vec<RelayedCommand>),
-    /// The leader does not know the worker's previous heartbeat: it needs the complete one.
+    /// The leader does not know the earlier heartbeat and needs the complete one.
     ResendInFull,
 }
 
 impl HeartbeatResult {
-    /// The result that the leader does not send.
+    /// Returns whether this is the default result, which the leader does not send.
     pub fn is_default(&self) -> bool {
         matches!(self, HeartbeatResult::Accepted(commands) if commands.is_empty())
     }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,7 +1,7 @@
-//! Shards: which controller takes the heartbeats of which worker.
+//! Assignment of workers to the controllers that receive their heartbeats. A controller's workers are its shard.
 //!
-//! Weighted rendezvous hashing over the members: whoever knows them computes the same owner without a table, and a
-//! controller that comes or goes moves only its own shard.
+//! The owner is chosen by weighted rendezvous hashing over the members: every process that knows the members computes
+//! the same owner without a table, and a controller that joins or leaves moves only its own shard.
 
 use crate::ids::{ControllerId, MachineId};
 use foldhash::HashMap;
@@ -10,114 +10,115 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Times as likely as another a controller owns a worker of its own zone, so that most workers behind a cut can reach
-/// their owner, and zones of unlike size still load their controllers much alike.
+/// Factor on the weight of a controller for workers in its own zone. It is large enough that most workers in a zone cut
+/// off from the others can reach their owner, and small enough that zones of different sizes load their controllers
+/// about equally.
 const SAME_ZONE_WEIGHT: f64 = 4.0;
-/// Thousandths. Weight of a controller with enough free sockets.
+/// Weight of a controller with enough free sockets, in thousandths.
 const MEMBER_WEIGHT: u32 = 1000;
-/// Thousandths. Weight of a leader that is a member.
+/// Weight of a leader that is a member, in thousandths.
 const LEADER_WEIGHT: u32 = 400;
-/// Share of the other controllers' capacity in use from which on the leader is a member.
+/// Share of the other controllers' worker capacity in use above which the leader becomes a member.
 const LEADER_JOINS_ABOVE: f64 = 0.4;
-/// Share below which it is none again.
+/// Share of the other controllers' worker capacity in use at or below which the leader stops being a member.
 const LEADER_LEAVES_BELOW: f64 = 0.32;
-/// Share of public sockets free below which a controller's weight falls to a quarter.
+/// Free share of a controller's public sockets below which its weight is reduced to a quarter.
 const FREE_SOCKETS_LOW: f64 = 0.12;
-/// Share below which it falls to none.
+/// Free share of a controller's public sockets below which its weight is 0.
 const FREE_SOCKETS_EXHAUSTED: f64 = 0.05;
-/// A worker is redirected at most once in this time.
+/// Minimum time between two redirects of a worker.
 const REDIRECT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A controller that takes heartbeats.
+/// Controller that may receive workers' heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The controller.
+    /// Name of the controller.
     pub name: ControllerId,
-    /// Its zone.
+    /// Zone of the controller; it is more likely to own workers of this zone.
     pub zone: String,
-    /// Its share relative to the others', in thousandths; with 0 it has no shard.
+    /// Weight relative to the other members, in thousandths; a member with weight 0 has no shard.
     pub weight: u32,
 }
 
-/// The controllers that take heartbeats, as the leader assigned them.
+/// Controllers that the leader assigned to receive heartbeats.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership(Vec<Member>);
 
 impl Membership {
-    /// A membership of these controllers.
+    /// Creates a membership of these controllers.
     pub fn new(members: Vec<Member>) -> Membership {
         Membership(members)
     }
 
-    /// The members, those without a shard included.
+    /// Returns all members, including those without a shard.
     pub fn members(&self) -> &[Member] {
         &self.0
     }
 
-    /// Whether there are no members, so that only the leader takes heartbeats.
+    /// Returns whether there are no members, so that only the leader receives heartbeats.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The controller that takes a worker's heartbeats; one in the worker's zone is more likely.
+    /// Returns the controller that receives a worker's heartbeats; one in the worker's zone is more likely.
     pub fn owner(&self, worker: &MachineId, zone: &str) -> Option<&ControllerId> {
         let mut best: Option<(f64, &ControllerId)> = None;
         for member in self.0.iter().filter(|member| member.weight > 0) {
             let zone_factor = if member.zone == zone { SAME_ZONE_WEIGHT } else { 1.0 };
             let weight = f64::from(member.weight) * zone_factor;
             let score = -unit_hash(&member.name, worker).ln() / weight;
-            if best.is_none_or(|(least, _)| score < least) {
+            if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, &member.name));
             }
         }
         best.map(|(_, name)| name)
     }
 
-    /// Whether that controller has a shard.
+    /// Returns whether the controller has a shard.
     pub fn contains(&self, name: &ControllerId) -> bool {
         self.0.iter().any(|member| member.name == *name && member.weight > 0)
     }
 }
 
-/// A controller that might take heartbeats, as the leader sees it.
+/// Controller that the leader may choose as a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberCandidate {
-    /// The controller.
+    /// Name of the controller.
     pub name: ControllerId,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Thousandths of its public sockets that are free.
+    /// Free share of its public sockets, in thousandths.
     pub free_sockets_permille: u16,
-    /// It is in reach, understands relayed heartbeats, and is not drained.
+    /// Whether it is reachable, supports relayed heartbeats, and is not drained.
     pub is_available: bool,
 }
 
-/// The leader's own part in the choice of members.
+/// Inputs to the choice of members that concern the leader and the size of the cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderLoad {
-    /// The leader.
+    /// Name of the leader.
     pub name: ControllerId,
-    /// Its zone.
+    /// Zone of the leader.
     pub zone: String,
-    /// Workers of the cluster.
+    /// Number of workers in the cluster.
     pub workers: usize,
-    /// Workers that one controller can hold.
+    /// Number of workers that one controller can serve.
     pub workers_per_controller: u32,
-    /// Whether the leader has a shard so far.
+    /// Whether the leader is currently a member.
     pub is_member: bool,
 }
 
-/// The members that the leader chose.
+/// Result of [`choose_members`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MemberChoice {
-    /// The members.
+    /// Chosen members, including the leader if it is one.
     pub membership: Membership,
-    /// Whether the leader is one of them.
+    /// Whether the leader is a member.
     pub includes_leader: bool,
 }
 
-/// Chooses the members: controllers that are available, weighted by their free sockets, and the leader itself where
-/// the workers would fill much of what the others can hold. None if no other controller can take any.
+/// Chooses as members the available controllers, weighted by their free sockets. The leader is added when the workers
+/// would use a large share of the others' capacity. Returns no members if no other controller can receive heartbeats.
 pub fn choose_members(candidates: &[MemberCandidate], leader: &LeaderLoad) -> MemberChoice {
     let available = candidates.iter().filter(|candidate| candidate.is_available);
     let mut members: Vec<Member> = available
@@ -141,7 +142,7 @@
     MemberChoice { membership: Membership(members), includes_leader }
 }
 
-/// Weight of a controller by its free sockets.
+/// Returns the weight of a controller with this share of free sockets.
 fn weight_for(free_sockets_permille: u16) -> u32 {
     let free_share = f64::from(free_sockets_permille) / 1000.0;
     if free_share < FREE_SOCKETS_EXHAUSTED {
@@ -153,15 +154,15 @@
     }
 }
 
-/// Workers that were redirected to another controller a moment ago.
+/// Workers that were recently redirected to another controller.
 #[derive(Debug, Default)]
 pub struct Redirects {
     last_redirect: HashMap<MachineId, Instant>,
 }
 
 impl Redirects {
-    /// Records a redirect, unless the worker was redirected a moment ago: controllers that know different members
-    /// would send it back and forth for ever.
+    /// Records a redirect and returns true, unless the worker was redirected within [`REDIRECT_INTERVAL`]. Without
+    /// this limit, controllers that know different members would redirect it back and forth indefinitely.
     pub fn try_redirect(&mut self, worker: &MachineId, now: Instant) -> bool {
         let last = self.last_redirect.get(worker);
         if last.is_some_and(|at| now.saturating_duration_since(*at) < REDIRECT_INTERVAL) {
@@ -171,13 +172,13 @@
         true
     }
 
-    /// Drops records of redirects that do not matter any more.
+    /// Drops records of redirects older than [`REDIRECT_INTERVAL`].
     pub fn expire(&mut self, now: Instant) {
         self.last_redirect.retain(|_, at| now.saturating_duration_since(*at) < REDIRECT_INTERVAL);
     }
 }
 
-/// A number above 0 and up to 1 that is the same in every process.
+/// Returns a hash in the range (0, 1] that is the same in every process.
 fn unit_hash(member: &ControllerId, worker: &MachineId) -> f64 {
     let mut bytes = Vec::with_capacity(64);
     bytes.extend_from_slice(member.as_str().as_bytes());
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn nobody_gets_much_more_than_an_even_share_by_weight() {
+fn no_member_owns_twice_an_even_share_and_weight_zero_owns_none() {
     let counts = shares(&members(&[1000; 12]));
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|n| *n < 2 * 5600 / 12), "{counts:?}");
@@ -36,14 +36,14 @@
     assert!(!counts.contains_key(&ControllerId::new("spindle-1")));
 }
 
-/// A controller that goes moves its own workers only, and its return moves them back.
+/// Removing a controller moves only its own workers, so adding it again moves only them back.
 #[test]
-fn only_the_share_of_who_goes_moves() {
-    let (all, fewer) = (members(&[1000; 5]), members(&[1000, 1000, 0, 1000, 1000]));
-    let gone = ControllerId::new("spindle-2");
+fn removing_a_member_moves_only_its_own_workers() {
+    let (all, without_one) = (members(&[1000; 5]), members(&[1000, 1000, 0, 1000, 1000]));
+    let removed = ControllerId::new("spindle-2");
     for (id, zone) in workers() {
-        let (before, after) = (all.owner(&id, zone), fewer.owner(&id, zone));
-        assert!(before == after || before == Some(&gone));
+        let (before, after) = (all.owner(&id, zone), without_one.owner(&id, zone));
+        assert!(before == after || before == Some(&removed));
     }
     assert_eq!(Membership::default().owner(&MachineId::new("i-1"), "a"), None);
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn members_are_those_that_serve_and_have_room() {
+fn members_are_available_controllers_weighted_by_free_sockets() {
     let candidates = [
         candidate(0, 900, true),
         candidate(1, 900, false),
@@ -78,28 +78,35 @@
     assert!(weights == expected && !includes_leader, "{weights:?}");
     assert!(membership.contains(&ControllerId::new("spindle-2")));
     assert!(!membership.contains(&ControllerId::new("spindle-3")));
-    // Nobody passes reports on where nobody else can take any.
-    for none in [vec![], vec![candidate(0, 900, false)], vec![candidate(0, 10, true)]] {
-        assert_eq!(choose_members(&none, &leader(100, true)), MemberChoice::default());
+    // Without another controller that can receive heartbeats there are no members.
+    for unusable_candidates in
+        [vec![], vec![candidate(0, 900, false)], vec![candidate(0, 10, true)]]
+    {
+        assert_eq!(
+            choose_members(&unusable_candidates, &leader(100, true)),
+            MemberChoice::default()
+        );
     }
 }
 
 #[test]
-fn the_leader_takes_some_where_the_others_have_little_room() {
-    let two = [candidate(0, 900, true), candidate(1, 900, true)];
-    assert!(!choose_members(&two, &leader(700, false)).includes_leader);
+fn leader_joins_above_the_upper_load_threshold_and_leaves_below_the_lower_one() {
+    let candidates = [candidate(0, 900, true), candidate(1, 900, true)];
+    assert!(!choose_members(&candidates, &leader(700, false)).includes_leader);
     assert!(
-        choose_members(&two, &leader(700, true)).includes_leader,
-        "it goes on until it is clearly too little"
+        choose_members(&candidates, &leader(700, true)).includes_leader,
+        "a leader that is a member stays one between the two thresholds"
     );
-    assert!(!choose_members(&two, &leader(600, true)).includes_leader);
-    let MemberChoice { membership, includes_leader } = choose_members(&two, &leader(1200, false));
+    assert!(!choose_members(&candidates, &leader(600, true)).includes_leader);
+    let MemberChoice { membership, includes_leader } =
+        choose_members(&candidates, &leader(1200, false));
     assert!(includes_leader && membership.contains(&ControllerId::new("leader")));
 }
 
-/// Two controllers that know different members would send a worker back and forth until its lease is over.
+/// Without the limit, two controllers that know different members would redirect a worker back and forth until its
+/// lease expires.
 #[test]
-fn a_worker_is_sent_away_once_in_a_while() {
+fn worker_is_redirected_at_most_once_per_interval() {
     let now = Instant::now();
     let (mut redirects, id) = (Redirects::default(), MachineId::new("i-1"));
     assert!(redirects.try_redirect(&id, now));
--- a/src/peers/mesh.rs
+++ b/src/peers/mesh.rs
@@ -1,8 +1,8 @@
-//! The mesh: messages between controllers, as postcard frames over TCP.
+//! The mesh: messages between controllers, sent as postcard frames over TCP.
 //!
-//! Each controller dials every other one and only writes on that connection; the other side
-//! acknowledges each frame with one byte, so that a dead connection is noticed and redialled. Where the
-//! network between two controllers is cut, a message travels as text by way of the key-value store.
+//! Each controller dials every other one and only writes to that connection. The other side acknowledges each frame
+//! with one byte, so that a dead connection is detected and redialled. While the network between two controllers is
+//! cut, messages are sent as text through the key-value store.
 
 mod chunking;
 mod dialer;
--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -1,12 +1,13 @@
-//! Large messages on their way by the key-value store: chunks that each fit a stored value.
+//! Splitting of messages sent through the key-value store into chunks that each fit into a stored value.
 
 use crate::schema::encoding;
 use std::collections::BTreeMap;
 
-/// Bytes. What stands before the text of a chunk at the most.
+/// Maximum size of the header before the text of a chunk, in bytes.
 const CHUNK_HEADER_BYTES: usize = 40;
 
-/// Splits a message's text into chunks of at most `value_max` bytes each: `<seq>.<count>.<index>:<text>`.
+/// Splits a message's text into chunks of at most `value_max` bytes each, in the form
+/// `<sequence number>.<count>.<index>:<text>`.
 pub fn split_into_chunks(text: &str, seq: u64, value_max: usize) -> Vec<String> {
     let size = value_max.saturating_sub(CHUNK_HEADER_BYTES).max(1);
     let chunks = encoding::split_text(text, size);
@@ -15,7 +16,7 @@
     numbered.map(|(index, chunk)| format!("{seq}.{count}.{index}:{chunk}")).collect()
 }
 
-/// Puts the chunks of one sender's newest message together.
+/// Reassembles the chunks of one sender's newest message.
 #[derive(Debug, Default)]
 pub struct ChunkAssembler {
     seq: u64,
@@ -23,7 +24,7 @@
 }
 
 impl ChunkAssembler {
-    /// Adds a chunk; returns the message's text once all of its chunks are there.
+    /// Adds a chunk and returns the message's text once all of its chunks have arrived.
     pub fn push(&mut self, chunk: &str) -> Option<String> {
         let (header, text) = chunk.split_once(':')?;
         let mut numbers = header.split('.').map(str::parse::<u64>);
@@ -31,7 +32,8 @@
         let count = numbers.next()?.ok()?;
         let index = numbers.next()?.ok()?;
         if seq != self.seq {
-            // A restarted sender counts from elsewhere: whatever comes last is its newest message.
+            // A restarted sender may use lower sequence numbers, so the last chunk to arrive belongs to its
+            // newest message.
             *self = ChunkAssembler { seq, chunks: BTreeMap::new() };
         }
         self.chunks.insert(index as usize, text.to_owned());
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -1,4 +1,4 @@
-//! The sending side of the mesh.
+//! Sending side of the mesh.
 
 use super::framing::encode_frame;
 use super::message::PeerMessage;
@@ -11,22 +11,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Pause before more of a frame is written to a connection whose buffer is full.
+/// Pause before the rest of a frame is written to a connection whose send buffer is full.
 const WRITE_RETRY: Duration = Duration::from_millis(5);
-/// Bytes. Acknowledgements read at once, one byte each: more than a peer can owe.
+/// Size of the buffer for acknowledgements, in bytes. An acknowledgement is one byte, so this is more than a peer can
+/// have outstanding.
 const ACK_BUFFER_BYTES: usize = 64;
 
-/// What was written to a peer since the start.
+/// Traffic written to a peer since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
-    /// Frames.
+    /// Number of frames written.
     pub frames: u64,
-    /// Their bytes.
+    /// Total size of these frames, in bytes.
     pub bytes: u64,
 }
 
 /// Sends messages to one peer, redialling as needed, until the channel is closed. A message that cannot be sent is
-/// dropped: its sender sends newer ones.
+/// dropped, because its sender will send newer ones.
 pub async fn dial(
     address: SocketAddr,
     mut outgoing: mpsc::Receiver<PeerMessage>,
@@ -35,7 +36,7 @@
     while !(outgoing.is_closed() && outgoing.is_empty()) {
         let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             sleep(RETRY_PAUSE).await;
-            // What queued up meanwhile is out of date.
+            // Messages queued in the meantime are outdated.
             while outgoing.try_recv().is_ok() {}
             continue;
         };
@@ -55,7 +56,7 @@
         let frame = match encode_frame(&message) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::warn!(%error, "message to a controller dropped");
+                tracing::warn!(%error, "dropped a message to a peer that cannot be encoded");
                 continue;
             }
         };
@@ -69,11 +70,11 @@
     }
 }
 
-/// A connection that is only written to. Acknowledgements are read when the next frame is written, so that they
-/// wake nobody until then; a stream that the runtime watches would wake it for each, so it is taken from it.
+/// Connection to a peer, used for writing only. Acknowledgements are read when the next frame is written. The stream is
+/// deregistered from the runtime, which would otherwise wake up for each acknowledgement.
 struct PeerConnection {
     stream: std::net::TcpStream,
-    /// When frames were written that are not acknowledged yet.
+    /// Times at which the frames that are not yet acknowledged were written, oldest first.
     unacknowledged: VecDeque<Instant>,
 }
 
@@ -82,7 +83,7 @@
         Ok(PeerConnection { stream: stream.into_std()?, unacknowledged: VecDeque::new() })
     }
 
-    /// Writes a frame, unless an earlier one has been without acknowledgement for too long.
+    /// Writes a frame, or fails if an earlier one was not acknowledged within `CONNECT_TIMEOUT`.
     async fn send(&mut self, mut frame: &[u8]) -> io::Result<()> {
         self.read_acknowledgements()?;
         let overdue = |sent: &Instant| sent.elapsed() > CONNECT_TIMEOUT;
--- a/src/peers/mesh/framing.rs
+++ b/src/peers/mesh/framing.rs
@@ -1,34 +1,34 @@
-//! Encoding of messages: a frame is a big-endian `u32` length and a postcard body.
+//! Encoding of messages. A frame is a big-endian `u32` length followed by a postcard body.
 
 use super::message::{PeerCapabilities, PeerMessage};
 use crate::constants::BODY_MAX;
 use crate::wire;
 
-/// Bytes. A larger frame is a fault of its sender.
+/// Maximum size of a frame's body, in bytes. The listener rejects a larger frame as an error of its sender.
 pub(super) const FRAME_MAX: usize = BODY_MAX;
 
-/// Why a message cannot be encoded or decoded.
+/// Error in encoding or decoding a message.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// It is not the postcard form of a message.
-    #[error("not a message between controllers: {0}")]
+    /// The bytes are not the postcard encoding of a message, or the message cannot be encoded.
+    #[error("cannot encode or decode a message between controllers: {0}")]
     Codec(#[from] postcard::Error),
-    /// A text that is not hexadecimal.
-    #[error("a message's text is not hexadecimal")]
+    /// The text is not hexadecimal.
+    #[error("the text of a message is not hexadecimal")]
     NotHexadecimal,
-    /// It exceeds the limit of a frame.
-    #[error("a message of {bytes} bytes exceeds the limit of a frame, {FRAME_MAX} bytes")]
+    /// The body exceeds the maximum size of a frame.
+    #[error("a message of {bytes} bytes exceeds the frame limit of {FRAME_MAX} bytes")]
     TooLarge {
-        /// Bytes of its body.
+        /// Size of the body, in bytes.
         bytes: usize,
     },
 }
 
-/// The frame that carries a message.
+/// Encodes a message as a frame.
 pub(super) fn encode_frame(message: &PeerMessage) -> Result<Vec<u8>, FrameError> {
     let mut body = postcard::to_stdvec(message)?;
     if let PeerMessage::PeerStatus { extra, .. } = message {
-        // Earlier versions ignore what follows the message.
+        // The capabilities follow the message, where earlier versions ignore them.
         body.extend(postcard::to_stdvec(extra)?);
     }
     if body.len() > FRAME_MAX {
@@ -39,7 +39,7 @@
     Ok(frame)
 }
 
-/// The message in a frame's body.
+/// Decodes the message in a frame's body.
 pub(super) fn decode_body(body: &[u8]) -> Result<PeerMessage, FrameError> {
     let (mut message, rest) = postcard::take_from_bytes::<PeerMessage>(body)?;
     if let PeerMessage::PeerStatus { extra, .. } = &mut message {
@@ -48,12 +48,12 @@
     Ok(message)
 }
 
-/// A message as text, for the way by the key-value store.
+/// Encodes a message as text, to be sent through the key-value store.
 pub fn encode_text(message: &PeerMessage) -> Result<String, FrameError> {
     Ok(wire::hex(&postcard::to_stdvec(message)?))
 }
 
-/// The message of a text made by [`encode_text`].
+/// Decodes the message from a text that [`encode_text`] produced.
 pub fn decode_text(text: &str) -> Result<PeerMessage, FrameError> {
     let body = wire::unhex(text).ok_or(FrameError::NotHexadecimal)?;
     Ok(postcard::from_bytes(&body)?)
--- a/src/peers/mesh/listener.rs
+++ b/src/peers/mesh/listener.rs
@@ -1,4 +1,4 @@
-//! The receiving side of the mesh.
+//! Receiving side of the mesh.
 
 use super::framing::{FRAME_MAX, decode_body};
 use super::message::PeerMessage;
@@ -11,10 +11,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed accept, which usually means that the process is out of descriptors.
+/// Pause after a failed accept, which usually means that the process has no free file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Receives messages from every peer that dials in. The connections' tasks end with this future.
+/// Receives messages from every peer that connects. Dropping this future ends the tasks of all connections.
 pub async fn serve(listener: TcpListener, received: mpsc::UnboundedSender<PeerMessage>) {
     let mut connections = JoinSet::new();
     loop {
@@ -28,13 +28,13 @@
     }
 }
 
-/// Receives frames and acknowledges each, until the connection fails or nobody takes messages any more.
+/// Receives and acknowledges frames until the connection fails or the receiver of messages is dropped.
 async fn receive_frames(
     stream: TcpStream,
     received: mpsc::UnboundedSender<PeerMessage>,
 ) -> io::Result<()> {
     let _ = stream.set_nodelay(true);
-    // Length and body usually come in one packet: one system call reads both.
+    // Length and body usually arrive in one packet, so a buffered read needs one system call for both.
     let mut stream = BufReader::with_capacity(READ_AT_ONCE, stream);
     loop {
         let length = timeout(IDLE_TIMEOUT, stream.read_u32()).await?? as usize;
--- a/src/peers/mesh/message.rs
+++ b/src/peers/mesh/message.rs
@@ -1,6 +1,6 @@
-//! What controllers send to each other.
+//! Messages between controllers.
 //!
-//! The wire form is postcard: the order of variants and of fields is part of it, their names are not.
+//! They are encoded with postcard: the order of variants and fields is part of the encoding, their names are not.
 
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
 use crate::peers::heartbeat_relay::{HeartbeatResult, RelayedHeartbeat};
@@ -8,142 +8,143 @@
 use crate::workers::command_delivery::{Delivery, DeliveryResult};
 use serde::{Deserialize, Serialize};
 
-/// A message from one controller to another.
+/// Message from one controller to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The periodic status of a controller, sent to every other one.
+    /// Periodic status of a controller, sent to every other controller.
     PeerStatus {
-        /// The sender.
+        /// Sender of the status, to which replies are sent.
         from: ControllerId,
-        /// Number of the message; replies repeat it.
+        /// Sequence number of the status; replies repeat it.
         seq: u64,
-        /// Token of a sender that leads: it asks for a lease extension.
+        /// Fencing token of the sender if it is the leader: it then requests an extension of its lease.
         leading: Option<FencingToken>,
-        /// The sender cannot reach the key-value store.
+        /// Whether the sender cannot reach the key-value store.
         state_lost: bool,
-        /// The newest lease grant that the sender has: token of its leader and number of the grant.
+        /// Newest lease grant that the sender received: fencing token of its leader and number of the grant.
         ack: (FencingToken, u64),
-        /// Milliseconds since the sender's process started.
+        /// Time since the sender's process started, in milliseconds.
         up_ms: u64,
-        /// Workers that the sender answered on a leader's behalf, and how many milliseconds ago.
+        /// Workers that the sender answered on a leader's behalf, each with the time since then in milliseconds.
         answered_for_leader: Vec<(MachineId, u64)>,
-        /// Milliseconds since the sender last received a worker's heartbeat.
+        /// Time since the sender last received a worker's heartbeat, in milliseconds.
         worker_ms: Option<u64>,
-        /// Written behind the message in its frame, where earlier versions ignore it.
+        /// Capabilities of the sender, written after the message in its frame, where earlier versions ignore them.
         #[serde(skip)]
         extra: PeerCapabilities,
     },
-    /// Lease grant: the receiver may answer heartbeats on the leader's behalf while the leader is out of its
-    /// reach.
+    /// Grant of a delegated lease: the receiver may answer heartbeats on the leader's behalf while it cannot reach the
+    /// leader.
     LeaseGrant {
-        /// Number of the status that is answered.
+        /// Sequence number of the status that this message answers.
         seq: u64,
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
         /// Number of the grant, which the receiver acknowledges in its status.
         number: u64,
-        /// Machines that must not be answered.
+        /// Machines whose heartbeats the receiver must not answer.
         revoked: Vec<MachineId>,
-        /// Machines that are answered even while the leader is in reach.
+        /// Machines whose heartbeats the receiver answers even while it can reach the leader.
         delegated: Vec<MachineId>,
     },
-    /// Lease extension: the sender withholds its candidacy for a while.
+    /// Extension of the leader lease: the sender does not stand for election for a limited time.
     LeaseExtension {
-        /// The sender.
+        /// Controller that extends the lease.
         from: ControllerId,
-        /// Number of the status that is answered.
+        /// Sequence number of the status that this message answers.
         seq: u64,
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Jobs whose cancellation the sender confirmed to users.
+        /// Jobs whose cancellation the sender has confirmed to users.
         cancelled: Vec<JobId>,
     },
-    /// How many tasks of each job run, for answers to users.
+    /// Numbers of running tasks by job, with which the receiver answers users' queries.
     RunningTasks {
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Running tasks by job.
+        /// Jobs with their numbers of running tasks.
         counts: Vec<(JobId, u32)>,
     },
-    /// Users ask to cancel these jobs: whoever may answer workers is asked for an acknowledgement. Sent only to
-    /// controllers that hold a controller lease; earlier versions do not know it.
+    /// Users' request to cancel jobs, which every controller that may answer workers has to acknowledge. It is sent only
+    /// to controllers that hold a controller lease, because earlier versions do not know the message.
     CancellationRequest {
-        /// The sender.
+        /// Controller that received the users' requests and needs the acknowledgements.
         from: ControllerId,
-        /// Number of the request.
+        /// Sequence number of the request; the acknowledgement repeats it.
         seq: u64,
         /// Jobs to be cancelled.
         jobs: Vec<JobId>,
     },
-    /// Cancellation acknowledgement: the sender will have the jobs' tasks stopped on workers that it answers.
+    /// Acknowledgement of a cancellation: the sender will stop the jobs' tasks on the workers that it answers.
     CancellationAck {
-        /// The sender.
+        /// Controller that acknowledges the request.
         from: ControllerId,
-        /// Number of the request.
+        /// Sequence number of the request.
         seq: u64,
-        /// Revision of the sender's controller lease under which this holds.
+        /// Revision of the sender's controller lease under which the acknowledgement is valid.
         under: Revision,
-        /// Jobs of the request.
+        /// Jobs whose cancellation is acknowledged: those of the request.
         jobs: Vec<JobId>,
-        /// From a leader: revision of its leader key, and for each job the zones in which it may have tasks.
+        /// Sent by a leader only: revision of its leader key and, for each job, the zones in which it may have tasks.
         placed: Option<(Revision, Vec<Vec<String>>)>,
     },
-    /// Shard assignment: for a short term, members relay heartbeats of their workers to the leader. Without
-    /// members nobody does. This and the following go only to peers of a protocol version that has them.
+    /// Assignment of shards: for a short time, the members relay heartbeats of their workers to the leader. Without
+    /// members, no controller does. This message and the following ones are sent only to peers whose protocol version
+    /// has them.
     ShardAssignment {
-        /// The leader.
+        /// Leader that assigns the shards and receives the heartbeats.
         from: ControllerId,
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Controllers among which workers are divided.
+        /// Controllers among which the workers are divided.
         members: Membership,
     },
-    /// Relayed heartbeats, for the leader with that token.
+    /// Batch of heartbeats relayed to the leader with this fencing token.
     RelayedHeartbeats {
-        /// The sender.
+        /// Controller that received the heartbeats and needs their results.
         from: ControllerId,
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Number of the batch.
+        /// Number of the batch; the results repeat it.
         batch: u64,
-        /// The heartbeats.
+        /// Heartbeats of the batch; results refer to them by index.
         heartbeats: Vec<RelayedHeartbeat>,
     },
-    /// The leader's results for a batch of heartbeats.
+    /// The leader's results for a batch of relayed heartbeats.
     HeartbeatResults {
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// Number of the batch.
+        /// Number of the batch that the results belong to.
         batch: u64,
         /// Results, each with the index of its heartbeat in the batch.
         results: Vec<(u32, HeartbeatResult)>,
     },
-    /// Relayed commands: the leader has the receiver call workers.
+    /// Commands that the receiver delivers to workers by direct calls for the leader.
     RelayedCommands {
-        /// The leader.
+        /// Leader that issued the commands and receives their results.
         from: ControllerId,
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
-        /// The calls.
+        /// Commands with the workers to call.
         commands: Vec<Delivery>,
     },
-    /// Command results of calls that the sender made for a leader.
+    /// Results of the direct calls that the sender made for a leader.
     CommandResults {
-        /// Token of the leader.
+        /// Fencing token of the leader.
         token: FencingToken,
         /// Results, each with the number of its command.
         results: Vec<(u64, DeliveryResult)>,
     },
 }
 
-/// Version of the messages that this program understands: 1 added relayed heartbeats.
+/// Version of the message protocol that this program supports. Version 1 added relayed heartbeats.
 pub const MESH_PROTOCOL: u8 = 1;
 
-/// What a controller offers to its peers, sent with its status.
+/// Capabilities of a controller, sent with its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PeerCapabilities {
-    /// Version of the messages that the sender understands; 0 if it does not say.
+    /// Version of the message protocol that the sender supports; 0 if it sent no capabilities.
     pub protocol: u8,
-    /// Thousandths of its public sockets that are free.
+    /// Free share of the sender's public sockets, in thousandths.
     pub free_sockets_permille: u16,
 }
--- a/src/peers/message_route.rs
+++ b/src/peers/message_route.rs
@@ -1,10 +1,10 @@
-//! The way by which controllers' messages travel.
+//! Routes of messages between controllers.
 
-/// How a message of another controller came here, and how a response goes back.
+/// Route on which a message of another controller arrived; the response takes the same route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageRoute {
-    /// Over a connection between the two.
+    /// Direct connection between the two controllers.
     Direct,
-    /// By way of the store, which is slower and works where the connection is cut.
+    /// Messages written to the store, which is slower but works while the connection is cut.
     Store,
 }
