--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -92,13 +92,17 @@
     ) {
         self.api.acknowledged_cancellations.acknowledge(&jobs);
         let holds_leadership = self.holds_leadership(now);
-        let placed = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
+        let placements = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
             let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.store.cache)).collect();
             (scheduler.leader_revision(), zones)
         });
         let me = self.name().clone();
-        let under = self.controller_lease.revision();
-        self.send(from, PeerMessage::CancellationAck { from: me, seq, under, jobs, placed }, route);
+        let lease_revision = self.controller_lease.revision();
+        self.send(
+            from,
+            PeerMessage::CancellationAck { from: me, seq, lease_revision, jobs, placements },
+            route,
+        );
     }
 
     /// A peer acknowledges cancellations.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -40,24 +40,24 @@
                 from,
                 seq,
                 leading,
-                state_lost,
-                ack,
-                up_ms,
+                store_unavailable,
+                acknowledged_grant,
+                uptime_ms,
                 answered_for_leader,
-                worker_ms,
-                extra,
+                last_heartbeat_age_ms,
+                capabilities,
             } => {
                 let status = PeerStatus {
                     from,
                     seq,
                     leading,
-                    store_lost: state_lost,
-                    acknowledged: ack.into(),
-                    uptime: Duration::from_millis(up_ms),
+                    store_lost: store_unavailable,
+                    acknowledged: acknowledged_grant.into(),
+                    uptime: Duration::from_millis(uptime_ms),
                     answered_for_leader,
-                    last_worker_heartbeat: worker_ms
+                    last_worker_heartbeat: last_heartbeat_age_ms
                         .and_then(|ms| now.checked_sub(Duration::from_millis(ms))),
-                    capabilities: extra,
+                    capabilities,
                 };
                 self.on_peer_status(&status, route, now);
             }
@@ -71,10 +71,10 @@
             PeerMessage::CancellationRequest { from, seq, jobs } => {
                 self.on_cancellation_request(&from, seq, jobs, route, now);
             }
-            PeerMessage::CancellationAck { from, seq, under, jobs, placed } => {
-                let placements =
-                    placed.map(|(leader_revision, zones)| JobPlacements { leader_revision, zones });
-                let ack = CancellationAck { from, seq, lease_revision: under, jobs, placements };
+            PeerMessage::CancellationAck { from, seq, lease_revision, jobs, placements } => {
+                let placements = placements
+                    .map(|(leader_revision, zones)| JobPlacements { leader_revision, zones });
+                let ack = CancellationAck { from, seq, lease_revision, jobs, placements };
                 self.on_cancellation_ack(ack, now);
             }
             PeerMessage::RunningTasks { token, counts } => self.on_running_tasks(token, counts),
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::http::Response;
 use crate::ids::{ControllerId, FencingToken};
 use crate::peers::heartbeat_relay::{
-    HeartbeatResult, OversizedHeartbeat, RELAY_TERM, RelayedHeartbeat,
+    ASSIGNMENT_VALIDITY, HeartbeatResult, OversizedHeartbeat, RelayedHeartbeat,
 };
 use crate::peers::mesh::PeerMessage;
 use crate::store::STORE_UNAVAILABLE_AFTER;
@@ -75,7 +75,8 @@
             None => lapsed,
         };
         let is_alive = self.sharding.has_store_contact(leader.token, STORE_CONTACT_LASTS, now);
-        let is_cut_off = silence >= if is_alive { RELAY_TERM } else { LEADER_CUT_OFF_AFTER };
+        let is_cut_off =
+            silence >= if is_alive { ASSIGNMENT_VALIDITY } else { LEADER_CUT_OFF_AFTER };
         let synced_at = self.store.synced_at;
         let is_synced =
             synced_at.is_some_and(|at| now.saturating_duration_since(at) < STORE_UNAVAILABLE_AFTER);
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::admission::ShardingPolicy;
 use crate::ids::{ControllerId, FencingToken};
-use crate::peers::heartbeat_relay::{HeartbeatRelay, RELAY_RESUMES_WITHIN};
+use crate::peers::heartbeat_relay::{HeartbeatRelay, RELAY_RESUME_WINDOW};
 use crate::peers::membership::{
     LeaderLoad, MemberCandidate, Membership, Redirects, choose_members,
 };
@@ -94,7 +94,7 @@
 
     /// How much longer than usual a leader waits for workers' heartbeats.
     pub(super) fn extra_patience(&self, now: Instant) -> Duration {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUMES_WITHIN;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUME_WINDOW;
         if self.last_sharded.is_some_and(is_recent) { EXTRA_PATIENCE } else { Duration::ZERO }
     }
 
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -104,12 +104,12 @@
             from: self.name().clone(),
             seq: self.peer_requests.next_status(now),
             leading: self.scheduler.as_ref().and(self.election.token()),
-            state_lost: self.store.is_unavailable(now),
-            ack: (token, number),
-            up_ms: age_ms(self.started_at, now),
+            store_unavailable: self.store.is_unavailable(now),
+            acknowledged_grant: (token, number),
+            uptime_ms: age_ms(self.started_at, now),
             answered_for_leader: self.delegated_lease.answered_for_leader(now),
-            worker_ms: self.last_worker_heartbeat.map(|at| age_ms(at, now)),
-            extra: self.capabilities(),
+            last_heartbeat_age_ms: self.last_worker_heartbeat.map(|at| age_ms(at, now)),
+            capabilities: self.capabilities(),
         };
         self.broadcast(&status);
         self.relay_status(&status, now);
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -23,18 +23,18 @@
 use tokio::time::Instant;
 
 /// Validity of an assignment after it was received: three of the leader's messages.
-pub const RELAY_TERM: Duration = Duration::from_millis(1600);
+pub const ASSIGNMENT_VALIDITY: Duration = Duration::from_millis(1600);
 /// Time after the last assignment during which heartbeats wait for a new leader's assignment. Redirecting thousands of
 /// workers to the new leader at once would exhaust its sockets.
-pub const RELAY_RESUMES_WITHIN: Duration = Duration::from_secs(12);
+pub const RELAY_RESUME_WINDOW: Duration = Duration::from_secs(12);
 /// Timeout for the leader's result for a heartbeat. The worker waits for 4 s, so its request is still open then.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
 /// Time that unchanged heartbeats wait for others to be sent in the same batch.
-pub const RELAY_PAUSE: Duration = Duration::from_millis(60);
+pub const BATCH_DELAY: Duration = Duration::from_millis(60);
 /// Time that heartbeats wait if one of them has changed.
-pub const RELAY_PAUSE_NEWS: Duration = Duration::from_millis(12);
+pub const CHANGED_BATCH_DELAY: Duration = Duration::from_millis(12);
 /// Maximum number of batches in flight, so that a leader that falls behind receives fewer and larger batches.
-pub const RELAY_BATCHES: usize = 8;
+pub const MAX_BATCHES_IN_FLIGHT: usize = 8;
 
 /// The leader's permission to relay heartbeats to it, with the controllers that do so.
 #[derive(Debug)]
@@ -84,7 +84,7 @@
 
     /// Returns the time at which the next batches are due; it is earlier if a heartbeat has changed.
     fn due(&self) -> Option<Instant> {
-        let pause = if self.has_changes { RELAY_PAUSE_NEWS } else { RELAY_PAUSE };
+        let pause = if self.has_changes { CHANGED_BATCH_DELAY } else { BATCH_DELAY };
         self.since.map(|since| since + pause)
     }
 }
@@ -188,7 +188,7 @@
         self.assignment.as_ref().filter(|assignment| {
             assignment.token >= newest
                 && !assignment.members.is_empty()
-                && assignment.age(now) < RELAY_TERM
+                && assignment.age(now) < ASSIGNMENT_VALIDITY
         })
     }
 
@@ -208,7 +208,7 @@
     /// Returns whether the relay was permitted recently, so that the next leader is likely to permit it soon.
     pub fn may_resume(&self, now: Instant) -> bool {
         self.assignment.as_ref().is_some_and(|assignment| {
-            !assignment.members.is_empty() && assignment.age(now) < RELAY_RESUMES_WITHIN
+            !assignment.members.is_empty() && assignment.age(now) < RELAY_RESUME_WINDOW
         })
     }
 
@@ -244,7 +244,7 @@
     /// Returns the batches that are due and records them as in flight.
     pub fn take_batches(&mut self, newest: FencingToken, now: Instant) -> Vec<HeartbeatBatch> {
         let due = self.queue.due().is_some_and(|due| now >= due);
-        if !due || self.in_flight.len() >= RELAY_BATCHES {
+        if !due || self.in_flight.len() >= MAX_BATCHES_IN_FLIGHT {
             return Vec::new();
         }
         let Some(assignment) = self.current_assignment(newest, now) else { return Vec::new() };
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -1,6 +1,6 @@
 use super::{
-    HeartbeatBatch, HeartbeatRelay, HeartbeatResult, RELAY_PAUSE, RELAY_RESUMES_WITHIN, RELAY_TERM,
-    RELAY_TIMEOUT, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
+    ASSIGNMENT_VALIDITY, BATCH_DELAY, HeartbeatBatch, HeartbeatRelay, HeartbeatResult,
+    RELAY_RESUME_WINDOW, RELAY_TIMEOUT, RelayedCommand, RelayedHeartbeat, UnchangedHeartbeat,
 };
 use crate::cloud::MachinePool;
 use crate::constants::BODY_MAX;
@@ -47,10 +47,10 @@
 
 /// Sends the queued heartbeats as one batch, accepts them all without commands, and returns the batch.
 fn relay_and_accept(relay: &mut HeartbeatRelay, now: Instant) -> HeartbeatBatch {
-    let mut batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
+    let mut batches = relay.take_batches(FencingToken(3), now + BATCH_DELAY);
     let batch = batches.pop().unwrap();
     assert!(batches.is_empty());
-    relay.on_results(FencingToken(3), batch.number, Vec::new(), now + RELAY_PAUSE);
+    relay.on_results(FencingToken(3), batch.number, Vec::new(), now + BATCH_DELAY);
     batch
 }
 
@@ -87,7 +87,7 @@
     let now = Instant::now();
     let mut relay = relay(now);
     relay.accept(1, heartbeat("i-1", 1, &[]), now).unwrap();
-    let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    let batch = relay.take_batches(FencingToken(3), now + BATCH_DELAY).pop().unwrap();
     let command = RelayedCommand::Start(TaskId::parse("wk-1/0").unwrap(), Attempt(9));
     let results = vec![(0, HeartbeatResult::Accepted(vec![command.clone()]))];
     let replies = relay.on_results(FencingToken(3), batch.number, results, now);
@@ -112,7 +112,7 @@
     relay.accept(1, heartbeat("i-1", 1, &[]), now).unwrap();
     relay_and_accept(&mut relay, now);
     relay.accept(2, heartbeat("i-1", 2, &[]), now).unwrap();
-    let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    let batch = relay.take_batches(FencingToken(3), now + BATCH_DELAY).pop().unwrap();
     let replies = relay.on_results(
         FencingToken(3),
         batch.number,
@@ -135,11 +135,11 @@
     relay.accept(1, heartbeat("i-1", 1, &[]), now).unwrap();
     relay_and_accept(&mut relay, now);
     relay.accept(2, heartbeat("i-1", 2, &[]), now).unwrap();
-    let unanswered = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+    let unanswered = relay.take_batches(FencingToken(3), now + BATCH_DELAY).pop().unwrap();
     relay.on_assignment(FencingToken(4), ControllerId::new("c"), members(), now);
     assert!(relay.on_results(FencingToken(3), unanswered.number, Vec::new(), now).is_empty());
     assert!(relay.members(FencingToken(5), now).is_none());
-    let resent = relay.take_batches(FencingToken(4), now + RELAY_PAUSE).pop().unwrap();
+    let resent = relay.take_batches(FencingToken(4), now + BATCH_DELAY).pop().unwrap();
     assert_eq!(resent.leader, ControllerId::new("c"));
     assert!(matches!(resent.heartbeats[..], [RelayedHeartbeat::Full(_)]));
     relay.on_assignment(FencingToken(3), ControllerId::new("a"), members(), now);
@@ -151,12 +151,12 @@
     let now = Instant::now();
     let mut relay = relay(now);
     assert!(relay.members(FencingToken(3), now).is_some());
-    assert!(relay.members(FencingToken(3), now + RELAY_TERM).is_none());
-    assert!(relay.may_resume(now + RELAY_TERM));
-    assert!(!relay.may_resume(now + RELAY_RESUMES_WITHIN));
+    assert!(relay.members(FencingToken(3), now + ASSIGNMENT_VALIDITY).is_none());
+    assert!(relay.may_resume(now + ASSIGNMENT_VALIDITY));
+    assert!(!relay.may_resume(now + RELAY_RESUME_WINDOW));
     relay.accept(1, heartbeat("i-1", 1, &[]), now).unwrap();
-    relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
-    relay.accept(2, heartbeat("i-2", 1, &[]), now + RELAY_PAUSE).unwrap();
+    relay.take_batches(FencingToken(3), now + BATCH_DELAY);
+    relay.accept(2, heartbeat("i-2", 1, &[]), now + BATCH_DELAY).unwrap();
     assert!(relay.take_overdue(now + RELAY_TIMEOUT / 2).is_empty());
     let overdue = relay.take_overdue(now + RELAY_TIMEOUT);
     assert_eq!(overdue.iter().map(|overdue| overdue.ticket).collect::<Vec<u64>>(), [1]);
@@ -177,13 +177,13 @@
     for ticket in 0..40 {
         assert!(relay.accept(ticket, heartbeat(&format!("i-{ticket}"), 1, &many), now).is_ok());
     }
-    let batches = relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
+    let batches = relay.take_batches(FencingToken(3), now + BATCH_DELAY);
     assert_eq!(batches.iter().map(|batch| batch.heartbeats.len()).sum::<usize>(), 40);
     for batch in batches {
         assert!(postcard::to_stdvec(&batch.heartbeats).unwrap().len() < BODY_MAX);
     }
     relay.accept(50, heartbeat("i-1", 2, &many), now).unwrap();
-    assert!(relay.take_batches(FencingToken(3), now + RELAY_PAUSE * 2).is_empty());
+    assert!(relay.take_batches(FencingToken(3), now + BATCH_DELAY * 2).is_empty());
     let too_many: Vec<(&str, TaskState)> = many.iter().cycle().take(700).copied().collect();
     assert!(relay.accept(60, heartbeat("i-9", 1, &too_many), now).is_err());
 }
@@ -233,7 +233,7 @@
                 // Lost on the way to both leaders.
                 1 => {
                     relay.accept(seq, sent, now).unwrap();
-                    relay.take_batches(FencingToken(3), now + RELAY_PAUSE);
+                    relay.take_batches(FencingToken(3), now + BATCH_DELAY);
                     relay.take_overdue(now + RELAY_TIMEOUT);
                     continue;
                 }
@@ -242,7 +242,7 @@
             from_full.record_heartbeat(&sent, FencingToken(3), now);
             relay.accept(seq, sent, now).unwrap();
             loop {
-                let batch = relay.take_batches(FencingToken(3), now + RELAY_PAUSE).pop().unwrap();
+                let batch = relay.take_batches(FencingToken(3), now + BATCH_DELAY).pop().unwrap();
                 relayed_count += 1;
                 let result = match batch.heartbeats.into_iter().next().unwrap() {
                     RelayedHeartbeat::Full(full) => {
--- a/src/peers/mesh/framing.rs
+++ b/src/peers/mesh/framing.rs
@@ -27,9 +27,9 @@
 /// Encodes a message as a frame.
 pub(super) fn encode_frame(message: &PeerMessage) -> Result<Vec<u8>, FrameError> {
     let mut body = postcard::to_stdvec(message)?;
-    if let PeerMessage::PeerStatus { extra, .. } = message {
+    if let PeerMessage::PeerStatus { capabilities, .. } = message {
         // The capabilities follow the message, where earlier versions ignore them.
-        body.extend(postcard::to_stdvec(extra)?);
+        body.extend(postcard::to_stdvec(capabilities)?);
     }
     if body.len() > FRAME_MAX {
         return Err(FrameError::TooLarge { bytes: body.len() });
@@ -42,8 +42,8 @@
 /// Decodes the message in a frame's body.
 pub(super) fn decode_body(body: &[u8]) -> Result<PeerMessage, FrameError> {
     let (mut message, rest) = postcard::take_from_bytes::<PeerMessage>(body)?;
-    if let PeerMessage::PeerStatus { extra, .. } = &mut message {
-        *extra = postcard::from_bytes(rest).unwrap_or(PeerCapabilities::default());
+    if let PeerMessage::PeerStatus { capabilities, .. } = &mut message {
+        *capabilities = postcard::from_bytes(rest).unwrap_or(PeerCapabilities::default());
     }
     Ok(message)
 }
--- a/src/peers/mesh/message.rs
+++ b/src/peers/mesh/message.rs
@@ -20,18 +20,18 @@
         /// Fencing token of the sender if it is the leader: it then requests an extension of its lease.
         leading: Option<FencingToken>,
         /// Whether the sender cannot reach the key-value store.
-        state_lost: bool,
+        store_unavailable: bool,
         /// Newest lease grant that the sender received: fencing token of its leader and number of the grant.
-        ack: (FencingToken, u64),
+        acknowledged_grant: (FencingToken, u64),
         /// Time since the sender's process started, in milliseconds.
-        up_ms: u64,
+        uptime_ms: u64,
         /// Workers that the sender answered on a leader's behalf, each with the time since then in milliseconds.
         answered_for_leader: Vec<(MachineId, u64)>,
         /// Time since the sender last received a worker's heartbeat, in milliseconds.
-        worker_ms: Option<u64>,
+        last_heartbeat_age_ms: Option<u64>,
         /// Capabilities of the sender, written after the message in its frame, where earlier versions ignore them.
         #[serde(skip)]
-        extra: PeerCapabilities,
+        capabilities: PeerCapabilities,
     },
     /// Grant of a delegated lease: the receiver may answer heartbeats on the leader's behalf while it cannot reach the
     /// leader.
@@ -82,11 +82,11 @@
         /// Sequence number of the request.
         seq: u64,
         /// Revision of the sender's controller lease under which the acknowledgement is valid.
-        under: Revision,
+        lease_revision: Revision,
         /// Jobs whose cancellation is acknowledged: those of the request.
         jobs: Vec<JobId>,
         /// Sent by a leader only: revision of its leader key and, for each job, the zones in which it may have tasks.
-        placed: Option<(Revision, Vec<Vec<String>>)>,
+        placements: Option<(Revision, Vec<Vec<String>>)>,
     },
     /// Assignment of shards: for a short time, the members relay heartbeats of their workers to the leader. Without
     /// members, no controller does. This message and the following ones are sent only to peers whose protocol version
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -19,12 +19,12 @@
         from: ControllerId::new("a"),
         seq: 1,
         leading: None,
-        state_lost: false,
-        ack: (FencingToken(0), 0),
-        up_ms: 5,
+        store_unavailable: false,
+        acknowledged_grant: (FencingToken(0), 0),
+        uptime_ms: 5,
         answered_for_leader: Vec::new(),
-        worker_ms: None,
-        extra: capabilities,
+        last_heartbeat_age_ms: None,
+        capabilities,
     };
     let bytes = encode_frame(&status(capabilities)).unwrap().split_off(4);
     let without_capabilities = postcard::to_stdvec(&status(PeerCapabilities::default())).unwrap();
--- a/src/placement/model.rs
+++ b/src/placement/model.rs
@@ -102,12 +102,12 @@
     }
 
     /// Returns whether every zone that is open in `self` is also open in `other`.
-    pub fn open_within(&self, other: &ZoneLimits) -> bool {
+    pub fn open_zones_are_within(&self, other: &ZoneLimits) -> bool {
         self.0.iter().zip(&other.0).all(|(own, other)| *own == 0 || *other > 0)
     }
 
     /// Returns whether the same zones are open in `self` and `other`.
-    pub fn same_open_zones(&self, other: &ZoneLimits) -> bool {
+    pub fn has_same_open_zones(&self, other: &ZoneLimits) -> bool {
         let is_open = |limit: &u32| *limit > 0;
         self.0.iter().map(is_open).eq(other.0.iter().map(is_open))
     }
@@ -185,8 +185,9 @@
     pub capacity: Amount,
     /// Number of machines that may still be requested.
     pub available: u32,
-    /// Number of machines of the fleet that are already in this zone, used to balance the zones.
-    pub held: u32,
+    /// Number of machines of the fleet in this zone, of the same kind (spot or on-demand), used to
+    /// balance the zones.
+    pub machines_in_zone: u32,
 }
 
 /// Input of one planning pass.
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -152,7 +152,8 @@
             return self.place_tasks(index, request, heavy_limit);
         }
         let already_failed = self.unsatisfied.iter().any(|other| {
-            is_equivalent(request, other) && request.zone_limits.open_within(&other.zone_limits)
+            is_equivalent(request, other)
+                && request.zone_limits.open_zones_are_within(&other.zone_limits)
         });
         if already_failed {
             return request.count;
--- a/src/placement/scale_out.rs
+++ b/src/placement/scale_out.rs
@@ -38,7 +38,7 @@
             .min_by(|&a, &b| compare(&self.offers[a], &self.offers[b], request, near_limit))?;
         let offer = &mut self.offers[choice];
         offer.available -= 1;
-        offer.held += 1;
+        offer.machines_in_zone += 1;
         self.remaining -= 1;
         self.rented[choice] += 1;
         Some(Bin::booting(offer.zone, offer.machine_type, offer.spot, offer.capacity))
@@ -69,6 +69,6 @@
     let largest_first = if near_limit { copies(b).cmp(&copies(a)) } else { Ordering::Equal };
     largest_first
         .then(price_per_task(a).total_cmp(&price_per_task(b)))
-        .then(a.held.cmp(&b.held))
+        .then(a.machines_in_zone.cmp(&b.machines_in_zone))
         .then(a.zone.cmp(&b.zone))
 }
--- a/src/placement/service_order.rs
+++ b/src/placement/service_order.rs
@@ -18,7 +18,7 @@
     pub without_slo: bool,
     /// The job has started as many tasks as its team may run at once. It then yields to jobs that
     /// have not, so that a large job doesn't starve the small ones behind it.
-    pub had_turn: bool,
+    pub reached_team_limit: bool,
     /// Number of start objectives that the job has missed. Jobs that can still start in time go
     /// first.
     pub missed_slos: usize,
@@ -59,7 +59,7 @@
                 job.first_start,
                 job.without_slo,
                 job.missed_slos,
-                job.had_turn,
+                job.reached_team_limit,
                 job.size,
                 job.age_rank,
             )
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -94,7 +94,7 @@
                 first_start: random.random(),
                 over_quota: random.random(),
                 without_slo: random.random(),
-                had_turn: random.random(),
+                reached_team_limit: random.random(),
                 missed_slos: random.random_range(0..3),
                 size: random.random_range(0..9),
                 age_rank: age,
@@ -109,7 +109,7 @@
         for (at, a) in jobs.iter().enumerate() {
             for b in jobs[at + 1..].iter().filter(|b| team_position(b) == team_position(a)) {
                 let order_before_size = |job: &QueuedJob| {
-                    (job.first_start, job.without_slo, job.missed_slos, job.had_turn)
+                    (job.first_start, job.without_slo, job.missed_slos, job.reached_team_limit)
                 };
                 assert!(order_before_size(a) <= order_before_size(b));
                 if order_before_size(a) == order_before_size(b) {
@@ -243,7 +243,7 @@
         price,
         capacity: Amount::room(16.0, 0.0, 64.0),
         available: 2,
-        held: 0,
+        machines_in_zone: 0,
     }
 }
 
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -178,6 +178,6 @@
         price: if pool.spot { machine_type.spot_price } else { machine_type.price },
         capacity: fleet.capacities[pool.flavor],
         available,
-        held,
+        machines_in_zone: held,
     }
 }
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -103,7 +103,7 @@
             first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
             over_quota: false,
             without_slo: !self.has_objective(id, job),
-            had_turn: started >= max_copies(&team_limit, &job.need),
+            reached_team_limit: started >= max_copies(&team_limit, &job.need),
             missed_slos,
             size: if missed_all { 0 } else { spec.tasks },
             age_rank: 0,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -82,7 +82,7 @@
         == (b.priority, b.resources, b.zone, b.allows_spot)
         && a.machine_types == b.machine_types
         && a.excluded_machines == b.excluded_machines
-        && a.zone_limits.same_open_zones(&b.zone_limits)
+        && a.zone_limits.has_same_open_zones(&b.zone_limits)
 }
 
 impl Scheduler {
--- a/tests/wire_format/mesh.rs
+++ b/tests/wire_format/mesh.rs
@@ -38,12 +38,12 @@
         from: sender(),
         seq: 300,
         leading: Some(TOKEN),
-        state_lost: true,
-        ack: (TOKEN, 301),
-        up_ms: 70_000,
+        store_unavailable: true,
+        acknowledged_grant: (TOKEN, 301),
+        uptime_ms: 70_000,
         answered_for_leader: vec![(machine(1), 1500), (machine(3), 16)],
-        worker_ms: Some(12),
-        extra,
+        last_heartbeat_age_ms: Some(12),
+        capabilities: extra,
     }
 }
 
@@ -52,12 +52,12 @@
         from: sender(),
         seq: 1,
         leading: None,
-        state_lost: false,
-        ack: (FencingToken(0), 0),
-        up_ms: 0,
+        store_unavailable: false,
+        acknowledged_grant: (FencingToken(0), 0),
+        uptime_ms: 0,
         answered_for_leader: Vec::new(),
-        worker_ms: None,
-        extra: PeerCapabilities::default(),
+        last_heartbeat_age_ms: None,
+        capabilities: PeerCapabilities::default(),
     }
 }
 
@@ -103,9 +103,9 @@
     PeerMessage::CancellationAck {
         from: sender(),
         seq: 300,
-        under: Revision(70_000),
+        lease_revision: Revision(70_000),
         jobs: jobs(),
-        placed: Some((Revision(70_001), zones)),
+        placements: Some((Revision(70_001), zones)),
     }
 }
 
@@ -113,9 +113,9 @@
     PeerMessage::CancellationAck {
         from: sender(),
         seq: 1,
-        under: Revision(0),
+        lease_revision: Revision(0),
         jobs: Vec::new(),
-        placed: None,
+        placements: None,
     }
 }
 
