--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -32,8 +32,8 @@
         let count = numbers.next()?.ok()?;
         let index = numbers.next()?.ok()?;
         if seq != self.seq {
-            // A restarted sender may use lower sequence numbers, so the last chunk to arrive belongs to its
-            // newest message.
+            // A restarted sender may count from any sequence number, so a chunk with a different one belongs to
+            // its newest message.
             *self = ChunkAssembler { seq, chunks: BTreeMap::new() };
         }
         self.chunks.insert(index as usize, text.to_owned());
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -56,7 +56,7 @@
         let frame = match encode_frame(&message) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::warn!(%error, "dropped a message to a peer that cannot be encoded");
+                tracing::warn!(%error, "dropped a peer message that cannot be encoded");
                 continue;
             }
         };
