--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -22,16 +22,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Validity of an assignment after it was received: three of the leader's messages.
+/// Time that an assignment remains valid after it was received, long enough for three of the leader's messages.
 pub const ASSIGNMENT_VALIDITY: Duration = Duration::from_millis(1600);
 /// Time after the last assignment during which heartbeats wait for a new leader's assignment. Redirecting thousands of
 /// workers to the new leader at once would exhaust its sockets.
 pub const RELAY_RESUME_WINDOW: Duration = Duration::from_secs(12);
 /// Timeout for the leader's result for a heartbeat. The worker waits for 4 s, so its request is still open then.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
-/// Time that unchanged heartbeats wait for others to be sent in the same batch.
+/// Time that unchanged heartbeats wait for others to join their batch.
 pub const BATCH_DELAY: Duration = Duration::from_millis(60);
-/// Time that heartbeats wait if one of them has changed.
+/// Time that a batch of heartbeats waits for others if at least one of them has changed.
 pub const CHANGED_BATCH_DELAY: Duration = Duration::from_millis(12);
 /// Maximum number of batches in flight, so that a leader that falls behind receives fewer and larger batches.
 pub const MAX_BATCHES_IN_FLIGHT: usize = 8;
