--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -2,9 +2,8 @@
 //!
 //! The relay keeps the worker's request open, sends the heartbeat in a batch, and answers with the leader's result for
 //! exactly this heartbeat. It makes no decisions: *every answer that renews a lease is the leader's own, given after
-//! the heartbeat was sent*. The leader's record of its last answer therefore bounds the worker's lease, regardless of
-//! delays and losses on the way. A heartbeat with the same content as the previous one is sent as its sequence number
-//! only.
+//! the heartbeat was sent*. The leader's record of its last answer therefore bounds the worker's lease, despite delays
+//! and losses. A heartbeat with the same content as the previous one is sent as its sequence number only.
 
 mod messages;
 
@@ -153,8 +152,7 @@
         }
     }
 
-    /// Records that a leader permits these members to relay heartbeats to it. Ignores a leader with an older fencing
-    /// token than the current one.
+    /// Records that a leader permits these members to relay heartbeats to it, unless its fencing token is outdated.
     pub fn on_assignment(
         &mut self,
         token: FencingToken,
@@ -172,8 +170,8 @@
         self.assignment = Some(Assignment { token, leader, members, received: now });
     }
 
-    /// Queues all unanswered heartbeats for the new leader, in full, because it does not know the heartbeats sent to its
-    /// predecessor. Results of the predecessor are no longer expected.
+    /// Queues all unanswered heartbeats in full, because the new leader does not know those sent to its predecessor.
+    /// Results of the predecessor are no longer expected.
     fn on_new_leader(&mut self, now: Instant) {
         self.accepted.clear();
         let unanswered = std::mem::take(&mut self.in_flight);
@@ -197,8 +195,7 @@
         self.current_assignment(newest, now).map(|assignment| &assignment.members)
     }
 
-    /// Returns the time since the leader with this fencing token last permitted the relay, if its last assignment had
-    /// members.
+    /// Returns the age of the last assignment if the leader with this fencing token sent it and it has members.
     pub fn time_since_assignment(&self, token: FencingToken, now: Instant) -> Option<Duration> {
         let assignment = self.assignment.as_ref()?;
         let permits = assignment.token == token && !assignment.members.is_empty();
@@ -301,8 +298,7 @@
         }
     }
 
-    /// Processes the leader's results for a batch and returns the replies to the workers. Ignores results under another
-    /// fencing token and for batches that are not in flight.
+    /// Processes the leader's results for a batch in flight and returns the replies to the workers.
     pub fn on_results(
         &mut self,
         token: FencingToken,
@@ -377,8 +373,7 @@
         heartbeats
     }
 
-    /// Drops all accepted heartbeats once there are more than `limit`: by then, most belong to workers that moved to
-    /// other controllers.
+    /// Drops all accepted heartbeats if there are more than `limit`: most then belong to workers that moved elsewhere.
     pub fn evict_beyond(&mut self, limit: usize) {
         if self.accepted.len() > limit {
             self.accepted.clear();
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Assignment of workers to the controllers that receive their heartbeats. A controller's workers are its shard.
+//! Assignment of workers to the controllers that receive their heartbeats; a controller's workers are its shard.
 //!
 //! The owner is chosen by weighted rendezvous hashing over the members: every process that knows the members computes
 //! the same owner without a table, and a controller that joins or leaves moves only its own shard.
@@ -89,7 +89,7 @@
     pub zone: String,
     /// Free share of its public sockets, in thousandths.
     pub free_sockets_permille: u16,
-    /// Whether it is reachable, supports relayed heartbeats, and is not drained.
+    /// The controller is reachable, supports relayed heartbeats, and is not drained.
     pub is_available: bool,
 }
 
@@ -104,7 +104,7 @@
     pub workers: usize,
     /// Number of workers that one controller can serve.
     pub workers_per_controller: u32,
-    /// Whether the leader is currently a member.
+    /// The leader is currently a member.
     pub is_member: bool,
 }
 
@@ -113,7 +113,7 @@
 pub struct MemberChoice {
     /// Chosen members, including the leader if it is one.
     pub membership: Membership,
-    /// Whether the leader is a member.
+    /// The leader is a member.
     pub includes_leader: bool,
 }
 
--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -6,8 +6,7 @@
 /// Maximum size of the header before the text of a chunk, in bytes.
 const CHUNK_HEADER_BYTES: usize = 40;
 
-/// Splits a message's text into chunks of at most `value_max` bytes each, in the form
-/// `<sequence number>.<count>.<index>:<text>`.
+/// Splits a message's text into chunks of at most `value_max` bytes: `<sequence number>.<count>.<index>:<text>`.
 pub fn split_into_chunks(text: &str, seq: u64, value_max: usize) -> Vec<String> {
     let size = value_max.saturating_sub(CHUNK_HEADER_BYTES).max(1);
     let chunks = encoding::split_text(text, size);
@@ -32,8 +31,7 @@
         let count = numbers.next()?.ok()?;
         let index = numbers.next()?.ok()?;
         if seq != self.seq {
-            // A restarted sender may count from any sequence number, so a chunk with a different one belongs to
-            // its newest message.
+            // A restarted sender counts from another number, so any different number is that of a newer message.
             *self = ChunkAssembler { seq, chunks: BTreeMap::new() };
         }
         self.chunks.insert(index as usize, text.to_owned());
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -13,8 +13,7 @@
 
 /// Pause before the rest of a frame is written to a connection whose send buffer is full.
 const WRITE_RETRY: Duration = Duration::from_millis(5);
-/// Size of the buffer for acknowledgements, in bytes. An acknowledgement is one byte, so this is more than a peer can
-/// have outstanding.
+/// Size in bytes of the buffer for acknowledgements of one byte each: more than a peer can have outstanding.
 const ACK_BUFFER_BYTES: usize = 64;
 
 /// Traffic written to a peer since the process started.
--- a/src/peers/mesh/message.rs
+++ b/src/peers/mesh/message.rs
@@ -19,7 +19,7 @@
         seq: u64,
         /// Fencing token of the sender if it is the leader: it then requests an extension of its lease.
         leading: Option<FencingToken>,
-        /// Whether the sender cannot reach the key-value store.
+        /// The sender cannot reach the key-value store.
         store_unavailable: bool,
         /// Newest lease grant that the sender received: fencing token of its leader and number of the grant.
         acknowledged_grant: (FencingToken, u64),
@@ -33,8 +33,7 @@
         #[serde(skip)]
         capabilities: PeerCapabilities,
     },
-    /// Grant of a delegated lease: the receiver may answer heartbeats on the leader's behalf while it cannot reach the
-    /// leader.
+    /// Grant of a delegated lease: the receiver may answer heartbeats for the leader while it cannot reach the leader.
     LeaseGrant {
         /// Sequence number of the status that this message answers.
         seq: u64,
@@ -88,9 +87,8 @@
         /// Sent by a leader only: revision of its leader key and, for each job, the zones in which it may have tasks.
         placements: Option<(Revision, Vec<Vec<String>>)>,
     },
-    /// Assignment of shards: for a short time, the members relay heartbeats of their workers to the leader. Without
-    /// members, no controller does. This message and the following ones are sent only to peers whose protocol version
-    /// has them.
+    /// Assignment of shards: for a short time, members relay their workers' heartbeats to the leader; without members
+    /// no controller does. This and the following messages are sent only to peers whose protocol version has them.
     ShardAssignment {
         /// Leader that assigns the shards and receives the heartbeats.
         from: ControllerId,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,9 +1,8 @@
 //! Assigns waiting tasks to machines and selects the machines to rent for the remaining tasks.
 //!
-//! Machines belong to one of two baskets, light and heavy, or to a pool of unassigned machines.
-//! Each task is placed first fit, in order of a fixed machine index, into its basket; the number of
-//! machines in the heavy basket is limited. `docs/design.md` names the paper that the algorithm
-//! follows.
+//! Machines belong to one of two baskets, light and heavy, or to a pool of unassigned machines. Each
+//! task is placed first fit, in order of a fixed machine index, into its basket; the heavy basket is
+//! limited in size. `docs/design.md` names the paper that the algorithm follows.
 //!
 //! The module has no state and no side effects: the caller passes machines as [`Bin`]s and waiting
 //! tasks as [`PlacementRequest`]s in order of service, and [`plan`] returns a [`PlacementPlan`].
--- a/src/placement/capacity_index/segment_tree.rs
+++ b/src/placement/capacity_index/segment_tree.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::Amount;
 
-/// Binary tree in which each node holds the componentwise maximum of the amounts below it. The root
-/// is node 1, and the leaves begin at `width`.
+/// Tree of nodes that hold the componentwise maximum of the amounts below them; the root is node 1,
+/// and the leaves begin at `width`.
 #[derive(Debug, Default)]
 pub(super) struct SegmentTree {
     width: usize,
@@ -16,7 +16,6 @@
         SegmentTree { width, maxima: vec![Amount::default(); width * 2] }
     }
 
-    /// Returns the number of leaves.
     pub(super) fn width(&self) -> usize {
         self.width
     }
@@ -50,9 +49,8 @@
         }
     }
 
-    /// Returns the first leaf at or after `from` into which `resources` fit. An inner node holds the
-    /// maximum of each resource separately, so a node may pass the check although no leaf below it
-    /// does.
+    /// Returns the first leaf at or after `from` into which `resources` fit. Inner nodes hold separate
+    /// maxima for each resource, so a node may pass the check although no leaf below it does.
     pub(super) fn first_fit(&self, resources: &Amount, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -40,8 +40,7 @@
         request.count
     }
 
-    /// Restores the state from before a gang's first task, except that booting machines keep their
-    /// allocations and rented machines stay in the plan.
+    /// Restores the state before the gang, except for booting machines and those to be rented.
     fn roll_back(&mut self, index: RequestIndex, request: &mut PlacementRequest, before: Snapshot) {
         self.plan.starts.truncate(before.starts);
         self.plan.booked.retain(|booked| booked.request != index);
--- a/src/placement/model.rs
+++ b/src/placement/model.rs
@@ -19,14 +19,13 @@
 /// Machine that tasks can be placed on.
 #[derive(Debug, Clone)]
 pub struct Bin {
-    /// Fixed index that determines the order in which machines are filled; [`Bin::NEW`] for a
-    /// machine to be rented.
+    /// Fixed index, in whose order machines are filled; [`Bin::NEW`] for a machine to be rented.
     pub index: u64,
     /// Zone that the machine runs in.
     pub zone: ZoneId,
     /// Type of the machine, which requests may restrict.
     pub machine_type: MachineTypeId,
-    /// Whether this is a spot machine, which the cloud may reclaim.
+    /// True for a spot machine, which the cloud may reclaim.
     pub spot: bool,
     /// Resources that no task uses.
     pub free: Amount,
@@ -130,7 +129,7 @@
     pub zone: Option<ZoneId>,
     /// Machine types that the tasks may run on; `None` allows any.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// Whether the tasks may run on spot machines.
+    /// The tasks may run on spot machines.
     pub allows_spot: bool,
     /// Number of additional tasks that each zone may run.
     pub zone_limits: ZoneLimits,
@@ -177,7 +176,7 @@
     pub machine_type: MachineTypeId,
     /// Zone that the machines are rented in.
     pub zone: ZoneId,
-    /// Whether these are spot machines, which the cloud may reclaim.
+    /// True for spot machines, which the cloud may reclaim.
     pub spot: bool,
     /// Price of one machine per hour.
     pub price: f64,
@@ -185,8 +184,7 @@
     pub capacity: Amount,
     /// Number of machines that may still be requested.
     pub available: u32,
-    /// Number of machines of the fleet in this zone, of the same kind (spot or on-demand), used to
-    /// balance the zones.
+    /// Number of spot (or on-demand) machines in this zone already, used to balance the zones.
     pub machines_in_zone: u32,
 }
 
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -53,8 +53,7 @@
     on_demand: bool,
 }
 
-/// Tiers in the order in which they are filled: machines that are up before booting ones, spot
-/// before on-demand machines.
+/// Tiers in order of filling: machines that are up before booting ones, spot before on-demand ones.
 const TIERS: [Tier; 4] = [
     Tier { booting: false, on_demand: false },
     Tier { booting: false, on_demand: true },
@@ -62,8 +61,7 @@
     Tier { booting: true, on_demand: true },
 ];
 
-/// Machines of a tier that are filled together: those of one basket (`None`: the pool), limited to
-/// those that have the image if `with_image` is set.
+/// Machines of a tier that are filled together; a basket of `None` stands for the pool.
 struct Stage {
     basket: Option<Basket>,
     with_image: bool,
@@ -92,16 +90,14 @@
     heavy_limit: usize,
 }
 
-/// Returns whether a failed search for one request implies that a search for the other fails too,
-/// apart from zone limits.
+/// Returns whether a failed search for `a` implies a failed one for `b`, apart from zone limits.
 fn is_equivalent(a: &PlacementRequest, b: &PlacementRequest) -> bool {
     (a.team, a.resources, a.basket, a.zone, a.allows_spot, a.scale_out)
         == (b.team, b.resources, b.basket, b.zone, b.allows_spot, b.scale_out)
         && a.machine_types == b.machine_types
 }
 
-/// Returns whether the request's placement depends only on zone limits and on the fields that
-/// [`is_equivalent`] compares.
+/// Returns whether placement depends only on zone limits and what [`is_equivalent`] compares.
 fn is_unconstrained(request: &PlacementRequest) -> bool {
     !request.gang
         && !request.single_zone
@@ -137,8 +133,7 @@
         }
     }
 
-    /// Places a request's tasks and returns the number that remain. Skips the search if it already
-    /// failed for an equivalent request in this pass.
+    /// Places a request's tasks and returns the number that remain.
     fn place(
         &mut self,
         index: RequestIndex,
@@ -165,8 +160,7 @@
         remaining
     }
 
-    /// Places a request's tasks tier by tier, rents machines for the rest, and returns the number of
-    /// tasks that remain.
+    /// Places a request's tasks tier by tier and on rented machines; returns the number that remain.
     pub(super) fn place_tasks(
         &mut self,
         index: RequestIndex,
--- a/src/placement/service_order.rs
+++ b/src/placement/service_order.rs
@@ -16,11 +16,10 @@
     pub over_quota: bool,
     /// The job's class has no service-level objective.
     pub without_slo: bool,
-    /// The job has started as many tasks as its team may run at once. It then yields to jobs that
-    /// have not, so that a large job doesn't starve the small ones behind it.
+    /// The job has started as many tasks as its team may run at once; it comes later, so that a
+    /// large job doesn't starve the small ones behind it.
     pub reached_team_limit: bool,
-    /// Number of start objectives that the job has missed. Jobs that can still start in time go
-    /// first.
+    /// Number of missed start objectives; jobs that can still start in time go first.
     pub missed_slos: usize,
     /// Number of tasks; zero for a job that has missed every objective, so that such jobs are served
     /// by age and none waits indefinitely behind smaller jobs that are equally late.
@@ -40,10 +39,8 @@
 
 /// Sorts jobs into the order of service, which is the order of the fields of [`QueuedJob`]. Smaller
 /// jobs go first because objectives count jobs, and many small jobs start in the time that one
-/// large job takes.
-///
-/// That order, with the quota, decides which positions a team gets. Which of the team's jobs takes
-/// which of these positions doesn't depend on the quota.
+/// large job takes. This order decides the positions that each team gets; which of the team's jobs
+/// takes which of these positions doesn't depend on the quota.
 pub fn sort_by_service_order(jobs: &mut [QueuedJob]) {
     jobs.sort();
     let mut positions_by_team: BTreeMap<TeamPositionsKey, Vec<usize>> = BTreeMap::new();
