--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::admission::ShardingPolicy;
 use crate::ids::{ControllerId, FencingToken};
-use crate::peers::heartbeat_relay::{HeartbeatRelay, RELAY_RESUMES_WITHIN};
+use crate::peers::heartbeat_relay::{HeartbeatRelay, RELAY_RESUME_WINDOW};
 use crate::peers::membership::{
     LeaderLoad, MemberCandidate, Membership, Redirects, choose_members,
 };
@@ -95,7 +95,7 @@
 
     /// Returns the additional time without heartbeats before this leader resigns.
     pub(super) fn extra_silence_allowed(&self, now: Instant) -> Duration {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUMES_WITHIN;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < RELAY_RESUME_WINDOW;
         if self.last_sharded.is_some_and(is_recent) {
             EXTRA_SILENCE_ALLOWED
         } else {
