--- a/src/jobs/dag.rs
+++ b/src/jobs/dag.rs
@@ -1,7 +1,7 @@
 //! Dependencies between jobs.
 //!
-//! The dependencies of a job are part of its record and never change. Whether it waits, may run or
-//! is cancelled follows from the records of its dependencies. Acceptance, completion and
+//! The dependencies of a job are part of its record and never change. Whether the job waits, may run
+//! or is cancelled follows from the records of its dependencies. Acceptance, completion and
 //! cancellation are all final, so every process that has read the same records derives the same
 //! state. A job can only depend on jobs that were accepted before it, so there are no cycles.
 
@@ -16,9 +16,9 @@
 pub enum DependencyOutcome {
     /// Not finished, or its record has not been read yet.
     Unfinished,
-    /// Done, with the time in milliseconds of the time of day (0 if unknown).
+    /// Done at this wall-clock time in milliseconds (0 if unknown).
     Done(u64),
-    /// Cancelled.
+    /// Cancelled, so that the jobs that depend on it are cancelled too.
     Cancelled,
 }
 
@@ -37,9 +37,9 @@
 pub(super) struct DependencyState {
     /// Number of dependencies that are not done yet.
     pub(super) unfinished: u32,
-    /// Latest time at which a dependency was done, in milliseconds of the time of day.
+    /// Latest wall-clock time at which a dependency was done, in milliseconds.
     pub(super) done_ms: u64,
-    /// Whether a dependency is cancelled, which cancels this job too.
+    /// True if a dependency is cancelled, which cancels this job too.
     pub(super) cancelled: bool,
 }
 
@@ -80,8 +80,8 @@
 pub struct InheritedPriority {
     /// Highest priority of the job itself and of all jobs that depend on it.
     pub priority: Priority,
-    /// Time by which the job must be done so that it and the jobs that depend on it meet their due
-    /// times, in milliseconds of the time of day.
+    /// Wall-clock time in milliseconds by which the job must be done, so that it and the jobs that
+    /// depend on it can meet their due times.
     pub due_ms: Option<u64>,
 }
 
--- a/src/jobs/garbage.rs
+++ b/src/jobs/garbage.rs
@@ -24,7 +24,7 @@
     pub revision: Revision,
 }
 
-/// Keys that finished jobs still have beside their records, and the revisions of the keys.
+/// Keys of finished jobs other than their records, with the revisions of the keys.
 #[derive(Debug, Default)]
 pub(super) struct Garbage {
     keys: BTreeMap<String, Revision>,
--- a/src/jobs/model.rs
+++ b/src/jobs/model.rs
@@ -12,7 +12,7 @@
 pub struct Job {
     /// Revision of its record in the store.
     pub rev: Revision,
-    /// Finish time in milliseconds of the time of day; 0 if the record does not contain it.
+    /// Wall-clock finish time in milliseconds; 0 if the record does not contain it.
     pub(super) finished_ms: u64,
     /// State that depends on whether the job is live or finished.
     pub body: JobBody,
@@ -25,7 +25,7 @@
     Live(Box<LiveJob>),
     /// Finished; only the number of completed tasks and any orphaned tasks are kept.
     Finished {
-        /// Whether the job was cancelled rather than completed.
+        /// True if the job was cancelled, false if it was completed.
         cancelled: bool,
         /// Number of completed tasks.
         completed_tasks: u64,
@@ -43,7 +43,7 @@
     pub request: Amount,
     /// Maximum number of such tasks; `None` in records of older versions.
     pub tasks: Option<u64>,
-    /// Finish time in milliseconds of the time of day; `None` in records of older versions.
+    /// Wall-clock finish time in milliseconds; `None` in records of older versions.
     pub finished_ms: Option<u64>,
 }
 
@@ -61,13 +61,13 @@
 pub struct LiveJob {
     /// Description that the job was submitted with.
     pub spec: Arc<JobSpec>,
-    /// Acceptance time in milliseconds of the time of day.
+    /// Wall-clock acceptance time in milliseconds.
     pub accepted_ms: u64,
     /// Resource request of one task.
     pub request: Amount,
     /// Number of dependencies that are not done yet.
     pub(super) unfinished_dependencies: u32,
-    /// Latest time at which a dependency was done, in milliseconds of the time of day.
+    /// Latest wall-clock time at which a dependency was done, in milliseconds.
     pub(super) dependencies_done_ms: u64,
     /// Completed tasks: the union of what both storage layouts contain.
     pub(super) completed: TaskSet,
@@ -78,7 +78,7 @@
 }
 
 impl Job {
-    /// Returns the finish time in milliseconds of the time of day, if finished and recorded.
+    /// Returns the wall-clock finish time in milliseconds, if the job is finished and its record contains it.
     pub fn finished_ms(&self) -> Option<u64> {
         (self.is_finished() && self.finished_ms > 0).then_some(self.finished_ms)
     }
@@ -141,13 +141,13 @@
         self.unfinished_dependencies
     }
 
-    /// Returns whether its tasks may run, i.e. all its dependencies are committed as done.
+    /// Returns whether the job's tasks may run, that is, all dependencies are committed as done.
     pub fn is_ready(&self) -> bool {
         self.unfinished_dependencies == 0
     }
 
-    /// Returns the time from which waiting counts, in milliseconds of the time of day: the
-    /// acceptance, or the time at which the last dependency was done if that is later.
+    /// Returns the wall-clock time in milliseconds from which the job's waiting time counts: its
+    /// acceptance, or the time at which its last dependency was done if that is later.
     pub fn eligible_ms(&self) -> u64 {
         self.accepted_ms.max(self.dependencies_done_ms)
     }
--- a/src/jobs/spec_chunks.rs
+++ b/src/jobs/spec_chunks.rs
@@ -79,7 +79,7 @@
         chunks.map(|(number, chunk)| (*number, chunk.revision)).collect()
     }
 
-    /// Returns the description once all its chunks are stored, and drops their unneeded texts.
+    /// Returns the description once all its chunks are stored, and drops their texts, which are no longer needed.
     pub(super) fn take_spec(&mut self, job: &JobId, location: &SpecChunks) -> Option<JobSpec> {
         let spec = SpecId { job: job.clone(), hash: location.hash.clone() };
         let chunks = self.chunks.get_mut(&spec)?;
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -68,7 +68,7 @@
         self.all.get(id)
     }
 
-    /// Returns whether a job has a record that this process cannot read, or not read completely.
+    /// Returns whether a job has a record that this process cannot read or has not read completely.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         self.unreadable.contains(id) || self.incomplete.contains_key(id)
     }
@@ -174,7 +174,7 @@
         mut spec: Arc<JobSpec>,
         location: Option<SpecChunks>,
     ) -> Box<LiveJob> {
-        // Shares known ids: each of thousands of dependencies costs a pointer, not a string.
+        // Shares the ids of known jobs, so that each of thousands of dependencies costs a pointer, not a string.
         for dependency in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
             if let Some((known, _)) = self.all.get_key_value(dependency) {
                 *dependency = known.clone();
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn job_is_done_with_its_last_task_in_any_order_and_with_repetitions() {
+fn job_is_done_when_its_last_task_completes_in_any_order_with_repetitions() {
     let mut jobs = Jobs::new(LAYOUT.legacy_chunk_tasks);
     let id = JobId::new("wk-1");
     let transaction = next_transaction(&spec("wk-1", 40), &jobs);
@@ -282,8 +282,8 @@
     for (other, job) in live.iter().filter(|(_, job)| job.depends_on().contains(id)) {
         let dependent = model_inherited(other, live);
         inherited.priority = inherited.priority.min(dependent.priority);
-        let begin = dependent.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
-        inherited.due_ms = inherited.due_ms.into_iter().chain(begin).min();
+        let latest_start_ms = dependent.due_ms.map(|due| due.saturating_sub(duration_ms(job)));
+        inherited.due_ms = inherited.due_ms.into_iter().chain(latest_start_ms).min();
     }
     inherited
 }
@@ -404,7 +404,7 @@
             } else if accepted > 0 {
                 let n = which % accepted;
                 let job = jobs.get(&name(n)).unwrap().clone();
-                let (transaction, end) = match (action, job.live()) {
+                let (transaction, final_state) = match (action, job.live()) {
                     (5, _) => (cancel(&name(n), &job, 9, &LAYOUT), Some(true)),
                     (6.., Some(live)) if live.is_ready() => {
                         let done = complete(&name(n), &job, &[0], 0, 9, &LAYOUT);
@@ -422,7 +422,7 @@
                 if let Some(transaction) = transaction
                     && store.commit(&transaction, &LAYOUT)
                 {
-                    final_states.extend(end.map(|cancelled| (n, cancelled)));
+                    final_states.extend(final_state.map(|cancelled| (n, cancelled)));
                 }
             }
             let new: Vec<String> = store.keys.iter()
@@ -438,7 +438,7 @@
 }
 
 /// One cancellation finishes all indirect dependents in a chain of thousands of jobs, and in a
-/// layered graph with an astronomical number of paths, where each edge must be visited only once.
+/// layered graph whose number of paths grows exponentially. Each edge must be visited only once.
 #[test]
 fn cancellation_finishes_long_chains_and_layered_graphs_at_once() {
     let layered = |n: usize| -> Vec<usize> {
@@ -474,12 +474,12 @@
             assert_eq!(first.priority, wire::Priority::Production);
             let layers = if depends_on(4999).len() == 1 { 4999 } else { 999 };
             assert_eq!(first.due_ms, Some(1_000_000 - layers * 10));
-            let end = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
+            let cancellation = cancel(&name(0), jobs.get(&name(0)).unwrap(), 9, &LAYOUT).unwrap();
             jobs.take_changed();
-            apply(&mut jobs, &end, 2);
+            apply(&mut jobs, &cancellation, 2);
             let finished = jobs.all.values().filter(|job| job.is_finished()).count();
-            let all = if layers == 999 { 4996 } else { 5000 };
-            assert_eq!((finished, jobs.take_changed().len()), (all, all));
+            let expected = if layers == 999 { 4996 } else { 5000 };
+            assert_eq!((finished, jobs.take_changed().len()), (expected, expected));
         }
     }
 }
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -17,7 +17,7 @@
 pub enum Acceptance {
     /// Writes the record, provided that none exists, so that a repeated request is harmless.
     JobRecord(Transaction),
-    /// Writes some chunks of a description too long for the record. All chunks precede the record.
+    /// Writes some chunks of a description too long for the record. All chunks are written before it.
     SpecChunks(Transaction),
 }
 
@@ -25,7 +25,7 @@
 pub struct Completion {
     /// Preconditions and writes to commit.
     pub transaction: Transaction,
-    /// Whether the transaction finishes the job.
+    /// True if the transaction finishes the job.
     pub finishes_job: bool,
 }
 
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -1,10 +1,10 @@
-//! Acknowledgements of cancellations, which every controller that may answer workers gives before the commit.
+//! Acknowledgements that every controller that may answer workers gives before a cancellation is committed.
 //!
 //! A cancellation is committed only under preconditions on the lease key of each other controller
-//! ([`controller_lease`](crate::leadership::controller_lease)). Either that controller acknowledged the cancellation
-//! under this revision of its key, and stops the job's tasks wherever it answers workers. Or it has no key, and has
-//! had none for so long that no task it kept running can outlive the deadline by which a cancelled job's tasks must
-//! have stopped. The proof is in `docs/design.md`, "A cut-off zone".
+//! ([`controller_lease`](crate::leadership::controller_lease)). One of two conditions must hold. Either that controller
+//! acknowledged the cancellation under the current revision of its key, and stops the job's tasks wherever it answers
+//! workers. Or it has had no key for a quarantine time, after which no task that it kept running can still run at the
+//! deadline of the cancellation. The proof is in `docs/design.md`, "A cut-off zone".
 
 use crate::constants::{
     DELEGATED_LEASE_TTL, FORMAT_CONTROLLER_LEASES, MAX_CLOCK_DRIFT, WORKER_LEASE_MARGIN,
@@ -21,8 +21,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Safety margin between the end of the last worker lease that a follower extended while the store was unreachable
-/// and the deadline by which a cancelled task must have stopped.
+/// Safety margin between the end of the last worker lease that a follower extends without reading the store and the
+/// deadline by which a cancelled task must have stopped.
 pub const CANCELLATION_MARGIN: Duration = Duration::from_millis(1500);
 /// Time after its request at which an acknowledgement expires and is ignored.
 const ACK_EXPIRY: Duration = Duration::from_secs(10);
@@ -30,10 +30,10 @@
 /// Reason why a cancellation cannot be committed yet.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CancellationBlocked {
-    /// These controllers have not acknowledged the cancellation yet. They have a lease, so they are expected to.
+    /// These controllers have a lease, so they can be expected to acknowledge, but have not done so yet.
     #[error("{} controllers have not acknowledged the cancellation", .0.len())]
     AwaitingAcks(Vec<ControllerId>),
-    /// A controller lost its lease, and its quarantine lasts longer than a user's request may wait.
+    /// A controller lost its lease and is in quarantine, which normally lasts longer than a user's request may wait.
     #[error("a controller without a lease may still answer workers")]
     InQuarantine,
 }
@@ -73,20 +73,21 @@
 #[derive(Debug)]
 pub struct CancellationAcks {
     peers: Vec<ControllerId>,
-    /// Precondition on this controller's own lease key. A transaction that was sent before a restart must not be
-    /// applied once the restarted process, which does not know of that transaction, answers workers.
+    /// Precondition on this controller's own lease key. After a restart, the process does not know which cancellations
+    /// it sent before. None of them may be applied once it answers workers again.
     own_lease: Option<Precondition>,
     observed: HashMap<ControllerId, ObservedLease>,
     acks: BTreeMap<JobId, BTreeMap<ControllerId, Ack>>,
     requests: VecDeque<AckRequest>,
     job_zones: BTreeMap<JobId, JobZones>,
-    /// Time after the removal of a controller's key during which tasks may run that only that controller knows of.
+    /// Time after the removal of a controller's key during which tasks that only this controller knows of may run
+    /// beyond the deadline of a cancellation.
     quarantine: Duration,
 }
 
-/// Consequence of a peer's lease and acknowledgement for a cancellation.
+/// State of a peer with regard to one cancellation.
 enum PeerState {
-    /// No task that the peer keeps running can outlive the deadline of the cancellation.
+    /// No task that the peer keeps running can run beyond the deadline of the cancellation.
     Safe,
     /// The peer has a lease and has not acknowledged the cancellation yet.
     AckMissing,
@@ -125,8 +126,8 @@
             match self.observed.get_mut(peer) {
                 Some(observed) if observed.revision == revision => {}
                 Some(observed) => *observed = ObservedLease { revision, since: now },
-                // A controller of a version without controller leases never had one, and never answers workers
-                // without reading the store.
+                // A controller whose version does not support controller leases never had one, and never answers
+                // workers without reading the store.
                 None if revision.is_none() && format < FORMAT_CONTROLLER_LEASES => {}
                 None => {
                     self.observed.insert(peer.clone(), ObservedLease { revision, since: now });
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Returns whether a leader has reported the zones in which the job may have tasks, so that another request to it
-    /// would bring nothing new.
+    /// Returns whether a leader has reported the zones in which the job may have tasks, so that it need not be asked
+    /// again.
     pub fn has_reported_zones(&self, id: &JobId) -> bool {
         self.job_zones.contains_key(id)
     }
@@ -245,7 +246,7 @@
         revisions.insert(controller_lease_key(peer), lease_revision.unwrap_or_default());
         if lease_revision.is_none() {
             // A transaction that is applied late must not mistake a later absence of the lease for this one. Any lease
-            // in between has rewritten the version key, which is never removed.
+            // in between has rewritten the version key, which no controller removes.
             let version = cache.versions.get(peer).map(|version| version.revision);
             revisions.insert(keys::version_key(peer), version.unwrap_or_default());
         }
@@ -257,8 +258,9 @@
             let acknowledged = ack.is_some_and(|ack| ack.lease_revision == revision);
             return if acknowledged { PeerState::Safe } else { PeerState::AckMissing };
         }
-        // If a controller acknowledged after its key was removed, the acknowledging process is the one that had the key.
-        // A restarted process knows of all earlier cancellations before it has a key again.
+        // If a controller acknowledged after its key was removed, only the acknowledging process can still answer
+        // workers under that key. A process that starts later learns of all earlier cancellations before it answers
+        // workers.
         let is_safe = self.observed.get(peer).is_none_or(|observed| {
             now >= observed.since + self.quarantine
                 || ack.is_some_and(|ack| ack.requested_at >= observed.since)
@@ -285,7 +287,7 @@
 #[derive(Debug, Default)]
 pub struct AcknowledgedCancellations {
     jobs: BTreeSet<JobId>,
-    /// Jobs of which the scheduler of this process has not been notified yet.
+    /// Jobs that have not been reported to the scheduler of this process yet.
     unreported: Vec<JobId>,
 }
 
--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -55,8 +55,8 @@
     /// Executes a request of the controller and returns the response.
     fn execute(&mut self, request: &StoreRequest, now: Instant) -> StoreResponse {
         match request {
-            StoreRequest::GrantLease(life) => {
-                self.lease_expiries.push(now + *life);
+            StoreRequest::GrantLease(ttl) => {
+                self.lease_expiries.push(now + *ttl);
                 StoreResponse::LeaseGranted(LeaseId(self.lease_expiries.len() as u64 - 1))
             }
             StoreRequest::KeepAlive(lease) if self.lease_expiries[lease.0 as usize] > now => {
@@ -111,12 +111,12 @@
 
 /// Steps of 100 ms at which the user cancels, the follower restarts, and the follower loses the store.
 struct FaultSchedule {
-    /// Most disconnections begin near the step at which the user cancels.
+    /// Step from which the user cancels. Most disconnections begin near it.
     cancel_from: u64,
     restart_at: u64,
     disconnect_at: u64,
-    /// The store is reachable again from `reconnect_at` to `second_disconnect_at`. In this time a controller that has
-    /// seen no lease for the length of the quarantine commits.
+    /// The store is reachable again from `reconnect_at` to `second_disconnect_at`. At about this time the quarantine
+    /// of the follower ends, so the cancellation is committed.
     reconnect_at: u64,
     second_disconnect_at: u64,
 }
@@ -304,7 +304,7 @@
 /// A follower that does not know of a cancellation must not extend a worker's lease beyond the cancellation's deadline.
 /// Disconnections, restarts, and lost or late messages occur at random. Most cancellations must still be committed.
 #[test]
-fn no_task_outlives_a_cancellation_that_a_disconnected_follower_does_not_know_of() {
+fn disconnected_follower_never_extends_a_task_beyond_the_cancellation_deadline() {
     let mut cancelled = 0;
     for seed in 0..3000 {
         let start = Instant::now();
--- a/src/leadership/controller_lease.rs
+++ b/src/leadership/controller_lease.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the transaction that writes the key under the lease and rewrites this controller's version record.
-    /// The version key is never removed, so its revision distinguishes one absence of the lease from a later one.
+    /// No controller removes the version key, so its revision distinguishes one absence of the lease from a later one.
     fn key_transaction(&self, lease: LeaseId, cache: &Cache) -> Option<Transaction> {
         let Versioned { value: version, revision: version_revision } =
             cache.versions.get(&self.me)?;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Returns whether this controller knows of every cancellation that is committed while its lease is valid. It
-    /// has read the store's content as of `synced_at`, and it has acknowledged the cancellations after that.
+    /// Returns whether this controller knows of every cancellation that is committed while its lease is valid. That is
+    /// so once it has read the store after its key was confirmed: later cancellations require its acknowledgement.
     pub fn knows_all_cancellations(&self, synced_at: Option<Instant>) -> bool {
         match self.state {
             LeaseState::Held { confirmed_at, .. } => synced_at.is_some_and(|at| at > confirmed_at),
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Silence after which a peer counts as unreachable: the time of three of its messages.
+/// Time without a message after which a peer counts as unreachable. A peer normally sends three messages in this time.
 pub const PEER_UNREACHABLE_AFTER: Duration = Duration::from_millis(1600);
-/// Number of delegation terms for which a follower continues to report that it answered a machine.
+/// Time for which a follower continues to report that it answered a machine, as a multiple of [`DELEGATED_LEASE_TTL`].
 const ANSWER_HISTORY_TERMS: u32 = 4;
 
 /// Identifier of a grant. Grants are numbered separately for each fencing token.
@@ -69,7 +69,7 @@
 }
 
 impl DelegatedLease {
-    /// Records a grant that responds to a request sent at `requested_at`, from which its term is counted. A grant
+    /// Records a grant that responds to a request sent at `requested_at`, from which its validity is counted. A grant
     /// that was relayed through the store does not count as contact with the leader.
     pub fn record_grant(
         &mut self,
@@ -111,8 +111,7 @@
         self.answered.iter().map(|(id, at)| (id.clone(), age_ms(at))).collect()
     }
 
-    /// Records that a controller which still has the role of leader, but whose leadership has lapsed, answered the
-    /// machine under its own token.
+    /// Records that this controller answered the machine under its own token, although it no longer holds leadership.
     pub fn record_answer(&mut self, machine: &MachineId, now: Instant) {
         self.answered.insert(machine.clone(), now);
     }
@@ -163,7 +162,7 @@
 
 #[derive(Debug)]
 struct Follower {
-    /// Latest time at which the follower answers a machine under a grant of this leader or of a predecessor.
+    /// Latest time at which the follower answers a machine under a grant of this leader or of a previous one.
     valid_until: Instant,
     acknowledged_number: u64,
     last_direct_status_at: Instant,
@@ -172,7 +171,8 @@
 }
 
 impl Follower {
-    /// Creates the state of a follower without a status. A predecessor's grant may last one full term from now.
+    /// Creates the state of a follower that has sent no status yet. A grant of a previous leader may be valid for
+    /// the full [`DELEGATED_LEASE_TTL`] from now.
     fn new(now: Instant) -> Follower {
         Follower {
             valid_until: now + DELEGATED_LEASE_TTL.mul_f64(1.0 + MAX_CLOCK_DRIFT),
@@ -262,15 +262,15 @@
         })
     }
 
-    /// Returns the latest time at which a follower may have answered the machine. Every grant from number
-    /// `revoked_since` on has revoked the machine.
+    /// Returns the latest time at which a follower may have answered the machine. `revoked_since` is the number of the
+    /// first grant since which every grant has revoked the machine, or `None` if the machine is not revoked.
     pub fn latest_possible_answer(
         &self,
         machine: &MachineId,
         revoked_since: Option<u64>,
     ) -> Option<Instant> {
         let latest = |follower: &Follower| match revoked_since {
-            // The follower obeys the revocation. It answered earlier at the reported time, or before its process started.
+            // The follower obeys the revocation. It last answered at the reported time, or before its process started.
             Some(number) if follower.acknowledged_number >= number => {
                 let started_at = follower.started_at;
                 follower.answered.get(machine).map_or(started_at, |at| (*at).max(started_at))
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -2,7 +2,7 @@
 //!
 //! A candidate requests a lease from the store and then commits, by compare-and-swap, the leader key (attached to
 //! that lease) together with the next fencing token. The leader renews the lease. While the store is unreachable, the
-//! leader keeps its leadership as long as every other controller extends the lease, that is, agrees not to become a
+//! leader may continue to lead as long as every other controller extends the lease, that is, agrees not to become a
 //! candidate for [`LEASE_EXTENSION`].
 
 use crate::constants::{MAX_CLOCK_DRIFT, RETRY_PAUSE};
@@ -164,10 +164,10 @@
 
     /// Handles a leader's request to extend its lease and returns whether the extension is granted.
     ///
-    /// An extension also confirms to the leader that no cancellation was committed that it cannot know of. It is
-    /// therefore refused while this controller's own candidacy has no outcome, when a later leader is known, and when
-    /// the leader key or the leader's controller lease (`has_controller_lease`) no longer exists, since peers may have
-    /// continued without that leader. A process that has read nothing from the store since its start does not know
+    /// An extension also confirms that no cancellation was committed that the leader cannot know of. It is therefore
+    /// refused while this controller's own candidacy has no outcome, when a later leader is known, and when the leader
+    /// key or the leader's controller lease (`has_controller_lease`) no longer exists, since peers may have committed
+    /// without that leader. A process that has read nothing from the store since its start does not know
     /// what happened before, and refuses every extension.
     pub fn extend_lease(
         &mut self,
--- a/src/leadership/election/tests.rs
+++ b/src/leadership/election/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn leader_lease_is_counted_from_when_its_renewal_was_sent_minus_the_safety_margin() {
+fn leadership_is_counted_from_sending_the_renewal_and_ends_before_the_lease() {
     let (mut election, cache, now) = leader(Instant::now());
     let request = election.next_request(&cache, false, now).unwrap();
     let received_at = now + Duration::from_secs(1);
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -9,7 +9,7 @@
 pub const PREFIX: &str = "t/";
 /// Key of the leader's record, attached to the leader lease.
 pub const LEADER_KEY: &str = "t/a/leader";
-/// Key of the newest fencing token that a leader has used.
+/// Key of the newest fencing token that was given to a leader.
 pub const TOKEN_KEY: &str = "t/a/token";
 /// Key of the machine types as one list (first layout).
 pub const MACHINE_TYPES_KEY: &str = "t/a/flavors";
@@ -18,9 +18,8 @@
 pub const MACHINE_TYPE_PREFIX: &str = "t/a/f/";
 /// Prefix of the controllers' lease keys, each attached to its controller's lease: `t/a/p/<controller>`.
 pub const CONTROLLER_LEASE_PREFIX: &str = "t/a/p/";
-/// Prefix of the keys with the format that a controller reads: `t/a/v/<controller>`. Their values also
-/// contain the chunk size of the first layout. These keys sort, and are therefore read, before all
-/// keys that depend on that size.
+/// Prefix of the controllers' version records: `t/a/v/<controller>`. They contain the chunk size of the
+/// first layout. They precede all keys that depend on that size, since pages are read in the order of keys.
 pub const VERSION_PREFIX: &str = "t/a/v/";
 /// Prefix of completed tasks in the second layout: `t/d/<job>/<chunk>`.
 pub const COMPLETED_CHUNK_PREFIX: &str = "t/d/";
@@ -32,7 +31,7 @@
 pub const LEGACY_COMPLETED_CHUNK_PREFIX: &str = "t/k/";
 /// Prefix of machines on which tasks may have been started: `t/m/<machine>`.
 pub const MACHINE_PREFIX: &str = "t/m/";
-/// Prefix of drains ordered by operators: `t/q/<hash of kind and name>`.
+/// Prefix of drains that operators requested: `t/q/<hash of kind and name>`.
 pub const DRAIN_PREFIX: &str = "t/q/";
 /// Prefix of descriptions too long for their job's record: `t/s/<job>/<hash>/<chunk>`.
 pub const SPEC_CHUNK_PREFIX: &str = "t/s/";
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -23,7 +23,8 @@
 pub const FORMAT: u32 = FORMAT_CONTROLLER_LEASES;
 /// First format with the second layout.
 const FORMAT_SECOND_LAYOUT: u32 = 1;
-/// Maximum number of tasks of a job whose completed tasks are stored in the job's record in both layouts.
+/// Maximum number of tasks of a job for which the second layout stores completed tasks in the job's
+/// record, as the first layout does.
 pub const RECORD_TASKS: u64 = 1024;
 /// Number of tasks in a chunk of the second layout: 1 KiB of hexadecimal, half of the smallest value
 /// limit that settings may set. It is part of the format and does not depend on any setting.
@@ -50,12 +51,12 @@
     pub machine_type: String,
     /// Name of its zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// True if it is a spot machine.
     pub spot: bool,
 }
 
-/// Formats announced by a controller. Controllers never remove this record, since no controller
-/// returns to an older version.
+/// Version announcement of a controller. Controllers never remove it, since none returns to an older
+/// version unless an operator has removed the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     /// Newest format that the controller reads.
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -1,5 +1,5 @@
-//! This process's cache of the store's content. It is updated by the value or removal of one key at a
-//! time, and ignores revisions older than the cached one.
+//! This process's cache of the store's content. Changes are applied to one key at a time. A change that
+//! is older than the cached revision of its key is ignored.
 
 use crate::drains::{self, DrainRecord};
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Revision};
@@ -44,7 +44,7 @@
 /// Cached content of the store, with the revision at which each key was written.
 #[derive(Debug)]
 pub struct Cache {
-    /// Whether all keys have been read once.
+    /// True if all keys have been read once.
     pub loaded: bool,
     /// Revision up to which the cache contains all changes.
     pub rev: Revision,
@@ -52,20 +52,20 @@
     pub jobs: Jobs,
     /// Record of the leader, or `None` if no leader key exists.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// Newest fencing token that a leader has used.
+    /// Newest fencing token that was given to a leader.
     pub token: Versioned<FencingToken>,
     /// Machine types of all keys, with the revision of the key that stores them as one list.
     pub machine_types: Versioned<Vec<MachineType>>,
     /// Revisions of the keys that store one machine type each.
     pub machine_type_key_revisions: HashMap<String, Revision>,
-    /// Format that each controller reads, as it announced.
+    /// Version record that each controller announced.
     pub versions: BTreeMap<ControllerId, Versioned<VersionRecord>>,
     /// Machines on which tasks may have been started.
     pub machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
-    /// Active drains ordered by operators, by key.
+    /// Active drains that operators requested, by key.
     pub drains: BTreeMap<String, Versioned<DrainRecord>>,
     /// Revisions of the keys of all drains, including cancelled ones. The key of a cancelled drain is
-    /// kept, so that a request that was not answered and is executed late fails its precondition.
+    /// kept, so that an unanswered request that the store executes late fails its precondition.
     pub drain_key_revisions: BTreeMap<String, Revision>,
     /// Encoded learned run times by bucket; the value is `None` if the key was removed.
     pub estimates: BTreeMap<u8, Versioned<Option<String>>>,
@@ -217,7 +217,7 @@
         let known = self.estimates.entry(bucket).or_default();
         if known.revision < rev {
             let text = value.and_then(StoreValue::as_text).map(str::to_owned);
-            // A value that is not a text is cached as an unreadable one and will be replaced.
+            // A value that is not a text is cached as an empty text, which is unreadable and will be replaced.
             *known = Versioned::new(text.or_else(|| value.map(|_| String::new())), rev);
         }
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -27,8 +27,9 @@
 pub const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(2500);
 /// Leader's share of the cluster's rate limit; the followers divide the rest equally.
 const LEADER_SHARE: f64 = 0.5;
-/// Number of requests of the rate limit that all requests except snapshots leave free, so that
-/// renewals of the leader lease are never delayed by the rate limit.
+/// Number of requests within the rate limit that are reserved for renewals of the leader lease, so that
+/// the rate limit never delays them. Of the requests that wait for the rate limit, only snapshots use
+/// this reserve.
 const RESERVED_REQUESTS: f64 = 2.0;
 
 /// Notification of the client to its owner.
@@ -150,7 +151,7 @@
     /// Returns the layout in which values may be written now. The cluster version is the lowest
     /// format that any controller announced. A controller without a version record may run an older
     /// version and counts as format 0. The cluster version only rises, since no controller returns to
-    /// an older format.
+    /// an older format unless an operator removes its version record.
     pub fn layout(&self) -> Layout {
         let format = |name| self.cache.versions.get(name).map_or(0, |version| version.value.format);
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
@@ -202,8 +203,8 @@
         self.read_index.add(ticket);
     }
 
-    /// Requests a linearizable read for a change that a user waits for. It is not delayed to share a
-    /// request with other reads.
+    /// Requests a linearizable read that is not delayed in order to share a request with other reads,
+    /// for example for a change that a user waits for.
     pub fn sync_urgently(&mut self, ticket: u64) {
         self.read_index.add_urgent(ticket);
     }
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -156,7 +156,8 @@
         let mut batch = BatchBuilder::new(self.max_operations, self.isolated > 0);
         let mut postponed = Vec::new();
         for queued in std::mem::take(&mut self.queue) {
-            // Once a write has not fitted, later ones wait as well, so that no write is overtaken forever.
+            // Once a write was postponed and the batch has more than `max_operations` writes, later ones
+            // wait as well, so that no write is overtaken forever.
             let closed = !postponed.is_empty() && batch.writes.len() > self.max_operations;
             let operations = batch.operations_with(&queued);
             if batch.accepts(&queued) && !closed && limiter.has(operations as f64, now) {
@@ -192,7 +193,8 @@
                 self.settle_conflicts(batch, &failed, &mut on_settled)
             }
             StoreResponse::Invalid if batch.writes.len() > 1 => {
-                // The store does not name the malformed write, and it must not block the others.
+                // The store does not name the malformed write. Writes are sent one by one, so that it does
+                // not block the others.
                 self.isolated = batch.writes.len();
                 batch.writes.into_iter().for_each(|write| self.enqueue(write));
             }
@@ -245,7 +247,7 @@
 /// Transaction to which writes are added.
 struct BatchBuilder {
     max_operations: usize,
-    /// Whether the transaction may contain only one pending write.
+    /// True if the transaction may contain only one pending write.
     single_write: bool,
     writes: Vec<PendingWrite>,
     transaction: Transaction,
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -7,8 +7,8 @@
 /// Minimum pause between two read-index requests of one process.
 const REQUEST_PAUSE: Duration = Duration::from_millis(120);
 /// Additional pause while only polls are queued, so that more of them share the next request. Users
-/// allow 2 s for a poll and expect to see changes within 3 s. A submission that names jobs accepted a
-/// moment ago has 200 ms and is urgent.
+/// allow 2 s for a poll and expect to see changes within 3 s. A submission that depends on jobs accepted
+/// a moment ago must be answered within 200 ms and is therefore urgent.
 const SHARED_PAUSE: Duration = Duration::from_millis(130);
 
 /// Queued reads, and the time at which the next request may be sent.
@@ -19,7 +19,7 @@
     /// Time at which the next request may be sent if no queued read is urgent.
     next_shared_at: Instant,
     waiting: Vec<u64>,
-    /// Whether the next request is sent without the additional pause of [`SHARED_PAUSE`].
+    /// True if the next request is sent without the additional pause of [`SHARED_PAUSE`].
     urgent: bool,
 }
 
--- a/src/store/watch.rs
+++ b/src/store/watch.rs
@@ -5,15 +5,15 @@
 
 /// Maximum time for which the store waits for a change before it answers a watch.
 pub(super) const WATCH_WAIT: Duration = Duration::from_secs(8);
-/// Pause of the leader between two watches. A burst of changes costs at most 10 requests per second,
-/// and the leader sees a new submission after at most this time.
+/// Pause of the leader between two watches. It limits a burst of changes to 10 requests per second, and
+/// delays the leader's first reading of a new submission by at most this time.
 const LEADER_PAUSE: Duration = Duration::from_millis(100);
-/// Pause of a follower between two watches. Followers need changes to answer polls (a read index
-/// brings them sooner) and to detect that there is no leader. The pause is longer than the leader's
-/// because handling a response of the store costs more than all other work of a follower.
+/// Pause of a follower between two watches. It is longer than the leader's, because handling responses
+/// of the store costs a follower more than all its other work. Followers need the changes only to detect
+/// that there is no leader, and to answer polls, for which read-index requests deliver them sooner.
 const FOLLOWER_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time at which the next watch, or the next page of a snapshot, may be requested.
+/// State of the watch, and the time at which the next watch or the next page of a snapshot may be requested.
 #[derive(Debug)]
 pub(super) struct Watch {
     in_flight: bool,
