--- a/src/jobs/garbage.rs
+++ b/src/jobs/garbage.rs
@@ -4,7 +4,7 @@
 use crate::wire::Write;
 use std::collections::BTreeMap;
 
-/// A write of garbage collection, valid only while its key has the given revision.
+/// A garbage collection write, committed only if its key still has the given revision.
 #[derive(Debug)]
 pub struct GarbageWrite {
     /// Deletion of a key, or the final record of a job that was cancelled by a dependency.
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -39,8 +39,7 @@
     /// Jobs whose records cannot be decoded. They must not be reported as nonexistent.
     unreadable: HashSet<JobId>,
     garbage: Garbage,
-    /// Jobs that are cancelled because a dependency is cancelled, but whose records still say that
-    /// they are live.
+    /// Jobs that are cancelled because a dependency is cancelled, but whose records still have the phase `Live`.
     cancelled_by_dependency: BTreeSet<JobId>,
     /// Jobs whose state may have changed since the last [`Jobs::take_changed`].
     changed: Vec<JobId>,
@@ -200,8 +199,7 @@
         })
     }
 
-    /// Links a new live job to its dependencies. A known job whose record was rewritten is already
-    /// linked.
+    /// Links a new live job to its dependencies. A known job whose record was rewritten is already linked.
     fn link_dependencies(&mut self, id: &JobId) {
         let Some(live) = self.all.get(id).and_then(Job::live) else { return };
         let is_linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
--- a/src/leadership/cancellation_acks.rs
+++ b/src/leadership/cancellation_acks.rs
@@ -254,7 +254,7 @@
 
     fn peer_state(&self, peer: &ControllerId, ack: Option<&Ack>, now: Instant) -> PeerState {
         if let Some(revision) = self.lease_revision(peer) {
-            // An acknowledgement under this revision means that the peer knows of the cancellation until the key changes.
+            // A peer that acknowledged under this revision knows of the cancellation until its key changes.
             let acknowledged = ack.is_some_and(|ack| ack.lease_revision == revision);
             return if acknowledged { PeerState::Safe } else { PeerState::AckMissing };
         }
--- a/src/leadership/delegation.rs
+++ b/src/leadership/delegation.rs
@@ -3,8 +3,9 @@
 //! The leader grants each peer, for a limited time, a lease to answer heartbeats with the leader's fencing token and
 //! without starting any task. A follower uses the lease only while it receives nothing from the leader. The leader must
 //! still be able to conclude that a silent machine's lease has expired. Therefore its grants revoke silent machines,
-//! and followers acknowledge the grants that they received and report which machines they answered. Machines that only
-//! the leader cannot reach are delegated: followers answer them even while they can reach the leader.
+//! and followers acknowledge the grants that they received and report which machines they answered. A machine whose
+//! heartbeats do not reach the leader may still reach followers. It is delegated: followers answer it even while they
+//! can reach the leader.
 
 use crate::constants::{DELEGATED_LEASE_TTL, MAX_CLOCK_DRIFT};
 use crate::ids::{ControllerId, FencingToken, MachineId};
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -167,8 +167,8 @@
     /// An extension also confirms that no cancellation was committed that the leader cannot know of. It is therefore
     /// refused while this controller's own candidacy has no outcome, when a later leader is known, and when the leader
     /// key or the leader's controller lease (`has_controller_lease`) no longer exists, since peers may have committed
-    /// without that leader. A process that has read nothing from the store since its start does not know
-    /// what happened before, and refuses every extension.
+    /// cancellations without that leader. A process that has read nothing from the store since its start does not
+    /// know what happened before, and refuses every extension.
     pub fn extend_lease(
         &mut self,
         token: FencingToken,
--- a/src/schema/keys.rs
+++ b/src/schema/keys.rs
@@ -68,7 +68,7 @@
     format!("{DRAIN_PREFIX}{}", key_hash(&(kind, name)))
 }
 
-/// Returns a short hash in hexadecimal for use in a key. It is the same in every process and contains no spaces.
+/// Returns a short hexadecimal hash for use in a key, which must not contain spaces. It is the same in every process.
 pub fn key_hash<T: Hash>(value: &T) -> String {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -92,8 +92,7 @@
     last_request_id: u64,
     /// Time of the last response other than `Unavailable` and `Unknown`.
     last_response_at: Option<Instant>,
-    /// Time at which the newest answered read-index request was sent. The cache contains everything
-    /// that was committed before.
+    /// Time at which the newest answered read-index request was sent. The cache contains everything committed before.
     pub synced_at: Option<Instant>,
     random: StdRng,
     /// Requests that the owner has not sent yet.
@@ -236,7 +235,7 @@
         self.send(request, purpose, now);
     }
 
-    /// Sends a request for this controller's own lease at once, even if the rate limit is exhausted.
+    /// Sends a request for this controller's own lease at once, like a request of the election.
     pub fn send_lease_request(&mut self, request: StoreRequest, now: Instant) {
         let purpose = InFlight::ControllerLease { request: request.clone(), sent_at: now };
         self.send(request, purpose, now);
@@ -480,8 +479,7 @@
     }
 }
 
-/// Returns the pause before a failed request is repeated, randomized so that controllers do not retry
-/// at the same time.
+/// Returns the pause before a failed request is repeated, randomized so that controllers do not retry together.
 fn retry_pause(random: &mut StdRng) -> Duration {
     RETRY_PAUSE.mul_f64(1.0 + random.random::<f64>() / 2.0)
 }
--- a/src/store/group_commit.rs
+++ b/src/store/group_commit.rs
@@ -67,8 +67,7 @@
     Conflict,
     /// The write was certainly not executed.
     NotExecuted,
-    /// The write was certainly not executed and cannot succeed later: the store rejected it as
-    /// malformed or too large.
+    /// The write was certainly not executed and cannot succeed later: it is malformed or too large for the store.
     Invalid,
     /// The write may have been executed, or may still be executed later.
     Unknown,
@@ -94,8 +93,7 @@
     /// Maximum number of writes that the store accepts in one transaction.
     max_operations: usize,
     queue: Vec<QueuedWrite>,
-    /// Origins whose writes are queued or in flight. A set, since it is queried often: for each job
-    /// with completed tasks.
+    /// Origins whose writes are queued or in flight. A set, since it is queried for each job with completed tasks.
     pending: HashSet<WriteOrigin>,
     in_flight: bool,
     /// Number of writes that are still to be sent one per transaction, because one of them made the
