--- a/src/jobs/garbage.rs
+++ b/src/jobs/garbage.rs
@@ -4,7 +4,7 @@
 use crate::wire::Write;
 use std::collections::BTreeMap;
 
-/// A write of garbage collection, valid only while its key has the given revision.
+/// A garbage collection write, committed only if its key still has the given revision.
 #[derive(Debug)]
 pub struct GarbageWrite {
     /// Deletion of a key, or the final record of a job that was cancelled by a dependency.
@@ -24,7 +24,7 @@
     pub revision: Revision,
 }
 
-/// Keys that finished jobs still have beside their records, and the revisions of the keys.
+/// Keys of finished jobs other than their records, with the revisions of the keys.
 #[derive(Debug, Default)]
 pub(super) struct Garbage {
     keys: BTreeMap<String, Revision>,
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -39,8 +39,7 @@
     /// Jobs whose records cannot be decoded. They must not be reported as nonexistent.
     unreadable: HashSet<JobId>,
     garbage: Garbage,
-    /// Jobs that are cancelled because a dependency is cancelled, but whose records still say that
-    /// they are live.
+    /// Jobs that are cancelled because a dependency is cancelled, but whose records still have the phase `Live`.
     cancelled_by_dependency: BTreeSet<JobId>,
     /// Jobs whose state may have changed since the last [`Jobs::take_changed`].
     changed: Vec<JobId>,
@@ -68,7 +67,7 @@
         self.all.get(id)
     }
 
-    /// Returns whether a job has a record that this process cannot read, or not read completely.
+    /// Returns whether a job has a record that this process cannot read or has not read completely.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         self.unreadable.contains(id) || self.incomplete.contains_key(id)
     }
@@ -174,7 +173,7 @@
         mut spec: Arc<JobSpec>,
         location: Option<SpecChunks>,
     ) -> Box<LiveJob> {
-        // Shares known ids: each of thousands of dependencies costs a pointer, not a string.
+        // Shares the ids of known jobs, so that each of thousands of dependencies costs a pointer, not a string.
         for dependency in Arc::make_mut(&mut spec).depends_on.iter_mut().flatten() {
             if let Some((known, _)) = self.all.get_key_value(dependency) {
                 *dependency = known.clone();
@@ -200,8 +199,7 @@
         })
     }
 
-    /// Links a new live job to its dependencies. A known job whose record was rewritten is already
-    /// linked.
+    /// Links a new live job to its dependencies. A known job whose record was rewritten is already linked.
     fn link_dependencies(&mut self, id: &JobId) {
         let Some(live) = self.all.get(id).and_then(Job::live) else { return };
         let is_linked = live.unfinished_dependencies > 0 || live.dependencies_done_ms > 0;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -27,8 +27,9 @@
 pub const STORE_UNAVAILABLE_AFTER: Duration = Duration::from_millis(2500);
 /// Leader's share of the cluster's rate limit; the followers divide the rest equally.
 const LEADER_SHARE: f64 = 0.5;
-/// Number of requests of the rate limit that all requests except snapshots leave free, so that
-/// renewals of the leader lease are never delayed by the rate limit.
+/// Number of requests within the rate limit that are reserved for renewals of the leader lease, so that
+/// the rate limit never delays them. Of the requests that wait for the rate limit, only snapshots use
+/// this reserve.
 const RESERVED_REQUESTS: f64 = 2.0;
 
 /// Notification of the client to its owner.
@@ -91,8 +92,7 @@
     last_request_id: u64,
     /// Time of the last response other than `Unavailable` and `Unknown`.
     last_response_at: Option<Instant>,
-    /// Time at which the newest answered read-index request was sent. The cache contains everything
-    /// that was committed before.
+    /// Time at which the newest answered read-index request was sent. The cache contains everything committed before.
     pub synced_at: Option<Instant>,
     random: StdRng,
     /// Requests that the owner has not sent yet.
@@ -150,7 +150,7 @@
     /// Returns the layout in which values may be written now. The cluster version is the lowest
     /// format that any controller announced. A controller without a version record may run an older
     /// version and counts as format 0. The cluster version only rises, since no controller returns to
-    /// an older format.
+    /// an older format unless an operator removes its version record.
     pub fn layout(&self) -> Layout {
         let format = |name| self.cache.versions.get(name).map_or(0, |version| version.value.format);
         let format = self.controllers.iter().map(format).min().unwrap_or(0);
@@ -202,8 +202,8 @@
         self.read_index.add(ticket);
     }
 
-    /// Requests a linearizable read for a change that a user waits for. It is not delayed to share a
-    /// request with other reads.
+    /// Requests a linearizable read that is not delayed in order to share a request with other reads,
+    /// for example for a change that a user waits for.
     pub fn sync_urgently(&mut self, ticket: u64) {
         self.read_index.add_urgent(ticket);
     }
@@ -235,7 +235,7 @@
         self.send(request, purpose, now);
     }
 
-    /// Sends a request for this controller's own lease at once, even if the rate limit is exhausted.
+    /// Sends a request for this controller's own lease at once, like a request of the election.
     pub fn send_lease_request(&mut self, request: StoreRequest, now: Instant) {
         let purpose = InFlight::ControllerLease { request: request.clone(), sent_at: now };
         self.send(request, purpose, now);
@@ -479,8 +479,7 @@
     }
 }
 
-/// Returns the pause before a failed request is repeated, randomized so that controllers do not retry
-/// at the same time.
+/// Returns the pause before a failed request is repeated, randomized so that controllers do not retry together.
 fn retry_pause(random: &mut StdRng) -> Duration {
     RETRY_PAUSE.mul_f64(1.0 + random.random::<f64>() / 2.0)
 }
