--- a/src/controller.rs
+++ b/src/controller.rs
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Updates the mapping to the time of day, from which the monotonic clock drifts.
+    /// Updates the mapping from the monotonic clock to the time of day, since the two drift apart.
     pub fn set_wall_clock(&mut self, wall: WallClock) {
         self.api.wall_clock = wall;
         if let Some(scheduler) = &mut self.scheduler {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Records the time that the last event took to handle.
+    /// Records the handling time of the last event.
     pub fn record_handling_time(&mut self, took: Duration, now: Instant) {
         self.limits.load.record_event(took);
         if let Some(scheduler) = &mut self.scheduler {
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -21,7 +21,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Handling time from which an event is logged. Slow events endanger the leader lease, which lasts only seconds.
+/// Handling time above which an event is logged. Slow events endanger the leader lease, which lasts only seconds.
 const SLOW_EVENT_THRESHOLD: Duration = Duration::from_millis(250);
 /// Pause between two readings of the time of day. The monotonic clock drifts from it.
 const WALL_CLOCK_INTERVAL: Duration = Duration::from_secs(10);
--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -71,7 +71,8 @@
         self.received = received;
     }
 
-    /// Returns the next request to handle. Rejects it and returns `None` if its client has presumably given up.
+    /// Returns the next request to handle. Rejects it and returns `None` if it waited so long that its client has
+    /// presumably given up.
     pub(super) fn next(&mut self, now: Instant) -> Option<Event> {
         let next = self.queue.pop(now)?;
         let Queued { ticket, request, .. } = next.request;
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -52,7 +52,8 @@
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
             if !self.store.cache.controller_leases.contains_key(&peer) {
-                // A peer without a controller lease may run a version that doesn't understand the request.
+                // Without a controller lease, a peer may be disconnected or run a version that doesn't understand the
+                // request.
                 continue;
             }
             let is_reachable = self.peers.is_reachable(&peer, now);
@@ -80,8 +81,8 @@
         self.retry_cancellations(now);
     }
 
-    /// Acknowledges the cancellation of jobs that users requested from a peer. According to PROTOCOL the jobs' results
-    /// aren't needed after such a request, so acknowledging is harmless even if the cancellation is never committed.
+    /// Acknowledges cancellations that users requested from a peer. According to PROTOCOL nobody needs a job once its
+    /// cancellation is requested, so acknowledging is harmless even if the cancellation is never committed.
     pub(super) fn on_cancellation_request(
         &mut self,
         from: &ControllerId,
@@ -92,17 +93,20 @@
     ) {
         self.api.acknowledged_cancellations.acknowledge(&jobs);
         let holds_leadership = self.holds_leadership(now);
-        let placed = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
+        let placements = self.scheduler.as_ref().filter(|_| holds_leadership).map(|scheduler| {
             let zones = jobs.iter().map(|id| scheduler.zones_of(id, &self.store.cache)).collect();
             (scheduler.leader_revision(), zones)
         });
         let own_name = self.name().clone();
-        let under = self.controller_lease.revision();
-        self.send(
-            from,
-            PeerMessage::CancellationAck { from: own_name, seq, under, jobs, placed },
-            route,
-        );
+        let lease_revision = self.controller_lease.revision();
+        let ack = PeerMessage::CancellationAck {
+            from: own_name,
+            seq,
+            under: lease_revision,
+            jobs,
+            placed: placements,
+        };
+        self.send(from, ack, route);
     }
 
     /// Handles a peer's acknowledgement of cancellations.
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -37,9 +37,10 @@
     }
 
     /// Returns the commands that renew the lease of a worker whose leader is unreachable. They start no tasks, and stop
-    /// tasks that are known to be cancelled or finished, so that no task outlives its cancellation. This requires
-    /// recent data from the store or, for workers of this zone, a valid controller lease: while it is valid, no job is
-    /// cancelled without this controller's acknowledgement.
+    /// tasks of jobs that are known to be cancelled or finished, since those could otherwise run beyond the deadline of
+    /// the cancellation. This requires recent data from the store or, for workers of this zone, a controller lease
+    /// before its `answer_deadline`: until then, cancellations of jobs in this zone are committed either with this
+    /// controller's acknowledgement or so late that the workers' leases expire before the tasks must have stopped.
     pub(super) fn answer_for_leader(
         &mut self,
         heartbeat: &Heartbeat,
@@ -89,8 +90,9 @@
         // A former leader that has acknowledged a later leader's grant follows that grant and its revocations.
         let latest_token = newest_token.max(self.delegated_lease.acknowledged().token);
         match &mut self.scheduler {
-            // A leader that lost leadership answers like its followers, but only if no peer is reachable or the store
-            // is unavailable: otherwise it would keep workers from controllers that can serve them.
+            // A leader that lost leadership answers like its followers, but only if no peer is reachable, or if the
+            // store is unavailable and no later leader is known: otherwise it would keep workers that other controllers
+            // can serve.
             Some(scheduler) if scheduler.token() >= latest_token => {
                 if !is_isolated {
                     return None;
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,4 +1,5 @@
-//! Interface between a controller and its actor: events that it handles and effects that it requests.
+//! Interface between a controller and its actor: events that the controller handles, and effects that it
+//! requests from the actor.
 
 use crate::cloud::CloudRequest;
 use crate::http::{CallError, Request, Response};
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -16,7 +16,8 @@
 const REDIRECT_TIME_MAX: Duration = Duration::from_millis(1200);
 /// Time after which a worker tries the next controller if its controller doesn't respond, as PROTOCOL prescribes.
 const WORKER_FAILOVER_TIME: Duration = Duration::from_millis(5000);
-/// Time without heartbeats after which a leader resigns if workers reach a peer; half a heartbeat interval if longer.
+/// Time without heartbeats after which a leader resigns if workers reach a peer, or half a heartbeat interval if
+/// that is longer.
 const RESIGN_AFTER_SILENCE: Duration = Duration::from_millis(2000);
 /// Number of known machines below which a leader without heartbeats doesn't resign.
 const MIN_MACHINES_TO_RESIGN: usize = 3;
@@ -24,9 +25,10 @@
 const SCHEDULER_INTERVAL: Duration = TICK_MIN.saturating_mul(4);
 
 impl Controller {
-    /// Returns whether this process may act as the leader now. While the store is unreachable, the leader must know
-    /// every earlier cancellation. Its own controller lease ensures that, since no cancellation is committed without
-    /// its acknowledgement while that lease is valid; without the lease, it needs recent data from the store.
+    /// Returns whether this process may act as the leader now. If the store is unreachable and the leader lease has
+    /// expired, the leader must know every earlier cancellation. A controller lease ensures that: while its key exists
+    /// in the store, no cancellation is committed without the leader's acknowledgement, and peers that no longer see
+    /// the key don't extend the leader lease. Without a controller lease, the leader needs recent data from the store.
     pub(super) fn holds_leadership(&self, now: Instant) -> bool {
         let knows_cancellations =
             self.controller_lease.knows_all_cancellations(self.store.synced_at)
@@ -91,7 +93,7 @@
         self.store.set_leading(false, now);
     }
 
-    /// Gives up leadership and releases it in the election.
+    /// Gives up leadership and revokes the leader lease.
     pub(super) fn resign(&mut self, now: Instant) {
         self.scheduler = None;
         self.store.set_leading(false, now);
@@ -141,7 +143,7 @@
 
     /// Resigns if workers reach a peer but not this leader. Missing heartbeats alone don't suffice: if the peers are
     /// down, workers take seconds to find the remaining controller, and resigning meanwhile could leave the cluster
-    /// without a leader until all leases have expired.
+    /// without a leader for so long that every worker's lease expires.
     pub(super) fn resign_if_unreachable(&mut self, now: Instant) {
         let Some(scheduler) = &self.scheduler else { return };
         let silent_since = scheduler.last_heartbeat().max(self.stalls.resumed_at());
@@ -150,10 +152,11 @@
             let base = RESIGN_AFTER_SILENCE.max(self.settings.heartbeat_interval() / 2);
             base + self.sharding.extra_silence_allowed(now)
         } else {
-            // Workers that tried the predecessor first need the failover time to try another controller.
+            // Workers that still call the predecessor try another controller after the failover time.
             RESIGN_AFTER_SILENCE + WORKER_FAILOVER_TIME
         };
-        // A peer redirects each worker to this leader at once, so a heartbeat is due here soon after one at a peer.
+        // Peers redirect workers to this leader at once. If a peer receives a heartbeat after this deadline, redirected
+        // workers don't reach this leader.
         let redirect_deadline = scheduler.last_heartbeat() + REDIRECT_TIME_MAX;
         let workers_reach_only_peers =
             self.peers.last_worker_heartbeat().is_some_and(|at| at > redirect_deadline);
--- a/src/controller/limits.rs
+++ b/src/controller/limits.rs
@@ -14,7 +14,7 @@
     pub(super) load: LoadEstimator,
     /// Number of open public connections.
     pub(super) open_connections: usize,
-    /// Whether workers' connections use so many sockets that users should be sent to peers.
+    /// True if workers' connections use so many sockets that users should be sent to peers.
     pub(super) sheds_users: bool,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adjusts the limits to the lateness of this process while the scheduler knows that many machines.
+    /// Adjusts the limits to the number of machines that the scheduler knows and to the lateness of this process.
     pub(super) fn observe(&mut self, machines: usize, lateness: std::time::Duration, now: Instant) {
         self.sheds_users = self.sockets.sheds_users(machines, self.sheds_users);
         let machines = u32::try_from(machines).unwrap_or(u32::MAX);
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use troutspindle_protocol::operator_api;
 
-/// Maximum length in bytes of the author and the reason in a drain request.
+/// Maximum length in bytes of the author, and of the reason, in a drain request.
 const NOTE_BYTES_MAX: usize = 200;
 /// Exclusive upper bound, in seconds, of the time in which a drain is to finish.
 const DRAIN_TIME_MAX_S: f64 = 1e8;
@@ -33,13 +33,13 @@
         is_authorized.then_some(request)
     }
 
-    pub(super) fn on_at_risk(&self, body: &[u8], now: Instant) -> Response {
+    pub(super) fn on_jobs_at_risk(&self, body: &[u8], now: Instant) -> Response {
         self.respond_from_scheduler(body, now, |scheduler| {
             scheduler.at_risk(&self.store.cache, now)
         })
     }
 
-    pub(super) fn on_starving(&self, body: &[u8], now: Instant) -> Response {
+    pub(super) fn on_fair_share_report(&self, body: &[u8], now: Instant) -> Response {
         self.respond_from_scheduler(body, now, |scheduler| scheduler.fair_share_report(now))
     }
 
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -45,7 +45,7 @@
     views: HashMap<ControllerId, PeerStatusView>,
     /// Announced leader with the highest fencing token.
     announced_leader: Option<AnnouncedLeader>,
-    /// Time of the last heartbeat that any peer reported to have received from a worker.
+    /// Time at which a peer last received a worker's heartbeat, according to the peers' status messages.
     last_worker_heartbeat: Option<Instant>,
 }
 
@@ -67,7 +67,7 @@
         self.last_worker_heartbeat = self.last_worker_heartbeat.max(at);
     }
 
-    /// Returns the time at which any peer last received a worker's heartbeat.
+    /// Returns the latest time at which any peer received a worker's heartbeat.
     pub(super) fn last_worker_heartbeat(&self) -> Option<Instant> {
         self.last_worker_heartbeat
     }
@@ -99,7 +99,8 @@
         self.views.values().any(|view| view.is_reachable(now))
     }
 
-    /// Returns the announced leader if it is reachable and its token exceeds `stored_token`, the one in the store.
+    /// Returns the announced leader if it is reachable and its fencing token exceeds `stored_token`, the newest one that
+    /// was read from the store.
     pub(super) fn later_leader(
         &self,
         stored_token: FencingToken,
--- a/src/controller/relayed_commands.rs
+++ b/src/controller/relayed_commands.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sends the call results that are due to their leader, and gives up this leader's calls that are overdue.
+    /// Sends due call results to the leaders that requested them, and gives up this leader's overdue calls.
     pub(super) fn advance_relayed_commands(&mut self, now: Instant) {
         for CommandResultFrame { to, token, results } in self.sharding.forwarded.take_results(now) {
             self.send_to_peer(to, PeerMessage::CommandResults { token, results });
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without contact after which a leader whose key still exists counts as alive, but unreachable for this
-/// controller: the key of a failed leader expires sooner.
+/// Time without contact after which a leader that still has its key in the store is considered alive and unreachable
+/// only from this controller. The key of a failed leader expires sooner.
 const LEADER_UNREACHABLE_AFTER: Duration = Duration::from_millis(4500);
 /// Time since its last message through the store within which a leader counts as alive without direct contact.
 const STORE_CONTACT_VALIDITY: Duration = Duration::from_millis(5000);
@@ -37,8 +37,9 @@
             }
             return self.relay_heartbeat(ticket, heartbeat, now);
         }
-        // The leader starts no tasks on a worker whose heartbeats it doesn't receive, so the worker is sent there.
-        // If the leader is unreachable or has no free socket, the worker returns and its lease is renewed here.
+        // The leader starts no tasks on a worker whose heartbeats it doesn't receive, so a worker is redirected to a
+        // leader that this controller can't reach. If the worker can't reach it either, or the leader has no free
+        // socket, the worker returns and its lease is renewed here.
         if let Some(leader) = self.unreachable_leader(now)
             && self.sharding.redirects.try_redirect(&heartbeat.machine, now)
         {
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Sends the relayed heartbeats and commands that are due, and stops waiting for results that are overdue.
+    /// Sends the heartbeat batches, commands and results that are due, and responds to workers whose heartbeat got no
+    /// result in time.
     pub(super) fn advance_sharding(&mut self, now: Instant) {
         self.send_heartbeat_batches(now);
         for overdue in self.sharding.relay.take_overdue(now) {
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -41,7 +41,7 @@
     policy: ShardingPolicy,
     /// Members that this leader chose to take heartbeats. If empty, only the leader takes them.
     members: Membership,
-    /// Whether this leader is a member itself, because the peers have little free capacity.
+    /// True if this leader is a member itself, because the peers have little free capacity.
     leader_is_member: bool,
     /// Time at which this leader last allowed peers to relay heartbeats.
     last_sharded: Option<Instant>,
--- a/src/controller/stall_detector.rs
+++ b/src/controller/stall_detector.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without any event, equal to several pauses between ticks, after which the process counts as stalled. For the
+/// Time without any event after which the process counts as stalled: several times the pause between ticks. For the
 /// same time after it resumes, the events that it handles may be outdated.
 pub(super) const STALL_THRESHOLD: Duration = Duration::from_millis(1000);
 
--- a/src/controller/ticks.rs
+++ b/src/controller/ticks.rs
@@ -152,7 +152,7 @@
     pub(super) fn update_limits(&mut self, now: Instant) {
         let lateness = now.saturating_duration_since(self.schedule.tick_at);
         self.limits.load.record_lateness(lateness);
-        // Only peers are counted, without this controller: if one controller fails, the others still hold all workers.
+        // This controller is not counted, so that the others can still take all workers if one controller fails.
         let controllers = u32::try_from(self.count_sharding_peers(now)).unwrap_or(u32::MAX);
         self.limits.machine_limit.set_controllers(controllers.max(1));
         let outgoing = self.limits.sockets.outgoing(self.limits.open_connections);
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -26,7 +26,7 @@
 pub const DELIVERY_PAUSE: Duration = Duration::from_millis(8);
 /// Added to the timeout of a call that another controller makes, for the transfer of the request and the result.
 pub const DELIVERY_MARGIN: Duration = Duration::from_millis(1500);
-/// Bytes. Maximum size in a frame of a delivery without its commands, or of a result without a heartbeat.
+/// Maximum size in bytes, within a frame, of a delivery without its commands or of a result without a heartbeat.
 const DELIVERY_OVERHEAD_BYTES: usize = 100;
 
 /// Direct call from a controller to a worker.
--- a/src/workers/command_delivery/forwarded.rs
+++ b/src/workers/command_delivery/forwarded.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Bytes. Maximum size that is assumed for a result when results are divided into frames.
+/// Maximum size in bytes that is assumed for a result when results are divided into frames.
 const MAX_RESULT_BYTES: usize = 16 * 1024;
 
 /// Results for a leader that fit into one frame.
@@ -61,10 +61,10 @@
         ForwardedCalls::default()
     }
 
-    /// Registers a leader's request for a call. Returns false if the request is not newer than the newest one and may
-    /// have been served already: repeating the start of an attempt that has been forgotten since would run it again. So
-    /// *a controller makes each call at most once*, and none that arrives after a later one; the leader counts the
-    /// result of such a call as unknown.
+    /// Registers a leader's request for a call. Returns false if the request is not newer than the newest one, since it
+    /// may have been served already: repeating the start of an attempt that has been forgotten since would run the
+    /// attempt again. So *a controller makes each call at most once*, and skips a request that arrives after a later
+    /// one; the leader counts the result of a skipped call as unknown.
     pub fn begin(&mut self, from: &ControllerId, token: FencingToken, delivery: &Delivery) -> bool {
         if (token, delivery.number) <= self.newest_request {
             return false;
--- a/src/workers/command_delivery/pending.rs
+++ b/src/workers/command_delivery/pending.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Bytes. Maximum size of a command in a frame.
+/// Maximum size in bytes of a command in a frame.
 const MAX_COMMAND_BYTES: usize = 60;
 
 /// A call whose result is outstanding.
@@ -23,7 +23,7 @@
     deadline: Instant,
 }
 
-/// A call with a known result, or without one after its deadline.
+/// A call that has a result, or that passed its deadline without one.
 #[derive(Debug)]
 pub struct CompletedCall {
     /// Machine of the worker.
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -1,16 +1,16 @@
 //! Attribution of task failures to the machine or to the job.
 //!
-//! On a faulty machine, tasks of jobs fail that succeed elsewhere; a faulty job fails on every machine. Failures are
-//! therefore recorded per job with the machines on which they occurred, and count against a machine only once the job
-//! has succeeded elsewhere. Before that, failures on several machines are attributed to the job, of which one task at a
-//! time is then tried.
+//! A job that fails on a faulty machine succeeds elsewhere; a faulty job fails on every machine. Failures are therefore
+//! recorded per job with the machines on which they occurred, and count against a machine only once the job has
+//! succeeded elsewhere. Until then, failures on several machines are attributed to the job, and its tasks are tried one
+//! at a time.
 
 use crate::constants::{INITIAL_TASK_BACKOFF, MACHINE_FAULT_JOBS, MAX_TASK_BACKOFF};
 use crate::ids::MachineId;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Count. Number of machines on which a job that never succeeded must fail before its failures are attributed to the
+/// Number of machines on which a job that never succeeded must fail before its failures are attributed to the
 /// job: more machines are rarely faulty at the same time.
 pub const JOB_FAULT_MACHINES: usize = 3;
 
@@ -27,7 +27,7 @@
 pub struct FailureAttribution {
     /// Machines on which its tasks failed.
     failed_machines: Vec<MachineId>,
-    /// Whether one of its tasks completed, or ran for a while.
+    /// True if one of its tasks completed, or ran for a while.
     has_succeeded: bool,
     /// Next trial; set while its failures are attributed to the job.
     trial: Option<Trial>,
@@ -70,8 +70,8 @@
         !self.has_succeeded && self.failed_machines.len() >= JOB_FAULT_MACHINES
     }
 
-    /// Returns how many tasks may start while `placed` tasks are placed: any number, or one at a time for a job that
-    /// fails everywhere. The error is the time of the next trial, or `None` while a trial is in progress.
+    /// Returns the number of tasks that may start while `placed` others are placed: any number, or one at a time for a
+    /// job that fails everywhere. The error is the time of the next trial, or `None` while a trial is in progress.
     pub fn allowed_starts(&self, placed: usize, now: Instant) -> Result<usize, Option<Instant>> {
         match self.trial {
             None => Ok(usize::MAX),
@@ -86,7 +86,8 @@
         &self.failed_machines
     }
 
-    /// Returns the machines that its tasks avoid: those on which they failed, or none if these are too many.
+    /// Returns the machines that its tasks avoid: those on which they failed, or none if there are more than
+    /// [`MACHINE_FAULT_JOBS`] of them.
     pub fn avoided_machines(&self) -> &[MachineId] {
         if self.failed_machines.len() > MACHINE_FAULT_JOBS { &[] } else { &self.failed_machines }
     }
--- a/src/workers/failure_attribution/tests.rs
+++ b/src/workers/failure_attribution/tests.rs
@@ -16,7 +16,7 @@
         attribution.record_failure(&machine(n), now);
         assert_eq!(attribution.allowed_starts(5, now), Ok(usize::MAX));
     }
-    // Failures of tasks that were already running when the job became faulty do not change the pause.
+    // Failures of tasks that were already running when the job was found faulty do not change the pause.
     for n in 0..9 {
         attribution.record_failure(&machine(n), now);
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -55,15 +55,15 @@
     pub machine_type: usize,
     /// Index of its zone.
     pub zone: usize,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// True if it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     /// Phase of its life cycle.
     pub state: MachineState,
     /// Number of the machine within its zone.
     pub index: u64,
-    /// Whether its record is committed, so that a later leader will know the machine.
+    /// True if its record is committed, so that a later leader will know the machine.
     pub recorded: bool,
-    /// Whether no command of an earlier leader can reach it any more and everything that it runs is known.
+    /// True if no command of an earlier leader can reach it any more and everything that it runs is known.
     pub confirmed: bool,
     /// Time at which this leader first knew of it.
     pub known_since: Instant,
@@ -82,18 +82,18 @@
     pub last_answered: Instant,
     /// Time at which its last heartbeat was received.
     pub last_heartbeat: Option<Instant>,
-    /// Number of the delegated lease since which, without interruption, other controllers may not answer its
-    /// heartbeats.
+    /// Number of the first lease grant of the current revocation, during which no other controller may answer its
+    /// heartbeats; `None` if they may.
     pub revoked_since: Option<u64>,
     /// Time at which the cloud will reclaim it, if a notice was given.
     pub reclaim_at: Option<Instant>,
-    /// Whether other controllers may answer its heartbeats even while they reach the leader, because the leader itself
+    /// True if other controllers may answer its heartbeats even while they reach the leader, because the leader itself
     /// receives none.
     pub delegated: bool,
     /// Attempts that may be running on it, or whose end is not fully processed.
     pub attempts: BTreeMap<(TaskId, Attempt), PlacedAttempt>,
-    /// Highest attempt number whose attempts ended with a lease that has certainly expired. A heartbeat that still
-    /// lists them was delayed by the network and dates from before that expiry.
+    /// Highest attempt number that existed when its lease last certainly expired, which ended all attempts up to this
+    /// number. A heartbeat that still lists one of them was delayed by the network and sent before that expiry.
     pub terminated_up_to: Attempt,
     /// Time since which nothing runs on it.
     pub idle_since: Option<Instant>,
@@ -109,25 +109,26 @@
     pub image_ids: Images,
     /// Jobs of which a task failed on it, whatever the cause.
     pub failed_jobs: HashSet<JobId>,
-    /// Whether enough jobs that succeed elsewhere have failed on it.
+    /// True if at least `MACHINE_FAULT_JOBS` jobs that succeed elsewhere have failed on it.
     pub faulty: bool,
     /// Time of the last unanswered direct call that was made while its zone was reachable; cleared by a heartbeat.
     pub unanswered_probe: Option<Instant>,
-    /// Whether a direct call is in flight.
+    /// True if a direct call is in flight.
     pub direct_in_flight: bool,
     /// Time at which the last direct call was made.
     pub direct_sent_at: Instant,
-    /// Whether other machines of its zone were sending heartbeats at that time, i.e. the zone was reachable.
+    /// True if other machines of its zone were sending heartbeats when the last direct call was made, that is, if the
+    /// zone was reachable.
     pub probe_zone_reachable: bool,
     /// Earliest time for the next direct call.
     pub next_direct_at: Instant,
-    /// Whether the next heartbeat has to be complete, because the last one listed an attempt that had ended, or omitted
+    /// True if the next heartbeat has to be complete, because the last one listed an attempt that had ended, or omitted
     /// one whose start may still be in flight.
     needs_full_heartbeat: bool,
     /// Controller that relayed its last heartbeat; `None` if the heartbeat was sent to the leader.
     pub relayed_by: Option<Relayer>,
-    /// Whether a start or stop may have to be sent. Few machines have any due, and finding out takes a pass over all
-    /// attempts.
+    /// True if a start or stop may have to be sent. Checking this takes a pass over all attempts, and few machines have
+    /// commands due.
     pub commands_due: bool,
     /// Cached sum over its attempts; cleared when an attempt changes.
     usage: Option<Usage>,
--- a/src/workers/machine/attempt.rs
+++ b/src/workers/machine/attempt.rs
@@ -42,7 +42,7 @@
     pub priority: Priority,
     /// Container image that it runs.
     pub image: Arc<str>,
-    /// Whether a heartbeat has listed it.
+    /// True if a heartbeat has listed it.
     pub is_reported: bool,
     /// State as last reported by a heartbeat.
     pub state: TaskState,
@@ -58,7 +58,7 @@
     pub observed_start: Option<Instant>,
     /// Time at which a heartbeat last listed it as running. On a silent machine it may have ended at any time since.
     pub last_seen_running: Option<Instant>,
-    /// Whether its exit was processed; it is then forgotten as soon as that is safe.
+    /// True if its exit was processed; it is then forgotten as soon as that is safe.
     pub exit_handled: bool,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns how long it was observed to run, if its start was observed.
+    /// Returns the time for which it was observed to run, if its start was observed.
     pub(super) fn observed_run_time(&self) -> Option<Duration> {
         Some(self.last_seen_running?.saturating_duration_since(self.observed_start?))
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Change of an attempt that a heartbeat, or the end of an agent epoch, implies.
+/// Change of an attempt that follows from a heartbeat, or from the end of an agent epoch or of a machine's lease.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskEvent {
     /// The attempt has begun to run.
@@ -106,7 +106,7 @@
         attempt: Attempt,
         /// Exit cause as given by the worker.
         exit_cause: String,
-        /// Whether the attempt saved its progress.
+        /// True if the attempt saved its progress.
         saved: bool,
     },
     /// The attempt is certainly not on the machine any more, and its exit cause is unknown. The duration is the minimum
--- a/src/workers/machine/commands.rs
+++ b/src/workers/machine/commands.rs
@@ -4,7 +4,7 @@
 use crate::ids::{Attempt, TaskId};
 use crate::wire::{TaskState, WorkerCommand};
 
-/// Count. Maximum number of commands in one answer to a worker, which keeps the answer far below 64 KiB.
+/// Maximum number of commands in one answer to a worker, which keeps the answer far below 64 KiB.
 pub const MAX_COMMANDS_PER_ANSWER: usize = 300;
 
 impl Machine {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Adjusts the count of starts in flight for commands sent in a direct call (`change` is 1) or answered (-1).
+    /// Adds `change` to the number of starts in flight of each start among the commands: 1 when they are sent in a
+    /// direct call, -1 when the call is answered.
     pub fn track_starts_in_flight(&mut self, commands: &[WorkerCommand], change: i32) {
         for command in commands {
             if let WorkerCommand::Start { task, attempt } = command
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds. Longer reclamation notices are clamped to this value.
+/// Maximum reclamation notice in seconds; longer notices are clamped to it.
 const MAX_NOTICE_S: f64 = 1e6;
 
 /// Result of recording a heartbeat.
@@ -65,7 +65,7 @@
         HeartbeatEffect::Recorded(events)
     }
 
-    /// Begins a new agent epoch, whose lease counts from its begin, which was after this leader's last answer.
+    /// Starts a new agent epoch. Its lease began after this leader's last answer, so it is counted from now on.
     fn begin_agent_epoch(&mut self, agent_epoch: u64, now: Instant) -> Vec<TaskEvent> {
         self.agent_epoch = agent_epoch;
         self.last_answered = self.last_answered.max(now);
@@ -146,8 +146,8 @@
         });
     }
 
-    /// Records a heartbeat with the same content as an earlier one. Returns false if the earlier one is not the last
-    /// that was recorded here, or does not suffice, so that the complete heartbeat is needed.
+    /// Records a heartbeat with the same content as an earlier one. Returns false if the complete heartbeat is needed,
+    /// because the earlier one is not the last that was recorded here or doesn't suffice.
     pub fn record_unchanged_heartbeat(
         &mut self,
         unchanged: &UnchangedHeartbeat,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Returns an attempt placed by an earlier leader, whose resource request, team and image are not known yet.
+/// Returns an attempt placed by an earlier leader, whose resource request, team, priority and image are not known yet.
 fn found_attempt(state: TaskState, now: Instant) -> PlacedAttempt {
     let spec = AttemptSpec {
         request: Amount::default(),
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -153,8 +153,8 @@
     assert!(machine.attempts.is_empty());
 }
 
-/// Heartbeats do not list cached images. A new leader that did not learn them from adopted attempts fetched the images
-/// of most of the fleet again after a failover.
+/// Heartbeats don't list cached images. If a new leader didn't learn them from adopted attempts, most of the fleet
+/// would fetch its images again after a failover.
 #[test]
 fn image_of_an_adopted_attempt_is_cached_once_the_attempt_runs() {
     let mut machine = machine();
