--- a/src/controller.rs
+++ b/src/controller.rs
@@ -241,7 +241,6 @@
         self.effects.push(Effect::SendToPeer { to, message });
     }
 
-    /// Returns the host name of this controller.
     fn name(&self) -> &ControllerId {
         &self.settings.platform.host_name
     }
--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -18,7 +18,6 @@
     pub(super) class: RequestClass,
 }
 
-/// A request in the queue.
 struct Queued {
     ticket: u64,
     request: Request,
@@ -71,8 +70,7 @@
         self.received = received;
     }
 
-    /// Returns the next request to handle. Rejects it and returns `None` if it waited so long that its client has
-    /// presumably given up.
+    /// Returns the next request to handle. Rejects it and returns `None` if its client has presumably timed out.
     pub(super) fn next(&mut self, now: Instant) -> Option<Event> {
         let next = self.queue.pop(now)?;
         let Queued { ticket, request, .. } = next.request;
--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -16,7 +16,6 @@
     pub(super) zones: Vec<Vec<String>>,
 }
 
-/// A peer's acknowledgement of cancellations.
 pub(super) struct CancellationAck {
     pub(super) from: ControllerId,
     /// Number of the request that is acknowledged.
@@ -52,8 +51,7 @@
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
             if !self.store.cache.controller_leases.contains_key(&peer) {
-                // Without a controller lease, a peer may be disconnected or run a version that doesn't understand the
-                // request.
+                // Without a lease, the peer may be disconnected or run a version that doesn't know the request.
                 continue;
             }
             let is_reachable = self.peers.is_reachable(&peer, now);
@@ -109,7 +107,6 @@
         self.send(from, ack, route);
     }
 
-    /// Handles a peer's acknowledgement of cancellations.
     pub(super) fn on_cancellation_ack(&mut self, ack: CancellationAck, now: Instant) {
         let CancellationAck { from, seq, lease_revision, jobs, placements } = ack;
         let acks = &mut self.api.cancellation_acks;
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,5 +1,4 @@
-//! Interface between a controller and its actor: events that the controller handles, and effects that it
-//! requests from the actor.
+//! Interface between a controller and its actor: events for the controller, and effects for the actor.
 
 use crate::cloud::CloudRequest;
 use crate::http::{CallError, Request, Response};
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -16,8 +16,7 @@
 const REDIRECT_TIME_MAX: Duration = Duration::from_millis(1200);
 /// Time after which a worker tries the next controller if its controller doesn't respond, as PROTOCOL prescribes.
 const WORKER_FAILOVER_TIME: Duration = Duration::from_millis(5000);
-/// Time without heartbeats after which a leader resigns if workers reach a peer, or half a heartbeat interval if
-/// that is longer.
+/// Time without heartbeats, at least half a heartbeat interval, after which a leader resigns if workers reach a peer.
 const RESIGN_AFTER_SILENCE: Duration = Duration::from_millis(2000);
 /// Number of known machines below which a leader without heartbeats doesn't resign.
 const MIN_MACHINES_TO_RESIGN: usize = 3;
@@ -155,8 +154,7 @@
             // Workers that still call the predecessor try another controller after the failover time.
             RESIGN_AFTER_SILENCE + WORKER_FAILOVER_TIME
         };
-        // Peers redirect workers to this leader at once. If a peer receives a heartbeat after this deadline, redirected
-        // workers don't reach this leader.
+        // Peers redirect workers at once: a heartbeat at a peer after this deadline shows that they don't arrive here.
         let redirect_deadline = scheduler.last_heartbeat() + REDIRECT_TIME_MAX;
         let workers_reach_only_peers =
             self.peers.last_worker_heartbeat().is_some_and(|at| at > redirect_deadline);
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -107,7 +107,6 @@
         self.store_drain(ticket, key, drains::WITHDRAWN)
     }
 
-    /// Returns whether the target of the drain exists.
     fn target_exists(&self, request: &operator_api::DrainRequest) -> bool {
         let platform = &self.settings.platform;
         match request.kind {
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -192,8 +192,7 @@
         }
     }
 
-    /// Returns the reachable peer that announces leadership under a higher fencing token than this controller has read
-    /// from the store.
+    /// Returns the reachable peer that announces leadership under a higher fencing token than the newest in the cache.
     pub(super) fn later_leader(&self, now: Instant) -> Option<&ControllerId> {
         self.peers.later_leader(self.store.cache.token.value, now)
     }
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -26,7 +26,6 @@
         PeerRequests { last_seq: first, sent: VecDeque::new() }
     }
 
-    /// Returns the number for the next message.
     pub(super) fn next_seq(&mut self) -> u64 {
         self.last_seq += 1;
         self.last_seq
--- a/src/controller/peer_table.rs
+++ b/src/controller/peer_table.rs
@@ -99,8 +99,7 @@
         self.views.values().any(|view| view.is_reachable(now))
     }
 
-    /// Returns the announced leader if it is reachable and its fencing token exceeds `stored_token`, the newest one that
-    /// was read from the store.
+    /// Returns the announced leader if it is reachable and its token exceeds `stored_token`, the newest from the store.
     pub(super) fn later_leader(
         &self,
         stored_token: FencingToken,
--- a/src/controller/relayed_heartbeats.rs
+++ b/src/controller/relayed_heartbeats.rs
@@ -129,8 +129,7 @@
         }
     }
 
-    /// Sends the heartbeat batches, commands and results that are due, and responds to workers whose heartbeat got no
-    /// result in time.
+    /// Sends due heartbeat batches, commands and results, and responds to workers whose results are overdue.
     pub(super) fn advance_sharding(&mut self, now: Instant) {
         self.send_heartbeat_batches(now);
         for overdue in self.sharding.relay.take_overdue(now) {
--- a/src/workers/failure_attribution.rs
+++ b/src/workers/failure_attribution.rs
@@ -86,8 +86,7 @@
         &self.failed_machines
     }
 
-    /// Returns the machines that its tasks avoid: those on which they failed, or none if there are more than
-    /// [`MACHINE_FAULT_JOBS`] of them.
+    /// Returns the machines that its tasks avoid: those on which they failed, or none above [`MACHINE_FAULT_JOBS`].
     pub fn avoided_machines(&self) -> &[MachineId] {
         if self.failed_machines.len() > MACHINE_FAULT_JOBS { &[] } else { &self.failed_machines }
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -82,8 +82,7 @@
     pub last_answered: Instant,
     /// Time at which its last heartbeat was received.
     pub last_heartbeat: Option<Instant>,
-    /// Number of the first lease grant of the current revocation, during which no other controller may answer its
-    /// heartbeats; `None` if they may.
+    /// Number of the lease grant since which no other controller may answer its heartbeats; `None` if others may.
     pub revoked_since: Option<u64>,
     /// Time at which the cloud will reclaim it, if a notice was given.
     pub reclaim_at: Option<Instant>,
@@ -117,8 +116,7 @@
     pub direct_in_flight: bool,
     /// Time at which the last direct call was made.
     pub direct_sent_at: Instant,
-    /// True if other machines of its zone were sending heartbeats when the last direct call was made, that is, if the
-    /// zone was reachable.
+    /// True if its zone was reachable at the last direct call: other machines there were sending heartbeats.
     pub probe_zone_reachable: bool,
     /// Earliest time for the next direct call.
     pub next_direct_at: Instant,
@@ -127,8 +125,7 @@
     needs_full_heartbeat: bool,
     /// Controller that relayed its last heartbeat; `None` if the heartbeat was sent to the leader.
     pub relayed_by: Option<Relayer>,
-    /// True if a start or stop may have to be sent. Checking this takes a pass over all attempts, and few machines have
-    /// commands due.
+    /// True if a start or stop may be due. Few machines have one, and finding out takes a pass over all attempts.
     pub commands_due: bool,
     /// Cached sum over its attempts; cleared when an attempt changes.
     usage: Option<Usage>,
--- a/src/workers/machine/commands.rs
+++ b/src/workers/machine/commands.rs
@@ -66,8 +66,7 @@
         }
     }
 
-    /// Adds `change` to the number of starts in flight of each start among the commands: 1 when they are sent in a
-    /// direct call, -1 when the call is answered.
+    /// Adds `change` to `starts_in_flight` for each start command: 1 for a sent direct call, -1 for an answered one.
     pub fn track_starts_in_flight(&mut self, commands: &[WorkerCommand], change: i32) {
         for command in commands {
             if let WorkerCommand::Start { task, attempt } = command
