--- a/src/controller/cancellations.rs
+++ b/src/controller/cancellations.rs
@@ -16,7 +16,6 @@
     pub(super) zones: Vec<Vec<String>>,
 }
 
-/// A peer's acknowledgement of cancellations.
 pub(super) struct CancellationAck {
     pub(super) from: ControllerId,
     /// Number of the request that is acknowledged.
@@ -52,7 +51,7 @@
         self.record_own_zones(&jobs, now);
         for (peer, jobs) in by_peer {
             if !self.store.cache.controller_leases.contains_key(&peer) {
-                // A peer without a controller lease may run a version that doesn't understand the request.
+                // Without a lease, the peer may be disconnected or run a version that doesn't know the request.
                 continue;
             }
             let is_reachable = self.peers.is_reachable(&peer, now);
@@ -80,8 +79,8 @@
         self.retry_cancellations(now);
     }
 
-    /// Acknowledges the cancellation of jobs that users requested from a peer. According to PROTOCOL the jobs' results
-    /// aren't needed after such a request, so acknowledging is harmless even if the cancellation is never committed.
+    /// Acknowledges cancellations that users requested from a peer. According to PROTOCOL nobody needs a job once its
+    /// cancellation is requested, so acknowledging is harmless even if the cancellation is never committed.
     pub(super) fn on_cancellation_request(
         &mut self,
         from: &ControllerId,
@@ -105,7 +104,6 @@
         );
     }
 
-    /// Handles a peer's acknowledgement of cancellations.
     pub(super) fn on_cancellation_ack(&mut self, ack: CancellationAck, now: Instant) {
         let CancellationAck { from, seq, lease_revision, jobs, placements } = ack;
         let acks = &mut self.api.cancellation_acks;
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! Interface between a controller and its actor: events that it handles and effects that it requests.
+//! Interface between a controller and its actor: events for the controller, and effects for the actor.
 
 use crate::cloud::CloudRequest;
 use crate::http::{CallError, Request, Response};
