--- a/crates/elastic-width/src/lib.rs
+++ b/crates/elastic-width/src/lib.rs
@@ -1,10 +1,10 @@
-//! How wide elastic jobs run.
+//! Plans the width of elastic jobs, which is the number of tasks that run at the same time.
 //!
-//! Pure: no I/O, and the time is handed in. An elastic job has a minimum width, for which it is served as any
-//! job is, and beyond it takes only capacity that has stayed free for a while. Such capacity is shared max-min: the
-//! narrowest job is widened first. One planner decides for all, so two jobs never claim the same capacity; what
-//! keeps them from swapping it back and forth is that growth takes half of what stayed free, and that a job
-//! that was preempted backs off.
+//! The crate does no I/O, and callers pass in the current time. Up to its minimum width, an elastic job is scheduled
+//! like any other job; beyond it, the job grows only into capacity that has been free for [`constants::STABLE_AFTER`].
+//! That capacity is divided by max-min fairness: the narrowest job grows first. One planner decides for all jobs, so
+//! two jobs never claim the same capacity. They do not take it from each other in turns either, because one round
+//! of growth takes only [`constants::GROWTH_SHARE`] of it and a preempted job backs off.
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
@@ -14,18 +14,18 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Capacity in whatever unit needs are counted in.
+/// Capacity, in the unit of [`ElasticJob::need`].
 pub type Capacity = u64;
 
-/// Capacity that stayed free; times are since any fixed moment.
+/// Tracks the capacity that stays free. All times are measured from one fixed moment.
 #[derive(Debug, Default)]
 pub struct StableCapacity {
-    /// Samples of the last [`STABLE_AFTER`], and the last one before.
+    /// Free capacity by time: the samples within the last [`STABLE_AFTER`], and the last one before.
     samples: VecDeque<(Duration, Capacity)>,
 }
 
 impl StableCapacity {
-    /// Records how much is free now.
+    /// Records the capacity that is free now.
     pub fn observe(&mut self, free: Capacity, now: Duration) {
         self.samples.push_back((now, free));
         while self.samples.get(1).is_some_and(|(at, _)| *at + STABLE_AFTER <= now) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What has been free for all of [`STABLE_AFTER`].
+    /// Returns the capacity that has been free for all of [`STABLE_AFTER`].
     pub fn available(&self, now: Duration) -> Capacity {
         match self.samples.front() {
             Some((first, _)) if *first + STABLE_AFTER <= now => {
@@ -44,76 +44,79 @@
     }
 }
 
-/// A job that would take more tasks at once.
+/// Job that can run more tasks at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ElasticJob {
-    /// What one task needs, above nothing.
+    /// Resource request of one task; must not be 0.
     pub need: Capacity,
-    /// Tasks that run.
+    /// Number of tasks that run.
     pub width: u64,
-    /// Tasks that it may run at once.
+    /// Maximum width.
     pub most: u64,
-    /// Tasks that wait.
+    /// Number of tasks that wait.
     pub waiting: u64,
 }
 
 impl ElasticJob {
-    fn wants(&self) -> u64 {
+    /// Returns the number of tasks by which the job can grow.
+    fn max_growth(&self) -> u64 {
         self.waiting.min(self.most.saturating_sub(self.width))
     }
 }
 
-/// By how many tasks each grows into so much room: the narrowest first, all to the same width as far as
-/// they want to and the room lasts. The last task goes to whoever stands first among equals.
-pub fn share(elastic_jobs: &[ElasticJob], room: Capacity) -> Vec<u64> {
-    let mut grown = vec![0u64; elastic_jobs.len()];
-    let mut room = room;
-    // Up to which width all can be brought: found by halving, since room for one more task of each
-    // only gets less as the width rises.
+/// Returns the number of tasks by which each job grows into the capacity. All jobs grow to the same width, the narrowest
+/// first, as far as their maxima and the capacity allow. Among equally narrow jobs, the first in the list gets the
+/// last task.
+pub fn share(elastic_jobs: &[ElasticJob], capacity: Capacity) -> Vec<u64> {
+    let mut growth = vec![0u64; elastic_jobs.len()];
+    let mut remaining = capacity;
+    // Binary search for the largest width that all jobs can reach. It applies because the cost never falls as the
+    // width rises.
     let cost = |level: u64| -> u128 {
         let each = elastic_jobs.iter().map(|elastic_job| {
-            let grows = level.saturating_sub(elastic_job.width).min(elastic_job.wants());
-            u128::from(grows) * u128::from(elastic_job.need.max(1))
+            let added = level.saturating_sub(elastic_job.width).min(elastic_job.max_growth());
+            u128::from(added) * u128::from(elastic_job.need.max(1))
         });
         each.sum()
     };
     let highest = elastic_jobs
         .iter()
-        .map(|elastic_job| elastic_job.width + elastic_job.wants())
+        .map(|elastic_job| elastic_job.width + elastic_job.max_growth())
         .max()
         .unwrap_or(0);
     let (mut low, mut high) = (0, highest);
     while low < high {
         let level = low + (high - low).div_ceil(2);
-        if cost(level) <= u128::from(room) { low = level } else { high = level - 1 }
+        if cost(level) <= u128::from(remaining) { low = level } else { high = level - 1 }
     }
-    for (grows, elastic_job) in grown.iter_mut().zip(elastic_jobs) {
-        *grows = low.saturating_sub(elastic_job.width).min(elastic_job.wants());
-        room -= *grows * elastic_job.need.max(1);
+    for (added, elastic_job) in growth.iter_mut().zip(elastic_jobs) {
+        *added = low.saturating_sub(elastic_job.width).min(elastic_job.max_growth());
+        remaining -= *added * elastic_job.need.max(1);
     }
-    // What is left widens some of those at that level by one more.
-    for (grows, elastic_job) in grown.iter_mut().zip(elastic_jobs) {
-        let narrow = elastic_job.width + *grows <= low;
-        if narrow && *grows < elastic_job.wants() && elastic_job.need.max(1) <= room {
-            *grows += 1;
-            room -= elastic_job.need.max(1);
+    // The remaining capacity widens some of the jobs at that level by one more task.
+    for (added, elastic_job) in growth.iter_mut().zip(elastic_jobs) {
+        let is_at_level = elastic_job.width + *added <= low;
+        if is_at_level && *added < elastic_job.max_growth() && elastic_job.need.max(1) <= remaining
+        {
+            *added += 1;
+            remaining -= elastic_job.need.max(1);
         }
     }
-    grown
+    growth
 }
 
-/// A pause in growing.
+/// Time during which a preempted job does not grow.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     until: Duration,
     length: Duration,
 }
 
-/// What is remembered of elastic jobs from one planning pass to the next.
+/// State of elastic jobs that is kept from one planning pass to the next.
 #[derive(Debug)]
 pub struct WidthPlanner<Id> {
     stable_capacity: StableCapacity,
-    /// Jobs that were preempted and do not grow yet.
+    /// Backoffs of preempted jobs. An expired one is kept for as long again, so that the next one can be doubled.
     backoffs: BTreeMap<Id, Backoff>,
 }
 
@@ -124,8 +127,8 @@
 }
 
 impl<Id: Ord + Clone> WidthPlanner<Id> {
-    /// Records that a task of the job was preempted. A job that is preempted again soon after its backoff backs
-    /// off for twice as long.
+    /// Records that a task of the job was preempted. If that happens soon after the previous backoff, the new one is
+    /// twice as long.
     pub fn record_preemption(&mut self, job: &Id, now: Duration) {
         let length = match self.backoffs.get(job) {
             Some(backoff) if now < backoff.until => backoff.length,
@@ -139,7 +142,8 @@
         self.backoffs.get(job).is_some_and(|backoff| now < backoff.until)
     }
 
-    /// By how many tasks each of these jobs may grow now beyond its minimum width, with so much capacity free.
+    /// Returns the number of tasks by which each job may grow now beyond its minimum width, given the free capacity. Jobs
+    /// that may not grow are left out.
     pub fn grow(
         &mut self,
         jobs: &[(Id, ElasticJob)],
@@ -148,13 +152,13 @@
     ) -> BTreeMap<Id, u64> {
         self.backoffs.retain(|_, backoff| now < backoff.until + backoff.length);
         self.stable_capacity.observe(free, now);
-        let room = (self.stable_capacity.available(now) as f64 * GROWTH_SHARE) as Capacity;
+        let capacity = (self.stable_capacity.available(now) as f64 * GROWTH_SHARE) as Capacity;
         let eligible: Vec<&(Id, ElasticJob)> =
             jobs.iter().filter(|(id, _)| !self.backs_off(id, now)).collect();
         let elastic_jobs: Vec<ElasticJob> =
             eligible.iter().map(|(_, elastic_job)| *elastic_job).collect();
-        let grown = share(&elastic_jobs, room);
-        eligible.into_iter().map(|(id, _)| id.clone()).zip(grown).filter(|(_, n)| *n > 0).collect()
+        let growth = share(&elastic_jobs, capacity);
+        eligible.into_iter().map(|(id, _)| id.clone()).zip(growth).filter(|(_, n)| *n > 0).collect()
     }
 }
 
--- a/crates/elastic-width/src/tests.rs
+++ b/crates/elastic-width/src/tests.rs
@@ -4,127 +4,129 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn s(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
 proptest! {
-    /// Against the plain way: one task at a time to the narrowest that wants one and fits.
+    /// Reference model: adds one task at a time to the narrowest job that can grow and whose task fits.
     #[test]
-    fn room_is_shared_as_one_task_at_a_time_would(
+    fn shares_equal_those_of_adding_one_task_at_a_time_to_the_narrowest_job(
         widths in prop::collection::vec((0u64..30, 0u64..40, 0u64..30), 0..8),
-        need in 1u64..5, room in 0u64..200
+        need in 1u64..5, capacity in 0u64..200
     ) {
         let elastic_jobs: Vec<ElasticJob> = widths
             .iter()
             .map(|(width, most, waiting)| ElasticJob { need, width: *width, most: *most, waiting: *waiting })
             .collect();
-        let mut plain = vec![0u64; elastic_jobs.len()];
-        let mut left = room;
+        let mut reference = vec![0u64; elastic_jobs.len()];
+        let mut remaining = capacity;
         loop {
-            let open = |n: &usize| plain[*n] < elastic_jobs[*n].wants() && need <= left;
-            let narrowest = (0..elastic_jobs.len()).filter(open).min_by_key(|n| elastic_jobs[*n].width + plain[*n]);
+            let can_grow = |n: &usize| reference[*n] < elastic_jobs[*n].max_growth() && need <= remaining;
+            let narrowest = (0..elastic_jobs.len()).filter(can_grow).min_by_key(|n| elastic_jobs[*n].width + reference[*n]);
             let Some(n) = narrowest else { break };
-            plain[n] += 1;
-            left -= need;
+            reference[n] += 1;
+            remaining -= need;
         }
-        prop_assert_eq!(share(&elastic_jobs, room), plain);
+        prop_assert_eq!(share(&elastic_jobs, capacity), reference);
     }
 
-    /// Of whatever sizes, nobody gets more than it wants and all together no more than there is; and
-    /// nobody is widened beyond one who is narrower, wants more and would fit into what it got.
+    /// For jobs of any size: no job exceeds its maximum, all together fit the capacity, and no job grows beyond a narrower
+    /// one that could still grow and whose task would fit into the capacity that the wider job got.
     #[test]
-    fn nobody_takes_what_there_is_not(
+    fn growth_never_exceeds_capacity_or_maxima_and_favors_narrow_jobs(
         elastic_jobs in prop::collection::vec((1u64..50, 0u64..1000, 0u64..1000, any::<u64>()), 0..12),
-        room in any::<u64>()
+        capacity in any::<u64>()
     ) {
         let elastic_jobs: Vec<ElasticJob> = elastic_jobs
             .iter()
             .map(|(need, width, most, waiting)| ElasticJob { need: *need, width: *width, most: *most, waiting: *waiting })
             .collect();
-        let grown = share(&elastic_jobs, room);
-        let taken: u128 = grown.iter().zip(&elastic_jobs).map(|(n, g)| u128::from(*n) * u128::from(g.need)).sum();
-        prop_assert!(taken <= u128::from(room));
-        for (n, elastic_job) in grown.iter().zip(&elastic_jobs) {
-            prop_assert!(*n <= elastic_job.wants());
-            for (m, other) in grown.iter().zip(&elastic_jobs) {
-                let wider = *n > 1 && elastic_job.width + n > other.width + m + 2;
-                prop_assert!(!wider || *m == other.wants() || other.need > elastic_job.need, "{elastic_jobs:?} {grown:?}");
+        let growth = share(&elastic_jobs, capacity);
+        let allocated: u128 = growth.iter().zip(&elastic_jobs).map(|(n, job)| u128::from(*n) * u128::from(job.need)).sum();
+        prop_assert!(allocated <= u128::from(capacity));
+        for (n, elastic_job) in growth.iter().zip(&elastic_jobs) {
+            prop_assert!(*n <= elastic_job.max_growth());
+            for (m, other) in growth.iter().zip(&elastic_jobs) {
+                let is_wider = *n > 1 && elastic_job.width + n > other.width + m + 2;
+                prop_assert!(!is_wider || *m == other.max_growth() || other.need > elastic_job.need, "{elastic_jobs:?} {growth:?}");
             }
         }
     }
 
-    /// Room that stayed free is the least that was seen within the while.
     #[test]
-    fn what_stays_free_is_the_least_lately(looks in prop::collection::vec((0u64..2000, 0u64..100), 1..60)) {
+    fn stable_capacity_is_the_minimum_of_the_recent_samples(samples in prop::collection::vec((0u64..2000, 0u64..100), 1..60)) {
         let mut stable_capacity = StableCapacity::default();
-        let mut seen: Vec<(Duration, u64)> = Vec::new();
+        let mut observed: Vec<(Duration, u64)> = Vec::new();
         let mut now = Duration::ZERO;
-        for (ms, free) in looks {
+        for (ms, free) in samples {
             now += Duration::from_millis(ms);
             stable_capacity.observe(free, now);
-            seen.push((now, free));
-            // Also that of the last look before the while began.
-            let first = seen.iter().rposition(|(at, _)| *at + STABLE_AFTER <= now);
-            let plain = first.map_or(0, |first| seen[first..].iter().map(|(_, free)| *free).min().unwrap());
-            prop_assert_eq!(stable_capacity.available(now), plain);
+            observed.push((now, free));
+            // The last sample before the period counts too: it applies at the start of the period.
+            let first = observed.iter().rposition(|(at, _)| *at + STABLE_AFTER <= now);
+            let expected = first.map_or(0, |first| observed[first..].iter().map(|(_, free)| *free).min().unwrap());
+            prop_assert_eq!(stable_capacity.available(now), expected);
         }
     }
 }
 
-/// Two jobs that both want all of the room that comes free, and a guest that takes some of it back now
-/// and then: each changes its direction only where the guest makes it.
+/// Two elastic jobs that both can use all free capacity must not take it from each other in turns. Other work preempts
+/// them now and then; only that may make a job change between growing and shrinking.
 #[test]
-fn two_growers_never_swap_room_back_and_forth() {
-    let mut widths: WidthPlanner<u8> = WidthPlanner::default();
+fn two_elastic_jobs_do_not_oscillate_when_other_work_preempts_them() {
+    let mut planner: WidthPlanner<u8> = WidthPlanner::default();
     let mut width = [4u64, 4];
     let mut direction = [0i8; 2];
-    let mut turns = [0; 2];
-    let mut shrinks = 0;
-    let all = 64u64;
+    let mut reversals = [0; 2];
+    let mut preemptions = 0;
+    let supply = 64u64;
     for step in 0..2500u64 {
-        let now = s(step as f64 * 0.2);
-        // Thirty seconds at first, then six times for six seconds with seven between.
-        let pulse = (400..790).contains(&step) && (step - 400) % 65 < 30;
-        let guest = if (150..300).contains(&step) || pulse { 30 } else { 0 };
-        // The guest takes its room at once, from the widest first.
-        while width.iter().sum::<u64>() + guest > all {
+        let now = seconds(step as f64 * 0.2);
+        // The other work runs for 30 seconds at first, then six times for 6 seconds with pauses of 7 seconds.
+        let is_burst = (400..790).contains(&step) && (step - 400) % 65 < 30;
+        let other_work = if (150..300).contains(&step) || is_burst { 30 } else { 0 };
+        // The other work preempts at once, tasks of the widest job first.
+        while width.iter().sum::<u64>() + other_work > supply {
             let widest = usize::from(width[1] > width[0]);
             width[widest] -= 1;
-            widths.record_preemption(&(widest as u8), now);
-            turns[widest] += u32::from(direction[widest] > 0);
+            planner.record_preemption(&(widest as u8), now);
+            reversals[widest] += u32::from(direction[widest] > 0);
             direction[widest] = -1;
-            shrinks += 1;
+            preemptions += 1;
         }
-        let free = all - guest - width.iter().sum::<u64>();
+        let free = supply - other_work - width.iter().sum::<u64>();
         let elastic_job =
             |n: usize| ElasticJob { need: 1, width: width[n], most: 60, waiting: 100 };
-        let grown = widths.grow(&[(0, elastic_job(0)), (1, elastic_job(1))], free, now);
-        for (id, more) in grown {
+        let growth = planner.grow(&[(0, elastic_job(0)), (1, elastic_job(1))], free, now);
+        for (id, added) in growth {
             let n = usize::from(id);
-            width[n] += more;
-            turns[n] += u32::from(direction[n] < 0);
+            width[n] += added;
+            reversals[n] += u32::from(direction[n] < 0);
             direction[n] = 1;
         }
     }
-    assert!(shrinks > 0);
-    // Without any rest each of the guest's seven visits turns both jobs twice.
-    assert!(turns.iter().all(|turns| *turns <= 8), "{turns:?}");
+    assert!(preemptions > 0);
+    // Without a backoff, each of the seven runs of the other work would reverse both jobs twice.
+    assert!(reversals.iter().all(|reversals| *reversals <= 8), "{reversals:?}");
     assert!(width[0].abs_diff(width[1]) <= 1 && width.iter().sum::<u64>() >= 60, "{width:?}");
 }
 
 #[test]
-fn room_that_comes_and_goes_is_left_alone() {
-    let mut widths: WidthPlanner<u8> = WidthPlanner::default();
+fn jobs_grow_only_into_capacity_that_stays_free() {
+    let mut planner: WidthPlanner<u8> = WidthPlanner::default();
     let elastic_job = ElasticJob { need: 1, width: 1, most: 50, waiting: 50 };
     for step in 0..100u64 {
         let free = if step % 20 == 0 { 0 } else { 30 };
-        assert!(widths.grow(&[(0, elastic_job)], free, s(step as f64 * 0.2)).is_empty(), "{step}");
+        assert!(
+            planner.grow(&[(0, elastic_job)], free, seconds(step as f64 * 0.2)).is_empty(),
+            "{step}"
+        );
     }
-    // What stayed is taken by half, then by half of the rest.
-    let mut grown = BTreeMap::new();
+    // Each round takes half of the capacity that stayed free.
+    let mut growth = BTreeMap::new();
     for step in 100..150u64 {
-        grown = widths.grow(&[(0, elastic_job)], 30, s(step as f64 * 0.2));
+        growth = planner.grow(&[(0, elastic_job)], 30, seconds(step as f64 * 0.2));
     }
-    assert_eq!(grown.get(&0), Some(&15));
+    assert_eq!(growth.get(&0), Some(&15));
 }
--- a/crates/fair-share/src/constants.rs
+++ b/crates/fair-share/src/constants.rs
@@ -2,15 +2,17 @@
 
 use std::time::Duration;
 
-/// Units of capacity of one machine of the largest type: whole millionths, so that sums never drift.
+/// Capacity units in one machine of the largest type. Capacity is an integer, so sums accumulate no rounding error.
 pub const UNITS_PER_MACHINE: u64 = 1_000_000;
-/// Time constant of the average of arrivals.
+/// Time constant of the exponential average of the arrival rate.
 pub const ARRIVAL_WINDOW: Duration = Duration::from_secs(120);
-/// The shortest time that the average is taken over: a new leader sees all that was accepted before at once.
+/// Minimum time that the arrival rate is averaged over. A new leader records all previously accepted work at once,
+/// which must not count as a burst.
 pub const MIN_ARRIVAL_WINDOW: Duration = Duration::from_secs(120);
-/// How long demand has to exceed supply before capacity counts as scarce.
+/// Time for which demand must exceed supply before capacity counts as scarce.
 pub const ENTER_AFTER: Duration = Duration::from_secs(3);
-/// How long it has to stay below [`EXIT_THRESHOLD`] before scarcity is over; longer, against flapping.
+/// Time for which demand must stay below [`EXIT_THRESHOLD`] before scarcity ends. It is longer than [`ENTER_AFTER`]
+/// to prevent flapping.
 pub const EXIT_AFTER: Duration = Duration::from_secs(15);
-/// Share of the supply below which demand has to fall for that.
+/// Fraction of the supply that demand must fall below for scarcity to end.
 pub const EXIT_THRESHOLD: f64 = 0.95;
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fair shares of a scarce fleet: what each group is owed while there is less capacity than all accepted work
-//! asks for.
+//! Fair shares of scarce capacity: the floor, the deficit and the preemptible capacity of each group while demand
+//! exceeds supply.
 //!
-//! Pure: no I/O, and the time is handed in. Work is told apart by *group*, its class and its team, so that a
-//! floor of each group is a floor of each class and of each team. Nothing is kept: what a group has missed still
-//! waits, so its records say what it is owed, and two leaders in a row cannot count it twice. Only the recent
-//! rate at which work arrives is remembered, and a new leader begins it anew from the records of live jobs.
+//! The crate does no I/O, and callers pass in the current time. A *group* is one class of one team, so a floor for
+//! each group is also a floor for each class and each team. Past deficits are not stored: work that was not served
+//! is still waiting, so the current demand shows the deficit, and successive leaders cannot count it twice. Only the
+//! recent arrival rate is kept, and a new leader rebuilds it from the records of live jobs.
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
 
@@ -17,213 +17,223 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Room in millionths of a machine; see [`UNITS_PER_MACHINE`].
+/// Capacity in millionths of a machine of the largest type; see [`UNITS_PER_MACHINE`].
 pub type Capacity = u64;
 
-/// What one group has and asks for.
+/// Allocated and requested capacity of one group.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
-    /// What its tasks take up now.
+    /// Capacity allocated to the group's tasks now.
     pub held: Capacity,
-    /// What its waiting tasks would take up, as far as their team's limit allows.
+    /// Capacity that the group's waiting tasks would use, bounded by their team's limit.
     pub waiting: Capacity,
-    /// What it has to hold, on average, to be served as fast as its work arrives.
+    /// Average capacity needed to serve the group's work as fast as it arrives.
     pub offered: Capacity,
-    /// It may not use spot machines.
+    /// Whether the group may not use spot machines.
     pub ordinary: bool,
-    /// Its team has no guarantee: it gets a floor from what the floors of others leave.
+    /// Whether the group's team has no guarantee. Its floor comes from the capacity that the floors of the other
+    /// groups leave.
     pub guest: bool,
 }
 
 impl Demand {
-    /// What it could make use of now.
+    /// Returns the capacity that the group could use now.
     pub fn wanted(&self) -> Capacity {
         self.held.saturating_add(self.waiting)
     }
 
-    /// What it asks for in the long run: no more than it could use, since a job that is nearly done
-    /// needs no more than what is left of it.
+    /// Returns the sustained demand: the offered load, capped at what the group could use now, because a job that is
+    /// nearly done needs no more than the rest of its work.
     pub fn needed(&self) -> Capacity {
         self.offered.min(self.wanted())
     }
 }
 
-/// Machines that are there or surely on their way, in [`Capacity`].
+/// Capacity of the machines that are up or booting.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Supply {
     /// Ordinary machines.
     pub ordinary: Capacity,
     /// Spot machines.
     pub spot: Capacity,
-    /// Nothing more can be rented now: every kind refuses, the cloud is out, or controllers can hold no
-    /// more machines.
+    /// Whether nothing more can be rented now: the cloud refuses every combination of machine type and zone, the cloud
+    /// is unavailable, or the controllers cannot manage more machines.
     pub exhausted: bool,
-    /// That is not known, but taken to be so: a new leader has asked for nothing yet, and what a predecessor
-    /// kept for those below their floors would be gone by the time it knows.
+    /// Whether the supply is assumed to be exhausted although that is not confirmed: a new leader has not requested
+    /// a machine yet, and by the time of the first response it would have given away the capacity that its
+    /// predecessor reserved for groups below their floors.
     pub presumed: bool,
 }
 
 impl Supply {
-    /// All of it.
+    /// Returns the capacity of ordinary and spot machines together.
     pub fn all(&self) -> Capacity {
         self.ordinary.saturating_add(self.spot)
     }
 }
 
-fn share(of: Capacity, factor: f64) -> Capacity {
-    (of as f64 * factor) as Capacity
+fn scale(capacity: Capacity, factor: f64) -> Capacity {
+    (capacity as f64 * factor) as Capacity
 }
 
-/// By what factor demand is met, where some of it may use ordinary machines alone.
+/// Fractions of the demand that can be met: of the demand limited to ordinary machines, and of the rest.
 struct Coverage {
     ordinary_only: f64,
     any_machine: f64,
 }
 
 fn coverage(ordinary: Capacity, any: Capacity, supply: &Supply) -> Coverage {
-    let part =
-        |room: Capacity, wish: Capacity| if wish == 0 { 1.0 } else { room as f64 / wish as f64 };
-    let even = part(supply.all(), ordinary.saturating_add(any)).min(1.0);
-    if share(ordinary, even) <= supply.ordinary {
-        return Coverage { ordinary_only: even, any_machine: even };
+    let fraction = |available: Capacity, requested: Capacity| {
+        if requested == 0 { 1.0 } else { available as f64 / requested as f64 }
+    };
+    let equal = fraction(supply.all(), ordinary.saturating_add(any)).min(1.0);
+    if scale(ordinary, equal) <= supply.ordinary {
+        return Coverage { ordinary_only: equal, any_machine: equal };
     }
-    // They fill the ordinary machines; all the others have is the rest.
-    let strict = part(supply.ordinary, ordinary).min(1.0);
-    let rest = supply.all().saturating_sub(share(ordinary, strict));
-    Coverage { ordinary_only: strict, any_machine: part(rest, any).min(1.0) }
+    // The demand limited to ordinary machines uses all of them, and the other demand gets the rest.
+    let ordinary_only = fraction(supply.ordinary, ordinary).min(1.0);
+    let rest = supply.all().saturating_sub(scale(ordinary, ordinary_only));
+    Coverage { ordinary_only, any_machine: fraction(rest, any).min(1.0) }
 }
 
-/// The floor of each group: the same share of what each needs, or as much of it as there is for all. Groups
-/// of guests come after the others, each with no more than an even part of everything: a flood earns nothing
-/// by its size.
+/// Returns the floor of each group: the fraction `floor` of its sustained demand, scaled down equally for all where
+/// the supply does not suffice. Groups without a guarantee are served after the others, and the demand of each counts
+/// only up to an equal part of the whole supply, so a team without a guarantee gains nothing by submitting more work.
 pub fn floors<K: Ord + Clone>(
     demands: &BTreeMap<K, Demand>,
     supply: &Supply,
     floor: f64,
 ) -> BTreeMap<K, Capacity> {
-    let mut left = *supply;
+    let mut remaining = *supply;
     let mut floors = BTreeMap::new();
-    let even = supply.all() / demands.len().max(1) as u64;
-    for guests in [false, true] {
+    let equal_part = supply.all() / demands.len().max(1) as u64;
+    for unguaranteed in [false, true] {
         let tier: Vec<(&K, Capacity, bool)> = demands
             .iter()
-            .filter(|(_, demand)| demand.guest == guests)
+            .filter(|(_, demand)| demand.guest == unguaranteed)
             .map(|(key, demand)| {
-                let needed = if guests { demand.needed().min(even) } else { demand.needed() };
-                (key, share(needed, floor), demand.ordinary)
+                let needed =
+                    if unguaranteed { demand.needed().min(equal_part) } else { demand.needed() };
+                (key, scale(needed, floor), demand.ordinary)
             })
             .collect();
-        let wishes = |ordinary: bool| -> Capacity {
-            tier.iter().filter(|(_, _, only)| *only == ordinary).map(|(_, wish, _)| *wish).sum()
+        let requested = |ordinary: bool| -> Capacity {
+            tier.iter()
+                .filter(|(_, _, ordinary_only)| *ordinary_only == ordinary)
+                .map(|(_, request, _)| *request)
+                .sum()
         };
-        let met = coverage(wishes(true), wishes(false), &left);
+        let covered = coverage(requested(true), requested(false), &remaining);
         let (mut ordinary, mut any) = (0, 0);
-        for (key, wish, only) in tier {
-            let floor = share(wish, if only { met.ordinary_only } else { met.any_machine });
-            *(if only { &mut ordinary } else { &mut any }) += floor;
+        for (key, request, ordinary_only) in tier {
+            let fraction = if ordinary_only { covered.ordinary_only } else { covered.any_machine };
+            let floor = scale(request, fraction);
+            *(if ordinary_only { &mut ordinary } else { &mut any }) += floor;
             floors.insert(key.clone(), floor);
         }
-        // What may use spot machines takes those first.
-        let beyond = any.saturating_sub(left.spot);
-        left.spot = left.spot.saturating_sub(any);
-        left.ordinary = left.ordinary.saturating_sub(ordinary.saturating_add(beyond));
+        // Groups that may use spot machines are served from those first.
+        let beyond_spot = any.saturating_sub(remaining.spot);
+        remaining.spot = remaining.spot.saturating_sub(any);
+        remaining.ordinary =
+            remaining.ordinary.saturating_sub(ordinary.saturating_add(beyond_spot));
     }
     floors
 }
 
-/// What a group has and is owed while capacity is scarce.
+/// Share of one group while capacity is scarce.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GroupShare {
-    /// What it is to have at the least.
+    /// Minimum capacity for the group.
     pub floor: Capacity,
-    /// What its tasks take up.
+    /// Capacity allocated to the group's tasks.
     pub held: Capacity,
-    /// What it is to get before all others.
+    /// Capacity missing to the floor, as far as tasks wait for it. It is served before all other requests.
     pub owed: Capacity,
-    /// How much of what it holds may be preempted for others.
+    /// Allocated capacity above the floor, which may be preempted for other groups.
     pub preemptible: Capacity,
 }
 
 impl GroupShare {
-    /// How much of its floor a group has, for the order among those below theirs.
+    /// Returns the allocated fraction of the floor, which orders groups below their floors.
     pub fn reached(&self) -> OrderedFloat<f64> {
         OrderedFloat(self.held as f64 / self.floor.max(1) as f64)
     }
 }
 
-/// How fast work arrives, in machine-seconds a second, forgetting what came long ago.
+/// Exponentially weighted average of the arrival rate, in machine-seconds per second.
 #[derive(Debug, Clone, Copy)]
 struct Arrivals {
-    sum: f64,
+    weighted_sum: f64,
     since: Duration,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Arrivals {
     fn new(now: Duration) -> Arrivals {
-        Arrivals { sum: 0.0, since: now, at: now }
+        Arrivals { weighted_sum: 0.0, since: now, updated_at: now }
     }
 
     fn decay(age: Duration) -> f64 {
         (-age.as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64()).exp()
     }
 
-    fn forget(&mut self, now: Duration) {
-        self.sum *= Self::decay(now.saturating_sub(self.at));
-        self.at = self.at.max(now);
+    fn decay_to(&mut self, now: Duration) {
+        self.weighted_sum *= Self::decay(now.saturating_sub(self.updated_at));
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Work of so many machine-seconds came, `age` ago.
+    /// Records that `work` machine-seconds arrived `age` ago.
     fn record_arrival(&mut self, work: f64, age: Duration, now: Duration) {
-        self.forget(now);
-        self.sum += work * Self::decay(age);
-        // What came before this average began widens what it is taken over.
+        self.decay_to(now);
+        self.weighted_sum += work * Self::decay(age);
+        // An arrival before the start of the averaged period extends that period.
         self.since = self.since.min(now.saturating_sub(age));
     }
 
     fn rate(&self, now: Duration) -> f64 {
-        let seen = now.saturating_sub(self.since).max(MIN_ARRIVAL_WINDOW);
-        let weight = ARRIVAL_WINDOW.as_secs_f64() * (1.0 - Self::decay(seen));
-        self.sum * Self::decay(now.saturating_sub(self.at)) / weight
+        let period = now.saturating_sub(self.since).max(MIN_ARRIVAL_WINDOW);
+        let weight = ARRIVAL_WINDOW.as_secs_f64() * (1.0 - Self::decay(period));
+        self.weighted_sum * Self::decay(now.saturating_sub(self.updated_at)) / weight
     }
 }
 
-/// A change between enough and scarce.
+/// Start or end of scarcity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScarcityChange {
     /// Capacity became scarce.
     Began,
-    /// It is scarce no longer.
+    /// Capacity is no longer scarce.
     Ended,
 }
 
-/// Whether capacity is scarce, and the share of each group; times are since any fixed moment.
+/// Tracks whether capacity is scarce, and the share of each group. All times are measured from one fixed moment.
 #[derive(Debug)]
 pub struct ScarcityTracker<K> {
-    /// Share of what each group needs that it is to have at the least; 0: nobody is owed anything.
+    /// Floor of each group, as a fraction of its sustained demand; 0 disables floors and scarcity.
     floor: f64,
     arrivals: BTreeMap<K, Arrivals>,
-    /// Since when what is needed has been above, or well below, what there is.
-    above: Option<Duration>,
-    below: Option<Duration>,
-    began: Option<Duration>,
+    /// Time since which sustained demand has exceeded an exhausted supply.
+    demand_above_since: Option<Duration>,
+    /// Time since which it has been below [`EXIT_THRESHOLD`] of the supply, or more could be rented.
+    demand_below_since: Option<Duration>,
+    scarce_since: Option<Duration>,
     group_shares: BTreeMap<K, GroupShare>,
 }
 
 impl<K: Ord + Clone> ScarcityTracker<K> {
-    /// A tracker that owes each group this share of what it needs.
+    /// Creates a tracker that gives each group a floor of this fraction of its sustained demand.
     pub fn new(floor: f64) -> ScarcityTracker<K> {
         ScarcityTracker {
             floor,
             arrivals: BTreeMap::new(),
-            above: None,
-            below: None,
-            began: None,
+            demand_above_since: None,
+            demand_below_since: None,
+            scarce_since: None,
             group_shares: BTreeMap::new(),
         }
     }
 
-    /// A group's work of so many machine-seconds was accepted, or became ready, `age` ago.
+    /// Records that `work` machine-seconds of a group were accepted, or became ready to run, `age` ago.
     pub fn record_arrival(&mut self, group: &K, work: f64, age: Duration, now: Duration) {
         if self.floor > 0.0 {
             let arrivals = self.arrivals.entry(group.clone()).or_insert(Arrivals::new(now));
@@ -231,30 +241,30 @@
         }
     }
 
-    /// What a group has to hold to be served as fast as its work arrives.
+    /// Returns the capacity needed to serve a group's work as fast as it arrives.
     pub fn arrival_rate(&self, group: &K, now: Duration) -> Capacity {
         self.arrivals
             .get(group)
             .map_or(0, |arrivals| (arrivals.rate(now) * UNITS_PER_MACHINE as f64) as Capacity)
     }
 
-    /// Since when capacity has been scarce.
+    /// Returns the time since which capacity has been scarce; `None` while it is not.
     pub fn since(&self) -> Option<Duration> {
-        self.began
+        self.scarce_since
     }
 
-    /// The share of a group; `None` while nothing is scarce.
+    /// Returns the share of a group; `None` while capacity is not scarce.
     pub fn group_share(&self, group: &K) -> Option<GroupShare> {
-        self.began?;
+        self.scarce_since?;
         Some(self.group_shares.get(group).copied().unwrap_or_default())
     }
 
-    /// All shares; none while nothing is scarce.
+    /// Returns the shares of all groups; empty while capacity is not scarce.
     pub fn group_shares(&self) -> impl Iterator<Item = (&K, &GroupShare)> {
-        self.group_shares.iter().filter(|_| self.began.is_some())
+        self.group_shares.iter().filter(|_| self.scarce_since.is_some())
     }
 
-    /// Compares what is asked for with what there is.
+    /// Compares demand with supply, updates the shares, and returns the start or end of scarcity if there is one.
     pub fn update(
         &mut self,
         demands: &BTreeMap<K, Demand>,
@@ -267,32 +277,35 @@
         let needed: Capacity = demands.values().map(Demand::needed).sum();
         let ordinary = demands.values().filter(|demand| demand.ordinary);
         let ordinary: Capacity = ordinary.map(Demand::needed).sum();
-        let above = |share_of: f64| {
-            ordinary > share(supply.ordinary, share_of) || needed > share(supply.all(), share_of)
+        let exceeds = |fraction: f64| {
+            ordinary > scale(supply.ordinary, fraction) || needed > scale(supply.all(), fraction)
         };
-        let since = |at: Option<Duration>, holds: bool| holds.then(|| at.unwrap_or(now));
+        let since = |start: Option<Duration>, holds: bool| holds.then(|| start.unwrap_or(now));
         let exhausted = supply.exhausted || supply.presumed;
-        self.above = since(self.above, exhausted && above(1.0));
-        self.below = since(self.below, !exhausted || !above(EXIT_THRESHOLD));
-        let enter = if supply.presumed { Duration::ZERO } else { ENTER_AFTER };
-        let passed = |at: Option<Duration>, least: Duration| at.is_some_and(|at| now >= at + least);
-        let turn = match self.began {
-            None if passed(self.above, enter) => {
-                self.began = Some(now);
+        self.demand_above_since = since(self.demand_above_since, exhausted && exceeds(1.0));
+        self.demand_below_since =
+            since(self.demand_below_since, !exhausted || !exceeds(EXIT_THRESHOLD));
+        let enter_after = if supply.presumed { Duration::ZERO } else { ENTER_AFTER };
+        let has_lasted = |start: Option<Duration>, minimum: Duration| {
+            start.is_some_and(|start| now >= start + minimum)
+        };
+        let change = match self.scarce_since {
+            None if has_lasted(self.demand_above_since, enter_after) => {
+                self.scarce_since = Some(now);
                 Some(ScarcityChange::Began)
             }
-            Some(_) if passed(self.below, EXIT_AFTER) => {
-                self.began = None;
+            Some(_) if has_lasted(self.demand_below_since, EXIT_AFTER) => {
+                self.scarce_since = None;
                 Some(ScarcityChange::Ended)
             }
             _ => None,
         };
-        self.group_shares = if self.began.is_some() {
+        self.group_shares = if self.scarce_since.is_some() {
             shares_of(demands, &floors(demands, supply, self.floor))
         } else {
             BTreeMap::new()
         };
-        turn
+        change
     }
 }
 
--- a/crates/fair-share/src/tests.rs
+++ b/crates/fair-share/src/tests.rs
@@ -8,45 +8,45 @@
     Demand { held, waiting, offered: held + waiting, ordinary, guest }
 }
 
-/// The plain model: all wishes of a tier are met evenly, a thousandth at a time, until the machines that
-/// some of them need are used up; those go without, the others go on.
-fn plain_floors(demands: &[Demand], supply: &Supply, floor: f64) -> Vec<f64> {
+/// Reference model: serves all requests of a tier equally, in steps of a thousandth. A request whose machines are used
+/// up gets no more, while the others continue.
+fn reference_floors(demands: &[Demand], supply: &Supply, floor: f64) -> Vec<f64> {
     let (mut ordinary, mut spot) = (supply.ordinary as f64, supply.spot as f64);
-    let even = supply.all() as f64 / demands.len().max(1) as f64;
-    let mut got = vec![0.0; demands.len()];
-    for guests in [false, true] {
-        let wish = |demand: &Demand| {
+    let equal_part = supply.all() as f64 / demands.len().max(1) as f64;
+    let mut allocated = vec![0.0; demands.len()];
+    for unguaranteed in [false, true] {
+        let requested = |demand: &Demand| {
             let needed = demand.needed() as f64;
-            floor * if guests { needed.min(even.floor()) } else { needed }
+            floor * if unguaranteed { needed.min(equal_part.floor()) } else { needed }
         };
-        let tier: Vec<usize> = (0..demands.len()).filter(|n| demands[*n].guest == guests).collect();
+        let tier: Vec<usize> =
+            (0..demands.len()).filter(|n| demands[*n].guest == unguaranteed).collect();
         for _ in 0..1000 {
-            for only in [true, false] {
-                for &n in tier.iter().filter(|n| demands[**n].ordinary == only) {
-                    let step = wish(&demands[n]) / 1000.0;
-                    let from_spot = if only { 0.0 } else { step.min(spot) };
+            for ordinary_only in [true, false] {
+                for &n in tier.iter().filter(|n| demands[**n].ordinary == ordinary_only) {
+                    let step = requested(&demands[n]) / 1000.0;
+                    let from_spot = if ordinary_only { 0.0 } else { step.min(spot) };
                     let taken = from_spot + (step - from_spot).min(ordinary);
                     spot -= from_spot;
                     ordinary -= taken - from_spot;
-                    got[n] += taken;
+                    allocated[n] += taken;
                 }
             }
         }
     }
-    got
+    allocated
 }
 
 fn any_demand() -> impl Strategy<Value = Demand> {
-    let room = 0u64..40 * UNITS_PER_MACHINE;
-    (room.clone(), room.clone(), room, any::<bool>(), prop::bool::weighted(0.2)).prop_map(
-        |(held, waiting, offered, ordinary, guest)| Demand {
+    let capacity = 0u64..40 * UNITS_PER_MACHINE;
+    (capacity.clone(), capacity.clone(), capacity, any::<bool>(), prop::bool::weighted(0.2))
+        .prop_map(|(held, waiting, offered, ordinary, guest)| Demand {
             held,
             waiting,
             offered,
             ordinary,
             guest,
-        },
-    )
+        })
 }
 
 proptest! {
@@ -56,26 +56,27 @@
         ..Default::default()
     })]
 
-    /// Against the plain model, and what must hold whatever it says: floors exist on the machines that there
-    /// are, none is above what its group needs, and what is owed or spare follows from them.
+    /// Compares floors with the reference model and checks the invariants: floors fit the supply, no floor exceeds the
+    /// sustained demand of its group, and deficits and preemptible capacity agree with the floors.
     #[test]
-    fn floors_are_those_of_the_plain_model(
+    fn floors_match_the_reference_model_and_never_exceed_supply_or_demand(
         demands in prop::collection::vec(any_demand(), 1..9),
         ordinary in 0u64..150, spot in 0u64..80, floor in 0.1f64..1.0,
     ) {
         let supply = Supply { ordinary: ordinary * UNITS_PER_MACHINE, spot: spot * UNITS_PER_MACHINE, exhausted: true, presumed: false };
         let map: BTreeMap<usize, Demand> = demands.iter().copied().enumerate().collect();
         let floors = floors(&map, &supply, floor);
-        let plain = plain_floors(&demands, &supply, floor);
-        let sum = |only: bool| -> u64 {
-            floors.iter().filter(|(n, _)| !only || demands[**n].ordinary).map(|(_, f)| f).sum()
+        let reference = reference_floors(&demands, &supply, floor);
+        let sum = |ordinary_only: bool| -> u64 {
+            floors.iter().filter(|(n, _)| !ordinary_only || demands[**n].ordinary).map(|(_, f)| f).sum()
         };
         prop_assert!(sum(false) <= supply.all() && sum(true) <= supply.ordinary);
-        // Steps of a thousandth that are cut short, for each group that the last step served before it.
-        let off = demands.iter().map(Demand::needed).sum::<u64>() as f64 / 1000.0 + 20.0;
+        // Tolerance: one step of each group, because the step that uses up the supply is cut short for the groups
+        // served last.
+        let tolerance = demands.iter().map(Demand::needed).sum::<u64>() as f64 / 1000.0 + 20.0;
         for (n, floor_of) in &floors {
             prop_assert!(*floor_of as f64 <= demands[*n].needed() as f64 * floor + 1.0);
-            prop_assert!((*floor_of as f64 - plain[*n]).abs() <= off, "{} {:?} {:?}", n, floors, plain);
+            prop_assert!((*floor_of as f64 - reference[*n]).abs() <= tolerance, "{} {:?} {:?}", n, floors, reference);
         }
         for (n, group_share) in shares_of(&map, &floors) {
             prop_assert!(group_share.owed <= demands[n].waiting);
@@ -89,8 +90,8 @@
     Duration::from_secs(s)
 }
 
-/// One group that holds all there is, and one that waits.
-fn unfair(waiting: Capacity) -> BTreeMap<&'static str, Demand> {
+/// Returns the demand of one group that uses the whole supply and of one that waits.
+fn unequal_demands(waiting: Capacity) -> BTreeMap<&'static str, Demand> {
     [
         ("holds", demand(100 * UNITS_PER_MACHINE, 20 * UNITS_PER_MACHINE, false, false)),
         ("waits", demand(0, waiting, false, false)),
@@ -98,95 +99,120 @@
     .into()
 }
 
-fn full(exhausted: bool) -> Supply {
+fn supply_of_100_machines(exhausted: bool) -> Supply {
     Supply { ordinary: 100 * UNITS_PER_MACHINE, spot: 0, exhausted, presumed: false }
 }
 
 #[test]
-fn refusals_that_come_and_go_are_no_scarcity_and_its_end_is_not_told_by_a_pause() {
+fn scarcity_needs_continuous_exhaustion_and_outlasts_a_pause_in_demand() {
     let mut scarcity = ScarcityTracker::new(0.5);
-    // Every other second something can be rented.
+    // A machine can be rented in every other second.
     for s in 0..60 {
         assert_eq!(
-            scarcity.update(&unfair(60 * UNITS_PER_MACHINE), &full(s % 2 == 0), second(s)),
+            scarcity.update(
+                &unequal_demands(60 * UNITS_PER_MACHINE),
+                &supply_of_100_machines(s % 2 == 0),
+                second(s)
+            ),
             None
         );
         assert_eq!(scarcity.group_share(&"waits"), None);
     }
-    let turns: Vec<_> = (60..70)
-        .map(|s| scarcity.update(&unfair(60 * UNITS_PER_MACHINE), &full(true), second(s)))
+    let changes: Vec<_> = (60..70)
+        .map(|s| {
+            scarcity.update(
+                &unequal_demands(60 * UNITS_PER_MACHINE),
+                &supply_of_100_machines(true),
+                second(s),
+            )
+        })
         .collect();
-    assert_eq!(turns.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Began]);
+    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Began]);
     let group_share = scarcity.group_share(&"waits").unwrap();
     assert_eq!(
         (group_share.floor, group_share.owed),
         (30 * UNITS_PER_MACHINE, 30 * UNITS_PER_MACHINE)
     );
     assert_eq!(scarcity.group_share(&"holds").unwrap().preemptible, 40 * UNITS_PER_MACHINE);
-    // A burst pauses for less than its end takes.
+    // Demand pauses for less than `EXIT_AFTER`.
     for s in 70..82 {
-        assert_eq!(scarcity.update(&BTreeMap::new(), &full(true), second(s)), None);
+        assert_eq!(
+            scarcity.update(&BTreeMap::new(), &supply_of_100_machines(true), second(s)),
+            None
+        );
     }
-    scarcity.update(&unfair(60 * UNITS_PER_MACHINE), &full(true), second(82));
+    scarcity.update(
+        &unequal_demands(60 * UNITS_PER_MACHINE),
+        &supply_of_100_machines(true),
+        second(82),
+    );
     assert!(scarcity.since().is_some());
-    let turns: Vec<_> =
-        (83..120).map(|s| scarcity.update(&unfair(0), &full(false), second(s))).collect();
-    assert_eq!(turns.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Ended]);
+    let changes: Vec<_> = (83..120)
+        .map(|s| scarcity.update(&unequal_demands(0), &supply_of_100_machines(false), second(s)))
+        .collect();
+    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Ended]);
     assert_eq!(scarcity.group_share(&"waits"), None);
 }
 
-/// Nobody is owed anything by a floor of nothing, whatever happens.
 #[test]
-fn without_a_floor_nothing_is_scarce() {
+fn capacity_is_never_scarce_with_a_floor_of_zero() {
     let mut scarcity = ScarcityTracker::new(0.0);
     for s in 0..100 {
         scarcity.record_arrival(&"waits", 1e6, Duration::ZERO, second(s));
         assert_eq!(
-            scarcity.update(&unfair(1000 * UNITS_PER_MACHINE), &full(true), second(s)),
+            scarcity.update(
+                &unequal_demands(1000 * UNITS_PER_MACHINE),
+                &supply_of_100_machines(true),
+                second(s)
+            ),
             None
         );
         assert!(scarcity.group_shares().next().is_none());
     }
 }
 
-/// Steady work is known after a while; a leader that begins from the records of what is still live knows
-/// no more than its predecessor, and has caught up two averages later.
+/// The average follows a steady arrival rate. A new leader that starts from the records of live jobs must not count
+/// work twice and estimate a higher rate than its predecessor, and reaches that rate after two time constants.
 #[test]
-fn arrivals_are_averaged_and_a_successor_counts_none_twice() {
-    let mut first = ScarcityTracker::new(0.5);
-    let mut next = ScarcityTracker::new(0.5);
+fn arrival_rate_after_failover_is_not_overestimated_and_converges() {
+    let mut predecessor = ScarcityTracker::new(0.5);
+    let mut successor = ScarcityTracker::new(0.5);
     for s in 0..900u64 {
         let now = second(s);
-        first.record_arrival(&"a", 20.0, Duration::ZERO, now);
+        predecessor.record_arrival(&"a", 20.0, Duration::ZERO, now);
         if s >= 600 {
-            next.record_arrival(&"a", 20.0, Duration::ZERO, now);
+            successor.record_arrival(&"a", 20.0, Duration::ZERO, now);
         }
         if s == 600 {
-            // Half of the last minute's jobs are still live.
-            (0..30).for_each(|n| next.record_arrival(&"a", 20.0, second(n * 2), now));
+            // Half of the jobs of the last minute are still live.
+            (0..30).for_each(|n| successor.record_arrival(&"a", 20.0, second(n * 2), now));
         }
         let rate = |scarcity: &ScarcityTracker<_>| {
             scarcity.arrival_rate(&"a", now) as f64 / UNITS_PER_MACHINE as f64
         };
         if s > 300 {
-            assert!((17.0..23.0).contains(&rate(&first)), "{s}: {}", rate(&first));
+            assert!((17.0..23.0).contains(&rate(&predecessor)), "{s}: {}", rate(&predecessor));
         }
-        assert!(rate(&next) <= rate(&first) * 1.15 + 1.0, "{s}: {}", rate(&next));
+        assert!(rate(&successor) <= rate(&predecessor) * 1.15 + 1.0, "{s}: {}", rate(&successor));
         if s > 840 {
-            assert!(rate(&next) > rate(&first) * 0.8, "{s}: {}", rate(&next));
+            assert!(rate(&successor) > rate(&predecessor) * 0.8, "{s}: {}", rate(&successor));
         }
     }
 }
 
-/// A guest's flood gets nothing of what others' floors take, and no more than an even part of the rest.
+/// However much a team without a guarantee submits, it gets nothing from the floors of others and at most an equal part
+/// of the supply.
 #[test]
-fn a_guest_s_flood_earns_nothing_by_its_size() {
-    let mut demands = unfair(60 * UNITS_PER_MACHINE);
+fn floor_of_a_team_without_guarantee_does_not_grow_with_its_demand() {
+    let mut demands = unequal_demands(60 * UNITS_PER_MACHINE);
     demands.insert("guest", demand(0, 1_000_000 * UNITS_PER_MACHINE, false, true));
-    let supply = full(true);
-    let with = floors(&demands, &supply, 0.5);
-    assert_eq!((with["holds"], with["waits"]), (60 * UNITS_PER_MACHINE, 30 * UNITS_PER_MACHINE));
-    assert!(with["guest"] <= 10 * UNITS_PER_MACHINE);
+    let supply = supply_of_100_machines(true);
+    let floors_of_all = floors(&demands, &supply, 0.5);
+    assert_eq!(
+        (floors_of_all["holds"], floors_of_all["waits"]),
+        (60 * UNITS_PER_MACHINE, 30 * UNITS_PER_MACHINE)
+    );
+    assert!(floors_of_all["guest"] <= 10 * UNITS_PER_MACHINE);
     let tight = Supply { ordinary: 45 * UNITS_PER_MACHINE, ..supply };
     let tight = floors(&demands, &tight, 0.5);
     assert_eq!(
@@ -195,25 +221,31 @@
     );
 }
 
-/// A new leader that finds more asked for than there is goes on as its predecessor did, until the cloud tells
-/// otherwise.
+/// A new leader whose demand exceeds supply treats capacity as scarce at once, as its predecessor may have, until the
+/// cloud shows that machines can be rented.
 #[test]
-fn a_new_leader_presumes_what_its_predecessor_knew() {
-    let presumed = Supply { presumed: true, ..full(false) };
+fn new_leader_presumes_scarcity_until_machines_can_be_rented() {
+    let presumed = Supply { presumed: true, ..supply_of_100_machines(false) };
     let mut scarcity = ScarcityTracker::new(0.5);
     assert_eq!(
-        scarcity.update(&unfair(60 * UNITS_PER_MACHINE), &presumed, second(0)),
+        scarcity.update(&unequal_demands(60 * UNITS_PER_MACHINE), &presumed, second(0)),
         Some(ScarcityChange::Began)
     );
-    // It rents what it asks for, so that it was wrong.
-    let turns: Vec<_> = (1..40)
-        .map(|s| scarcity.update(&unfair(60 * UNITS_PER_MACHINE), &full(false), second(s)))
+    // The cloud rents out machines, so the presumption was wrong.
+    let changes: Vec<_> = (1..40)
+        .map(|s| {
+            scarcity.update(
+                &unequal_demands(60 * UNITS_PER_MACHINE),
+                &supply_of_100_machines(false),
+                second(s),
+            )
+        })
         .collect();
-    assert_eq!(turns.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Ended]);
+    assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Ended]);
     let mut scarcity = ScarcityTracker::new(0.5);
     assert_eq!(
         scarcity.update(
-            &unfair(0),
+            &unequal_demands(0),
             &Supply { ordinary: 200 * UNITS_PER_MACHINE, ..presumed },
             second(0)
         ),
