--- a/crates/protocol/src/constants.rs
+++ b/crates/protocol/src/constants.rs
@@ -2,36 +2,36 @@
 
 use std::time::Duration;
 
-/// Bytes. PROTOCOL caps request bodies and our responses at 64 KiB.
+/// Maximum size of a request body or of our response body, in bytes. The protocol sets this limit of 64 KiB.
 pub const BODY_MAX: usize = 64 * 1024;
-/// Bytes. A body read from the cloud or the state service may be larger: pages hold 512 KiB
-/// and a follow response has no limit, so this only stops a peer that has gone mad.
+/// Maximum size of a response body that the client reads, in bytes. Responses of the cloud and the store may be larger
+/// than [`BODY_MAX`]: pages hold 512 KiB, and a watch response has no limit. This bound only stops a faulty peer.
 pub const CLIENT_BODY_MAX: usize = 8 * 1024 * 1024;
-/// Bytes. Request line and headers together; ours are a few hundred.
+/// Maximum size of the start line and the headers together, in bytes; ours have a few hundred.
 pub const HEAD_MAX: usize = 8 * 1024;
-/// Bytes. What one read takes at the most: more than nearly all messages have.
+/// Capacity reserved for one read, in bytes; nearly all messages are smaller.
 pub const READ_AT_ONCE: usize = 4096;
-/// Count. Requests that are read and not handled yet, at the most: at some tenths of a millisecond each they take
-/// less than a tenth of a second, and are enough to choose from which goes first.
+/// Maximum number of requests that are read but not handled yet. At a few tenths of a millisecond each, they take less
+/// than 0.1 s, and they are enough to choose the order of handling from.
 pub const READ_TOGETHER: usize = 256;
-/// Count. Headers in one message.
+/// Maximum number of headers in one message.
 pub const HEADERS_MAX: usize = 48;
-/// A client that sends half a request is dropped after this long.
+/// Time after which a connection is closed if it has sent only a part of a request or does not accept a response.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a failed accept.
 pub const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// An idle connection is closed after this long; workers report every few seconds and users
-/// poll every five, so a live peer never meets it.
+/// Time after which the server closes an idle connection. Workers send heartbeats every few seconds and users poll
+/// every 5 s, so connections of live peers stay open.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Count. Idle connections kept for each address we call.
+/// Maximum number of idle connections that the client keeps for one address.
 pub const IDLE_PER_ADDRESS: usize = 4;
-/// How long a connection of our own may take to open: several round trips with one resend.
+/// Timeout for opening a connection; allows for several round trips with one retransmission.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle connections of ours older than this are not reused: the far side may have dropped them.
+/// Time after which the client no longer reuses an idle connection, because the peer may have closed it.
 pub const REUSE_WITHIN: Duration = Duration::from_secs(30);
-/// Seconds. What `Retry-After` says on a refusal.
+/// Default value of `Retry-After` on a rejection, in seconds.
 pub const RETRY_AFTER_S: u64 = 1;
-/// Count. Bits of an attempt number that count within one leadership; the rest is the token.
+/// Number of low bits of an attempt number that count attempts within one term; the high bits are the fencing token.
 pub const ATTEMPT_BITS: u32 = 24;
-/// Micro-units in one unit of an amount: resources are counted in whole millionths.
+/// Micro-units in one unit of an amount; resources are counted in whole millionths.
 pub const MICRO: f64 = 1e6;
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: one codec for the server and the client. Nothing here knows what the bodies mean.
+//! HTTP/1.1 server and client, which share one codec. Bodies are not interpreted here.
 
 mod client;
 mod codec;
--- a/crates/protocol/src/http/client.rs
+++ b/crates/protocol/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client: calls with a deadline over pooled connections. One actor owns the pool.
+//! HTTP client: sends requests with a deadline over pooled connections. One actor owns the pool.
 
 use super::codec::{Parsed, encode_request, parse_response};
 use super::message::{Request, Response};
@@ -10,22 +10,22 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// Reads what has arrived: a message of the usual size with one system call, and without a buffer while nothing
-/// comes.
+/// Reads the bytes that have arrived. A message of the usual size takes one system call, and no buffer is allocated
+/// while nothing arrives.
 async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<usize> {
     stream.readable().await?;
     buffer.reserve(READ_AT_ONCE);
     stream.read_buf(buffer).await
 }
 
-/// Why a call has no response.
+/// Reason why a call has no response.
 #[derive(Debug, Clone, Copy, thiserror::Error, PartialEq, Eq)]
 pub enum CallError {
-    /// The request surely was not executed.
-    #[error("not connected")]
+    /// The request was not sent, so it was not executed.
+    #[error("request not sent")]
     NotSent,
-    /// The request may have been executed, or may yet be.
-    #[error("no answer")]
+    /// The request may have been executed, or may still be executed.
+    #[error("no response to the request, which may have been executed")]
     Unknown,
 }
 
@@ -33,7 +33,7 @@
     address: SocketAddr,
     request: Request,
     deadline: Instant,
-    reply: oneshot::Sender<Result<Response, CallError>>,
+    response_sender: oneshot::Sender<Result<Response, CallError>>,
 }
 
 enum PoolMessage {
@@ -42,56 +42,56 @@
     SetMaxIdle(usize),
 }
 
-/// A handle to the pool of connections.
+/// Handle of the pool of connections.
 #[derive(Clone)]
 pub struct Client {
-    to: mpsc::UnboundedSender<PoolMessage>,
+    messages: mpsc::UnboundedSender<PoolMessage>,
 }
 
 impl Client {
-    /// Starts the pool actor, which keeps at most `max_idle` idle connections, those to `exempt` addresses not
-    /// counted; it ends when the last handle is dropped.
+    /// Starts the pool actor, which keeps at most `max_idle` idle connections, not counting those to `exempt` addresses.
+    /// The actor ends when the last handle is dropped.
     pub fn start(max_idle: usize, exempt: Vec<SocketAddr>) -> Client {
-        let (to, from) = mpsc::unbounded_channel();
-        tokio::spawn(run_pool(Pool::new(max_idle, exempt), from, to.downgrade()));
-        Client { to }
+        let (messages, receiver) = mpsc::unbounded_channel();
+        tokio::spawn(run_pool(Pool::new(max_idle, exempt), receiver, messages.downgrade()));
+        Client { messages }
     }
 
-    /// Changes how many idle connections are kept.
+    /// Changes the maximum number of idle connections.
     pub fn set_max_idle(&self, max_idle: usize) {
-        let _ = self.to.send(PoolMessage::SetMaxIdle(max_idle));
+        let _ = self.messages.send(PoolMessage::SetMaxIdle(max_idle));
     }
 
-    /// Calls, with a deadline that counts from when the call was decided: one that this process came to only
-    /// later, after a stall, is not sent any more.
+    /// Sends a request and waits for the response until the deadline. The caller sets the deadline when it decides on
+    /// the call; if the process stalls beyond it, the request is not sent.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: Request,
         deadline: Instant,
     ) -> Result<Response, CallError> {
-        let (reply, answer) = oneshot::channel();
-        let call = Call { address, request, deadline, reply };
-        self.to.send(PoolMessage::Call(call)).map_err(|_| CallError::NotSent)?;
-        answer.await.unwrap_or(Err(CallError::Unknown))
+        let (response_sender, response) = oneshot::channel();
+        let call = Call { address, request, deadline, response_sender };
+        self.messages.send(PoolMessage::Call(call)).map_err(|_| CallError::NotSent)?;
+        response.await.unwrap_or(Err(CallError::Unknown))
     }
 }
 
-/// Owns the pool; each call runs in a task of its own and gives its connection back.
+/// Runs the pool actor. Each call runs in its own task and returns its connection to the pool.
 async fn run_pool(
     mut pool: Pool,
     mut messages: mpsc::UnboundedReceiver<PoolMessage>,
     to_self: mpsc::WeakUnboundedSender<PoolMessage>,
 ) {
     while let Some(message) = messages.recv().await {
-        // Also where no call opens a connection any more.
+        // Sweeps on every message, so stale connections are closed even if no further call uses their addresses.
         pool.sweep_if_due();
         match message {
             PoolMessage::Idle(address, stream) => pool.keep(address, stream),
             PoolMessage::SetMaxIdle(max_idle) => pool.set_max_idle(max_idle),
             PoolMessage::Call(call) => {
-                let kept = pool.take(&call.address);
-                tokio::spawn(run_call(call, kept, to_self.clone()));
+                let pooled = pool.take(&call.address);
+                tokio::spawn(run_call(call, pooled, to_self.clone()));
             }
         }
     }
@@ -99,27 +99,27 @@
 
 async fn run_call(
     call: Call,
-    kept: Option<TcpStream>,
+    pooled: Option<TcpStream>,
     to_pool: mpsc::WeakUnboundedSender<PoolMessage>,
 ) {
-    let outcome = exchange(kept, call.address, &call.request, call.deadline).await;
+    let outcome = exchange(pooled, call.address, &call.request, call.deadline).await;
     let result = outcome.map(|(response, stream)| {
         if let (Some(stream), Some(to_pool)) = (stream, to_pool.upgrade()) {
             let _ = to_pool.send(PoolMessage::Idle(call.address, stream));
         }
         response
     });
-    let _ = call.reply.send(result);
+    let _ = call.response_sender.send(result);
 }
 
-/// Sends a request on a kept connection or a new one; gives the connection back if it stays open.
+/// Sends a request over the pooled connection or a new one. Returns the response, and the connection if it stays open.
 pub async fn exchange(
-    kept: Option<TcpStream>,
+    pooled: Option<TcpStream>,
     address: SocketAddr,
     request: &Request,
     deadline: Instant,
 ) -> Result<(Response, Option<TcpStream>), CallError> {
-    let mut stream = match kept {
+    let mut stream = match pooled {
         Some(stream) => stream,
         None => match timeout_at(
             deadline.min(Instant::now() + CONNECT_TIMEOUT),
@@ -134,11 +134,11 @@
             _ => return Err(CallError::NotSent),
         },
     };
-    // The last look before anything leaves: what was decided long ago may be wrong by now.
+    // Last check before any byte is sent: a decision made before a long stall may be wrong by now.
     if Instant::now() >= deadline {
         return Err(CallError::NotSent);
     }
-    let talk = async {
+    let send_and_receive = async {
         let bytes = encode_request(&address.to_string(), request);
         stream.write_all(&bytes).await.map_err(|_| CallError::Unknown)?;
         let mut buffer = Vec::new();
@@ -154,7 +154,7 @@
             }
         }
     };
-    match timeout_at(deadline, talk).await {
+    match timeout_at(deadline, send_and_receive).await {
         Ok(Ok((response, close))) => Ok((response, (!close).then_some(stream))),
         Ok(Err(error)) => Err(error),
         Err(_) => Err(CallError::Unknown),
--- a/crates/protocol/src/http/codec.rs
+++ b/crates/protocol/src/http/codec.rs
@@ -1,24 +1,24 @@
-//! The HTTP/1.1 codec: bytes to messages and back. Pure, so that any bytes can be tried on it.
+//! HTTP/1.1 codec between bytes and messages. It does no I/O, so tests can pass it arbitrary bytes.
 
 use super::message::{Method, Request, Response};
 use crate::constants::{BODY_MAX, CLIENT_BODY_MAX, HEAD_MAX, HEADERS_MAX};
 
-/// Why bytes are no message.
+/// Reason why bytes are not a valid message.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CodecError {
-    /// Not HTTP/1.1, or contradictory headers.
+    /// The bytes are not HTTP/1.1, or headers contradict each other.
     #[error("malformed message")]
     Malformed,
-    /// More than [`HEAD_MAX`] bytes or [`HEADERS_MAX`] headers.
+    /// The head has more than [`HEAD_MAX`] bytes or [`HEADERS_MAX`] headers.
     #[error("head too large")]
     HeadTooLarge,
-    /// More than [`BODY_MAX`] bytes, or [`CLIENT_BODY_MAX`] in a response.
+    /// The body has more than [`BODY_MAX`] bytes, or [`CLIENT_BODY_MAX`] in a response.
     #[error("body too large")]
     BodyTooLarge,
 }
 
 impl CodecError {
-    /// The status that answers such a request.
+    /// Returns the status code of the response to such a request.
     pub(super) fn status(&self) -> u16 {
         match self {
             CodecError::Malformed => 400,
@@ -28,16 +28,16 @@
     }
 }
 
-/// What the parser made of the bytes so far.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
-    /// The message goes on.
+    /// The message is incomplete.
     Partial,
-    /// A whole message, and how many bytes it took.
+    /// Complete message, and its length in bytes.
     Done(T, usize),
 }
 
-/// What the headers say about the body and the connection.
+/// Information from the headers about the body and the connection.
 struct Framing {
     length: Option<usize>,
     chunked: bool,
@@ -45,8 +45,8 @@
     retry_after: Option<u64>,
 }
 
-fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, CodecError> {
-    let mut out = Framing { length: None, chunked: false, close: false, retry_after: None };
+fn parse_framing(headers: &[httparse::Header<'_>]) -> Result<Framing, CodecError> {
+    let mut framing = Framing { length: None, chunked: false, close: false, retry_after: None };
     for header in headers {
         let value = std::str::from_utf8(header.value).map_err(|_| CodecError::Malformed)?.trim();
         if header.name.eq_ignore_ascii_case("content-length") {
@@ -54,28 +54,28 @@
                 return Err(CodecError::Malformed);
             }
             let length = value.parse::<usize>().map_err(|_| CodecError::BodyTooLarge)?;
-            if out.length.is_some_and(|old| old != length) {
+            if framing.length.is_some_and(|previous| previous != length) {
                 return Err(CodecError::Malformed);
             }
-            out.length = Some(length);
+            framing.length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") {
                 return Err(CodecError::Malformed);
             }
-            out.chunked = true;
+            framing.chunked = true;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            out.close |= value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
+            framing.close |= value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
         } else if header.name.eq_ignore_ascii_case("retry-after") {
-            out.retry_after = value.parse().ok();
+            framing.retry_after = value.parse().ok();
         }
     }
-    if out.chunked && out.length.is_some() {
+    if framing.chunked && framing.length.is_some() {
         return Err(CodecError::Malformed);
     }
-    Ok(out)
+    Ok(framing)
 }
 
-/// Decodes a chunked body from `bytes`; gives the body and how many bytes it took.
+/// Decodes a chunked body from `bytes`; returns the body and its encoded length.
 fn decode_chunked(bytes: &[u8], limit: usize) -> Result<Parsed<Vec<u8>>, CodecError> {
     let mut body = Vec::new();
     let mut at = 0;
@@ -110,21 +110,25 @@
     }
 }
 
-/// Trailers are read over up to the empty line.
+/// Skips the trailers up to and including the empty line.
 fn skip_trailers(bytes: &[u8]) -> Result<Parsed<()>, CodecError> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    match httparse::parse_headers(bytes, &mut room) {
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    match httparse::parse_headers(bytes, &mut headers) {
         Ok(httparse::Status::Complete((used, _))) => Ok(Parsed::Done((), used)),
         Ok(httparse::Status::Partial) if bytes.len() <= HEAD_MAX => Ok(Parsed::Partial),
         _ => Err(CodecError::Malformed),
     }
 }
 
-fn parse_body(frame: &Framing, bytes: &[u8], limit: usize) -> Result<Parsed<Vec<u8>>, CodecError> {
-    if frame.chunked {
+fn parse_body(
+    framing: &Framing,
+    bytes: &[u8],
+    limit: usize,
+) -> Result<Parsed<Vec<u8>>, CodecError> {
+    if framing.chunked {
         return decode_chunked(bytes, limit);
     }
-    let length = frame.length.unwrap_or(0);
+    let length = framing.length.unwrap_or(0);
     if length > limit {
         return Err(CodecError::BodyTooLarge);
     }
@@ -134,10 +138,10 @@
     Ok(Parsed::Done(bytes[..length].to_vec(), length))
 }
 
-/// Parses one request; the flag says whether the client wants the connection closed after it.
+/// Parses one request. The flag is set if the client asks to close the connection after it.
 pub fn parse_request(bytes: &[u8]) -> Result<Parsed<(Request, bool)>, CodecError> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut head = httparse::Request::new(&mut room);
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut head = httparse::Request::new(&mut headers);
     match head.parse(bytes) {
         Err(httparse::Error::TooManyHeaders) => Err(CodecError::HeadTooLarge),
         Err(_) => Err(CodecError::Malformed),
@@ -147,7 +151,7 @@
             if used > HEAD_MAX {
                 return Err(CodecError::HeadTooLarge);
             }
-            let frame = framing(head.headers)?;
+            let framing = parse_framing(head.headers)?;
             let method = match head.method {
                 Some("GET") => Method::Get,
                 Some("POST") => Method::Post,
@@ -155,47 +159,47 @@
                 _ => Method::Other,
             };
             let target = head.path.unwrap_or("").to_owned();
-            let close = frame.close || head.version == Some(0);
-            Ok(match parse_body(&frame, &bytes[used..], BODY_MAX)? {
+            let close = framing.close || head.version == Some(0);
+            Ok(match parse_body(&framing, &bytes[used..], BODY_MAX)? {
                 Parsed::Partial => Parsed::Partial,
-                Parsed::Done(body, more) => {
-                    Parsed::Done((Request { method, target, body }, close), used + more)
+                Parsed::Done(body, body_length) => {
+                    Parsed::Done((Request { method, target, body }, close), used + body_length)
                 }
             })
         }
     }
 }
 
-/// Parses one response; the flag says whether the server will close the connection.
+/// Parses one response. The flag is set if the server closes the connection after it.
 pub fn parse_response(bytes: &[u8]) -> Result<Parsed<(Response, bool)>, CodecError> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut head = httparse::Response::new(&mut room);
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut head = httparse::Response::new(&mut headers);
     match head.parse(bytes) {
         Err(_) => Err(CodecError::Malformed),
         Ok(httparse::Status::Partial) if bytes.len() > HEAD_MAX => Err(CodecError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(Parsed::Partial),
         Ok(httparse::Status::Complete(used)) => {
-            let frame = framing(head.headers)?;
+            let framing = parse_framing(head.headers)?;
             let status = head.code.unwrap_or(0);
-            let bare = status == 204 || status == 304;
-            let parsed = if bare {
+            let has_no_body = status == 204 || status == 304;
+            let parsed = if has_no_body {
                 Parsed::Done(Vec::new(), 0)
             } else {
-                parse_body(&frame, &bytes[used..], CLIENT_BODY_MAX)?
+                parse_body(&framing, &bytes[used..], CLIENT_BODY_MAX)?
             };
             Ok(match parsed {
                 Parsed::Partial => Parsed::Partial,
-                Parsed::Done(body, more) => Parsed::Done(
+                Parsed::Done(body, body_length) => Parsed::Done(
                     (
                         Response {
                             status,
                             body,
-                            retry_after_s: frame.retry_after,
-                            close: frame.close,
+                            retry_after_s: framing.retry_after,
+                            close: framing.close,
                         },
-                        frame.close,
+                        framing.close,
                     ),
-                    used + more,
+                    used + body_length,
                 ),
             })
         }
@@ -221,7 +225,7 @@
     }
 }
 
-/// The bytes of a response; `close` announces that the connection ends after it.
+/// Encodes a response; `close` announces that the connection is closed after it.
 pub(super) fn encode_response(response: &Response, close: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(160 + response.body.len());
     let head = format!(
@@ -242,7 +246,7 @@
     out
 }
 
-/// The bytes of a request.
+/// Encodes a request.
 pub(super) fn encode_request(host: &str, request: &Request) -> Vec<u8> {
     let method = match request.method {
         Method::Post => "POST",
--- a/crates/protocol/src/http/codec/tests.rs
+++ b/crates/protocol/src/http/codec/tests.rs
@@ -3,7 +3,7 @@
 use crate::http::message::Response;
 
 #[test]
-fn hostile_requests_get_a_verdict_and_no_panic() {
+fn invalid_and_oversized_requests_return_the_matching_error() {
     let cases: [(&[u8], Result<(), CodecError>); 8] = [
         (b"GET /up HTTP/1.1\r\n\r\n", Ok(())),
         (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Err(CodecError::Malformed)),
@@ -23,18 +23,18 @@
         (b"\x00\x01\x02\r\n\r\n", Err(CodecError::Malformed)),
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", Ok(())),
     ];
-    for (bytes, want) in cases {
-        let got = parse_request(bytes).map(|parsed| assert!(matches!(parsed, Parsed::Done(..))));
-        assert_eq!(got, want, "{:?}", String::from_utf8_lossy(bytes));
+    for (bytes, expected) in cases {
+        let result = parse_request(bytes).map(|parsed| assert!(matches!(parsed, Parsed::Done(..))));
+        assert_eq!(result, expected, "{:?}", String::from_utf8_lossy(bytes));
     }
     assert_eq!(parse_request(&vec![b'a'; HEAD_MAX + 1]).err(), Some(CodecError::HeadTooLarge));
 }
 
 #[test]
-fn no_bytes_make_a_parser_panic() {
+fn parsers_never_panic_on_arbitrary_bytes() {
     use proptest::prelude::*;
     use proptest::test_runner::TestRunner;
-    // The same cases each time: a verdict must not depend on luck.
+    // Fixed seed, so the result does not depend on chance.
     let mut runner = TestRunner::deterministic();
     let line = "(GET|POST|HTTP/1.1|200) ?[ -~]{0,20}";
     let head = "(Content-Length|Transfer-Encoding): ?[0-9a-f]{0,24}";
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn every_prefix_of_a_request_is_partial_and_the_whole_is_read_once() {
-    let whole: &[u8] = b"POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nhi\r\n3\r\nyou\r\n0\r\n\r\n";
-    for end in 0..whole.len() {
-        assert!(matches!(parse_request(&whole[..end]), Ok(Parsed::Partial)), "{end}");
+fn incomplete_requests_are_partial_and_the_complete_request_is_parsed_to_its_end() {
+    let complete: &[u8] = b"POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nhi\r\n3\r\nyou\r\n0\r\n\r\n";
+    for end in 0..complete.len() {
+        assert!(matches!(parse_request(&complete[..end]), Ok(Parsed::Partial)), "{end}");
     }
-    let Ok(Parsed::Done((request, close), used)) = parse_request(whole) else { panic!() };
-    assert_eq!((request.body.as_slice(), close, used), (&b"hiyou"[..], true, whole.len()));
+    let Ok(Parsed::Done((request, close), used)) = parse_request(complete) else { panic!() };
+    assert_eq!((request.body.as_slice(), close, used), (&b"hiyou"[..], true, complete.len()));
 }
 
 #[test]
-fn a_response_survives_its_own_encoding() {
+fn encoded_response_parses_to_the_same_response() {
     let response = Response { close: true, ..Response::later(503) };
     let bytes = encode_response(&response, true);
     assert_eq!(parse_response(&bytes), Ok(Parsed::Done((response, true), bytes.len())));
--- a/crates/protocol/src/http/message.rs
+++ b/crates/protocol/src/http/message.rs
@@ -1,61 +1,61 @@
-//! Requests and responses, whatever carries them.
+//! Requests and responses, independent of their encoding.
 
 use crate::constants::RETRY_AFTER_S;
 
-/// A request method; the protocol knows three.
+/// Request method; the protocol uses three.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// `GET`
+    /// `GET`.
     Get,
-    /// `POST`
+    /// `POST`.
     Post,
-    /// `DELETE`
+    /// `DELETE`.
     Delete,
     /// Any other method, which no path accepts.
     Other,
 }
 
-/// A request with its body read whole.
+/// Request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The method.
+    /// Method of the request.
     pub method: Method,
-    /// Path and query, as sent.
+    /// Path and query as sent.
     pub target: String,
-    /// The body; empty if there is none.
+    /// Complete body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A response with its body read whole.
+/// Response with its complete body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The body; empty if there is none.
+    /// Complete body; empty if there is none.
     pub body: Vec<u8>,
-    /// `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
-    /// The connection is closed after it, whether or not the other side asked for that.
+    /// Whether the connection is closed after the response even if the client did not ask for that.
     pub close: bool,
 }
 
 impl Response {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Self {
         Response { status, body: Vec::new(), retry_after_s: None, close: false }
     }
 
-    /// A response with a body.
+    /// Creates a response with a body.
     pub fn with(status: u16, body: Vec<u8>) -> Self {
         Response { status, body, retry_after_s: None, close: false }
     }
 
-    /// A refusal with the usual `Retry-After`.
+    /// Creates a rejection with the default `Retry-After` of [`RETRY_AFTER_S`].
     pub fn later(status: u16) -> Self {
         Response::later_in(status, RETRY_AFTER_S)
     }
 
-    /// A refusal with `Retry-After: seconds`.
+    /// Creates a rejection with the given `Retry-After`.
     pub fn later_in(status: u16, seconds: u64) -> Self {
         Response { retry_after_s: Some(seconds), ..Response::empty(status) }
     }
--- a/crates/protocol/src/http/pool.rs
+++ b/crates/protocol/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections that are kept for the next call.
+//! Pool of idle connections that the client reuses.
 
 use crate::constants::{IDLE_PER_ADDRESS, REUSE_WITHIN};
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A connection without a call, and since when.
+/// Connection that no call uses, and the time since which it has been idle.
 struct IdleConnection {
     stream: TcpStream,
     since: Instant,
@@ -18,34 +18,34 @@
     }
 }
 
-/// Idle connections, bounded: they must not use up the sockets that workers and the state service need.
+/// Bounded pool of idle connections. The bound leaves enough sockets for connections from workers and to the store.
 pub(super) struct Pool {
-    /// How many may be kept.
+    /// Maximum number of counted connections.
     max_idle: usize,
-    /// Addresses whose connections are not counted against that.
+    /// Addresses whose connections are not counted.
     exempt: Vec<SocketAddr>,
     idle: HashMap<SocketAddr, Vec<IdleConnection>>,
-    /// How many are kept and counted.
+    /// Number of idle connections to addresses that are not exempt.
     counted: usize,
-    /// When those too old to be used were last closed.
-    swept: Option<Instant>,
+    /// Time at which stale connections were last closed.
+    last_sweep: Option<Instant>,
 }
 
 impl Pool {
-    /// An empty pool of at most `max_idle` connections beside those to `exempt` addresses.
+    /// Creates an empty pool of at most `max_idle` connections, not counting those to `exempt` addresses.
     pub(super) fn new(max_idle: usize, exempt: Vec<SocketAddr>) -> Pool {
-        Pool { max_idle, exempt, idle: HashMap::new(), counted: 0, swept: None }
+        Pool { max_idle, exempt, idle: HashMap::new(), counted: 0, last_sweep: None }
     }
 
     fn is_counted(&self, address: &SocketAddr) -> bool {
         !self.exempt.contains(address)
     }
 
-    /// Keeps a connection for the next call, if there is room for it.
+    /// Keeps a connection for reuse unless the pool or the list of its address is full.
     pub(super) fn keep(&mut self, address: SocketAddr, stream: TcpStream) {
         let is_counted = self.is_counted(&address);
         if is_counted && self.counted >= self.max_idle {
-            if self.swept.is_some_and(|at| at.elapsed() < REUSE_WITHIN / 10) {
+            if self.last_sweep.is_some_and(|at| at.elapsed() < REUSE_WITHIN / 10) {
                 return;
             }
             self.sweep();
@@ -65,16 +65,16 @@
         }
     }
 
-    /// Closes connections too old to be used again, every [`REUSE_WITHIN`].
+    /// Closes stale connections, at most once per [`REUSE_WITHIN`].
     pub(super) fn sweep_if_due(&mut self) {
-        if self.counted > 0 && self.swept.is_none_or(|at| at.elapsed() >= REUSE_WITHIN) {
+        if self.counted > 0 && self.last_sweep.is_none_or(|at| at.elapsed() >= REUSE_WITHIN) {
             self.sweep();
         }
     }
 
-    /// Closes connections too old to be used again.
+    /// Closes connections that have been idle for [`REUSE_WITHIN`] or longer.
     fn sweep(&mut self) {
-        self.swept = Some(Instant::now());
+        self.last_sweep = Some(Instant::now());
         self.idle.retain(|_, list| {
             list.retain(IdleConnection::is_fresh);
             !list.is_empty()
@@ -83,46 +83,46 @@
         self.counted = counted.map(|(_, list)| list.len()).sum();
     }
 
-    /// Sets how many may be kept, and closes those beyond.
+    /// Sets the maximum number of counted connections and closes those beyond it.
     pub(super) fn set_max_idle(&mut self, max_idle: usize) {
         self.max_idle = max_idle;
         if self.counted <= max_idle {
             return;
         }
         self.sweep();
-        let mut beyond = self.counted.saturating_sub(max_idle);
+        let mut excess = self.counted.saturating_sub(max_idle);
         let exempt = &self.exempt;
         self.idle.retain(|address, list| {
             if !exempt.contains(address) {
-                let closed = beyond.min(list.len());
+                let closed = excess.min(list.len());
                 list.drain(..closed);
-                beyond -= closed;
+                excess -= closed;
             }
             !list.is_empty()
         });
         self.counted = self.counted.min(max_idle);
     }
 
-    /// A connection to this address that can be used.
+    /// Takes a usable connection to this address out of the pool.
     pub(super) fn take(&mut self, address: &SocketAddr) -> Option<TcpStream> {
         let is_counted = self.is_counted(address);
         let list = self.idle.get_mut(address)?;
-        let mut kept = None;
+        let mut usable = None;
         while let Some(connection) = list.pop() {
             self.counted -= usize::from(is_counted);
             if connection.is_fresh() && is_still_open(&connection.stream) {
-                kept = Some(connection.stream);
+                usable = Some(connection.stream);
                 break;
             }
         }
         if list.is_empty() {
             self.idle.remove(address);
         }
-        kept
+        usable
     }
 }
 
-/// An idle connection on which the far side has closed (or spoken out of turn) is not reused.
+/// Returns whether an idle connection can be reused: the peer has neither closed it nor sent unexpected bytes.
 fn is_still_open(stream: &TcpStream) -> bool {
     let mut probe = [0u8; 1];
     matches!(stream.try_read(&mut probe), Err(ref e) if e.kind() == std::io::ErrorKind::WouldBlock)
--- a/crates/protocol/src/http/pool/tests.rs
+++ b/crates/protocol/src/http/pool/tests.rs
@@ -3,35 +3,35 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Hundreds of idle connections to workers must leave sockets for their reports.
+/// Hundreds of idle connections to workers must leave enough sockets for their heartbeats.
 #[tokio::test]
-async fn idle_connections_are_bounded_but_not_those_to_the_state_service() {
+async fn idle_connections_are_bounded_except_to_exempt_addresses() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let to = listener.local_addr().unwrap();
-    let mut held = Vec::new();
-    let state = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut pool = Pool::new(2, vec![state]);
+    let server = listener.local_addr().unwrap();
+    let mut accepted = Vec::new();
+    let store = SocketAddr::from(([127, 0, 0, 1], 1));
+    let mut pool = Pool::new(2, vec![store]);
     for port in 10..15 {
-        for address in [SocketAddr::from(([127, 0, 0, 1], port)), state] {
-            let stream = TcpStream::connect(to).await.unwrap();
-            held.push(listener.accept().await.unwrap());
+        for address in [SocketAddr::from(([127, 0, 0, 1], port)), store] {
+            let stream = TcpStream::connect(server).await.unwrap();
+            accepted.push(listener.accept().await.unwrap());
             pool.keep(address, stream);
         }
     }
-    let workers = |pool: &Pool| pool.idle.keys().filter(|at| **at != state).count();
-    assert_eq!((workers(&pool), pool.idle[&state].len()), (2, IDLE_PER_ADDRESS));
+    let workers = |pool: &Pool| pool.idle.keys().filter(|address| **address != store).count();
+    assert_eq!((workers(&pool), pool.idle[&store].len()), (2, IDLE_PER_ADDRESS));
     assert!(pool.take(&SocketAddr::from(([127, 0, 0, 1], 10))).is_some());
-    assert!(pool.take(&state).is_some());
+    assert!(pool.take(&store).is_some());
     assert_eq!(pool.counted, 1);
-    // Where sockets get short, what is idle goes first.
+    // When sockets become scarce, idle connections are closed first.
     pool.set_max_idle(0);
     assert_eq!((workers(&pool), pool.counted), (0, 0));
-    assert!(pool.idle.contains_key(&state));
+    assert!(pool.idle.contains_key(&store));
 }
 
-/// What was opened to workers is closed once it is too old to be used again, though only others are called by then.
+/// Connections to workers that are too old for reuse must be closed even if only other addresses are called later.
 #[tokio::test]
-async fn idle_connections_that_nobody_uses_are_closed() {
+async fn stale_idle_connections_are_closed_without_a_call_to_their_address() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
--- a/crates/protocol/src/http/server.rs
+++ b/crates/protocol/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: one task for each connection, a bounded number of connections and of requests in hand.
+//! HTTP server with one task per connection, and bounds on the connections and on the requests not handled yet.
 
 use super::codec::{CodecError, Parsed, encode_response, parse_request};
 use super::message::{Request, Response};
@@ -10,29 +10,30 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// A request handed to whoever answers it.
+/// Request passed to the handler.
 pub struct Incoming {
-    /// The request.
+    /// Complete request.
     pub request: Request,
-    /// Takes the answer.
+    /// Channel for the response.
     pub reply: oneshot::Sender<Response>,
-    /// Dropped when the request is handled, whether or not it is answered by then.
+    /// Permit to be dropped when the request is handled, even if the response follows later. The number of permits bounds
+    /// the requests that are read but not handled.
     pub turn: OwnedSemaphorePermit,
 }
 
-/// Accepts connections until the process ends. Connections beyond `max_connections` are answered with 503 and
-/// closed; `open_count` tells how many are open. At most `max_in_hand` requests are read and not handled yet.
+/// Accepts connections until the process ends. Connections beyond `max_connections` get a 503 response and are closed.
+/// `open_count` publishes the number of open connections. At most `max_unhandled` requests are read but not handled.
 pub async fn serve(
     listener: TcpListener,
     max_connections: usize,
-    max_in_hand: usize,
+    max_unhandled: usize,
     requests: mpsc::Sender<Incoming>,
     open_count: watch::Sender<usize>,
 ) {
     let (closed_tx, mut closed_rx) = mpsc::unbounded_channel::<()>();
-    // Requests that come at once are read a few at a time: else the calls of this process to the state service
-    // would wait behind all of them.
-    let gate = Arc::new(Semaphore::new(max_in_hand));
+    // Bounds how many simultaneous requests are read at a time. Otherwise the calls of this process to the store would
+    // wait behind all of them.
+    let permits = Arc::new(Semaphore::new(max_unhandled));
     let mut open = 0usize;
     loop {
         tokio::select! {
@@ -44,20 +45,20 @@
                 Ok((stream, _)) => {
                     open += 1;
                     open_count.send_replace(open);
-                    let (requests, gate) = (requests.clone(), gate.clone());
+                    let (requests, permits) = (requests.clone(), permits.clone());
                     let closed = closed_tx.clone();
-                    let refuse = open > max_connections;
+                    let is_rejected = open > max_connections;
                     tokio::spawn(async move {
-                        if refuse {
-                            refuse_connection(stream).await;
+                        if is_rejected {
+                            reject_connection(stream).await;
                         } else {
-                            serve_connection(stream, requests, gate).await;
+                            serve_connection(stream, requests, permits).await;
                         }
                         let _ = closed.send(());
                     });
                 }
                 Err(error) => {
-                    tracing::info!(%error, "accept failed");
+                    tracing::info!(%error, "failed to accept a connection");
                     tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             }
@@ -65,55 +66,59 @@
     }
 }
 
-async fn refuse_connection(mut stream: TcpStream) {
+async fn reject_connection(mut stream: TcpStream) {
     let bytes = encode_response(&Response::later(503), true);
     let _ = timeout(READ_TIMEOUT, stream.write_all(&bytes)).await;
 }
 
-/// Reads what has arrived by now, or `None`. Not by `try_read_buf`, which costs one more system call a message to
-/// learn that the stream is empty.
+/// Reads the bytes that have already arrived; returns `None` if there are none. `try_read_buf` would need one more
+/// system call per message to detect that the stream is empty.
 async fn read_available(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> Option<std::io::Result<usize>> {
     buffer.reserve(READ_AT_ONCE);
     let mut read = std::pin::pin!(stream.read_buf(buffer));
-    let now = std::future::poll_fn(|cx| Poll::Ready(read.as_mut().poll(cx))).await;
-    match now {
+    let poll = std::future::poll_fn(|cx| Poll::Ready(read.as_mut().poll(cx))).await;
+    match poll {
         Poll::Ready(read) => Some(read),
         Poll::Pending => None,
     }
 }
 
-/// One request read from a connection.
+/// Result of reading one request from a connection.
 enum Received {
-    /// A request, whether the client wants the connection closed after it, and the permit to handle it.
-    Request { request: Request, close: bool, turn: OwnedSemaphorePermit },
-    /// Bytes that are no request.
+    /// Request, whether the client asks to close the connection after it, and the permit to handle it.
+    Request { request: Request, close: bool, permit: OwnedSemaphorePermit },
+    /// Bytes that are not a valid request.
     Invalid(CodecError),
-    /// The connection ended, or was idle for too long.
+    /// The connection was closed, or a timeout expired.
     Closed,
 }
 
-async fn receive(stream: &mut TcpStream, buffer: &mut Vec<u8>, gate: &Arc<Semaphore>) -> Received {
-    let mut turn: Option<OwnedSemaphorePermit> = None;
+async fn receive(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    permits: &Arc<Semaphore>,
+) -> Received {
+    let mut permit: Option<OwnedSemaphorePermit> = None;
     loop {
-        match (parse_request(buffer), turn.take()) {
-            (Ok(Parsed::Done((request, close), used)), Some(turn)) => {
+        match (parse_request(buffer), permit.take()) {
+            (Ok(Parsed::Done((request, close), used)), Some(permit)) => {
                 buffer.drain(..used);
-                return Received::Request { request, close, turn };
+                return Received::Request { request, close, permit };
             }
-            // All of it came with the request before.
-            (Ok(Parsed::Done(..)), None) => turn = gate.clone().acquire_owned().await.ok(),
+            // The whole request arrived together with the previous one.
+            (Ok(Parsed::Done(..)), None) => permit = permits.clone().acquire_owned().await.ok(),
             (Err(error), _) => return Received::Invalid(error),
-            (Ok(Parsed::Partial), held) => {
-                // Half a request holds up nobody.
-                drop(held);
+            (Ok(Parsed::Partial), unused_permit) => {
+                // A partial request must not delay other connections.
+                drop(unused_permit);
                 let wait = if buffer.is_empty() { IDLE_TIMEOUT } else { READ_TIMEOUT };
                 let Ok(Ok(())) = timeout(wait, stream.readable()).await else {
                     return Received::Closed;
                 };
-                turn = gate.clone().acquire_owned().await.ok();
+                permit = permits.clone().acquire_owned().await.ok();
                 if let Some(Ok(0) | Err(_)) = read_available(stream, buffer).await {
                     return Received::Closed;
                 }
@@ -125,15 +130,15 @@
 async fn serve_connection(
     mut stream: TcpStream,
     requests: mpsc::Sender<Incoming>,
-    gate: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut buffer: Vec<u8> = Vec::new();
     loop {
-        let (response, close) = match receive(&mut stream, &mut buffer, &gate).await {
+        let (response, close) = match receive(&mut stream, &mut buffer, &permits).await {
             Received::Closed => return,
-            Received::Request { request, close, turn } => {
-                let response = answer(&requests, request, turn).await;
+            Received::Request { request, close, permit } => {
+                let response = handle(&requests, request, permit).await;
                 let close = close || response.close;
                 (response, close)
             }
@@ -144,21 +149,21 @@
             Ok(Ok(())) if !close => {}
             _ => return,
         }
-        // An idle connection holds no memory.
+        // Frees the buffer, so an idle connection uses no memory for it.
         if buffer.is_empty() {
             buffer = Vec::new();
         }
     }
 }
 
-async fn answer(
+async fn handle(
     requests: &mpsc::Sender<Incoming>,
     request: Request,
-    turn: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) -> Response {
-    let (reply, answer) = oneshot::channel();
-    match requests.try_send(Incoming { request, reply, turn }) {
-        Ok(()) => answer.await.unwrap_or_else(|_| Response::later(503)),
+    let (reply, response) = oneshot::channel();
+    match requests.try_send(Incoming { request, reply, turn: permit }) {
+        Ok(()) => response.await.unwrap_or_else(|_| Response::later(503)),
         Err(_) => Response::later(503),
     }
 }
--- a/crates/protocol/src/http/tests.rs
+++ b/crates/protocol/src/http/tests.rs
@@ -6,40 +6,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// Thousands that come at once are read a few at a time, and all are answered in the end.
+/// Of many simultaneous requests, only a bounded number is read before some are handled; all get responses in the end.
 #[tokio::test]
-async fn requests_that_come_together_are_read_a_few_at_a_time() {
+async fn simultaneous_requests_are_read_up_to_the_bound_and_all_get_responses() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (to, mut from) = mpsc::channel(10 * READ_TOGETHER);
-    let (count, _open) = watch::channel(0);
-    tokio::spawn(serve(listener, usize::MAX, READ_TOGETHER, to, count));
-    let all = READ_TOGETHER + 50;
+    let (sender, mut requests) = mpsc::channel(10 * READ_TOGETHER);
+    let (count, _count_receiver) = watch::channel(0);
+    tokio::spawn(serve(listener, usize::MAX, READ_TOGETHER, sender, count));
+    let total = READ_TOGETHER + 50;
     let client = Client::start(0, vec![]);
-    let calls: Vec<_> = (0..all)
+    let calls: Vec<_> = (0..total)
         .map(|_| {
             let client = client.clone();
             tokio::spawn(async move {
                 let request = Request { method: Method::Get, target: "/".into(), body: vec![] };
-                let until = Instant::now() + Duration::from_secs(60);
-                client.call(address, request, until).await
+                let deadline = Instant::now() + Duration::from_secs(60);
+                client.call(address, request, deadline).await
             })
         })
         .collect();
-    let mut held = Vec::new();
-    while held.len() < READ_TOGETHER {
-        held.push(from.recv().await.unwrap());
+    let mut unhandled = Vec::new();
+    while unhandled.len() < READ_TOGETHER {
+        unhandled.push(requests.recv().await.unwrap());
     }
-    // Nobody else is read while these wait, however long that is.
+    // No other request is read until one of these is handled.
     for _ in 0..1000 {
         tokio::task::yield_now().await;
     }
-    assert!(from.try_recv().is_err());
+    assert!(requests.try_recv().is_err());
     let mut answered = 0;
-    while answered < all {
-        let incoming = match held.pop() {
+    while answered < total {
+        let incoming = match unhandled.pop() {
             Some(incoming) => incoming,
-            None => from.recv().await.unwrap(),
+            None => requests.recv().await.unwrap(),
         };
         drop(incoming.turn);
         let _ = incoming.reply.send(Response::empty(200));
@@ -50,9 +50,9 @@
     }
 }
 
-/// A call that a process decided before it stood still must not go out when it wakes.
+/// A process must not send a request after a stall if the deadline of the call passed meanwhile.
 #[tokio::test]
-async fn a_call_whose_time_is_over_is_never_sent() {
+async fn call_past_its_deadline_is_never_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let client = Client::start(4, vec![]);
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names, tokens and revisions, and exact amounts.
+//! Identifiers, revisions, and exact resource amounts.
 
 use crate::constants::{ATTEMPT_BITS, MICRO};
 use compact_str::CompactString;
@@ -8,14 +8,14 @@
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
-        // Stored inline: look-ups by name follow no pointer.
+        // Short names are stored inline, so look-ups by name follow no pointer.
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(CompactString);
         impl $name {
-            /// The name as its text.
+            /// Creates the name from its text.
             pub fn new(text: &str) -> Self { $name(CompactString::from(text)) }
-            /// Its text.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str { &self.0 }
         }
         impl fmt::Display for $name {
@@ -27,11 +27,11 @@
     };
 }
 
-name_type!(/// A job, as its user named it.
+name_type!(/// Name of a job, chosen by its user.
     JobId);
-name_type!(/// A rented machine, as the cloud named it.
+name_type!(/// Name of a rented machine, assigned by the cloud.
     MachineId);
-name_type!(/// A controller.
+name_type!(/// Name of a controller.
     ControllerId);
 
 macro_rules! number_type {
@@ -46,33 +46,34 @@
     };
 }
 
-number_type!(/// The fencing token: rises with each leadership.
+number_type!(/// Fencing token, which rises with each term of a leader.
     FencingToken);
-number_type!(/// A revision of the state service; 0 stands for "does not exist".
+number_type!(/// Revision of the store or of one key; 0 stands for "does not exist".
     Revision);
-number_type!(/// An attempt at a task; never used twice.
+number_type!(/// Number of an attempt at a task; never reused.
     Attempt);
-number_type!(/// A lease at the state service.
+number_type!(/// Id of a lease in the store.
     LeaseId);
 
 impl Attempt {
-    /// Attempts of one leadership lie in a range of their own, so no two leaders share one.
+    /// Creates the attempt number with this counter in this term. Each term has its own range of numbers, so no two
+    /// leaders use the same one.
     pub fn new(token: FencingToken, counter: u64) -> Attempt {
         Attempt((token.0 << ATTEMPT_BITS) | counter)
     }
 }
 
-/// One task of a job.
+/// Id of one task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Which of its tasks, from 0.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses `job/index`.
+    /// Parses the form `job/index`; returns `None` for any other text.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId { job: JobId::new(job), index: index.parse().ok()? })
@@ -85,7 +86,7 @@
     }
 }
 
-/// An amount of a machine's resources in whole millionths, so that sums never drift.
+/// Amount of resources in whole millionths, so that sums accumulate no rounding error.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Amount {
     /// CPUs, in millionths.
@@ -103,18 +104,18 @@
 
 impl Amount {
     fn in_millionths(value: f64, rounding: Rounding) -> u64 {
-        // A value that is a whole number of millionths but for rounding stays that number.
+        // A value within 0.001 of a whole number of millionths is that number: the difference is rounding error.
         let scaled = value * MICRO;
-        let near = scaled.round();
-        if (scaled - near).abs() < 1e-3 {
-            return near as u64;
+        let nearest = scaled.round();
+        if (scaled - nearest).abs() < 1e-3 {
+            return nearest as u64;
         }
         match rounding {
             Rounding::Up => scaled.ceil() as u64,
             Rounding::Down => scaled.floor() as u64,
         }
     }
-    /// What a task takes: rounded up.
+    /// Creates the resource request of a task; rounds up.
     pub fn need(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
             cpu: Self::in_millionths(cpu, Rounding::Up),
@@ -122,7 +123,7 @@
             ram: Self::in_millionths(ram, Rounding::Up),
         }
     }
-    /// What a machine or a limit offers: rounded down.
+    /// Creates the capacity of a machine or of a limit; rounds down.
     pub fn room(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
             cpu: Self::in_millionths(cpu, Rounding::Down),
@@ -130,11 +131,11 @@
             ram: Self::in_millionths(ram, Rounding::Down),
         }
     }
-    /// Whether it fits into `room` in every resource.
-    pub fn fits(&self, room: &Amount) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.ram <= room.ram
+    /// Returns whether the amount fits into the capacity in every resource.
+    pub fn fits(&self, capacity: &Amount) -> bool {
+        self.cpu <= capacity.cpu && self.gpu <= capacity.gpu && self.ram <= capacity.ram
     }
-    /// The sum, saturating.
+    /// Returns the sum, saturating in each resource.
     pub fn plus(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -142,7 +143,7 @@
             ram: self.ram.saturating_add(other.ram),
         }
     }
-    /// The difference, 0 where it would be negative.
+    /// Returns the difference, 0 in each resource where it would be negative.
     pub fn minus(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -150,7 +151,7 @@
             ram: self.ram.saturating_sub(other.ram),
         }
     }
-    /// The `n`-fold, saturating.
+    /// Returns the amount multiplied by `n`, saturating in each resource.
     pub fn times(&self, n: u64) -> Amount {
         Amount {
             cpu: self.cpu.saturating_mul(n),
@@ -158,7 +159,7 @@
             ram: self.ram.saturating_mul(n),
         }
     }
-    /// The lesser of both in each resource.
+    /// Returns the minimum of both amounts in each resource.
     pub fn least(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.min(other.cpu),
@@ -166,7 +167,7 @@
             ram: self.ram.min(other.ram),
         }
     }
-    /// Whether it is nothing.
+    /// Returns whether the amount is zero in every resource.
     pub fn is_zero(&self) -> bool {
         *self == Amount::default()
     }
@@ -178,17 +179,17 @@
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(usize);
         impl $name {
-            /// The identifier of the entry at this position.
+            /// Creates the identifier of the entry at this position.
             pub const fn new(index: usize) -> Self { $name(index) }
-            /// The position of the entry in its list.
+            /// Returns the position of the entry in its list.
             pub const fn index(self) -> usize { self.0 }
         }
     };
 }
 
-index_type!(/// A zone, by its position in the list of zones in the settings.
+index_type!(/// Identifies a zone by its position in the list of zones in the settings.
     ZoneId);
-index_type!(/// A team, by its position in the list of teams in the settings.
+index_type!(/// Identifies a team by its position in the list of teams in the settings.
     TeamId);
-index_type!(/// A machine type, by its position in the cloud's list of types.
+index_type!(/// Identifies a machine type by its position in the cloud's list of types.
     MachineTypeId);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,5 @@
-//! What is said on the wire: names and amounts, the message types of the protocol, and the HTTP/1.1
-//! codec, server and client that carry them. The service, its operators' command and the simulation
-//! speak through it.
+//! The wire protocol: identifiers and resource amounts, message types, and the HTTP/1.1 codec, server and client.
+//! The controllers, the operators' command-line tool and the simulation use it.
 
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::unwrap_used))]
--- a/crates/protocol/src/operator_api.rs
+++ b/crates/protocol/src/operator_api.rs
@@ -1,68 +1,69 @@
-//! What operators ask a controller, beside the users' protocol: JSON, so that people can read it.
+//! Messages of the operators' HTTP API, which uses JSON so that people can read them.
 
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// POST, with [`OperatorQuery`]. Answered 404, as any unknown path, without the right key.
+/// POST with [`OperatorQuery`]; lists jobs that may miss an objective. Without the correct key, the response is 404,
+/// as for any unknown path.
 pub const AT_RISK_PATH: &str = "/ops/jobs/at-risk";
-/// POST, with [`DrainRequest`]. Any controller takes it.
+/// POST with [`DrainRequest`]; starts a drain. Any controller accepts it.
 pub const DRAIN_PATH: &str = "/ops/drain";
-/// POST, with [`UndrainRequest`]. Any controller takes it.
+/// POST with [`UndrainRequest`]; cancels a drain. Any controller accepts it.
 pub const UNDRAIN_PATH: &str = "/ops/undrain";
-/// POST, with [`OperatorQuery`]. Any controller answers.
+/// POST with [`OperatorQuery`]; lists the drains in force. Any controller responds.
 pub const DRAINS_PATH: &str = "/ops/drains";
-/// POST, with [`OperatorQuery`]: which classes of which teams are below their floors.
+/// POST with [`OperatorQuery`]; lists the classes of teams that are below their floors.
 pub const STARVING_PATH: &str = "/ops/jobs/starving";
 
-/// A question that needs nothing but leave to ask.
+/// Request with no parameters besides the key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OperatorQuery {
-    /// The operators' key.
+    /// Secret key that authorizes operators.
     pub key: String,
 }
 
-/// A job that may miss an objective.
+/// Job that may miss an objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobAtRisk {
-    /// The job.
+    /// Name of the job.
     pub job: JobId,
-    /// Its class.
+    /// Class of the job, which selects its objectives.
     pub class: String,
-    /// Its team.
+    /// Team that owns the job.
     pub team: String,
-    /// Probability that it is late, from 0 to 1.
+    /// Probability that the job misses its deadline, from 0 to 1.
     pub late: f64,
-    /// Seconds until it is due.
+    /// Seconds until the deadline.
     pub due_in_s: f64,
-    /// Seconds until it will be done, as the median of what is expected.
+    /// Median of the predicted seconds until the job finishes.
     pub done_in_s: f64,
-    /// How many of its tasks are done.
+    /// Number of completed tasks.
     pub done_tasks: u64,
-    /// How many tasks it has.
+    /// Number of tasks of the job.
     pub tasks: u64,
-    /// How sure the estimate is that this rests on.
+    /// Confidence grade of the run-time estimate that the prediction is based on.
     pub grade: String,
 }
 
-/// Jobs at risk, the likeliest to be late first, and how warnings turned out under this leader.
+/// Jobs at risk, in descending order of probability, and the accuracy of the warnings of this leader.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobsAtRisk {
-    /// The controller that answers.
+    /// Name of the responding controller.
     pub leader: String,
-    /// The jobs.
+    /// Jobs at risk.
     pub jobs: Vec<JobAtRisk>,
-    /// Jobs warned of that are not over.
+    /// Number of jobs with a warning that have not finished.
     pub warned: u64,
-    /// Jobs warned of that were late.
+    /// Number of jobs with a warning that missed their deadline.
     pub warned_late: u64,
-    /// Jobs warned of that were in time.
+    /// Number of jobs with a warning that met their deadline.
     pub warned_in_time: u64,
-    /// Jobs that were late without a warning.
+    /// Number of jobs that missed their deadline without a warning.
     pub late_unwarned: u64,
 }
 
-/// What can be drained.
+/// Kind of object that can be drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DrainKind {
@@ -70,140 +71,140 @@
     Zone,
     /// One machine.
     Machine,
-    /// It hands leadership and its users over to others, as long as there are any.
+    /// One controller, which hands leadership and its users over to other controllers if there are any.
     Controller,
 }
 
-/// Orders a graceful eviction: nothing new is to start there, and what runs is to leave.
+/// Requests a drain: no new tasks start there, and running tasks are evicted gracefully.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DrainRequest {
-    /// The operators' key.
+    /// Secret key that authorizes operators.
     pub key: String,
-    /// What is drained.
+    /// Kind of the drained object.
     pub kind: DrainKind,
-    /// Its name.
+    /// Name of the drained object.
     pub name: String,
-    /// Seconds from now after which no array's task may run there any more; `None`: each runs to its end.
+    /// Seconds from now after which no task of a job array may run there; `None` lets each task finish.
     #[serde(default)]
     pub by_s: Option<f64>,
-    /// Who ordered it.
+    /// Person or tool that requested the drain.
     #[serde(default)]
     pub author: String,
-    /// Why.
+    /// Reason for the drain, for operators to read.
     #[serde(default)]
     pub reason: String,
 }
 
-/// Takes a drain back.
+/// Cancels a drain.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UndrainRequest {
-    /// The operators' key.
+    /// Secret key that authorizes operators.
     pub key: String,
-    /// What is drained.
+    /// Kind of the drained object.
     pub kind: DrainKind,
-    /// Its name.
+    /// Name of the drained object.
     pub name: String,
 }
 
-/// A drain that is in force.
+/// Drain that is in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    /// What is drained.
+    /// Kind of the drained object.
     pub kind: DrainKind,
-    /// Its name.
+    /// Name of the drained object.
     pub name: String,
-    /// Seconds until it is to be done; below 0 if that is past.
+    /// Seconds until the deadline of the drain; negative after the deadline.
     pub by_in_s: Option<f64>,
-    /// Seconds since it was ordered.
+    /// Seconds since the drain was requested.
     pub since_s: f64,
-    /// Who ordered it.
+    /// Person or tool that requested the drain.
     pub author: String,
-    /// Why.
+    /// Reason for the drain, for operators to read.
     pub reason: String,
-    /// Tasks that are still there; only the leader knows.
+    /// Number of tasks that are still there; known only to the leader.
     pub left: Option<u64>,
-    /// How many of them can neither leave nor end in time.
+    /// Number of those tasks that can neither be moved nor finish before the deadline.
     pub stuck: Option<u64>,
 }
 
-/// All drains in force.
+/// List of all drains in force.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Drains {
-    /// The drains.
+    /// Drains in force.
     pub drains: Vec<Drain>,
 }
 
-/// A class of a team that is below its floor; capacity is counted in machines of the largest type.
+/// Class of a team that is below its floor. Capacity is measured in machines of the largest type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupBelowFloor {
-    /// The class.
+    /// Class of the jobs.
     pub class: String,
-    /// The team.
+    /// Team that owns the jobs.
     pub team: String,
-    /// What its tasks take up.
+    /// Capacity allocated to the group's tasks.
     pub held: f64,
-    /// What it is to have at the least.
+    /// Minimum capacity for the group.
     pub floor: f64,
-    /// What it needs to be served as fast as its work arrives.
+    /// Capacity needed to serve the group's work as fast as it arrives.
     pub needed: f64,
-    /// Tasks that wait, by what for.
+    /// Number of waiting tasks, by the reason why they wait.
     pub waits_for: BTreeMap<String, u64>,
 }
 
-/// Whether capacity is scarce, and which groups have least of it.
+/// State of scarcity, and the groups that are below their floors.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FairShareReport {
-    /// The controller that answers.
+    /// Name of the responding controller.
     pub leader: String,
-    /// Seconds since capacity became scarce; `None`: it is not.
+    /// Seconds since capacity became scarce; `None` if it is not scarce.
     pub scarce_for_s: Option<f64>,
-    /// Machines that are up or booting.
+    /// Machines that are up or booting, in machines of the largest type.
     pub machines: f64,
-    /// Whether no machine can be rented beside them.
+    /// Whether no more machines can be rented.
     pub nothing_to_rent: bool,
     /// The groups below their floors.
     pub groups: Vec<GroupBelowFloor>,
 }
 
-/// What one class of a team asks for, in machines of the largest type.
+/// Demand of one class of a team, in machines of the largest type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupDemand {
-    /// The class.
+    /// Class of the jobs.
     pub class: String,
-    /// The team.
+    /// Team that owns the jobs.
     pub team: String,
-    /// Its tasks run until they are cancelled.
+    /// Whether the group's tasks belong to services, which run until they are cancelled.
     pub service: bool,
-    /// It may not use spot machines.
+    /// Whether the group may not use spot machines.
     pub ordinary: bool,
-    /// What its tasks take up.
+    /// Capacity allocated to the group's tasks.
     pub held: f64,
-    /// What its waiting tasks would take up.
+    /// Capacity that the group's waiting tasks would use.
     pub waiting: f64,
-    /// Machine-seconds of arrays that came since this leadership began, as their run times are expected.
+    /// Machine-seconds of job arrays that arrived in this term, from their expected run times.
     pub came: f64,
-    /// What it is to have at the least.
+    /// Minimum capacity for the group.
     pub floor: f64,
 }
 
-/// The leader's demand, which it logs every few seconds as JSON in the field [`DEMAND_FIELD`].
+/// Demand that the leader logs every few seconds as JSON after [`DEMAND_FIELD`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandLog {
-    /// Fencing token of the leadership; one that has ended may go on logging for a moment.
+    /// Fencing token of the leader. A former leader may continue to log for a moment after its term.
     pub token: u64,
-    /// Seconds since this leadership began.
+    /// Seconds since the start of this term.
     pub at_s: f64,
-    /// Ordinary machines that are up or booting.
+    /// Ordinary machines that are up or booting, in machines of the largest type.
     pub ordinary: f64,
-    /// Spot machines that are up or booting.
+    /// Spot machines that are up or booting, in machines of the largest type.
     pub spot: f64,
-    /// No machine can be rented beside them.
+    /// Whether no more machines can be rented.
     pub exhausted: bool,
-    /// Capacity is scarce.
+    /// Whether capacity is scarce.
     pub scarce: bool,
     /// Demand by class and team.
     pub groups: Vec<GroupDemand>,
 }
 
-/// What stands before that JSON in a line of the log.
+/// Text in front of the JSON of a [`DemandLog`] in a log line.
 pub const DEMAND_FIELD: &str = "demand=";
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,7 +1,7 @@
-//! The messages of the protocol: this module alone knows the protocol's own words and maps each once, by
-//! serde's `rename`, to the field's terms.
+//! Message types of the protocol. Only this module uses the names on the wire; serde's `rename` maps each to the usual
+//! term.
 //!
-//! | on the wire | here | in |
+//! | Name on the wire | Rust name | Types |
 //! |---|---|---|
 //! | `sweep` | `Array` | [`JobKind`] |
 //! | `service` | `Service` | [`JobKind`] |
@@ -25,7 +25,7 @@
 //! | `expectS` | `expect_s` | [`JobSpec`] |
 //! | `snapshotEveryS` | `checkpoint_s` | [`JobSpec`] |
 //! | `snapshotS` | `save_s` | [`JobSpec`] |
-//! | `dueS` | `default` | [`JobSpec`] |
+//! | `dueS` | `due_s` | [`JobSpec`] |
 //! | `waitsOn` | `depends_on` | [`JobSpec`] |
 //! | `pending` | `Queued` | [`JobStatus`] |
 //! | `running` | `Running` | [`JobStatus`], [`TaskState`] |
@@ -61,7 +61,7 @@
 //! | `keyRev` | `rev` | [`Precondition`], [`KeyValue`], [`WatchEvent`] |
 //! | `write` | `key` | [`Write`] |
 //! | `remove` | `key` | [`Write`] |
-//! | `preconditions` | `preconditions` | [`Transaction`] |
+//! | `guards` | `preconditions` | [`Transaction`] |
 //! | `news` | `events` | [`WatchResponse`] |
 //! | `storeRev` | `rev` | [`CommitResponse`], [`RangeResponse`], [`WatchResponse`] |
 //! | `write` | `put` | [`WatchEvent`] |
--- a/crates/protocol/src/wire/amount.rs
+++ b/crates/protocol/src/wire/amount.rs
@@ -1,11 +1,11 @@
-//! Amounts on the wire: decimals, though a peer that writes a whole one as an integer is understood.
+//! Deserialization of amounts.
 
 use serde::{Deserialize, Deserializer};
 
-/// Amounts are decimals on the wire; a peer that writes a whole one as an integer is understood.
+/// Deserializes an amount. Amounts are decimals on the wire, but integers are accepted for whole amounts.
 pub(super) fn amount<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    struct Amount;
-    impl serde::de::Visitor<'_> for Amount {
+    struct AmountVisitor;
+    impl serde::de::Visitor<'_> for AmountVisitor {
         type Value = f64;
         fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
             f.write_str("a number")
@@ -20,11 +20,12 @@
             Ok(value as f64)
         }
     }
-    from.deserialize_any(Amount)
+    from.deserialize_any(AmountVisitor)
 }
 
-pub(super) fn no_or_amount<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
+/// Deserializes an optional amount.
+pub(super) fn optional_amount<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
     #[derive(Deserialize)]
-    struct Given(#[serde(deserialize_with = "amount")] f64);
-    Ok(Option::<Given>::deserialize(from)?.map(|some| some.0))
+    struct Value(#[serde(deserialize_with = "amount")] f64);
+    Ok(Option::<Value>::deserialize(from)?.map(|value| value.0))
 }
--- a/crates/protocol/src/wire/cloud.rs
+++ b/crates/protocol/src/wire/cloud.rs
@@ -1,136 +1,137 @@
-//! The cloud: machine types, rentals and the list of machines.
+//! Messages of the cloud's API: machine types, rentals and the list of machines.
 
 use super::amount::amount;
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// A machine type as the cloud describes it.
+/// Machine type as described by the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Unique name of the type.
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "vcpus", deserialize_with = "amount")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "cards", deserialize_with = "amount")]
     pub gpus: f64,
     /// Memory, in GB.
     #[serde(rename = "ramGb", deserialize_with = "amount")]
     pub ram_gb: f64,
-    /// Room for images, in GB.
+    /// Capacity of the image cache, in GB.
     #[serde(rename = "cacheGb", default, deserialize_with = "amount")]
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pullGbPerS", default, deserialize_with = "amount")]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour of an ordinary machine.
     #[serde(deserialize_with = "amount")]
     pub price: f64,
-    /// Price an hour as a spot machine, at the moment.
+    /// Current price per hour of a spot machine.
     #[serde(rename = "marketPrice", deserialize_with = "amount")]
     pub spot_price: f64,
     /// Nominal boot time, in seconds.
     #[serde(rename = "startupS", deserialize_with = "amount")]
     pub boot_s: f64,
-    /// Zones where it can be rented.
+    /// Names of the zones where the type can be rented.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
 }
 
-/// Takes newer descriptions of machine types in. Known types keep their place, since others refer to it.
-pub fn merge(known: &mut Vec<MachineType>, found: Vec<MachineType>) {
-    for flavor in found {
-        match known.iter_mut().find(|f| f.name == flavor.name) {
-            Some(old) => *old = flavor,
-            None => known.push(flavor),
+/// Merges newer descriptions of machine types into the known ones. Known types keep their positions, because a
+/// [`MachineTypeId`](crate::ids::MachineTypeId) refers to the position.
+pub fn merge(known: &mut Vec<MachineType>, newer: Vec<MachineType>) {
+    for machine_type in newer {
+        match known.iter_mut().find(|existing| existing.name == machine_type.name) {
+            Some(existing) => *existing = machine_type,
+            None => known.push(machine_type),
         }
     }
 }
 
-/// The cloud's catalogue.
+/// Machine types that the cloud offers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// Descriptions of all types.
     pub flavors: Vec<MachineType>,
 }
 
-/// A request to scale out.
+/// Request to rent machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// Name of the request, never used twice: repeating it is idempotent.
+    /// Unique id of the request, which makes a repeated request idempotent.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Machine type.
+    /// Name of the machine type.
     pub flavor: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether to rent spot machines.
     #[serde(rename = "lendable")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// The body of a refusal by the cloud.
+/// Body of an error response of the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudError {
-    /// What is wrong; "no capacity" where machines of that type, zone and kind are used up.
+    /// Error message; "no capacity" if no spot or ordinary machines of that type are left in the zone.
     pub error: String,
 }
 
-/// Names of machines: those rented, or those to delete.
+/// Names of the machines that were rented, or that are to be deleted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineIds {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "spindles")]
     pub machines: Vec<MachineId>,
 }
 
-/// A machine's state, as the cloud knows it.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedMachineState {
-    /// Boots.
+    /// The machine boots.
     Starting,
-    /// Is up.
+    /// The machine is up.
     Running,
-    /// Stopped by itself; listed until it is deleted.
+    /// The machine failed; it is listed until it is deleted.
     Failed,
 }
 
-/// One machine in the cloud's list, which lags.
+/// Entry of the cloud's list of machines, which may be out of date.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "nameId")]
     pub machine: MachineId,
-    /// Where its worker takes direct commands, once known.
+    /// Address at which the worker accepts direct calls, once known.
     #[serde(default)]
     pub address: Option<String>,
-    /// Machine type.
+    /// Name of the machine type.
     pub flavor: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "lendable")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     pub status: ListedMachineState,
-    /// Seconds since it was rented.
+    /// Seconds since the machine was rented.
     #[serde(rename = "heldS", default, deserialize_with = "amount")]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// Page of the cloud's list of machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// In order of their names.
+    /// Machines in order of their names.
     #[serde(rename = "spindles")]
     pub machines: Vec<ListedMachine>,
-    /// There are more.
+    /// Whether more machines follow on later pages.
     #[serde(default)]
     pub truncated: bool,
 }
--- a/crates/protocol/src/wire/job.rs
+++ b/crates/protocol/src/wire/job.rs
@@ -1,95 +1,96 @@
-//! Users and their jobs.
+//! Messages between users and controllers: job descriptions and states.
 
-use super::amount::{amount, no_or_amount};
+use super::amount::{amount, optional_amount};
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 
-/// What a job is.
+/// Kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// A job array: independent tasks, each of which runs to completion.
+    /// Job array: independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// Service: replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
-    /// All tasks run together or not at all.
+    /// Gang: all tasks run together or not at all.
     #[serde(rename = "ensemble")]
     Gang,
 }
 
-/// A job's priority. Declared from most to least urgent, so that the derived order is the order of work.
+/// Priority of a job. The variants are declared from the highest to the lowest, so the derived order is the order in
+/// which jobs are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Services that users wait for.
+    /// Highest priority, for services that respond to users.
     #[serde(rename = "critical")]
     Production,
-    /// Above the usual.
+    /// Above the default priority.
     #[serde(rename = "high")]
     High,
-    /// The usual.
+    /// Default priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Runs in what capacity is left over.
+    /// Lowest priority, which uses capacity that other jobs leave.
     #[serde(rename = "best_effort")]
     Low,
 }
 
-/// A job as its user describes it.
+/// Description of a job, submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique name, chosen by the user; a repeated submission uses the same.
+    /// Unique name, chosen by the user. A repeated submission uses the same name.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// The class whose service-level objectives apply.
+    /// Class, which selects the service-level objectives.
     #[serde(rename = "runKind")]
     pub class: String,
-    /// The team whose quota applies.
+    /// Team whose quota applies.
     #[serde(rename = "owner")]
     pub team: String,
     /// Job array, service or gang.
     pub shape: JobKind,
-    /// Its own priority; jobs that depend on it may raise it.
+    /// Priority set by the user; dependent jobs may raise the effective priority.
     pub urgency: Priority,
-    /// How many tasks, numbered from 0.
+    /// Number of tasks; their indexes start at 0.
     #[serde(rename = "legs")]
     pub tasks: u64,
-    /// CPUs of each task.
+    /// CPUs requested by each task.
     #[serde(rename = "vcpus", deserialize_with = "amount")]
     pub cpus: f64,
-    /// GPUs of each task.
+    /// GPUs requested by each task.
     #[serde(rename = "cards", deserialize_with = "amount")]
     pub gpus: f64,
-    /// Memory of each task, in GB.
+    /// Memory requested by each task, in GB.
     #[serde(rename = "ramGb", deserialize_with = "amount")]
     pub ram_gb: f64,
-    /// The image that a machine needs before a task starts.
+    /// Name of the image that must be on a machine before a task starts there.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, in GB.
     #[serde(rename = "imageGb", deserialize_with = "amount")]
     pub image_gb: f64,
-    /// Machine types it may use; `None`: any.
+    /// Names of the allowed machine types; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub flavors: Option<Vec<String>>,
-    /// The only zone it may use; `None`: any.
+    /// Name of the only allowed zone; `None` allows all.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All its tasks have to be in one zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "samePlace")]
     pub one_zone: bool,
-    /// At most half of its tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether tasks may use spot machines.
     #[serde(rename = "lendable")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// User's estimate of a task's run time, in seconds.
     #[serde(rename = "expectS", deserialize_with = "amount")]
     pub expect_s: f64,
-    /// Seconds of progress between two checkpoints; 0: no checkpoints.
+    /// Progress between two checkpoints, in seconds; 0 means no checkpoints.
     #[serde(rename = "snapshotEveryS", deserialize_with = "amount")]
     pub checkpoint_s: f64,
-    /// Seconds that a task takes to save when it is stopped.
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "snapshotS", deserialize_with = "amount")]
     pub save_s: f64,
     /// Deadline, in seconds from submission.
@@ -97,49 +98,49 @@
         rename = "dueS",
         default,
         skip_serializing_if = "Option::is_none",
-        deserialize_with = "no_or_amount"
+        deserialize_with = "optional_amount"
     )]
     pub due_s: Option<f64>,
-    /// Jobs that have to be done before a task of this one starts.
+    /// Names of the jobs that must complete before a task of this one starts.
     #[serde(rename = "waitsOn", default, skip_serializing_if = "Option::is_none")]
     pub depends_on: Option<Vec<JobId>>,
 }
 
-/// Only the name, for requests whose other fields may be broken.
+/// Only the name of a [`JobSpec`], for requests whose other fields may be invalid.
 #[derive(Debug, Deserialize)]
 pub struct JobName {
-    /// The job.
+    /// Name of the job.
     #[serde(rename = "nameId")]
     pub id: JobId,
 }
 
-/// A job's state, as users see it.
+/// State of a job that is shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task of the job runs.
     #[serde(rename = "pending")]
     Queued,
-    /// Some task runs.
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done. Final.
+    /// All tasks completed. This state is final.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user. Final.
+    /// The user cancelled the job. This state is final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The answer to a submission, a poll or a cancellation.
+/// Response to a submission, a poll or a cancellation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Name of the job.
     #[serde(rename = "nameId")]
     pub id: JobId,
-    /// Its state.
+    /// State of the job.
     pub status: JobStatus,
-    /// How many of its tasks are done.
+    /// Number of completed tasks.
     pub done: u64,
-    /// How many of its tasks run.
+    /// Number of running tasks.
     pub running: u64,
 }
--- a/crates/protocol/src/wire/store.rs
+++ b/crates/protocol/src/wire/store.rs
@@ -1,47 +1,47 @@
-//! The consensus-backed key-value store: transactions, ranges, watches and leases.
+//! Messages of the replicated key-value store: transactions, ranges, watches and leases.
 
 use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Any value kept in the store.
+/// Value of a key in the store.
 pub type StoreValue = ciborium::Value;
 
-/// A condition of a transaction: the key still has this revision.
+/// Precondition of a transaction: the key still has this revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// Key to check.
     pub key: String,
-    /// Its revision; 0: it does not exist.
+    /// Expected revision of the key; 0 means that it does not exist.
     #[serde(rename = "keyRev")]
     pub rev: Revision,
 }
 
-/// A change in a transaction.
+/// Change of one key in a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Sets a key.
+    /// Sets the value of a key.
     Put {
-        /// The key.
+        /// Key to set.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         data: StoreValue,
-        /// The lease that the key is attached to; `None` detaches it.
+        /// Lease to attach the key to; `None` detaches it from any lease.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "hold")]
         lease: Option<LeaseId>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         #[serde(rename = "remove")]
         key: String,
     },
 }
 
 impl Write {
-    /// The key that it changes.
+    /// Returns the key that is changed.
     pub fn key(&self) -> &str {
         match self {
             Write::Put { key, .. } | Write::Delete { key } => key,
@@ -49,62 +49,62 @@
     }
 }
 
-/// A compare-and-swap: all writes are applied if all preconditions hold, else none.
+/// Atomic transaction: all writes are applied if all preconditions are met, otherwise none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The preconditions.
+    /// Conditions that must be met for the writes to be applied.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// The changes.
+    /// Changes to apply.
     pub writes: Vec<Write>,
 }
 
-/// The outcome of a transaction.
+/// Result of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommitResponse {
-    /// The store's revision after it.
+    /// Revision of the store after the transaction.
     #[serde(rename = "storeRev")]
     pub rev: Revision,
-    /// Keys whose preconditions failed.
+    /// Keys whose preconditions were not met.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A key with its value.
+/// Key with its value and revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// The value.
+    /// Current value.
     pub data: StoreValue,
-    /// Revision of its last change.
+    /// Revision of the last change of the key.
     #[serde(rename = "keyRev")]
     pub rev: Revision,
 }
 
-/// A page of keys with a prefix.
+/// Page of the keys with a common prefix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RangeResponse {
-    /// In order of their keys.
+    /// Keys in ascending order, with their values.
     pub rows: Vec<KeyValue>,
-    /// There are more.
+    /// Whether more keys follow on later pages.
     #[serde(default)]
     pub truncated: bool,
-    /// The store's revision that the page shows.
+    /// Revision of the store that the page reflects.
     #[serde(rename = "storeRev")]
     pub rev: Revision,
 }
 
-/// A change that a watch tells of.
+/// Change of one key that a watch reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was set.
+    /// Key that was set, if the change is a put.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// The key that was removed.
+    /// Key that was deleted, if the change is a deletion.
     #[serde(rename = "remove", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The new value.
+    /// New value, if the change is a put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<StoreValue>,
     /// Revision of the change.
@@ -112,29 +112,29 @@
     pub rev: Revision,
 }
 
-/// What changed since the revision that was asked about.
+/// Changes since the revision that the watch request names.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The store's revision that it brings up to.
+    /// Revision of the store up to which the changes are complete.
     #[serde(rename = "storeRev")]
     pub rev: Revision,
-    /// The changes, in order.
+    /// Changes in the order in which they were applied.
     #[serde(rename = "news")]
     pub events: Vec<WatchEvent>,
 }
 
-/// Asks for a lease.
+/// Request to create a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseTtl {
-    /// Its time to live, in milliseconds.
+    /// Time to live of the lease, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// A new lease.
+/// Response with the created lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseCreated {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "hold")]
     pub lease: LeaseId,
 }
--- a/crates/protocol/src/wire/tests.rs
+++ b/crates/protocol/src/wire/tests.rs
@@ -1,8 +1,9 @@
 use super::{Heartbeat, LeaseTtl, MachineType, StoreValue, decode, encode};
 
 #[test]
-fn lying_lengths_and_nesting_are_refused_cheaply() {
-    // A list of 2^60 items, a text of 2^60 bytes, and nesting far beyond any message of ours.
+fn decode_rejects_false_lengths_deep_nesting_and_trailing_bytes() {
+    // A list of 2^60 items, a text of 2^60 bytes, and nesting far deeper than in any message. Rejecting them must not
+    // allocate that much memory.
     for bytes in [
         vec![0x9b, 0x10, 0, 0, 0, 0, 0, 0, 0],
         vec![0x7b, 0x10, 0, 0, 0, 0, 0, 0, 0, b'a'],
@@ -11,13 +12,13 @@
         assert!(decode::<Heartbeat>(&bytes).is_err());
         assert!(decode::<StoreValue>(&bytes).is_err());
     }
-    let mut twice = encode(&LeaseTtl { ttl_ms: 5 });
-    twice.push(0);
-    assert!(decode::<LeaseTtl>(&twice).is_err());
+    let mut with_trailing_byte = encode(&LeaseTtl { ttl_ms: 5 });
+    with_trailing_byte.push(0);
+    assert!(decode::<LeaseTtl>(&with_trailing_byte).is_err());
 }
 
 #[test]
-fn an_integer_is_taken_for_an_amount_and_unknown_fields_are_ignored() {
+fn machine_type_accepts_integer_amounts_and_ignores_unknown_fields() {
     let value = StoreValue::Map(
         [("name", "g8"), ("later", "x")]
             .map(|(k, v)| (StoreValue::from(k), StoreValue::from(v)))
@@ -29,6 +30,6 @@
             .chain([(StoreValue::from("halls"), StoreValue::Array(vec![]))])
             .collect(),
     );
-    let flavor: MachineType = decode(&encode(&value)).unwrap();
-    assert_eq!(flavor.cpus, 4.0);
+    let machine_type: MachineType = decode(&encode(&value)).unwrap();
+    assert_eq!(machine_type.cpus, 4.0);
 }
--- a/crates/protocol/src/wire/worker.rs
+++ b/crates/protocol/src/wire/worker.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of workers, and commands to them.
+//! Messages between workers and controllers: heartbeats and commands.
 
-use super::amount::{amount, no_or_amount};
+use super::amount::{amount, optional_amount};
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -13,140 +13,142 @@
 impl<'de> Deserialize<'de> for TaskId {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        TaskId::parse(&text).ok_or_else(|| serde::de::Error::custom("not a task name"))
+        TaskId::parse(&text)
+            .ok_or_else(|| serde::de::Error::custom("task id is not of the form job/index"))
     }
 }
 
-/// The state of a task on its machine.
+/// State of an attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The machine fetches the image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Waits for the other tasks of its gang.
+    /// The attempt waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs.
+    /// The attempt runs.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// The attempt received a stop command and saves a checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// Ended; the machine keeps its exit cause until it is told to forget it.
+    /// The attempt finished. The worker reports its exit cause until it receives a forget command.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// One task in a heartbeat.
+/// Status of one attempt in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Task that is attempted.
     #[serde(rename = "leg")]
     pub task: TaskId,
-    /// Which attempt at it.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Exit cause, once the attempt finished.
     #[serde(rename = "exitCause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
-    /// Whether its progress was saved as it was stopped.
+    /// Whether a stopped attempt saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat with the status of its machine.
+/// Heartbeat of a worker, with the status of its machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "spindle")]
     pub machine: MachineId,
-    /// Where it takes direct commands.
+    /// Address at which the worker accepts direct calls.
     #[serde(default)]
     pub address: String,
-    /// Its machine type.
+    /// Name of the machine type.
     pub flavor: String,
-    /// Its zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "lendable")]
     pub spot: bool,
-    /// Starts at 1 and rises whenever the worker's lease expires: all tasks of an earlier epoch are gone.
+    /// Agent epoch, which starts at 1 and rises whenever the worker's lease expires. All attempts of earlier epochs
+    /// are terminated.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// Rises with every message of the worker; orders messages of one epoch.
+    /// Sequence number, which rises with every message of the worker and orders the messages of one epoch.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine away, once it has given notice.
-    #[serde(rename = "recallS", default, deserialize_with = "no_or_amount")]
+    /// Seconds until the cloud reclaims the machine; `None` without a reclaim notice.
+    #[serde(rename = "recallS", default, deserialize_with = "optional_amount")]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones until they are forgotten.
+    /// All attempts on the machine, including exited ones that have not been forgotten.
     #[serde(rename = "legs", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum WorkerCommand {
-    /// Starts a task; without effect if the worker knows the attempt.
+    /// Starts an attempt; has no effect if the worker already knows it.
     #[serde(rename = "run")]
     Start {
-        /// The task.
+        /// Task that is attempted.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// Which attempt at it.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stops a task, which saves a checkpoint first if the grace period allows.
+    /// Stops an attempt, which first saves a checkpoint if the grace period allows.
     #[serde(rename = "halt")]
     Stop {
-        /// The task.
+        /// Task that is attempted.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// Which attempt at it.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Seconds that it may take to save.
+        /// Grace period for saving a checkpoint, in seconds.
         #[serde(rename = "windDownS", deserialize_with = "amount")]
         grace_s: f64,
     },
-    /// Removes an exited task from the heartbeats.
+    /// Removes an exited attempt from the heartbeats.
     #[serde(rename = "forget")]
     Forget {
-        /// The task.
+        /// Task that is attempted.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// Which attempt at it.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// Commands of one leader, in order.
+/// Commands of one leader, in the order of execution.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The leader's fencing token; a worker that has seen a higher one drops them.
+    /// Fencing token of the leader. A worker that has received a higher one ignores the commands.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Only in direct commands: the epoch that they are meant for.
+    /// Agent epoch that the commands apply to; set only in direct calls.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
-    /// The commands.
+    /// Commands to execute.
     pub orders: Vec<WorkerCommand>,
 }
 
-/// The answer of a controller that may not act: the worker is redirected.
+/// Response of a controller that may not act on a heartbeat; it redirects the worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NotLeader {
-    /// Where to send heartbeats.
+    /// Address of the controller that the worker sends its heartbeats to.
     #[serde(rename = "foreman")]
     pub leader: String,
 }
