--- a/crates/elastic-width/src/lib.rs
+++ b/crates/elastic-width/src/lib.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Capacity, in the unit of [`ElasticJob::need`].
+/// Capacity, in the unit of [`ElasticJob::task_request`].
 pub type Capacity = u64;
 
 /// Tracks the capacity that stays free. All times are measured from one fixed moment.
@@ -48,11 +48,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ElasticJob {
     /// Resource request of one task; must not be 0.
-    pub need: Capacity,
+    pub task_request: Capacity,
     /// Number of tasks that run.
     pub width: u64,
     /// Maximum width.
-    pub most: u64,
+    pub max_width: u64,
     /// Number of tasks that wait.
     pub waiting: u64,
 }
@@ -60,13 +60,13 @@
 impl ElasticJob {
     /// Returns the number of tasks by which the job can grow.
     fn max_growth(&self) -> u64 {
-        self.waiting.min(self.most.saturating_sub(self.width))
+        self.waiting.min(self.max_width.saturating_sub(self.width))
     }
 }
 
-/// Returns the number of tasks by which each job grows into the capacity. All jobs grow to the same width, the narrowest
-/// first, as far as their maxima and the capacity allow. Among equally narrow jobs, the first in the list gets the
-/// last task.
+/// Returns the number of tasks by which each job grows into the capacity. All jobs grow to the same width, the
+/// narrowest first, as far as their maxima and the capacity allow. Among equally narrow jobs, the first in the list
+/// gets the last task.
 pub fn share(elastic_jobs: &[ElasticJob], capacity: Capacity) -> Vec<u64> {
     let mut growth = vec![0u64; elastic_jobs.len()];
     let mut remaining = capacity;
@@ -75,7 +75,7 @@
     let cost = |level: u64| -> u128 {
         let each = elastic_jobs.iter().map(|elastic_job| {
             let added = level.saturating_sub(elastic_job.width).min(elastic_job.max_growth());
-            u128::from(added) * u128::from(elastic_job.need.max(1))
+            u128::from(added) * u128::from(elastic_job.task_request.max(1))
         });
         each.sum()
     };
@@ -91,15 +91,17 @@
     }
     for (added, elastic_job) in growth.iter_mut().zip(elastic_jobs) {
         *added = low.saturating_sub(elastic_job.width).min(elastic_job.max_growth());
-        remaining -= *added * elastic_job.need.max(1);
+        remaining -= *added * elastic_job.task_request.max(1);
     }
     // The remaining capacity widens some of the jobs at that level by one more task.
     for (added, elastic_job) in growth.iter_mut().zip(elastic_jobs) {
         let is_at_level = elastic_job.width + *added <= low;
-        if is_at_level && *added < elastic_job.max_growth() && elastic_job.need.max(1) <= remaining
+        if is_at_level
+            && *added < elastic_job.max_growth()
+            && elastic_job.task_request.max(1) <= remaining
         {
             *added += 1;
-            remaining -= elastic_job.need.max(1);
+            remaining -= elastic_job.task_request.max(1);
         }
     }
     growth
@@ -142,8 +144,8 @@
         self.backoffs.get(job).is_some_and(|backoff| now < backoff.until)
     }
 
-    /// Returns the number of tasks by which each job may grow now beyond its minimum width, given the free capacity. Jobs
-    /// that may not grow are left out.
+    /// Returns the number of tasks by which each job may grow now beyond its minimum width, given the free capacity.
+    /// Jobs that may not grow are left out.
     pub fn grow(
         &mut self,
         jobs: &[(Id, ElasticJob)],
--- a/crates/elastic-width/src/tests.rs
+++ b/crates/elastic-width/src/tests.rs
@@ -13,26 +13,28 @@
     #[test]
     fn shares_equal_those_of_adding_one_task_at_a_time_to_the_narrowest_job(
         widths in prop::collection::vec((0u64..30, 0u64..40, 0u64..30), 0..8),
-        need in 1u64..5, capacity in 0u64..200
+        task_request in 1u64..5, capacity in 0u64..200
     ) {
         let elastic_jobs: Vec<ElasticJob> = widths
             .iter()
-            .map(|(width, most, waiting)| ElasticJob { need, width: *width, most: *most, waiting: *waiting })
+            .map(|(width, max_width, waiting)| {
+                ElasticJob { task_request, width: *width, max_width: *max_width, waiting: *waiting }
+            })
             .collect();
         let mut reference = vec![0u64; elastic_jobs.len()];
         let mut remaining = capacity;
         loop {
-            let can_grow = |n: &usize| reference[*n] < elastic_jobs[*n].max_growth() && need <= remaining;
+            let can_grow = |n: &usize| reference[*n] < elastic_jobs[*n].max_growth() && task_request <= remaining;
             let narrowest = (0..elastic_jobs.len()).filter(can_grow).min_by_key(|n| elastic_jobs[*n].width + reference[*n]);
             let Some(n) = narrowest else { break };
             reference[n] += 1;
-            remaining -= need;
+            remaining -= task_request;
         }
         prop_assert_eq!(share(&elastic_jobs, capacity), reference);
     }
 
-    /// For jobs of any size: no job exceeds its maximum, all together fit the capacity, and no job grows beyond a narrower
-    /// one that could still grow and whose task would fit into the capacity that the wider job got.
+    /// For jobs of any size: no job exceeds its maximum, all together fit the capacity, and no job grows beyond a
+    /// narrower one that could still grow and whose task would fit into the capacity that the wider job got.
     #[test]
     fn growth_never_exceeds_capacity_or_maxima_and_favors_narrow_jobs(
         elastic_jobs in prop::collection::vec((1u64..50, 0u64..1000, 0u64..1000, any::<u64>()), 0..12),
@@ -40,16 +42,25 @@
     ) {
         let elastic_jobs: Vec<ElasticJob> = elastic_jobs
             .iter()
-            .map(|(need, width, most, waiting)| ElasticJob { need: *need, width: *width, most: *most, waiting: *waiting })
+            .map(|(task_request, width, max_width, waiting)| ElasticJob {
+                task_request: *task_request,
+                width: *width,
+                max_width: *max_width,
+                waiting: *waiting,
+            })
             .collect();
         let growth = share(&elastic_jobs, capacity);
-        let allocated: u128 = growth.iter().zip(&elastic_jobs).map(|(n, job)| u128::from(*n) * u128::from(job.need)).sum();
+        let request = |(n, job): (&u64, &ElasticJob)| u128::from(*n) * u128::from(job.task_request);
+        let allocated: u128 = growth.iter().zip(&elastic_jobs).map(request).sum();
         prop_assert!(allocated <= u128::from(capacity));
         for (n, elastic_job) in growth.iter().zip(&elastic_jobs) {
             prop_assert!(*n <= elastic_job.max_growth());
             for (m, other) in growth.iter().zip(&elastic_jobs) {
                 let is_wider = *n > 1 && elastic_job.width + n > other.width + m + 2;
-                prop_assert!(!is_wider || *m == other.max_growth() || other.need > elastic_job.need, "{elastic_jobs:?} {growth:?}");
+                prop_assert!(
+                    !is_wider || *m == other.max_growth() || other.task_request > elastic_job.task_request,
+                    "{elastic_jobs:?} {growth:?}"
+                );
             }
         }
     }
@@ -97,7 +108,7 @@
         }
         let free = supply - other_work - width.iter().sum::<u64>();
         let elastic_job =
-            |n: usize| ElasticJob { need: 1, width: width[n], most: 60, waiting: 100 };
+            |n: usize| ElasticJob { task_request: 1, width: width[n], max_width: 60, waiting: 100 };
         let growth = planner.grow(&[(0, elastic_job(0)), (1, elastic_job(1))], free, now);
         for (id, added) in growth {
             let n = usize::from(id);
@@ -115,7 +126,7 @@
 #[test]
 fn jobs_grow_only_into_capacity_that_stays_free() {
     let mut planner: WidthPlanner<u8> = WidthPlanner::default();
-    let elastic_job = ElasticJob { need: 1, width: 1, most: 50, waiting: 50 };
+    let elastic_job = ElasticJob { task_request: 1, width: 1, max_width: 50, waiting: 50 };
     for step in 0..100u64 {
         let free = if step % 20 == 0 { 0 } else { 30 };
         assert!(
--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -24,28 +24,28 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
     /// Capacity allocated to the group's tasks now.
-    pub held: Capacity,
+    pub allocated: Capacity,
     /// Capacity that the group's waiting tasks would use, bounded by their team's limit.
     pub waiting: Capacity,
     /// Average capacity needed to serve the group's work as fast as it arrives.
-    pub offered: Capacity,
+    pub offered_load: Capacity,
     /// Whether the group may not use spot machines.
     pub ordinary: bool,
     /// Whether the group's team has no guarantee. Its floor comes from the capacity that the floors of the other
     /// groups leave.
-    pub guest: bool,
+    pub unguaranteed: bool,
 }
 
 impl Demand {
     /// Returns the capacity that the group could use now.
-    pub fn wanted(&self) -> Capacity {
-        self.held.saturating_add(self.waiting)
+    pub fn usable(&self) -> Capacity {
+        self.allocated.saturating_add(self.waiting)
     }
 
     /// Returns the sustained demand: the offered load, capped at what the group could use now, because a job that is
     /// nearly done needs no more than the rest of its work.
     pub fn needed(&self) -> Capacity {
-        self.offered.min(self.wanted())
+        self.offered_load.min(self.usable())
     }
 }
 
@@ -62,12 +62,12 @@
     /// Whether the supply is assumed to be exhausted although that is not confirmed: a new leader has not requested
     /// a machine yet, and by the time of the first response it would have given away the capacity that its
     /// predecessor reserved for groups below their floors.
-    pub presumed: bool,
+    pub presumed_exhausted: bool,
 }
 
 impl Supply {
     /// Returns the capacity of ordinary and spot machines together.
-    pub fn all(&self) -> Capacity {
+    pub fn total(&self) -> Capacity {
         self.ordinary.saturating_add(self.spot)
     }
 }
@@ -86,13 +86,13 @@
     let fraction = |available: Capacity, requested: Capacity| {
         if requested == 0 { 1.0 } else { available as f64 / requested as f64 }
     };
-    let equal = fraction(supply.all(), ordinary.saturating_add(any)).min(1.0);
+    let equal = fraction(supply.total(), ordinary.saturating_add(any)).min(1.0);
     if scale(ordinary, equal) <= supply.ordinary {
         return Coverage { ordinary_only: equal, any_machine: equal };
     }
     // The demand limited to ordinary machines uses all of them, and the other demand gets the rest.
     let ordinary_only = fraction(supply.ordinary, ordinary).min(1.0);
-    let rest = supply.all().saturating_sub(scale(ordinary, ordinary_only));
+    let rest = supply.total().saturating_sub(scale(ordinary, ordinary_only));
     Coverage { ordinary_only, any_machine: fraction(rest, any).min(1.0) }
 }
 
@@ -106,11 +106,11 @@
 ) -> BTreeMap<K, Capacity> {
     let mut remaining = *supply;
     let mut floors = BTreeMap::new();
-    let equal_part = supply.all() / demands.len().max(1) as u64;
+    let equal_part = supply.total() / demands.len().max(1) as u64;
     for unguaranteed in [false, true] {
         let tier: Vec<(&K, Capacity, bool)> = demands
             .iter()
-            .filter(|(_, demand)| demand.guest == unguaranteed)
+            .filter(|(_, demand)| demand.unguaranteed == unguaranteed)
             .map(|(key, demand)| {
                 let needed =
                     if unguaranteed { demand.needed().min(equal_part) } else { demand.needed() };
@@ -146,17 +146,17 @@
     /// Minimum capacity for the group.
     pub floor: Capacity,
     /// Capacity allocated to the group's tasks.
-    pub held: Capacity,
+    pub allocated: Capacity,
     /// Capacity missing to the floor, as far as tasks wait for it. It is served before all other requests.
-    pub owed: Capacity,
+    pub deficit: Capacity,
     /// Allocated capacity above the floor, which may be preempted for other groups.
     pub preemptible: Capacity,
 }
 
 impl GroupShare {
     /// Returns the allocated fraction of the floor, which orders groups below their floors.
-    pub fn reached(&self) -> OrderedFloat<f64> {
-        OrderedFloat(self.held as f64 / self.floor.max(1) as f64)
+    pub fn floor_fraction(&self) -> OrderedFloat<f64> {
+        OrderedFloat(self.allocated as f64 / self.floor.max(1) as f64)
     }
 }
 
@@ -249,7 +249,7 @@
     }
 
     /// Returns the time since which capacity has been scarce; `None` while it is not.
-    pub fn since(&self) -> Option<Duration> {
+    pub fn scarce_since(&self) -> Option<Duration> {
         self.scarce_since
     }
 
@@ -278,14 +278,14 @@
         let ordinary = demands.values().filter(|demand| demand.ordinary);
         let ordinary: Capacity = ordinary.map(Demand::needed).sum();
         let exceeds = |fraction: f64| {
-            ordinary > scale(supply.ordinary, fraction) || needed > scale(supply.all(), fraction)
+            ordinary > scale(supply.ordinary, fraction) || needed > scale(supply.total(), fraction)
         };
         let since = |start: Option<Duration>, holds: bool| holds.then(|| start.unwrap_or(now));
-        let exhausted = supply.exhausted || supply.presumed;
+        let exhausted = supply.exhausted || supply.presumed_exhausted;
         self.demand_above_since = since(self.demand_above_since, exhausted && exceeds(1.0));
         self.demand_below_since =
             since(self.demand_below_since, !exhausted || !exceeds(EXIT_THRESHOLD));
-        let enter_after = if supply.presumed { Duration::ZERO } else { ENTER_AFTER };
+        let enter_after = if supply.presumed_exhausted { Duration::ZERO } else { ENTER_AFTER };
         let has_lasted = |start: Option<Duration>, minimum: Duration| {
             start.is_some_and(|start| now >= start + minimum)
         };
@@ -315,9 +315,9 @@
 ) -> BTreeMap<K, GroupShare> {
     let group_share = |(key, demand): (&K, &Demand)| {
         let floor = floors.get(key).copied().unwrap_or(0);
-        let owed = floor.saturating_sub(demand.held).min(demand.waiting);
-        let preemptible = demand.held.saturating_sub(floor);
-        (key.clone(), GroupShare { floor, held: demand.held, owed, preemptible })
+        let deficit = floor.saturating_sub(demand.allocated).min(demand.waiting);
+        let preemptible = demand.allocated.saturating_sub(floor);
+        (key.clone(), GroupShare { floor, allocated: demand.allocated, deficit, preemptible })
     };
     demands.iter().map(group_share).collect()
 }
--- a/crates/fair-share/src/tests.rs
+++ b/crates/fair-share/src/tests.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn demand(held: Capacity, waiting: Capacity, ordinary: bool, guest: bool) -> Demand {
-    Demand { held, waiting, offered: held + waiting, ordinary, guest }
+fn demand(allocated: Capacity, waiting: Capacity, ordinary: bool, unguaranteed: bool) -> Demand {
+    Demand { allocated, waiting, offered_load: allocated + waiting, ordinary, unguaranteed }
 }
 
 /// Reference model: serves all requests of a tier equally, in steps of a thousandth. A request whose machines are used
 /// up gets no more, while the others continue.
 fn reference_floors(demands: &[Demand], supply: &Supply, floor: f64) -> Vec<f64> {
     let (mut ordinary, mut spot) = (supply.ordinary as f64, supply.spot as f64);
-    let equal_part = supply.all() as f64 / demands.len().max(1) as f64;
+    let equal_part = supply.total() as f64 / demands.len().max(1) as f64;
     let mut allocated = vec![0.0; demands.len()];
     for unguaranteed in [false, true] {
         let requested = |demand: &Demand| {
@@ -20,7 +20,7 @@
             floor * if unguaranteed { needed.min(equal_part.floor()) } else { needed }
         };
         let tier: Vec<usize> =
-            (0..demands.len()).filter(|n| demands[*n].guest == unguaranteed).collect();
+            (0..demands.len()).filter(|n| demands[*n].unguaranteed == unguaranteed).collect();
         for _ in 0..1000 {
             for ordinary_only in [true, false] {
                 for &n in tier.iter().filter(|n| demands[**n].ordinary == ordinary_only) {
@@ -40,12 +40,12 @@
 fn any_demand() -> impl Strategy<Value = Demand> {
     let capacity = 0u64..40 * UNITS_PER_MACHINE;
     (capacity.clone(), capacity.clone(), capacity, any::<bool>(), prop::bool::weighted(0.2))
-        .prop_map(|(held, waiting, offered, ordinary, guest)| Demand {
-            held,
+        .prop_map(|(allocated, waiting, offered_load, ordinary, unguaranteed)| Demand {
+            allocated,
             waiting,
-            offered,
+            offered_load,
             ordinary,
-            guest,
+            unguaranteed,
         })
 }
 
@@ -63,14 +63,14 @@
         demands in prop::collection::vec(any_demand(), 1..9),
         ordinary in 0u64..150, spot in 0u64..80, floor in 0.1f64..1.0,
     ) {
-        let supply = Supply { ordinary: ordinary * UNITS_PER_MACHINE, spot: spot * UNITS_PER_MACHINE, exhausted: true, presumed: false };
+        let supply = Supply { ordinary: ordinary * UNITS_PER_MACHINE, spot: spot * UNITS_PER_MACHINE, exhausted: true, presumed_exhausted: false };
         let map: BTreeMap<usize, Demand> = demands.iter().copied().enumerate().collect();
         let floors = floors(&map, &supply, floor);
         let reference = reference_floors(&demands, &supply, floor);
         let sum = |ordinary_only: bool| -> u64 {
             floors.iter().filter(|(n, _)| !ordinary_only || demands[**n].ordinary).map(|(_, f)| f).sum()
         };
-        prop_assert!(sum(false) <= supply.all() && sum(true) <= supply.ordinary);
+        prop_assert!(sum(false) <= supply.total() && sum(true) <= supply.ordinary);
         // Tolerance: one step of each group, because the step that uses up the supply is cut short for the groups
         // served last.
         let tolerance = demands.iter().map(Demand::needed).sum::<u64>() as f64 / 1000.0 + 20.0;
@@ -79,9 +79,9 @@
             prop_assert!((*floor_of as f64 - reference[*n]).abs() <= tolerance, "{} {:?} {:?}", n, floors, reference);
         }
         for (n, group_share) in shares_of(&map, &floors) {
-            prop_assert!(group_share.owed <= demands[n].waiting);
-            prop_assert!(group_share.owed == 0 || group_share.preemptible == 0);
-            prop_assert!(group_share.held - group_share.preemptible <= group_share.floor);
+            prop_assert!(group_share.deficit <= demands[n].waiting);
+            prop_assert!(group_share.deficit == 0 || group_share.preemptible == 0);
+            prop_assert!(group_share.allocated - group_share.preemptible <= group_share.floor);
         }
     }
 }
@@ -100,7 +100,7 @@
 }
 
 fn supply_of_100_machines(exhausted: bool) -> Supply {
-    Supply { ordinary: 100 * UNITS_PER_MACHINE, spot: 0, exhausted, presumed: false }
+    Supply { ordinary: 100 * UNITS_PER_MACHINE, spot: 0, exhausted, presumed_exhausted: false }
 }
 
 #[test]
@@ -130,7 +130,7 @@
     assert_eq!(changes.iter().flatten().collect::<Vec<_>>(), [&ScarcityChange::Began]);
     let group_share = scarcity.group_share(&"waits").unwrap();
     assert_eq!(
-        (group_share.floor, group_share.owed),
+        (group_share.floor, group_share.deficit),
         (30 * UNITS_PER_MACHINE, 30 * UNITS_PER_MACHINE)
     );
     assert_eq!(scarcity.group_share(&"holds").unwrap().preemptible, 40 * UNITS_PER_MACHINE);
@@ -146,7 +146,7 @@
         &supply_of_100_machines(true),
         second(82),
     );
-    assert!(scarcity.since().is_some());
+    assert!(scarcity.scarce_since().is_some());
     let changes: Vec<_> = (83..120)
         .map(|s| scarcity.update(&unequal_demands(0), &supply_of_100_machines(false), second(s)))
         .collect();
@@ -225,7 +225,7 @@
 /// cloud shows that machines can be rented.
 #[test]
 fn new_leader_presumes_scarcity_until_machines_can_be_rented() {
-    let presumed = Supply { presumed: true, ..supply_of_100_machines(false) };
+    let presumed = Supply { presumed_exhausted: true, ..supply_of_100_machines(false) };
     let mut scarcity = ScarcityTracker::new(0.5);
     assert_eq!(
         scarcity.update(&unequal_demands(60 * UNITS_PER_MACHINE), &presumed, second(0)),
--- a/crates/protocol/src/http/client.rs
+++ b/crates/protocol/src/http/client.rs
@@ -49,8 +49,8 @@
 }
 
 impl Client {
-    /// Starts the pool actor, which keeps at most `max_idle` idle connections, not counting those to `exempt` addresses.
-    /// The actor ends when the last handle is dropped.
+    /// Starts the pool actor, which keeps at most `max_idle` idle connections, not counting those to `exempt`
+    /// addresses. The actor ends when the last handle is dropped.
     pub fn start(max_idle: usize, exempt: Vec<SocketAddr>) -> Client {
         let (messages, receiver) = mpsc::unbounded_channel();
         tokio::spawn(run_pool(Pool::new(max_idle, exempt), receiver, messages.downgrade()));
--- a/crates/protocol/src/http/server.rs
+++ b/crates/protocol/src/http/server.rs
@@ -16,8 +16,8 @@
     pub request: Request,
     /// Channel for the response.
     pub reply: oneshot::Sender<Response>,
-    /// Permit to be dropped when the request is handled, even if the response follows later. The number of permits bounds
-    /// the requests that are read but not handled.
+    /// Permit to be dropped when the request is handled, even if the response follows later. The number of permits
+    /// bounds the requests that are read but not handled.
     pub turn: OwnedSemaphorePermit,
 }
 
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -53,7 +53,8 @@
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let elastic_job = ElasticJob { need: job.need.cpu, width, most: elastic.most, waiting };
+        let elastic_job =
+            ElasticJob { task_request: job.need.cpu, width, max_width: elastic.most, waiting };
         (width >= elastic.least).then_some(elastic_job)
     }
 
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -78,7 +78,7 @@
 
     /// Whether capacity is scarce.
     pub(super) fn is_scarce(&self) -> bool {
-        self.scarcity.since().is_some()
+        self.scarcity.scarce_since().is_some()
     }
 
     /// What each group holds above its floor; none while nothing is scarce.
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -43,7 +43,7 @@
         let row = |(group, group_share): (&DemandGroup, &GroupShare)| {
             let GroupName { class, team } = self.group_name(group);
             let needed = self.fair_share.demands.get(group).map_or(0, Demand::needed);
-            let row = [group_share.held, group_share.floor, needed].map(machines_to_tenths);
+            let row = [group_share.allocated, group_share.floor, needed].map(machines_to_tenths);
             (format!("{class} of {team}"), row)
         };
         self.fair_share.scarcity.group_shares().map(row).collect()
@@ -81,7 +81,7 @@
             team,
             service: fair_share.service_groups.contains(group),
             ordinary: demand.ordinary,
-            held: machines_to_hundredths(demand.held),
+            held: machines_to_hundredths(demand.allocated),
             waiting: machines_to_hundredths(demand.waiting),
             came: fair_share.arrived.get(group).map_or(0.0, |work| work.round()),
             floor: machines_to_hundredths(floor),
@@ -91,14 +91,14 @@
     /// The groups below their floors, for operators.
     pub fn starving(&self, now: Instant) -> FairShareReport {
         let fair_share = &self.fair_share;
-        let since = fair_share.scarcity.since();
+        let since = fair_share.scarcity.scarce_since();
         let elapsed = self.term.elapsed(now);
         let below =
-            fair_share.scarcity.group_shares().filter(|(_, group_share)| group_share.owed > 0);
+            fair_share.scarcity.group_shares().filter(|(_, group_share)| group_share.deficit > 0);
         FairShareReport {
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|since| elapsed.saturating_sub(since).as_secs_f64()),
-            machines: machines(fair_share.supply.all()),
+            machines: machines(fair_share.supply.total()),
             nothing_to_rent: fair_share.supply.exhausted,
             groups: below
                 .map(|(group, group_share)| self.starving_group(group, group_share))
@@ -114,7 +114,7 @@
         GroupBelowFloor {
             class,
             team,
-            held: machines(group_share.held),
+            held: machines(group_share.allocated),
             floor: machines(group_share.floor),
             needed: machines(needed),
             waits_for: causes.map(|(key, tasks)| (key.cause.to_owned(), *tasks)).collect(),
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -68,7 +68,10 @@
         let largest = largest_capacity(capacities);
         let mut debts: BTreeMap<DemandGroup, Debt> = BTreeMap::new();
         for (group, group_share) in self.fair_share.scarcity.group_shares() {
-            debts.insert(*group, Debt { owed: group_share.owed, reached: group_share.reached() });
+            debts.insert(
+                *group,
+                Debt { owed: group_share.deficit, reached: group_share.floor_fraction() },
+            );
         }
         let mut first: Vec<JobRequest> = Vec::new();
         for n in owed_order(requests, &debts) {
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -77,7 +77,7 @@
         (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
         match turn {
             Some(ScarcityChange::Began) => tracing::info!(
-                machines = supply.all() as f64 / UNITS_PER_MACHINE as f64,
+                machines = supply.total() as f64 / UNITS_PER_MACHINE as f64,
                 held_floor_needed = ?self.group_shares(),
                 waiting_for = ?self.statistics.waiting_by_cause,
                 "capacity is scarce"
@@ -95,7 +95,7 @@
         let group = known.unwrap_or_else(|| self.demand_group(job));
         let teams = &self.settings.platform.params.teams;
         let Some(team) = teams.get(group.team.index()) else { return };
-        let guest = team.guarantee().is_zero();
+        let unguaranteed = team.guarantee().is_zero();
         let each = room(&job.need, &totals.largest);
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
@@ -104,16 +104,16 @@
             return;
         }
         let (held, waiting) = (progress.placed.len() as u64, progress.waiting(job));
-        let empty = Demand { ordinary: true, guest, ..Demand::default() };
+        let empty = Demand { ordinary: true, unguaranteed, ..Demand::default() };
         let demand = totals.demands.entry(group).or_insert(empty);
         demand.ordinary &= !job.spec.spot;
-        demand.held += each * held;
+        demand.allocated += each * held;
         demand.waiting += each * waiting;
         if progress.predates_leadership && totals.has_unconfirmed {
             *totals.maybe_started.entry(group).or_default() += each * waiting;
         }
         if job.spec.shape == JobKind::Service {
-            demand.offered += each * (held + waiting);
+            demand.offered_load += each * (held + waiting);
             self.fair_share.service_groups.insert(group);
             return;
         }
@@ -155,12 +155,13 @@
         for (group, demand) in &mut demands {
             let maybe_started = maybe_started.get(group).copied().unwrap_or(0);
             let started = (maybe_started as f64 * started_share) as Capacity;
-            demand.held += started;
+            demand.allocated += started;
             demand.waiting -= started;
             let arrival_rate = self.fair_share.scarcity.arrival_rate(group, elapsed);
             // What has waited long is still owed when nothing more arrives.
             let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Capacity);
-            demand.offered += (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
+            demand.offered_load +=
+                (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
             let headroom = fleet.team_headroom.get(group.team.index());
             let limit = headroom.map_or(0, |headroom| room(headroom, &largest));
             demand.waiting = demand.waiting.min(limit);
@@ -187,7 +188,7 @@
                 let Some(group) = progress.demand_group else { continue };
                 if let Some(demand) = demands.get_mut(&group) {
                     let each = room(&entry.need, largest);
-                    demand.held = demand.held.saturating_sub(each);
+                    demand.allocated = demand.allocated.saturating_sub(each);
                     demand.waiting += each;
                 }
             }
@@ -205,7 +206,7 @@
         let none_left = || rental.remaining == 0 || self.all_pools_refuse(fleet, cloud);
         let mut supply = Supply {
             exhausted: rental.allowed && none_left(),
-            presumed: !self.fair_share.cloud_responded
+            presumed_exhausted: !self.fair_share.cloud_responded
                 && self.term.token.0 > 1
                 && elapsed < SCARCITY_PRESUMED_FOR,
             ..Supply::default()
