--- a/crates/protocol/src/http/client.rs
+++ b/crates/protocol/src/http/client.rs
@@ -3,7 +3,7 @@
 use super::codec::{Parsed, encode_request, parse_response};
 use super::message::{Request, Response};
 use super::pool::Pool;
-use crate::constants::{CONNECT_TIMEOUT, READ_AT_ONCE};
+use crate::constants::{CONNECT_TIMEOUT, READ_BUFFER_BYTES};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -14,7 +14,7 @@
 /// while nothing arrives.
 async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<usize> {
     stream.readable().await?;
-    buffer.reserve(READ_AT_ONCE);
+    buffer.reserve(READ_BUFFER_BYTES);
     stream.read_buf(buffer).await
 }
 
--- a/crates/protocol/src/http/codec/tests.rs
+++ b/crates/protocol/src/http/codec/tests.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn encoded_response_parses_to_the_same_response() {
-    let response = Response { close: true, ..Response::later(503) };
+    let response = Response { close: true, ..Response::retry_later(503) };
     let bytes = encode_response(&response, true);
     assert_eq!(parse_response(&bytes), Ok(Parsed::Done((response, true), bytes.len())));
 }
--- a/crates/protocol/src/http/message.rs
+++ b/crates/protocol/src/http/message.rs
@@ -51,12 +51,12 @@
     }
 
     /// Creates a rejection with the default `Retry-After` of [`RETRY_AFTER_S`].
-    pub fn later(status: u16) -> Self {
-        Response::later_in(status, RETRY_AFTER_S)
+    pub fn retry_later(status: u16) -> Self {
+        Response::retry_after(status, RETRY_AFTER_S)
     }
 
     /// Creates a rejection with the given `Retry-After`.
-    pub fn later_in(status: u16, seconds: u64) -> Self {
+    pub fn retry_after(status: u16, seconds: u64) -> Self {
         Response { retry_after_s: Some(seconds), ..Response::empty(status) }
     }
 }
--- a/crates/protocol/src/http/pool.rs
+++ b/crates/protocol/src/http/pool.rs
@@ -1,6 +1,6 @@
 //! Pool of idle connections that the client reuses.
 
-use crate::constants::{IDLE_PER_ADDRESS, REUSE_WITHIN};
+use crate::constants::{MAX_IDLE_PER_ADDRESS, MAX_REUSE_AGE};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
@@ -14,7 +14,7 @@
 
 impl IdleConnection {
     fn is_fresh(&self) -> bool {
-        self.since.elapsed() < REUSE_WITHIN
+        self.since.elapsed() < MAX_REUSE_AGE
     }
 }
 
@@ -45,7 +45,7 @@
     pub(super) fn keep(&mut self, address: SocketAddr, stream: TcpStream) {
         let is_counted = self.is_counted(&address);
         if is_counted && self.counted >= self.max_idle {
-            if self.last_sweep.is_some_and(|at| at.elapsed() < REUSE_WITHIN / 10) {
+            if self.last_sweep.is_some_and(|at| at.elapsed() < MAX_REUSE_AGE / 10) {
                 return;
             }
             self.sweep();
@@ -59,20 +59,20 @@
         if is_counted {
             self.counted -= before - list.len();
         }
-        if list.len() < IDLE_PER_ADDRESS {
+        if list.len() < MAX_IDLE_PER_ADDRESS {
             list.push(IdleConnection { stream, since: Instant::now() });
             self.counted += usize::from(is_counted);
         }
     }
 
-    /// Closes stale connections, at most once per [`REUSE_WITHIN`].
+    /// Closes stale connections, at most once per [`MAX_REUSE_AGE`].
     pub(super) fn sweep_if_due(&mut self) {
-        if self.counted > 0 && self.last_sweep.is_none_or(|at| at.elapsed() >= REUSE_WITHIN) {
+        if self.counted > 0 && self.last_sweep.is_none_or(|at| at.elapsed() >= MAX_REUSE_AGE) {
             self.sweep();
         }
     }
 
-    /// Closes connections that have been idle for [`REUSE_WITHIN`] or longer.
+    /// Closes connections that have been idle for [`MAX_REUSE_AGE`] or longer.
     fn sweep(&mut self) {
         self.last_sweep = Some(Instant::now());
         self.idle.retain(|_, list| {
--- a/crates/protocol/src/http/pool/tests.rs
+++ b/crates/protocol/src/http/pool/tests.rs
@@ -1,5 +1,5 @@
 use super::Pool;
-use crate::constants::{IDLE_PER_ADDRESS, REUSE_WITHIN};
+use crate::constants::{MAX_IDLE_PER_ADDRESS, MAX_REUSE_AGE};
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 
@@ -19,7 +19,7 @@
         }
     }
     let workers = |pool: &Pool| pool.idle.keys().filter(|address| **address != store).count();
-    assert_eq!((workers(&pool), pool.idle[&store].len()), (2, IDLE_PER_ADDRESS));
+    assert_eq!((workers(&pool), pool.idle[&store].len()), (2, MAX_IDLE_PER_ADDRESS));
     assert!(pool.take(&SocketAddr::from(([127, 0, 0, 1], 10))).is_some());
     assert!(pool.take(&store).is_some());
     assert_eq!(pool.counted, 1);
@@ -40,7 +40,7 @@
     pool.sweep_if_due();
     assert_eq!(pool.counted, 1);
     tokio::time::pause();
-    tokio::time::advance(REUSE_WITHIN * 2).await;
+    tokio::time::advance(MAX_REUSE_AGE * 2).await;
     pool.sweep_if_due();
     assert_eq!((pool.counted, pool.idle.len()), (0, 0));
 }
--- a/crates/protocol/src/http/server.rs
+++ b/crates/protocol/src/http/server.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{CodecError, Parsed, encode_response, parse_request};
 use super::message::{Request, Response};
-use crate::constants::{ACCEPT_RETRY, IDLE_TIMEOUT, READ_AT_ONCE, READ_TIMEOUT};
+use crate::constants::{ACCEPT_RETRY, IDLE_TIMEOUT, READ_BUFFER_BYTES, READ_TIMEOUT};
 use std::sync::Arc;
 use std::task::Poll;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,7 +18,7 @@
     pub reply: oneshot::Sender<Response>,
     /// Permit to be dropped when the request is handled, even if the response follows later. The number of permits
     /// bounds the requests that are read but not handled.
-    pub turn: OwnedSemaphorePermit,
+    pub permit: OwnedSemaphorePermit,
 }
 
 /// Accepts connections until the process ends. Connections beyond `max_connections` get a 503 response and are closed.
@@ -67,7 +67,7 @@
 }
 
 async fn reject_connection(mut stream: TcpStream) {
-    let bytes = encode_response(&Response::later(503), true);
+    let bytes = encode_response(&Response::retry_later(503), true);
     let _ = timeout(READ_TIMEOUT, stream.write_all(&bytes)).await;
 }
 
@@ -77,7 +77,7 @@
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> Option<std::io::Result<usize>> {
-    buffer.reserve(READ_AT_ONCE);
+    buffer.reserve(READ_BUFFER_BYTES);
     let mut read = std::pin::pin!(stream.read_buf(buffer));
     let poll = std::future::poll_fn(|cx| Poll::Ready(read.as_mut().poll(cx))).await;
     match poll {
@@ -162,8 +162,8 @@
     permit: OwnedSemaphorePermit,
 ) -> Response {
     let (reply, response) = oneshot::channel();
-    match requests.try_send(Incoming { request, reply, turn: permit }) {
-        Ok(()) => response.await.unwrap_or_else(|_| Response::later(503)),
-        Err(_) => Response::later(503),
+    match requests.try_send(Incoming { request, reply, permit }) {
+        Ok(()) => response.await.unwrap_or_else(|_| Response::retry_later(503)),
+        Err(_) => Response::retry_later(503),
     }
 }
--- a/crates/protocol/src/http/tests.rs
+++ b/crates/protocol/src/http/tests.rs
@@ -1,5 +1,5 @@
 use super::{CallError, Client, Method, Request, Response, serve};
-use crate::constants::READ_TOGETHER;
+use crate::constants::MAX_UNHANDLED_REQUESTS;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
@@ -11,10 +11,10 @@
 async fn simultaneous_requests_are_read_up_to_the_bound_and_all_get_responses() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (sender, mut requests) = mpsc::channel(10 * READ_TOGETHER);
+    let (sender, mut requests) = mpsc::channel(10 * MAX_UNHANDLED_REQUESTS);
     let (count, _count_receiver) = watch::channel(0);
-    tokio::spawn(serve(listener, usize::MAX, READ_TOGETHER, sender, count));
-    let total = READ_TOGETHER + 50;
+    tokio::spawn(serve(listener, usize::MAX, MAX_UNHANDLED_REQUESTS, sender, count));
+    let total = MAX_UNHANDLED_REQUESTS + 50;
     let client = Client::start(0, vec![]);
     let calls: Vec<_> = (0..total)
         .map(|_| {
@@ -27,7 +27,7 @@
         })
         .collect();
     let mut unhandled = Vec::new();
-    while unhandled.len() < READ_TOGETHER {
+    while unhandled.len() < MAX_UNHANDLED_REQUESTS {
         unhandled.push(requests.recv().await.unwrap());
     }
     // No other request is read until one of these is handled.
@@ -41,7 +41,7 @@
             Some(incoming) => incoming,
             None => requests.recv().await.unwrap(),
         };
-        drop(incoming.turn);
+        drop(incoming.permit);
         let _ = incoming.reply.send(Response::empty(200));
         answered += 1;
     }
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -116,7 +116,7 @@
         }
     }
     /// Creates the resource request of a task; rounds up.
-    pub fn need(cpu: f64, gpu: f64, ram: f64) -> Amount {
+    pub fn request(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
             cpu: Self::in_millionths(cpu, Rounding::Up),
             gpu: Self::in_millionths(gpu, Rounding::Up),
@@ -124,7 +124,7 @@
         }
     }
     /// Creates the capacity of a machine or of a limit; rounds down.
-    pub fn room(cpu: f64, gpu: f64, ram: f64) -> Amount {
+    pub fn capacity(cpu: f64, gpu: f64, ram: f64) -> Amount {
         Amount {
             cpu: Self::in_millionths(cpu, Rounding::Down),
             gpu: Self::in_millionths(gpu, Rounding::Down),
@@ -160,7 +160,7 @@
         }
     }
     /// Returns the minimum of both amounts in each resource.
-    pub fn least(&self, other: &Amount) -> Amount {
+    pub fn min(&self, other: &Amount) -> Amount {
         Amount {
             cpu: self.cpu.min(other.cpu),
             gpu: self.gpu.min(other.gpu),
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -185,8 +185,8 @@
 
 impl Cloud {
     fn take(&mut self, incoming: Incoming) {
-        let Incoming { request, reply, turn } = incoming;
-        drop(turn);
+        let Incoming { request, reply, permit } = incoming;
+        drop(permit);
         let now = Instant::now();
         self.counters.bytes_in += request.body.len() as u64 + HEAD_BYTES;
         if self.out_until.is_some_and(|until| now < until) {
--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -114,8 +114,8 @@
     }
 
     fn take(&mut self, incoming: Incoming) {
-        let Incoming { request, reply, turn } = incoming;
-        drop(turn);
+        let Incoming { request, reply, permit } = incoming;
+        drop(permit);
         self.counters.bytes_in += request.body.len() as u64 + HEAD_BYTES;
         let now = Instant::now();
         if request.target.starts_with("/follow") {
--- a/crates/scale-test/src/worker_process.rs
+++ b/crates/scale-test/src/worker_process.rs
@@ -298,8 +298,8 @@
     }
 
     fn on_command(&mut self, index: usize, incoming: Incoming, now: Instant) {
-        let Incoming { request, reply, turn } = incoming;
-        drop(turn);
+        let Incoming { request, reply, permit } = incoming;
+        drop(permit);
         let place = &mut self.places[index];
         if place.gone {
             return;
--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,6 +1,6 @@
 //! Processor time of requests.
 
-use crate::constants::READ_TOGETHER;
+use crate::constants::MAX_UNHANDLED_REQUESTS;
 use crate::settings::Resources;
 use std::time::Duration;
 
@@ -15,5 +15,5 @@
 /// them the leader's own calls would wait for seconds.
 pub fn max_unhandled_requests(resources: &Resources) -> usize {
     let affordable = resources.fits(READ_AHEAD, REQUEST_COST) as usize;
-    affordable.clamp(MIN_UNHANDLED_REQUESTS, READ_TOGETHER)
+    affordable.clamp(MIN_UNHANDLED_REQUESTS, MAX_UNHANDLED_REQUESTS)
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -287,7 +287,7 @@
 
     fn retry_later(&mut self) -> Response {
         self.refused += 1;
-        Response::later_in(503, retry_after_s(self.pending.len(), self.refused))
+        Response::retry_after(503, retry_after_s(self.pending.len(), self.refused))
     }
 
     fn finish_with_retry(&mut self, ticket: u64) -> Response {
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -70,7 +70,7 @@
     let params = &settings.platform.params;
     let team = params.teams.iter().find(|team| team.name == spec.team);
     let team = team.ok_or(Rejection::UnknownTeam)?;
-    let request = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
+    let request = Amount::request(spec.cpus, spec.gpus, spec.ram_gb);
     let tasks_at_once = match spec.shape {
         JobKind::Array => 1,
         JobKind::Service | JobKind::Gang => spec.tasks,
@@ -82,7 +82,7 @@
         return Err(Rejection::UnknownZone);
     }
     let fits = machine_types.iter().any(|machine_type| {
-        let room = Amount::room(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
+        let room = Amount::capacity(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
         spec.flavors.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
             && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
             && request.fits(&room)
--- a/src/controller/actor/request_queue.rs
+++ b/src/controller/actor/request_queue.rs
@@ -57,12 +57,12 @@
     /// Moves the received requests to the queue and rejects those that exceed its capacity.
     pub(super) fn admit(&mut self, now: Instant) {
         let mut received = std::mem::take(&mut self.received);
-        for Incoming { request, reply, turn } in received.drain(..) {
+        for Incoming { request, reply, permit } in received.drain(..) {
             self.last_ticket += 1;
             let ticket = self.last_ticket;
             let class = request_class(&request);
             self.pending.insert(ticket, PendingResponse { reply, class });
-            let queued = Queued { ticket, request, _permit: turn };
+            let queued = Queued { ticket, request, _permit: permit };
             if let Some(rejected) = self.queue.push(class, queued, now) {
                 self.reject(rejected.ticket);
             }
@@ -90,7 +90,7 @@
     fn reject(&mut self, ticket: u64) {
         if let Some(pending) = self.take_pending(ticket) {
             let retry_after = retry_after_s(self.queue.len(), ticket);
-            let _ = pending.reply.send(Response::later_in(503, retry_after));
+            let _ = pending.reply.send(Response::retry_after(503, retry_after));
         }
     }
 }
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -23,7 +23,7 @@
         let stored_leader = self.store.cache.leader.as_ref().map(|leader| &leader.value.controller);
         match self.later_leader(now).or(stored_leader) {
             Some(leader) if leader != self.name() => redirect(leader),
-            _ => Response::later(503),
+            _ => Response::retry_later(503),
         }
     }
 
--- a/src/controller/operator_requests.rs
+++ b/src/controller/operator_requests.rs
@@ -128,7 +128,7 @@
     /// write at the same time, one of them gets a conflict.
     fn store_drain(&mut self, ticket: u64, key: String, data: StoreValue) -> Option<Response> {
         if !self.store.cache.loaded {
-            return Some(Response::later(503));
+            return Some(Response::retry_later(503));
         }
         let revision = self.store.cache.drain_keys.get(&key).copied().unwrap_or_default();
         let preconditions = vec![Precondition { key: key.clone(), rev: revision }];
@@ -147,7 +147,7 @@
             WriteOutcome::Committed => Response::empty(200),
             WriteOutcome::Conflict => Response::empty(409),
             WriteOutcome::Invalid => Response::empty(422),
-            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Response::later(503),
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Response::retry_later(503),
         };
         self.respond(ticket, response);
     }
--- a/src/controller/worker_heartbeats.rs
+++ b/src/controller/worker_heartbeats.rs
@@ -32,7 +32,7 @@
         if let Some(owner) = self.redirect_target(heartbeat, now) {
             return redirect(&owner);
         }
-        let Some(scheduler) = &mut self.scheduler else { return Response::later(503) };
+        let Some(scheduler) = &mut self.scheduler else { return Response::retry_later(503) };
         match scheduler.on_heartbeat(heartbeat, &self.store.cache, now) {
             Some(commands) => Response::with(200, wire::encode(&commands)),
             None => {
@@ -41,7 +41,7 @@
                     "worker has seen a higher fencing token, resigning"
                 );
                 self.resign(now);
-                Response::later(503)
+                Response::retry_later(503)
             }
         }
     }
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -186,7 +186,7 @@
             completed.insert_chunk(&early.tasks, first, spec.tasks as u32);
             completed_chunks.insert(chunk, early.revision);
         }
-        let need = Amount::need(spec.cpus, spec.gpus, spec.ram_gb);
+        let need = Amount::request(spec.cpus, spec.gpus, spec.ram_gb);
         Box::new(LiveJob {
             spec,
             accepted_ms: record.accepted_ms,
--- a/src/peers/mesh/listener.rs
+++ b/src/peers/mesh/listener.rs
@@ -2,7 +2,7 @@
 
 use super::framing::{FRAME_MAX, decode_body};
 use super::message::PeerMessage;
-use crate::constants::{IDLE_TIMEOUT, READ_AT_ONCE, READ_TIMEOUT};
+use crate::constants::{IDLE_TIMEOUT, READ_BUFFER_BYTES, READ_TIMEOUT};
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
@@ -35,7 +35,7 @@
 ) -> io::Result<()> {
     let _ = stream.set_nodelay(true);
     // Length and body usually come in one packet: one system call reads both.
-    let mut stream = BufReader::with_capacity(READ_AT_ONCE, stream);
+    let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     loop {
         let length = timeout(IDLE_TIMEOUT, stream.read_u32()).await?? as usize;
         if length > FRAME_MAX {
--- a/src/placement/image_index.rs
+++ b/src/placement/image_index.rs
@@ -16,7 +16,7 @@
         let smallest: Amount = requests
             .iter()
             .map(|request| request.resources)
-            .reduce(|a, b| a.least(&b))
+            .reduce(|a, b| a.min(&b))
             .unwrap_or_default();
         for (i, bin) in bins.iter().enumerate().filter(|(_, bin)| smallest.fits(&bin.free)) {
             for image in bin.images.iter() {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -127,7 +127,7 @@
 }
 
 fn random_bin(random: &mut StdRng, n: u64) -> Bin {
-    let used = Amount::need(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
+    let used = Amount::request(f64::from(random.random_range(0..17u32)), 0.0, 0.0);
     let basket = match random.random_range(0..3) {
         0 => Some(Basket::Heavy),
         1 => Some(Basket::Light),
@@ -148,7 +148,7 @@
 
 fn random_request(random: &mut StdRng, machines: u64, tasks: u32) -> PlacementRequest {
     let cpus = f64::from(random.random_range(1..15u32));
-    let resources = Amount::need(cpus, 0.0, cpus * 3.0);
+    let resources = Amount::request(cpus, 0.0, cpus * 3.0);
     let spread = random.random::<bool>();
     PlacementRequest {
         team: TeamId::new(random.random_range(0..2)),
@@ -203,8 +203,8 @@
 }
 
 fn request(count: u32, cpus: f64) -> PlacementRequest {
-    let size = Amount::room(16.0, 0.0, 64.0);
-    let need = Amount::need(cpus, 0.0, 1.0);
+    let size = Amount::capacity(16.0, 0.0, 64.0);
+    let need = Amount::request(cpus, 0.0, 1.0);
     PlacementRequest {
         team: TeamId::new(0),
         priority: Priority::High,
@@ -238,7 +238,7 @@
         zone,
         spot,
         price,
-        capacity: Amount::room(16.0, 0.0, 64.0),
+        capacity: Amount::capacity(16.0, 0.0, 64.0),
         available: 2,
         held: 0,
     }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -79,7 +79,9 @@
     /// What a machine of this type holds.
     pub(super) fn capacity(&self, machine_type: usize) -> Amount {
         let found = self.machine_types.get(machine_type);
-        found.map(|found| Amount::room(found.cpus, found.gpus, found.ram_gb)).unwrap_or_default()
+        found
+            .map(|found| Amount::capacity(found.cpus, found.gpus, found.ram_gb))
+            .unwrap_or_default()
     }
 
     /// Adds a machine, or finds it if it is known. Indices are dealt round-robin over the zones: a
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -147,7 +147,7 @@
         let teams = self.settings.platform.params.teams.iter().enumerate();
         let headroom = teams.map(|(index, team)| {
             let hidden = maybe_used[index].plus(&self.jobs.orphaned_capacity.of(index));
-            team.limit().minus(&used[index]).minus(&hidden.least(&unconfirmed.free))
+            team.limit().minus(&used[index]).minus(&hidden.min(&unconfirmed.free))
         });
         let unlimited = Amount { cpu: u64::MAX, gpu: u64::MAX, ram: u64::MAX };
         headroom.chain([unlimited]).collect()
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -59,7 +59,7 @@
         }
         bench.store.cache.jobs.apply_record(id.clone(), &data, Revision(9));
         bench.lead_anew();
-        let need = Amount::need(4.0, 0.0, 4.0);
+        let need = Amount::request(4.0, 0.0, 4.0);
         assert_eq!(bench.scheduler.jobs.orphaned_capacity.of(0), need.times(tasks), "{what}");
         bench.report("i-1", vec![]);
         bench.pass(MIN_PASS_INTERVAL * 5);
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -103,7 +103,7 @@
 impl TaskFootprint {
     /// The resources that it requests.
     pub fn request(&self) -> Amount {
-        Amount::need(self.cpus, self.gpus, self.ram_gb)
+        Amount::request(self.cpus, self.gpus, self.ram_gb)
     }
 }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -94,14 +94,14 @@
 impl TeamSettings {
     /// The team's limit. Guests come with neither guarantee nor limit, so zero stands for no limit.
     pub fn limit(&self) -> Amount {
-        let Amount { cpu, gpu, .. } = Amount::room(self.cpus_max, self.gpus_max, 0.0);
+        let Amount { cpu, gpu, .. } = Amount::capacity(self.cpus_max, self.gpus_max, 0.0);
         let limit = |value: u64| if value == 0 { u64::MAX } else { value };
         Amount { cpu: limit(cpu), gpu: limit(gpu), ram: u64::MAX }
     }
 
     /// The team's guarantee.
     pub fn guarantee(&self) -> Amount {
-        Amount { ram: u64::MAX, ..Amount::room(self.cpus, self.gpus, 0.0) }
+        Amount { ram: u64::MAX, ..Amount::capacity(self.cpus, self.gpus, 0.0) }
     }
 }
 
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -50,7 +50,7 @@
 
 fn place(machine: &mut Machine, index: u32, attempt: u64) {
     let spec = AttemptSpec {
-        need: Amount::need(4.0, 0.0, 1.0),
+        need: Amount::request(4.0, 0.0, 1.0),
         team: 0,
         urgency: Priority::High,
         image: Arc::from("img"),
