--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -54,7 +54,7 @@
     /// Takes orders; a task fetches its image until the next report, runs for its time and has ended.
     fn execute(&mut self, orders: &CommandBatch, at: u64) {
         self.token = self.token.max(orders.token);
-        for order in &orders.orders {
+        for order in &orders.commands {
             match order {
                 WorkerCommand::Start { task, attempt } => {
                     self.tasks.entry(task.clone()).or_insert((*attempt, at, false));
@@ -80,12 +80,18 @@
                 _ => TaskState::Running,
             };
             let why = ended.then(|| if *halted { "halted" } else { "done" }.to_owned());
-            TaskStatus { task: task.clone(), attempt: *attempt, state, why, saved: None }
+            TaskStatus {
+                task: task.clone(),
+                attempt: *attempt,
+                state,
+                exit_cause: why,
+                saved: None,
+            }
         };
         Heartbeat {
             machine: name(n),
             address: format!("127.0.0.1:{}", 10_000 + n),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: ["a", "b"][n % 2].into(),
             spot: false,
             agent_epoch: 1,
@@ -106,15 +112,15 @@
         id: troutspindle::ids::JobId::new(&format!("wk-{n:06}")),
         class: "c".into(),
         team: "t".into(),
-        shape: if service { JobKind::Service } else { JobKind::Array },
-        urgency: if service { Priority::Production } else { Priority::High },
+        kind: if service { JobKind::Service } else { JobKind::Array },
+        priority: if service { Priority::Production } else { Priority::High },
         tasks: TASKS,
         cpus: 4.0,
         gpus: 0.0,
         ram_gb: 14.0,
         image: format!("img-{:02}", n % 12),
         image_gb: 0.5,
-        flavors: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: service,
@@ -256,7 +262,7 @@
     fn cloud(&self, call: &CloudRequest) -> Vec<u8> {
         match call {
             CloudRequest::MachineTypes => wire::encode(&MachineTypes {
-                flavors: vec![MachineType {
+                types: vec![MachineType {
                     name: "f".into(),
                     cpus: 16.0,
                     gpus: 0.0,
@@ -276,7 +282,7 @@
                 let row = |n: usize| ListedMachine {
                     machine: name(n),
                     address: None,
-                    flavor: "f".into(),
+                    machine_type: "f".into(),
                     zone: ["a", "b"][n % 2].into(),
                     spot: false,
                     status: ListedMachineState::Running,
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -79,7 +79,7 @@
 /// The status by which a worker acknowledges a start.
 fn running_status(command: WorkerCommand) -> Option<TaskStatus> {
     let WorkerCommand::Start { task, attempt } = command else { return None };
-    Some(TaskStatus { task, attempt, state: TaskState::Running, why: None, saved: None })
+    Some(TaskStatus { task, attempt, state: TaskState::Running, exit_cause: None, saved: None })
 }
 
 impl Leader {
@@ -129,15 +129,15 @@
             id: id.clone(),
             class: format!("c{}", self.jobs % 3),
             team: format!("t{team}"),
-            shape: JobKind::Array,
-            urgency: Priority::High,
+            kind: JobKind::Array,
+            priority: Priority::High,
             tasks,
             cpus: 4.0,
             gpus: 0.0,
             ram_gb: 14.0,
             image: format!("img-{}", self.jobs % 12),
             image_gb: 1.5,
-            flavors: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
@@ -159,7 +159,7 @@
         let heartbeat = Heartbeat {
             machine: machine_id(n),
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: ZONES[n as usize % ZONES.len()].into(),
             spot: n.is_multiple_of(3),
             agent_epoch: 1,
@@ -203,8 +203,8 @@
 ];
 
 fn make_service(spec: &mut JobSpec) {
-    spec.shape = JobKind::Service;
-    spec.urgency = Priority::Production;
+    spec.kind = JobKind::Service;
+    spec.priority = Priority::Production;
     spec.spread = true;
     spec.spot = false;
 }
@@ -217,7 +217,7 @@
     for _ in 0..5000 {
         leader.submit(0, WAITING_TASKS / 5000, |spec| {
             spec.team = "guest".into();
-            spec.urgency = Priority::Low;
+            spec.priority = Priority::Low;
             spec.cpus = 0.5;
             spec.ram_gb = 1.0;
         });
--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -22,6 +22,9 @@
 //! | `hall` | `zone` | [`JobSpec`], [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
 //! | `samePlace` | `one_zone` | [`JobSpec`] |
 //! | `lendable` | `spot` | [`JobSpec`], [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
+//! | `shape` | `kind` | [`JobSpec`] |
+//! | `urgency` | `priority` | [`JobSpec`] |
+//! | `flavors` | `machine_types` | [`JobSpec`] |
 //! | `expectS` | `expect_s` | [`JobSpec`] |
 //! | `snapshotEveryS` | `checkpoint_s` | [`JobSpec`] |
 //! | `snapshotS` | `save_s` | [`JobSpec`] |
@@ -38,7 +41,7 @@
 //! | `leg` | `task` | [`TaskStatus`], [`WorkerCommand`] |
 //! | `try` | `attempt` | [`TaskStatus`], [`WorkerCommand`] |
 //! | `status` | `state` | [`TaskStatus`] |
-//! | `exitCause` | `why` | [`TaskStatus`] |
+//! | `exitCause` | `exit_cause` | [`TaskStatus`] |
 //! | `spindle` | `machine` | [`Heartbeat`] |
 //! | `tenure` | `agent_epoch` | [`Heartbeat`], [`CommandBatch`] |
 //! | `tally` | `seq` | [`Heartbeat`] |
@@ -46,6 +49,7 @@
 //! | `recallS` | `notice_s` | [`Heartbeat`] |
 //! | `run` | `Start` | [`WorkerCommand`] |
 //! | `halt` | `Stop` | [`WorkerCommand`] |
+//! | `orders` | `commands` | [`CommandBatch`] |
 //! | `windDownS` | `grace_s` | [`WorkerCommand`] |
 //! | `forget` | `Forget` | [`WorkerCommand`] |
 //! | `foreman` | `leader` | [`NotLeader`] |
@@ -54,7 +58,9 @@
 //! | `marketPrice` | `spot_price` | [`MachineType`] |
 //! | `startupS` | `boot_s` | [`MachineType`] |
 //! | `halls` | `zones` | [`MachineType`] |
-//! | `hire` | `request` | [`RentalRequest`] |
+//! | `hire` | `request_id` | [`RentalRequest`] |
+//! | `flavor` | `machine_type` | [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
+//! | `flavors` | `types` | [`MachineTypes`] |
 //! | `spindles` | `machines` | [`MachineIds`], [`MachinePage`] |
 //! | `nameId` | `machine` | [`ListedMachine`] |
 //! | `heldS` | `age_s` | [`ListedMachine`] |
@@ -78,7 +84,7 @@
 
 pub use cloud::{
     CloudError, ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType,
-    MachineTypes, RentalRequest, merge,
+    MachineTypes, RentalRequest, merge_machine_types,
 };
 pub use codec::{WireError, decode, encode, hex, unhex};
 pub use job::{JobKind, JobName, JobSpec, JobStatus, JobView, Priority};
--- a/crates/protocol/src/wire/cloud.rs
+++ b/crates/protocol/src/wire/cloud.rs
@@ -40,7 +40,7 @@
 
 /// Merges newer descriptions of machine types into the known ones. Known types keep their positions, because a
 /// [`MachineTypeId`](crate::ids::MachineTypeId) refers to the position.
-pub fn merge(known: &mut Vec<MachineType>, newer: Vec<MachineType>) {
+pub fn merge_machine_types(known: &mut Vec<MachineType>, newer: Vec<MachineType>) {
     for machine_type in newer {
         match known.iter_mut().find(|existing| existing.name == machine_type.name) {
             Some(existing) => *existing = machine_type,
@@ -53,7 +53,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// Descriptions of all types.
-    pub flavors: Vec<MachineType>,
+    #[serde(rename = "flavors")]
+    pub types: Vec<MachineType>,
 }
 
 /// Request to rent machines.
@@ -61,9 +62,10 @@
 pub struct RentalRequest {
     /// Unique id of the request, which makes a repeated request idempotent.
     #[serde(rename = "hire")]
-    pub request: String,
+    pub request_id: String,
     /// Name of the machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -111,7 +113,8 @@
     #[serde(default)]
     pub address: Option<String>,
     /// Name of the machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
--- a/crates/protocol/src/wire/job.rs
+++ b/crates/protocol/src/wire/job.rs
@@ -49,9 +49,11 @@
     #[serde(rename = "owner")]
     pub team: String,
     /// Job array, service or gang.
-    pub shape: JobKind,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority set by the user; dependent jobs may raise the effective priority.
-    pub urgency: Priority,
+    #[serde(rename = "urgency")]
+    pub priority: Priority,
     /// Number of tasks; their indexes start at 0.
     #[serde(rename = "legs")]
     pub tasks: u64,
@@ -71,8 +73,8 @@
     #[serde(rename = "imageGb", deserialize_with = "amount")]
     pub image_gb: f64,
     /// Names of the allowed machine types; `None` allows all.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub flavors: Option<Vec<String>>,
+    #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
+    pub machine_types: Option<Vec<String>>,
     /// Name of the only allowed zone; `None` allows all.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
--- a/crates/protocol/src/wire/worker.rs
+++ b/crates/protocol/src/wire/worker.rs
@@ -52,7 +52,7 @@
     pub state: TaskState,
     /// Exit cause, once the attempt finished.
     #[serde(rename = "exitCause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<String>,
+    pub exit_cause: Option<String>,
     /// Whether a stopped attempt saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -68,7 +68,8 @@
     #[serde(default)]
     pub address: String,
     /// Name of the machine type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -142,7 +143,8 @@
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
     /// Commands to execute.
-    pub orders: Vec<WorkerCommand>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Response of a controller that may not act on a heartbeat; it redirects the worker.
--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -251,7 +251,7 @@
             boot_s: machine.boot_s,
             zones: self.setup.zones.clone(),
         };
-        Response::with(200, wire::encode(&MachineTypes { flavors: vec![flavor] }))
+        Response::with(200, wire::encode(&MachineTypes { types: vec![flavor] }))
     }
 
     fn hire(&mut self, request: &Request, now: Instant) -> Response {
@@ -262,7 +262,7 @@
         let Some(zone) = self.setup.zones.iter().position(|zone| *zone == hire.zone) else {
             return Response::empty(400);
         };
-        if let Some(machines) = self.hires.get(&hire.request) {
+        if let Some(machines) = self.hires.get(&hire.request_id) {
             return Response::with(200, wire::encode(&MachineIds { machines: machines.clone() }));
         }
         let room = (self.setup.capacity as usize).saturating_sub(self.alive());
@@ -278,7 +278,7 @@
             })
             .collect();
         self.counters.rented += count as u64;
-        self.hires.insert(hire.request, machines.clone());
+        self.hires.insert(hire.request_id, machines.clone());
         Response::with(200, wire::encode(&MachineIds { machines }))
     }
 
@@ -438,7 +438,7 @@
         Some(ListedMachine {
             machine: self.facts.id.clone(),
             address: Some(self.facts.address.to_string()),
-            flavor: FLAVOR.into(),
+            machine_type: FLAVOR.into(),
             zone: self.facts.zone.clone(),
             spot: self.facts.spot,
             status,
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -218,13 +218,13 @@
             task: id.clone(),
             attempt: task.attempt,
             state: task.state,
-            why: task.why.map(str::to_owned),
+            exit_cause: task.why.map(str::to_owned),
             saved: None,
         });
         Heartbeat {
             machine: self.facts.id.clone(),
             address: self.facts.address.to_string(),
-            flavor: self.settings.flavor.clone(),
+            machine_type: self.settings.flavor.clone(),
             zone: self.facts.zone.clone(),
             spot: self.facts.spot,
             agent_epoch: self.agent_epoch,
@@ -249,7 +249,7 @@
         }
         self.see(orders.token, now);
         self.renewed = self.renewed.max(sent);
-        self.execute(&orders.orders, book, now);
+        self.execute(&orders.commands, book, now);
         HeartbeatOutcome::Accepted
     }
 
@@ -271,7 +271,7 @@
             return false;
         }
         self.see(orders.token, now);
-        self.execute(&orders.orders, book, now);
+        self.execute(&orders.commands, book, now);
         true
     }
 
--- a/crates/scale-test/src/worker_tests.rs
+++ b/crates/scale-test/src/worker_tests.rs
@@ -46,7 +46,7 @@
 }
 
 fn orders(token: u64, orders: Vec<WorkerCommand>) -> CommandBatch {
-    CommandBatch { token: FencingToken(token), agent_epoch: Some(1), orders }
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(1), commands: orders }
 }
 
 #[test]
@@ -86,7 +86,7 @@
     assert!(worker.on_command(&orders(1, twice), &book, now));
     let states: Vec<TaskState> = worker.report().tasks.iter().map(|task| task.state).collect();
     assert_eq!(states, [TaskState::Fetching, TaskState::Fetching, TaskState::Exited]);
-    assert_eq!(worker.report().tasks[2].why.as_deref(), Some("no_room"));
+    assert_eq!(worker.report().tasks[2].exit_cause.as_deref(), Some("no_room"));
     worker.advance(now + Duration::from_secs(2));
     let ready = worker.events.iter().filter(|event| matches!(event, Happening::Ready(..)));
     assert_eq!(ready.count(), 2);
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -36,7 +36,7 @@
             CloudRequest::MachineTypes => Response::with(
                 200,
                 wire::encode(&MachineTypes {
-                    flavors: vec![MachineType {
+                    types: vec![MachineType {
                         name: "f".into(),
                         cpus: 8.0,
                         gpus: 0.0,
@@ -51,7 +51,7 @@
                 }),
             ),
             CloudRequest::ScaleOut(kind, hire) => {
-                let known = self.hired.get(&hire.request).cloned();
+                let known = self.hired.get(&hire.request_id).cloned();
                 let alike = |w: &&Worker| !w.gone && w.zone == kind.zone && w.spot == kind.spot;
                 let held = self.workers.values().filter(alike).count();
                 let most = self.capacity[usize::from(kind.spot)];
@@ -63,7 +63,7 @@
                     let machines = known.unwrap_or_else(|| {
                         (0..room).map(|_| self.rent(kind.zone, kind.spot)).collect()
                     });
-                    self.hired.insert(hire.request, machines.clone());
+                    self.hired.insert(hire.request_id, machines.clone());
                     Response::with(200, wire::encode(&MachineIds { machines }))
                 }
             }
@@ -87,7 +87,7 @@
                     .map(|(id, worker)| ListedMachine {
                         machine: id.clone(),
                         address: Some("127.0.0.1:7".into()),
-                        flavor: "f".into(),
+                        machine_type: "f".into(),
                         zone: ZONES[worker.zone].into(),
                         spot: worker.spot,
                         status: ListedMachineState::Running,
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -129,7 +129,7 @@
     /// Whoever led, crashed or wrote late: values are whole, and no run counts more tasks than its job has.
     pub fn check_learned(&self) -> usize {
         let kept = self.store.keys.range("t/e/".to_owned().."t/e0".to_owned());
-        let arrays = self.jobs.values().filter(|job| job.spec.shape != JobKind::Service);
+        let arrays = self.jobs.values().filter(|job| job.spec.kind != JobKind::Service);
         let most = arrays.map(|job| job.spec.tasks).max().unwrap_or(0);
         let mut runs = 0;
         for (key, (data, ..)) in kept {
@@ -158,7 +158,7 @@
         assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
         for (number, job) in &world.jobs {
             let cancelled = job.cancellation_confirmed_ms.is_some();
-            match job.spec.shape {
+            match job.spec.kind {
                 JobKind::Service if !cancelled => {
                     assert_eq!(world.running(*number), 4, "seed {seed}: service {number}");
                 }
--- a/crates/simulation/src/targeted_faults.rs
+++ b/crates/simulation/src/targeted_faults.rs
@@ -144,7 +144,7 @@
             worker.token = orders.token;
             worker.changed = true;
             self.targeted_faults.record_effect("held commands");
-            self.execute(id, orders.orders);
+            self.execute(id, orders.commands);
         }
     }
 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -17,15 +17,15 @@
             id: JobId::new(&format!("wk-{number}")),
             class: if service { "s" } else { "c" }.into(),
             team: "t".into(),
-            shape: if service { JobKind::Service } else { JobKind::Array },
-            urgency: if service { Priority::Production } else { Priority::High },
+            kind: if service { JobKind::Service } else { JobKind::Array },
+            priority: if service { Priority::Production } else { Priority::High },
             tasks,
             cpus: 2.0,
             gpus: 0.0,
             ram_gb: 4.0,
             image: format!("img-{}", number % 3),
             image_gb: 1.0,
-            flavors: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: service,
@@ -141,7 +141,7 @@
             let all_done = (0..job.spec.tasks as u32).all(|index| {
                 self.finished.contains_key(&TaskId { job: job.spec.id.clone(), index })
             });
-            if view.status == JobStatus::Done && (!all_done || job.spec.shape == JobKind::Service) {
+            if view.status == JobStatus::Done && (!all_done || job.spec.kind == JobKind::Service) {
                 wrong.push(format!("not_done: {}", job.spec.id));
             }
             let open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
@@ -180,7 +180,7 @@
         for (number, job) in &self.jobs {
             let cancelled = job.cancellation_confirmed_ms.is_some();
             let whole = self.running(*number) as u64 == job.spec.tasks;
-            let outlasts = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
+            let outlasts = job.spec.kind == JobKind::Service || job.spec.expect_s > 60.0;
             let what = if self.now_ms > job.last_good + 75_000 {
                 "forgotten: nobody is told of it"
             } else if job.cancel_at.is_some() && !cancelled && !job.told_done {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -95,13 +95,13 @@
             task: task.clone(),
             attempt: running.attempt,
             state: running.state,
-            why: running.why.clone(),
+            exit_cause: running.why.clone(),
             saved: None,
         });
         Heartbeat {
             machine: id.clone(),
             address: "127.0.0.1:7".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: ZONES[worker.zone].into(),
             spot: worker.spot,
             agent_epoch: worker.agent_epoch,
@@ -143,7 +143,7 @@
         worker.changed |= orders.token > worker.token;
         worker.token = orders.token;
         worker.renewed = since;
-        self.execute(&id, orders.orders);
+        self.execute(&id, orders.commands);
     }
 
     pub fn direct(&mut self, node: usize, incarnation: u32, id: MachineId, direct: DirectCall) {
@@ -183,7 +183,7 @@
         });
         if let (Some(orders), true) = (&sent, valid) {
             worker.token = orders.token;
-            self.execute(&id, orders.orders.clone());
+            self.execute(&id, orders.commands.clone());
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.seq += 1;
@@ -251,7 +251,7 @@
         worker.images.push(spec.image.clone());
         let ready_at = if warm { t } else { t + 1500 };
         let done = self.finished.contains_key(&task);
-        let ends_at = (spec.shape == JobKind::Array && !long).then_some(if done {
+        let ends_at = (spec.kind == JobKind::Array && !long).then_some(if done {
             ready_at
         } else {
             ready_at + run_ms
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -105,7 +105,7 @@
 
     fn submit(&mut self, id: &str, shape: JobKind, depends_on: &[&str]) -> u16 {
         let depends_on = Some(depends_on.iter().map(|id| JobId::new(id)).collect());
-        let spec = JobSpec { shape, depends_on, ..jobs::fixtures::job_spec(id, 2) };
+        let spec = JobSpec { kind: shape, depends_on, ..jobs::fixtures::job_spec(id, 2) };
         self.submit_body(&wire::encode(&spec)).status
     }
 }
@@ -185,7 +185,7 @@
     let flavors = [crate::settings::fixtures::machine_type()];
     let judge = |team: &str, cpus: f64, tasks: u64| {
         let (team, shape) = (team.to_owned(), JobKind::Service);
-        let spec = JobSpec { team, cpus, shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
+        let spec = JobSpec { team, cpus, kind: shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
         check_runnable(&spec, &settings, &flavors).err()
     };
     assert_eq!(judge("guest", 4.0, 100_000), None);
@@ -328,10 +328,10 @@
         JobSpec { cpus: 9.0, ..spec() },
         JobSpec { gpus: 1.0, ..spec() },
         JobSpec { ram_gb: 1e6, ..spec() },
-        JobSpec { flavors: Some(vec![]), ..spec() },
-        JobSpec { flavors: Some(vec!["unknown".into()]), ..spec() },
+        JobSpec { machine_types: Some(vec![]), ..spec() },
+        JobSpec { machine_types: Some(vec!["unknown".into()]), ..spec() },
         JobSpec { zone: Some("nowhere".into()), ..spec() },
-        JobSpec { shape: JobKind::Service, tasks: 9, cpus: 1.0, ..spec() },
+        JobSpec { kind: JobKind::Service, tasks: 9, cpus: 1.0, ..spec() },
     ];
     let mut api = TestApi::new(2);
     for spec in &never {
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -46,7 +46,7 @@
         && spec.image.len() <= TEXT_MAX
         && (1..=MAX_TASKS_PER_JOB).contains(&spec.tasks)
         && amounts.into_iter().chain(times).all(amount)
-        && spec.flavors.as_ref().is_none_or(machine_types)
+        && spec.machine_types.as_ref().is_none_or(machine_types)
         && spec.zone.as_ref().is_none_or(|zone| text(zone))
         && spec.depends_on.iter().flatten().all(|id| valid_id(id.as_str()))
 }
@@ -71,7 +71,7 @@
     let team = params.teams.iter().find(|team| team.name == spec.team);
     let team = team.ok_or(Rejection::UnknownTeam)?;
     let request = Amount::request(spec.cpus, spec.gpus, spec.ram_gb);
-    let tasks_at_once = match spec.shape {
+    let tasks_at_once = match spec.kind {
         JobKind::Array => 1,
         JobKind::Service | JobKind::Gang => spec.tasks,
     };
@@ -83,7 +83,7 @@
     }
     let fits = machine_types.iter().any(|machine_type| {
         let room = Amount::capacity(machine_type.cpus, machine_type.gpus, machine_type.ram_gb);
-        spec.flavors.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
+        spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name))
             && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
             && request.fits(&room)
     });
@@ -98,7 +98,7 @@
             None if known.is_unreadable(id) => {}
             None => return Err(Rejection::UnknownDependency),
             Some(job) => {
-                if job.live().is_some_and(|live| live.spec.shape == JobKind::Service) {
+                if job.live().is_some_and(|live| live.spec.kind == JobKind::Service) {
                     return Err(Rejection::DependsOnService);
                 }
             }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -189,7 +189,7 @@
         match wire::decode::<MachineTypes>(body) {
             Ok(found) if status == 200 => {
                 self.machine_types.end(now + MACHINE_TYPES_INTERVAL);
-                vec![CloudEvent::MachineTypes(found.flavors)]
+                vec![CloudEvent::MachineTypes(found.types)]
             }
             _ => {
                 self.machine_types.end(now + RETRY_PAUSE * 4);
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -73,8 +73,8 @@
             remaining -= count;
             self.last_number += 1;
             let request = RentalRequest {
-                request: format!("r-{}-{}", self.token, self.last_number),
-                flavor: machine_type.to_owned(),
+                request_id: format!("r-{}-{}", self.token, self.last_number),
+                machine_type: machine_type.to_owned(),
                 zone: zone.to_owned(),
                 spot: pool.spot,
                 count,
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -19,7 +19,7 @@
 fn rental_sent(client: &mut CloudClient, now: Instant) -> (u64, String) {
     client.poll(true, now);
     let found = client.out.drain(..).find_map(|(id, call)| match call {
-        CloudRequest::ScaleOut(_, hire) => Some((id, hire.request)),
+        CloudRequest::ScaleOut(_, hire) => Some((id, hire.request_id)),
         _ => None,
     });
     found.expect("a rental was sent")
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -65,7 +65,7 @@
             .map(stop)
             .collect();
         tracing::debug!(machine = %heartbeat.machine, fencing_token = %token, "answered on behalf of the leader");
-        Some(CommandBatch { token, agent_epoch: None, orders: stops })
+        Some(CommandBatch { token, agent_epoch: None, commands: stops })
     }
 
     fn knows_cancellations_of(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -14,7 +14,7 @@
     pub(super) fn on_machine_types(&mut self, offered: Vec<MachineType>) {
         let Versioned { value: known, revision } = self.store.cache.machine_types.clone();
         let mut all = known.clone();
-        wire::merge(&mut all, offered);
+        wire::merge_machine_types(&mut all, offered);
         // Only a leader adds to the catalogue; while it is empty, any controller may write it.
         if all == known || !(self.scheduler.is_some() || known.is_empty()) {
             return;
--- a/src/controller/relayed_heartbeats/tests.rs
+++ b/src/controller/relayed_heartbeats/tests.rs
@@ -48,7 +48,7 @@
     Heartbeat {
         machine: MachineId::new("i-1"),
         address: "127.0.0.1:9000".into(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
@@ -160,7 +160,7 @@
         task: TaskId { job: JobId::new("wk-1"), index },
         attempt: Attempt(1),
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         saved: None,
     };
     let large = heartbeat((0..1000).map(task).collect());
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -115,7 +115,7 @@
             let heartbeat = Heartbeat {
                 machine: MachineId::new(&format!("i-{n}")),
                 address: "127.0.0.1:9000".into(),
-                flavor: "f".into(),
+                machine_type: "f".into(),
                 zone: "a".into(),
                 spot: false,
                 agent_epoch: 1,
@@ -254,7 +254,7 @@
     let heartbeat = |name: &str| Heartbeat {
         machine: MachineId::new(name),
         address: "127.0.0.1:9000".into(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -227,7 +227,7 @@
 fn a_description_larger_than_a_value_is_stored_in_chunks() {
     let mut long = fixtures::job_spec("wk-9", 2000);
     long.depends_on = Some((0..900).map(|n| JobId::new(&format!("wk-{n:06}"))).collect());
-    long.flavors = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
+    long.machine_types = Some((0..32).map(|n| format!("{n}{}", "é".repeat(99))).collect());
     let (long, id) = (Arc::new(long), JobId::new("wk-9"));
     let mut store = Store::default();
     let mut steps = 0;
@@ -264,7 +264,7 @@
 
 fn own_priority(job: &LiveJob) -> dag::InheritedPriority {
     let due_ms = job.spec.due_s.map(|due_s| due_s as u64);
-    dag::InheritedPriority { urgency: job.spec.urgency, due_ms }
+    dag::InheritedPriority { urgency: job.spec.priority, due_ms }
 }
 
 fn duration_ms(job: &LiveJob) -> u64 {
@@ -318,7 +318,7 @@
     let urgencies = [wire::Priority::High, wire::Priority::Normal, wire::Priority::Low];
     Arc::new(JobSpec {
         depends_on: Some(depends_on),
-        urgency: urgencies[which % 3],
+        priority: urgencies[which % 3],
         due_s: which.is_multiple_of(4).then_some(100.0 + (which * 7 % 50) as f64),
         expect_s: which as f64,
         ..fixtures::job_spec(id.as_str(), 1)
@@ -447,7 +447,7 @@
             }
             for n in order {
                 let mut spec = fixtures::job_spec(name(n).as_str(), 1);
-                spec.urgency =
+                spec.priority =
                     if n == 4999 { wire::Priority::Production } else { wire::Priority::Low };
                 spec.due_s = Some(if n == 4999 { 1e6 } else { 2e6 });
                 spec.depends_on = Some(depends_on(n).into_iter().map(name).collect());
@@ -456,7 +456,7 @@
             }
             let live = jobs.all.iter().filter_map(|(id, job)| Some((id, job.live()?))).collect();
             let own = |job: &LiveJob| dag::InheritedPriority {
-                urgency: job.spec.urgency,
+                urgency: job.spec.priority,
                 due_ms: job.spec.due_s.map(|due_s| due_s as u64),
             };
             let inherited = dag::inherit_priorities(&live, own, |_, _| 10);
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -117,7 +117,7 @@
     let new: BTreeSet<u32> = new.copied().collect();
     let mut completed = live.completed.clone();
     new.iter().for_each(|task| completed.insert(*task));
-    if live.spec.shape != JobKind::Service && completed.len() >= live.spec.tasks {
+    if live.spec.kind != JobKind::Service && completed.len() >= live.spec.tasks {
         let duplicates = Some(duplicate_attempts).filter(|n| *n > 0 && layout.is_second());
         let record = JobRecord {
             phase: JobPhase::Done,
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -319,7 +319,7 @@
                     let Some(pending) = self.pending.remove(&ticket) else { continue };
                     self.record_accepted(pending.heartbeat, commands.is_empty());
                     let orders = commands.into_iter().map(WorkerCommand::from).collect();
-                    let commands = CommandBatch { token, agent_epoch: None, orders };
+                    let commands = CommandBatch { token, agent_epoch: None, commands: orders };
                     replies.push(WorkerReply { ticket, commands });
                 }
             }
--- a/src/peers/heartbeat_relay/messages.rs
+++ b/src/peers/heartbeat_relay/messages.rs
@@ -43,7 +43,7 @@
         FullHeartbeat {
             machine: heartbeat.machine,
             address: heartbeat.address,
-            machine_type: heartbeat.flavor,
+            machine_type: heartbeat.machine_type,
             zone: heartbeat.zone,
             spot: heartbeat.spot,
             agent_epoch: heartbeat.agent_epoch,
@@ -60,7 +60,7 @@
         Heartbeat {
             machine: relayed.machine,
             address: relayed.address,
-            flavor: relayed.machine_type,
+            machine_type: relayed.machine_type,
             zone: relayed.zone,
             spot: relayed.spot,
             agent_epoch: relayed.agent_epoch,
@@ -83,7 +83,7 @@
 
 impl From<TaskStatus> for RelayedTaskStatus {
     fn from(status: TaskStatus) -> RelayedTaskStatus {
-        let TaskStatus { task, attempt, state, why, saved } = status;
+        let TaskStatus { task, attempt, state, exit_cause: why, saved } = status;
         RelayedTaskStatus { task, attempt, state, why, saved }
     }
 }
@@ -91,7 +91,7 @@
 impl From<RelayedTaskStatus> for TaskStatus {
     fn from(status: RelayedTaskStatus) -> TaskStatus {
         let RelayedTaskStatus { task, attempt, state, why, saved } = status;
-        TaskStatus { task, attempt, state, why, saved }
+        TaskStatus { task, attempt, state, exit_cause: why, saved }
     }
 }
 
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -22,13 +22,13 @@
         task: TaskId::parse(name).unwrap(),
         attempt: Attempt(7),
         state: *state,
-        why: (*state == TaskState::Exited).then(|| "done".into()),
+        exit_cause: (*state == TaskState::Exited).then(|| "done".into()),
         saved: None,
     };
     Heartbeat {
         machine: MachineId::new(machine),
         address: "127.0.0.1:9".into(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
@@ -85,9 +85,9 @@
     let results = vec![(0, HeartbeatResult::Accepted(vec![order.clone()]))];
     let answers = relay.on_results(FencingToken(3), batch.number, results, now);
     let orders =
-        CommandBatch { token: FencingToken(3), agent_epoch: None, orders: vec![order.into()] };
+        CommandBatch { token: FencingToken(3), agent_epoch: None, commands: vec![order.into()] };
     assert_eq!(answers.len(), 1);
-    assert_eq!((answers[0].ticket, answers[0].commands.orders.clone()), (1, orders.orders));
+    assert_eq!((answers[0].ticket, answers[0].commands.commands.clone()), (1, orders.commands));
     relay.accept(2, report("i-1", 2, &[]), now).unwrap();
     assert!(matches!(pass(&mut relay, now).heartbeats[..], [RelayedHeartbeat::Full(_)]));
     // An answer to an answered batch, or under another token, changes nothing.
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -91,7 +91,7 @@
         self.direct_calls.all_dirty = true;
         match event {
             CloudEvent::MachineTypes(found) => {
-                crate::wire::merge(&mut self.fleet.machine_types, found);
+                crate::wire::merge_machine_types(&mut self.fleet.machine_types, found);
                 // What counts as heavy follows from the largest type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
--- a/src/scheduler/autoscaling/machine_list.rs
+++ b/src/scheduler/autoscaling/machine_list.rs
@@ -41,7 +41,7 @@
     fn return_failed_machine(&mut self, row: &ListedMachine, cache: &Cache, now: Instant) {
         self.remove_machine(&row.machine, "failed", cache, now);
         self.autoscaler.reserved_machines.remove(&row.machine);
-        if let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) {
+        if let Some(pool) = self.fleet.pool(&row.machine_type, &row.zone, row.spot) {
             let machine = self.fleet.add_machine(&row.machine, pool, now);
             machine.state = MachineState::Returning;
         }
@@ -49,7 +49,9 @@
 
     fn record_listed_machine(&mut self, row: &ListedMachine, now: Instant) {
         if !self.fleet.machines.contains_key(&row.machine) {
-            let Some(pool) = self.fleet.pool(&row.flavor, &row.zone, row.spot) else { return };
+            let Some(pool) = self.fleet.pool(&row.machine_type, &row.zone, row.spot) else {
+                return;
+            };
             self.fleet.add_machine(&row.machine, pool, now);
         }
         let Some(machine) = self.fleet.machines.get_mut(&row.machine) else { return };
--- a/src/scheduler/consolidation.rs
+++ b/src/scheduler/consolidation.rs
@@ -97,8 +97,8 @@
 /// Whether a task of the job can be moved: a replica of a service, which is down for the moment
 /// between two commands, or a task that saves its progress when it is stopped.
 fn is_movable(job: &LiveJob) -> bool {
-    let saves = job.spec.shape == JobKind::Array && job.spec.checkpoint_s > 0.0;
-    (job.spec.shape == JobKind::Service || saves) && job.spec.flavors.is_none()
+    let saves = job.spec.kind == JobKind::Array && job.spec.checkpoint_s > 0.0;
+    (job.spec.kind == JobKind::Service || saves) && job.spec.machine_types.is_none()
 }
 
 impl Scheduler {
@@ -173,7 +173,7 @@
         for (id, progress) in &self.jobs.progress {
             let Some(job) = cache.jobs.get(id).and_then(Job::live) else { continue };
             let placed = progress.placed.len() as f64;
-            match job.spec.shape {
+            match job.spec.kind {
                 JobKind::Service => budget.replicas += placed * MAX_MOVED_REPLICA_SHARE,
                 _ if is_movable(job) => {
                     budget.checkpointing += placed * MAX_MOVED_CHECKPOINTING_SHARE
@@ -190,7 +190,7 @@
         let machine_type = &self.fleet.machine_types[bin.machine_type.index()].name;
         (spec.spot || !bin.spot)
             && spec.zone.as_ref().is_none_or(|required| required == zone)
-            && spec.flavors.as_ref().is_none_or(|types| types.contains(machine_type))
+            && spec.machine_types.as_ref().is_none_or(|types| types.contains(machine_type))
     }
 
     fn evacuate(&mut self, id: &MachineId, cache: &Cache, now: Instant) {
@@ -275,7 +275,7 @@
             })?;
             target.free = target.free.minus(&entry.need);
             evacuation.moves.push(TaskMove { target: target.bin, resources: entry.need });
-            evacuation.replicas += usize::from(spec.shape == JobKind::Service);
+            evacuation.replicas += usize::from(spec.kind == JobKind::Service);
             let zone = self.bins[target.bin].zone;
             *self.moved.entry(MovedKey { job: task.job.clone(), zone }).or_default() += 1;
         }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -33,7 +33,7 @@
     /// The urgency by which a job is ordered, stops others and is spared: the highest of its own and
     /// of all that need it.
     pub(super) fn urgency(&self, id: &JobId, job: &LiveJob) -> Priority {
-        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |carried| carried.urgency)
+        self.dependencies.inherited.get(id).map_or(job.spec.priority, |carried| carried.urgency)
     }
 
     /// Whether anybody looks at when it starts or ends.
@@ -63,7 +63,7 @@
                 !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
             let due = job.spec.due_s.filter(|_| counts);
             let due_ms = due.map(|due_s| job.accepted_ms.saturating_add((due_s * 1000.0) as u64));
-            InheritedPriority { urgency: job.spec.urgency, due_ms }
+            InheritedPriority { urgency: job.spec.priority, due_ms }
         };
         let jobs = live.iter().copied().collect();
         let learned = self.settings.operator.estimates.due;
@@ -72,7 +72,7 @@
         let carried = dag::inherit_priorities(&jobs, alone, length_ms);
         let before = std::mem::replace(&mut self.dependencies.inherited, carried);
         for (id, job) in live {
-            let old = before.get(*id).map_or(job.spec.urgency, |carried| carried.urgency);
+            let old = before.get(*id).map_or(job.spec.priority, |carried| carried.urgency);
             let urgency = self.urgency(id, job);
             let Some(work) = self.jobs.progress.get(*id).filter(|_| urgency != old) else {
                 continue;
--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -149,7 +149,7 @@
             self.confirmation_budget.take(1.0, now);
         }
         if let DirectCall::Do(batch) = &call {
-            machine.track_starts_in_flight(&batch.orders, 1);
+            machine.track_starts_in_flight(&batch.commands, 1);
         }
         machine.probe_zone_reachable =
             zone_heartbeat.is_some_and(|at| now < at + rules.heartbeat_interval);
@@ -185,7 +185,7 @@
         }
         let command = |agent_epoch: u64, orders: Vec<WorkerCommand>| {
             let agent_epoch = Some(agent_epoch);
-            let batch = CommandBatch { token: rules.token, agent_epoch, orders };
+            let batch = CommandBatch { token: rules.token, agent_epoch, commands: orders };
             NextDirectCall::Call(address, DirectCall::Do(batch))
         };
         if machine.agent_epoch == 0 {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -133,8 +133,8 @@
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
-            let service = live.spec.shape == JobKind::Service;
-            let saves = live.spec.shape == JobKind::Array && live.spec.checkpoint_s > 0.0;
+            let service = live.spec.kind == JobKind::Service;
+            let saves = live.spec.kind == JobKind::Array && live.spec.checkpoint_s > 0.0;
             let entry = |index: u32, placed: &Placement| {
                 let machine = self.fleet.machines.get(&placed.machine)?;
                 let key = (TaskId { job: id.clone(), index }, placed.attempt);
@@ -216,7 +216,7 @@
                 let spec = &live.spec;
                 let save_s = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
                 let early_s = if save_s > 0.0 { save_s + DRAIN_MARGIN_S } else { 0.0 };
-                if spec.shape != JobKind::Service && left_s <= early_s {
+                if spec.kind != JobKind::Service && left_s <= early_s {
                     let machine = machine.id.clone();
                     evacuations.push(Evacuation { key: key.clone(), machine, grace_s: save_s });
                 }
@@ -259,7 +259,7 @@
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
         let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.covers_zone(zone));
-        if spec.shape == JobKind::Service {
+        if spec.kind == JobKind::Service {
             let open = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open == 0 || (spec.spread && open == 1);
         }
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -60,7 +60,7 @@
 
     /// The elasticity of an array's class, if it has any.
     fn elastic_class(&self, job: &LiveJob) -> Option<&ElasticClass> {
-        self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
+        self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.kind == JobKind::Array)
     }
 
     fn width(&self, id: &JobId) -> u64 {
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -43,7 +43,7 @@
         let group = self.demand_group(job);
         let spec = &job.spec;
         let tasks = spec.tasks.saturating_sub(job.completed_count()) as f64;
-        let remaining_work = if spec.shape == JobKind::Service {
+        let remaining_work = if spec.kind == JobKind::Service {
             0.0
         } else {
             tasks * self.task_occupancy_s(id, job) * request.resources.cpu as f64
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -112,7 +112,7 @@
         if progress.predates_leadership && totals.has_unconfirmed {
             *totals.maybe_started.entry(group).or_default() += each * waiting;
         }
-        if job.spec.shape == JobKind::Service {
+        if job.spec.kind == JobKind::Service {
             demand.offered_load += each * (held + waiting);
             self.fair_share.service_groups.insert(group);
             return;
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -58,13 +58,13 @@
             basket: Basket::classify(&job.need, capacities, heavy_threshold),
             count: 0,
             zone,
-            machine_types: spec.flavors.as_ref().map(|names| self.machine_type_ids(names)),
+            machine_types: spec.machine_types.as_ref().map(|names| self.machine_type_ids(names)),
             allows_spot: spec.spot,
             zone_limits: ZoneLimits::uniform(self.fleet.zone_count(), zone_limit),
             single_zone: spec.one_zone,
             image: self.fleet.image_ids.intern(&spec.image),
             excluded_machines: Vec::new(),
-            gang: spec.shape == JobKind::Gang,
+            gang: spec.kind == JobKind::Gang,
             start_slo_s: self.settings.tightest_start_objective(&spec.class),
             slo_slack_s: None,
             scale_out: if is_best_effort { ScaleOutPolicy::Spot } else { ScaleOutPolicy::Any },
@@ -86,7 +86,7 @@
         max_tasks: u64,
         context: &mut RequestContext<'_>,
     ) -> Option<PlacementRequest> {
-        let is_gang = job.spec.shape == JobKind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         let mut request = self.base_request(id, job, &context.fleet.capacities)?;
         let progress = self.jobs.progress.get(id)?;
         if progress.predates_leadership && may_run_unseen(&request, context.fleet) {
@@ -125,7 +125,7 @@
         max_tasks: u64,
         context: &mut RequestContext<'_>,
     ) -> Option<u64> {
-        let is_gang = job.spec.shape == JobKind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         let progress = self.jobs.progress.get_mut(id)?;
         progress.expire_backoffs(context.now);
         let waiting = progress.waiting(job);
--- a/src/scheduler/planning/demand.rs
+++ b/src/scheduler/planning/demand.rs
@@ -125,7 +125,7 @@
         if within_limit < waiting {
             self.statistics.add_waiting(waiting_cause::TEAM_LIMIT, waiting - within_limit);
         }
-        if self.urgency(id, job) != Priority::Low || job.spec.shape != JobKind::Array {
+        if self.urgency(id, job) != Priority::Low || job.spec.kind != JobKind::Array {
             return within_limit;
         }
         let within_rate = self.start_pacer.low_priority_starts.available(context.now) as u64;
--- a/src/scheduler/planning/jobs_view.rs
+++ b/src/scheduler/planning/jobs_view.rs
@@ -100,7 +100,7 @@
         let missed_all = missed_slos > 0 && missed_slos == slos;
         QueuedJob {
             priority: self.urgency(id, job),
-            first_start: spec.shape != JobKind::Service || progress.retries.is_empty(),
+            first_start: spec.kind != JobKind::Service || progress.retries.is_empty(),
             over_quota: false,
             without_slo: !self.has_objective(id, job),
             had_turn: started >= max_copies(&team_limit, &job.need),
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -103,7 +103,7 @@
             return;
         };
         // The tasks of a gang find each other by a common attempt: each generation has one.
-        let is_gang = live.spec.shape == JobKind::Gang;
+        let is_gang = live.spec.kind == JobKind::Gang;
         let shared = || progress.placed.values().map(|placed| placed.attempt).max();
         let attempt = match is_gang.then(shared).flatten() {
             Some(shared) => shared,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -133,7 +133,7 @@
             return false;
         };
         let gb_per_s = self.fleet.machine_types[machine.flavor].fetch_gb_per_s;
-        live.spec.urgency == Priority::Production
+        live.spec.priority == Priority::Production
             && gb_per_s > 0.0
             && live.spec.image_gb / gb_per_s > within_s * FETCH_SHARE_OF_SLO
     }
--- a/src/scheduler/preemption/candidates.rs
+++ b/src/scheduler/preemption/candidates.rs
@@ -120,7 +120,7 @@
         let id = &attempt.0.job;
         let live = rules.cache.jobs.get(id).and_then(Job::live)?;
         let spec = &live.spec;
-        if spec.shape != JobKind::Array {
+        if spec.kind != JobKind::Array {
             return None;
         }
         let running = entry.running_since.map(|at| rules.now.saturating_duration_since(at));
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -42,7 +42,8 @@
             return Some(self.answer(Vec::new()));
         }
         if !self.fleet.machines.contains_key(&report.machine) {
-            let Some(kind) = self.fleet.pool(&report.flavor, &report.zone, report.spot) else {
+            let Some(kind) = self.fleet.pool(&report.machine_type, &report.zone, report.spot)
+            else {
                 return Some(self.answer(Vec::new()));
             };
             tracing::info!(machine = %report.machine, "heartbeat of an unknown machine");
@@ -69,7 +70,7 @@
         self.direct_calls.dirty_machines.insert(id.clone());
         let answered = !matches!(report, Err(crate::http::CallError::Unknown));
         if let (Some(orders), true) = (sent, answered) {
-            machine.track_starts_in_flight(&orders.orders, -1);
+            machine.track_starts_in_flight(&orders.commands, -1);
         }
         match report {
             Ok(report) if report.machine == *id => {
@@ -107,7 +108,7 @@
 
     /// The answer to a heartbeat with these commands.
     pub(super) fn answer(&self, orders: Vec<WorkerCommand>) -> CommandBatch {
-        CommandBatch { token: self.term.token, agent_epoch: None, orders }
+        CommandBatch { token: self.term.token, agent_epoch: None, commands: orders }
     }
 
     /// False: the worker has seen a higher token than ours.
@@ -357,7 +358,7 @@
                 .filter(|_| known_rest)
                 .and_then(|ran| self.runtime_predictor.remaining_s(&task.job, ran));
             let rest = known.unwrap_or(live.spec.expect_s - ran.unwrap_or(0.0));
-            live.spec.shape != JobKind::Array || ran.is_none() || rest >= left - 1.0
+            live.spec.kind != JobKind::Array || ran.is_none() || rest >= left - 1.0
         };
         let keys: Vec<_> =
             machine.attempts.iter().filter(drained).map(|(k, _)| k.clone()).collect();
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -27,7 +27,7 @@
             let result = match relayed {
                 RelayedHeartbeat::Full(report) => {
                     let report = Heartbeat::from(report);
-                    let orders = self.on_heartbeat(&report, cache, now)?.orders;
+                    let orders = self.on_heartbeat(&report, cache, now)?.commands;
                     if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
                         machine.relayed_by = Some(Relayer { controller: from.clone(), at: now });
                     }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -153,7 +153,7 @@
         live: Option<&LiveJob>,
         run: &ObservedRun,
     ) {
-        let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
+        let Some(live) = live.filter(|live| live.spec.kind != JobKind::Service) else { return };
         // A faulty machine shows nothing about its tasks.
         let faulty = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
         if !self.is_learning() || self.fleet.machines.get(machine).is_some_and(faulty) {
@@ -223,7 +223,7 @@
 
     /// What is known of a job's run times, not older than a few seconds.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
-        if live.spec.shape == JobKind::Service || !self.is_learning() {
+        if live.spec.kind == JobKind::Service || !self.is_learning() {
             return None;
         }
         let known = self.runtime_predictor.seen.get(id).and_then(|seen| seen.known);
@@ -255,7 +255,7 @@
             known.is_none_or(|(_, at)| now >= at + ESTIMATE_MAX_AGE)
         };
         let turn = live[from..].iter().chain(&live[..from]).enumerate();
-        let arrays = turn.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
+        let arrays = turn.filter(|(_, (_, job))| job.spec.kind != JobKind::Service);
         let due: Vec<_> =
             arrays.filter(|(_, (id, _))| stale(id)).take(ESTIMATES_PER_PASS).collect();
         self.runtime_predictor.pass_from = from + due.last().map_or(0, |(n, _)| n + 1);
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -75,7 +75,7 @@
     pub(super) fn on_exit(&mut self, exit: &TaskExit, cache: &Cache, now: Instant) {
         self.note_vacated(exit, now);
         let live = self.live(cache, &exit.task.job);
-        let done = exit.why == DONE && live.is_some_and(|l| l.spec.shape != JobKind::Service);
+        let done = exit.why == DONE && live.is_some_and(|l| l.spec.kind != JobKind::Service);
         let first_report = live.is_some_and(|live| !self.is_completing(&exit.task, live));
         if (done && first_report) || exit.was_stopped() {
             let run = self.observed_run(exit, done, now);
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -30,7 +30,7 @@
                         task,
                         attempt,
                         state: TaskState::Running,
-                        why: None,
+                        exit_cause: None,
                         saved: None,
                     }),
                     WorkerCommand::Stop { task, attempt, .. } => {
@@ -38,7 +38,7 @@
                             here.iter_mut().find(|t| (&t.task, t.attempt) == (&task, attempt));
                         if let Some(ended) = ended {
                             ended.state = TaskState::Exited;
-                            ended.why = Some("halted".into());
+                            ended.exit_cause = Some("halted".into());
                         }
                     }
                     WorkerCommand::Forget { task, attempt } => {
@@ -67,7 +67,7 @@
     let urgent = bench.job("wk-2", JobKind::Service, 14);
     let Some(job) = bench.store.cache.jobs.all.get_mut(&urgent) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
+    Arc::make_mut(&mut live.spec).priority = Priority::Production;
     for _ in 0..4 {
         second(&mut bench);
     }
--- a/src/scheduler/tests/failures.rs
+++ b/src/scheduler/tests/failures.rs
@@ -68,7 +68,7 @@
             let mut tasks = [tasks, task_statuses(&orders, TaskState::Running)].concat();
             tasks.retain(|task| task.state == TaskState::Running);
             for task in tasks.iter_mut().filter(|task| machine == "i-1" || is_job_faulty(task)) {
-                (task.state, task.why) = (TaskState::Exited, Some("error".into()));
+                (task.state, task.exit_cause) = (TaskState::Exited, Some("error".into()));
             }
             held.insert(machine, tasks);
         }
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -52,7 +52,7 @@
         let live = bench.store.cache.jobs.all.get_mut(&service);
         let Some(JobBody::Live(live)) = live.map(|job| &mut job.body) else { panic!() };
         let spec = Arc::make_mut(&mut live.spec);
-        (spec.urgency, spec.class) = (Priority::Production, "urgent".into());
+        (spec.priority, spec.class) = (Priority::Production, "urgent".into());
         for _ in 0..5 {
             bench.pass(Duration::from_millis(500));
         }
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -39,7 +39,7 @@
 
     pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
         let spec = JobSpec {
-            shape,
+            kind: shape,
             cpus: 4.0,
             ram_gb: 4.0,
             spot: shape == JobKind::Array,
@@ -63,7 +63,7 @@
         let report = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: 1,
@@ -76,7 +76,7 @@
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
-        orders.orders
+        orders.commands
     }
 
     pub(super) fn pass(&mut self, time: Duration) {
@@ -92,7 +92,7 @@
             task: task.clone(),
             attempt: *attempt,
             state,
-            why: (state == TaskState::Exited).then(|| "halted".into()),
+            exit_cause: (state == TaskState::Exited).then(|| "halted".into()),
             saved: None,
         }),
         _ => None,
@@ -103,7 +103,7 @@
 /// What the worker shows of tasks that it was told to start and that all failed.
 pub(super) fn failed_statuses(orders: &[WorkerCommand]) -> Vec<TaskStatus> {
     let mut tasks = task_statuses(orders, TaskState::Exited);
-    tasks.iter_mut().for_each(|task| task.why = Some("error".into()));
+    tasks.iter_mut().for_each(|task| task.exit_cause = Some("error".into()));
     tasks
 }
 
@@ -143,7 +143,7 @@
         task: TaskId { job: job.clone(), index: 0 },
         attempt: Attempt(attempt),
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         saved: None,
     }
 }
--- a/src/scheduler/tests/job_machines.rs
+++ b/src/scheduler/tests/job_machines.rs
@@ -15,7 +15,7 @@
         task: TaskId::parse("wk-1/5").unwrap(),
         attempt: Attempt(7),
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         saved: None,
     };
     bench.report("i-1", vec![found]);
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -57,7 +57,7 @@
                 },
                 attempt: Attempt(u64::from(index) + 1),
                 state: TaskState::Running,
-                why: None,
+                exit_cause: None,
                 saved: None,
             };
             (0..3).for_each(|job| {
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -21,7 +21,7 @@
         let id = bench.job("wk-1", JobKind::Array, 400);
         let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
         let JobBody::Live(live) = &mut job.body else { panic!() };
-        Arc::make_mut(&mut live.spec).urgency = Priority::Low;
+        Arc::make_mut(&mut live.spec).priority = Priority::Low;
         for _ in 0..20 {
             bench.scheduler.adjust_pace(late, bench.now);
             bench.pass(PACE_ADJUSTMENT_INTERVAL);
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -37,7 +37,7 @@
     let id = bench.job("wk-3", JobKind::Service, 1);
     let Some(job) = bench.store.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
+    Arc::make_mut(&mut live.spec).priority = Priority::Production;
     bench.pass(MIN_PASS_INTERVAL * 5);
     let stopped = |machine: &Machine| machine.attempts.values().any(|e| e.stop.is_some());
     let stopped: Vec<_> = bench.scheduler.fleet.machines.values().map(stopped).collect();
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -30,7 +30,7 @@
     bench.report("i-1", task_statuses(&orders, TaskState::Running));
     bench.now += Duration::from_secs(run_s);
     let mut ended = task_statuses(&orders, TaskState::Exited);
-    ended.iter_mut().for_each(|task| task.why = Some("done".into()));
+    ended.iter_mut().for_each(|task| task.exit_cause = Some("done".into()));
     ended
 }
 
@@ -119,7 +119,7 @@
     bench.job("wk-1", JobKind::Array, 4);
     let running = ended.iter().cloned().map(|task| TaskStatus {
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         ..task
     });
     bench.report("i-1", running.collect());
--- a/src/scheduler/unreachable.rs
+++ b/src/scheduler/unreachable.rs
@@ -91,7 +91,7 @@
         machine.attempts.iter().any(|((task, _), entry)| {
             let job = cache.jobs.get(&task.job).and_then(Job::live);
             entry.state != TaskState::Exited
-                && job.is_some_and(|job| job.spec.shape == JobKind::Service)
+                && job.is_some_and(|job| job.spec.kind == JobKind::Service)
         })
     }
 
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -257,7 +257,7 @@
             && self.machine_types.revision < rev
         {
             self.machine_types.revision = rev;
-            wire::merge(&mut self.machine_types.value, types);
+            wire::merge_machine_types(&mut self.machine_types.value, types);
         }
     }
 
@@ -266,7 +266,7 @@
             && self.machine_type_keys.get(key).is_none_or(|known| *known < rev)
         {
             self.machine_type_keys.insert(key.to_owned(), rev);
-            wire::merge(&mut self.machine_types.value, vec![machine_type]);
+            wire::merge_machine_types(&mut self.machine_types.value, vec![machine_type]);
         }
     }
 
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -60,7 +60,11 @@
             None => DirectCall::Status,
             Some(agent_epoch) => {
                 let orders = self.commands.into_iter().map(WorkerCommand::from).collect();
-                DirectCall::Do(CommandBatch { token, agent_epoch: Some(agent_epoch), orders })
+                DirectCall::Do(CommandBatch {
+                    token,
+                    agent_epoch: Some(agent_epoch),
+                    commands: orders,
+                })
             }
         }
     }
--- a/src/workers/command_delivery/pending.rs
+++ b/src/workers/command_delivery/pending.rs
@@ -89,7 +89,7 @@
             DirectCall::Do(batch) => Some(batch),
         };
         let agent_epoch = batch.as_ref().and_then(|batch| batch.agent_epoch);
-        let commands = batch.iter().flat_map(|batch| batch.orders.iter().cloned());
+        let commands = batch.iter().flat_map(|batch| batch.commands.iter().cloned());
         let commands = commands.map(RelayedCommand::from).collect();
         let delivery =
             Delivery { number, machine: machine.clone(), address, agent_epoch, commands };
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -16,14 +16,14 @@
 fn start(token: u64) -> CommandBatch {
     let order =
         WorkerCommand::Start { task: TaskId::parse("wk-1/0").unwrap(), attempt: Attempt(9) };
-    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![order] }
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), commands: vec![order] }
 }
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         machine: machine(),
         address: String::new(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 2,
@@ -59,7 +59,7 @@
         panic!()
     };
     assert_eq!((orders.token, orders.agent_epoch), (FencingToken(3), Some(2)));
-    assert_eq!(orders.orders, start(3).orders);
+    assert_eq!(orders.commands, start(3).commands);
     // A call of its own, or for another leader, is none of its business.
     assert!(!forwarded.end(&machine(), Some(&start(4)), &Ok(heartbeat()), now));
     assert!(!forwarded.end(&machine(), None, &Ok(heartbeat()), now));
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -116,7 +116,7 @@
             TaskState::Exited if !attempt.exit_handled => events.push(TaskEvent::Exited {
                 task: key.0,
                 attempt: key.1,
-                why: status.why.clone().unwrap_or_default(),
+                why: status.exit_cause.clone().unwrap_or_default(),
                 saved: status.saved.unwrap_or(false),
             }),
             _ => {}
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -24,7 +24,7 @@
     Heartbeat {
         machine: MachineId::new("i-1"),
         address: "10.1.0.1:9000".into(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "z".into(),
         spot: false,
         agent_epoch,
@@ -37,7 +37,7 @@
                 task: task(*index),
                 attempt: Attempt(*attempt),
                 state: *state,
-                why: (*state == TaskState::Exited).then(|| "no_room".into()),
+                exit_cause: (*state == TaskState::Exited).then(|| "no_room".into()),
                 saved: None,
             })
             .collect(),
--- a/tests/cluster/dag.rs
+++ b/tests/cluster/dag.rs
@@ -21,7 +21,7 @@
             let job = world.jobs.get_mut(&number).unwrap();
             job.spec.depends_on = (stage > 0).then(|| depends_on.collect());
             job.spec.due_s = (stage == 4).then_some(40.0);
-            job.spec.urgency = if stage == 4 { Priority::High } else { Priority::Low };
+            job.spec.priority = if stage == 4 { Priority::High } else { Priority::Low };
         }
     }
 }
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -75,7 +75,7 @@
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         assert_eq!(tasks_in_zone(&world, 1), 0, "seed {seed}");
         for (number, job) in &world.jobs {
-            let service = job.spec.shape == JobKind::Service;
+            let service = job.spec.kind == JobKind::Service;
             assert!(
                 job.told_done || service && world.running(*number) == 4,
                 "seed {seed}: {number}"
--- a/tests/cluster/machines_and_jobs.rs
+++ b/tests/cluster/machines_and_jobs.rs
@@ -46,7 +46,7 @@
         world.run(150_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
         let over = |job: &UserJob| job.told_done || job.cancellation_confirmed_ms.is_some();
-        let array = |job: &&UserJob| job.spec.shape == JobKind::Array;
+        let array = |job: &&UserJob| job.spec.kind == JobKind::Array;
         assert!(world.jobs.values().filter(array).all(over), "seed {seed}");
         starts += world.starts;
     }
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -127,7 +127,7 @@
         world.run(89_000);
         let start = |due: &&SimEvent| {
             matches!(due, SimEvent::DirectCall(_, _, _, DirectCall::Do(orders))
-            if orders.orders.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
+            if orders.commands.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
         };
         held += world.held.iter().filter(start).count();
         world.run(110_000);
--- a/tests/cluster/rolling_upgrade.rs
+++ b/tests/cluster/rolling_upgrade.rs
@@ -16,7 +16,7 @@
     // So large that its marks don't fit one value, accepted by the old version.
     world.submit_at(2500, 20, false, Some(112_000));
     world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
-    world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
+    world.jobs.get_mut(&20).unwrap().spec.priority = Priority::Low;
     for (n, node) in order.into_iter().enumerate() {
         world.at(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
     }
@@ -32,7 +32,7 @@
     assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
     assert!(world.old == [false; CONTROLLERS] && before == 0);
     assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
-    for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
+    for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.kind == JobKind::Array) {
         let over = job.told_done || job.cancellation_confirmed_ms.is_some();
         assert!(over, "seed {seed}, {faults:?}: {number} is not over");
     }
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -137,9 +137,9 @@
         if job.last_good + 75_000 < world.now_ms {
             world.violations.push(format!("forgotten: nobody is told of {n}"));
         }
-        if job.spec.shape == JobKind::Service && !cancelled && world.running(*n) != 4 {
+        if job.spec.kind == JobKind::Service && !cancelled && world.running(*n) != 4 {
             world.violations.push(format!("service {n} does not run"));
-        } else if job.spec.shape != JobKind::Service && !job.told_done && !cancelled {
+        } else if job.spec.kind != JobKind::Service && !job.told_done && !cancelled {
             world.violations.push(format!("{n} is not over"));
         }
     }
--- a/tests/wire_format/protocol.rs
+++ b/tests/wire_format/protocol.rs
@@ -26,15 +26,15 @@
         id: JobId::new("wk-000412"),
         class: "nightly".into(),
         team: "team-a".into(),
-        shape: JobKind::Gang,
-        urgency: Priority::Low,
+        kind: JobKind::Gang,
+        priority: Priority::Low,
         tasks: 20,
         cpus: 1.5,
         gpus: 0.25,
         ram_gb: 3.1,
         image: "img-07".into(),
         image_gb: 1.2,
-        flavors: Some(vec!["g8".into(), "c16".into()]),
+        machine_types: Some(vec!["g8".into(), "c16".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
@@ -50,12 +50,12 @@
 /// With nothing that may be missing.
 pub(crate) fn plain_job_spec() -> JobSpec {
     JobSpec {
-        shape: JobKind::Array,
-        urgency: Priority::Production,
+        kind: JobKind::Array,
+        priority: Priority::Production,
         one_zone: false,
         spread: true,
         spot: false,
-        flavors: None,
+        machine_types: None,
         zone: None,
         due_s: None,
         depends_on: None,
@@ -68,17 +68,20 @@
 }
 
 fn reported(state: TaskState) -> TaskStatus {
-    TaskStatus { task: task(), attempt: attempt(), state, why: None, saved: None }
+    TaskStatus { task: task(), attempt: attempt(), state, exit_cause: None, saved: None }
 }
 
 pub(crate) fn report() -> Heartbeat {
-    let failed =
-        TaskStatus { why: Some("killed".into()), saved: Some(true), ..reported(TaskState::Exited) };
+    let failed = TaskStatus {
+        exit_cause: Some("killed".into()),
+        saved: Some(true),
+        ..reported(TaskState::Exited)
+    };
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
     Heartbeat {
         machine: MachineId::new("i-000231"),
         address: "10.1.0.232:9000".into(),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 300,
@@ -123,8 +126,8 @@
 
 pub(crate) fn hire() -> RentalRequest {
     RentalRequest {
-        request: "r-41-7".into(),
-        flavor: "g8".into(),
+        request_id: "r-41-7".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 50,
@@ -139,7 +142,7 @@
     ListedMachine {
         machine: MachineId::new("i-000231"),
         address: Some("10.1.0.232:9000".into()),
-        flavor: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         status,
@@ -212,7 +215,7 @@
 }
 
 fn workers() -> Vec<Sample> {
-    let answer = CommandBatch { token: FencingToken(41), agent_epoch: None, orders: orders() };
+    let answer = CommandBatch { token: FencingToken(41), agent_epoch: None, commands: orders() };
     let command = CommandBatch { agent_epoch: Some(300), ..answer.clone() };
     vec![
         Sample::cbor("report", &report()),
@@ -230,7 +233,7 @@
         [ListedMachineState::Starting, ListedMachineState::Running, ListedMachineState::Failed];
     let last = MachinePage { machines: states.map(listed).to_vec(), truncated: false };
     vec![
-        Sample::cbor("flavors", &MachineTypes { flavors: vec![flavor(), plain_flavor()] }),
+        Sample::cbor("flavors", &MachineTypes { types: vec![flavor(), plain_flavor()] }),
         Sample::cbor_without("flavor-least", &plain_flavor(), &["cacheGb", "pullGbPerS"]),
         Sample::cbor("hire", &hire()),
         Sample::cbor("cloud-error", &CloudError { error: "no capacity".into() }),
