--- a/crates/protocol/src/operator_api.rs
+++ b/crates/protocol/src/operator_api.rs
@@ -33,7 +33,8 @@
     /// Team that owns the job.
     pub team: String,
     /// Probability that the job misses its deadline, from 0 to 1.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub late_probability: f64,
     /// Seconds until the deadline.
     pub due_in_s: f64,
     /// Median of the predicted seconds until the job finishes.
@@ -122,7 +123,8 @@
     /// Reason for the drain, for operators to read.
     pub reason: String,
     /// Number of tasks that are still there; known only to the leader.
-    pub left: Option<u64>,
+    #[serde(rename = "left")]
+    pub remaining: Option<u64>,
     /// Number of those tasks that can neither be moved nor finish before the deadline.
     pub stuck: Option<u64>,
 }
@@ -142,7 +144,8 @@
     /// Team that owns the jobs.
     pub team: String,
     /// Capacity allocated to the group's tasks.
-    pub held: f64,
+    #[serde(rename = "held")]
+    pub allocated: f64,
     /// Minimum capacity for the group.
     pub floor: f64,
     /// Capacity needed to serve the group's work as fast as it arrives.
@@ -161,7 +164,8 @@
     /// Machines that are up or booting, in machines of the largest type.
     pub machines: f64,
     /// Whether no more machines can be rented.
-    pub nothing_to_rent: bool,
+    #[serde(rename = "nothing_to_rent")]
+    pub exhausted: bool,
     /// The groups below their floors.
     pub groups: Vec<GroupBelowFloor>,
 }
@@ -178,11 +182,13 @@
     /// Whether the group may not use spot machines.
     pub ordinary: bool,
     /// Capacity allocated to the group's tasks.
-    pub held: f64,
+    #[serde(rename = "held")]
+    pub allocated: f64,
     /// Capacity that the group's waiting tasks would use.
     pub waiting: f64,
     /// Machine-seconds of job arrays that arrived in this term, from their expected run times.
-    pub came: f64,
+    #[serde(rename = "came")]
+    pub arrived: f64,
     /// Minimum capacity for the group.
     pub floor: f64,
 }
--- a/crates/troutspindlectl/src/ask.rs
+++ b/crates/troutspindlectl/src/ask.rs
@@ -118,7 +118,7 @@
     /// # Errors
     /// As above.
     pub async fn drains(&self) -> Result<Drains, AskError> {
-        let told = |drains: &Drains| drains.drains.iter().all(|drain| drain.left.is_some());
+        let told = |drains: &Drains| drains.drains.iter().all(|drain| drain.remaining.is_some());
         first(self.all(DRAINS_PATH, &self.question()).await, told)
     }
 
--- a/crates/troutspindlectl/src/bound.rs
+++ b/crates/troutspindlectl/src/bound.rs
@@ -64,13 +64,17 @@
         for group in &line.groups {
             let alike =
                 |other: &&GroupDemand| (&other.class, &other.team) == (&group.class, &group.team);
-            let before = before.iter().find(alike).filter(|_| same).map_or(0.0, |group| group.came);
-            let asked =
-                if group.service { group.held + group.waiting } else { group.came - before };
+            let before =
+                before.iter().find(alike).filter(|_| same).map_or(0.0, |group| group.arrived);
+            let asked = if group.service {
+                group.allocated + group.waiting
+            } else {
+                group.arrived - before
+            };
             let name = |group: &GroupDemand| (group.class.clone(), group.team.clone());
             let sums = slot.groups.entry(name(group)).or_default();
             sums.0 += asked;
-            sums.1 += group.held;
+            sums.1 += group.allocated;
             let (service, ordinary) = self.kinds.entry(name(group)).or_insert((true, true));
             *service &= group.service;
             *ordinary &= group.ordinary;
--- a/crates/troutspindlectl/src/bound/tests.rs
+++ b/crates/troutspindlectl/src/bound/tests.rs
@@ -7,9 +7,9 @@
         team: "t".into(),
         service: class == "s",
         ordinary: class == "s",
-        held,
+        allocated: held,
         waiting: 10.0,
-        came,
+        arrived: came,
         floor: 0.0,
     };
     let groups = vec![group("s", service, 0.0), group("a", 5.0, came)];
--- a/crates/troutspindlectl/src/cli.rs
+++ b/crates/troutspindlectl/src/cli.rs
@@ -185,7 +185,7 @@
             job.job,
             job.class,
             job.team,
-            job.late * 100.0,
+            job.late_probability * 100.0,
             job.due_in_s,
             job.done_in_s,
             job.done_tasks,
@@ -204,7 +204,7 @@
     let Some(scarce_s) = found.scarce_for_s else {
         return format!("leader {}: room is not scarce\n", found.leader);
     };
-    let rent = if found.nothing_to_rent { "nothing to rent" } else { "more can be rented" };
+    let rent = if found.exhausted { "nothing to rent" } else { "more can be rented" };
     let (leader, since, machines) = (&found.leader, seconds(scarce_s), found.machines);
     let mut text = format!("leader {leader}: scarce for {since}, {machines:.0} machines, {rent}\n");
     if found.groups.is_empty() {
@@ -217,7 +217,7 @@
             "{} of {}: has {:.1} machines of a floor of {:.1} (needs {:.1})  {}\n",
             group.class,
             group.team,
-            group.held,
+            group.allocated,
             group.floor,
             group.needed,
             causes.join(", ")
@@ -236,7 +236,7 @@
     let kind = format!("{:?}", drain.kind).to_lowercase();
     let by =
         drain.by_in_s.map_or("no time set".into(), |s| format!("to be done in {}", seconds(s)));
-    let left = match (drain.left, drain.stuck) {
+    let left = match (drain.remaining, drain.stuck) {
         (Some(0), _) => "empty".into(),
         (Some(left), Some(0)) => format!("{left} tasks left"),
         (Some(left), Some(stuck)) => {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -242,7 +242,7 @@
                     stuck += u64::from(self.is_stuck(task, entry, drain.by_in_s, cache, now));
                 }
             }
-            (drain.left, drain.stuck) = (Some(left), Some(stuck));
+            (drain.remaining, drain.stuck) = (Some(left), Some(stuck));
         }
         drains
     }
@@ -281,7 +281,7 @@
         since_s: (now_ms - record.at_ms as f64) / 1000.0,
         author: record.author.clone(),
         reason: record.reason.clone(),
-        left: None,
+        remaining: None,
         stuck: None,
     });
     Drains { drains: drains.collect() }
--- a/src/scheduler/fair_share/demand_report.rs
+++ b/src/scheduler/fair_share/demand_report.rs
@@ -81,9 +81,9 @@
             team,
             service: fair_share.service_groups.contains(group),
             ordinary: demand.ordinary,
-            held: machines_to_hundredths(demand.allocated),
+            allocated: machines_to_hundredths(demand.allocated),
             waiting: machines_to_hundredths(demand.waiting),
-            came: fair_share.arrived.get(group).map_or(0.0, |work| work.round()),
+            arrived: fair_share.arrived.get(group).map_or(0.0, |work| work.round()),
             floor: machines_to_hundredths(floor),
         }
     }
@@ -99,7 +99,7 @@
             leader: self.settings.platform.host_name.to_string(),
             scarce_for_s: since.map(|since| elapsed.saturating_sub(since).as_secs_f64()),
             machines: machines(fair_share.supply.total()),
-            nothing_to_rent: fair_share.supply.exhausted,
+            exhausted: fair_share.supply.exhausted,
             groups: below
                 .map(|(group, group_share)| self.starving_group(group, group_share))
                 .collect(),
@@ -114,7 +114,7 @@
         GroupBelowFloor {
             class,
             team,
-            held: machines(group_share.allocated),
+            allocated: machines(group_share.allocated),
             floor: machines(group_share.floor),
             needed: machines(needed),
             waits_for: causes.map(|(key, tasks)| (key.cause.to_owned(), *tasks)).collect(),
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -392,7 +392,7 @@
                 job: id.clone(),
                 class: seen.spec.class.clone(),
                 team: seen.spec.team.clone(),
-                late: seen.late,
+                late_probability: seen.late,
                 due_in_s: (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0,
                 done_in_s: seen.done_in_s,
                 done_tasks: live.completed_count(),
@@ -402,7 +402,11 @@
         };
         let mut jobs: Vec<JobAtRisk> =
             self.runtime_predictor.seen.iter().filter_map(risky).collect();
-        jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
+        jobs.sort_by(|a, b| {
+            b.late_probability
+                .total_cmp(&a.late_probability)
+                .then(a.due_in_s.total_cmp(&b.due_in_s))
+        });
         let counts = &self.runtime_predictor;
         JobsAtRisk {
             leader: self.settings.platform.host_name.to_string(),
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -66,7 +66,7 @@
     // By the rate at which its 400 tasks of 10 s came the array needs 13 machines and the service needs
     // 4, so the array's floor is three quarters of what there is.
     assert_eq!(array, 12, "{starving:?}");
-    assert!(starving.scarce_for_s.is_some() && starving.nothing_to_rent);
+    assert!(starving.scarce_for_s.is_some() && starving.exhausted);
     let below: Vec<&str> = starving.groups.iter().map(|group| group.class.as_str()).collect();
     assert_eq!(below, ["urgent"], "its room is not free yet");
 }
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -107,7 +107,7 @@
         if !is_partitioned {
             let node = world.nodes[world.leader()].as_ref().unwrap();
             let told = node.scheduler.as_ref().unwrap().drains(&node.store.cache, world.now());
-            assert_eq!((told.drains[0].left, told.drains[0].stuck), (Some(2), Some(2)));
+            assert_eq!((told.drains[0].remaining, told.drains[0].stuck), (Some(2), Some(2)));
             assert_eq!(world.running(1), 4);
         }
         if is_partitioned {
--- a/tests/wire_format/operators.rs
+++ b/tests/wire_format/operators.rs
@@ -31,13 +31,13 @@
         since_s: 30.25,
         author: "ana".into(),
         reason: "cooling".into(),
-        left: Some(7),
+        remaining: Some(7),
         stuck: Some(2),
     }
 }
 
 fn plain_drain() -> Drain {
-    Drain { kind: DrainKind::Controller, by_in_s: None, left: None, stuck: None, ..drain() }
+    Drain { kind: DrainKind::Controller, by_in_s: None, remaining: None, stuck: None, ..drain() }
 }
 
 fn at_risk() -> JobsAtRisk {
@@ -45,7 +45,7 @@
         job: JobId::new("wk-000412"),
         class: "nightly".into(),
         team: "team-a".into(),
-        late: 0.75,
+        late_probability: 0.75,
         due_in_s: 300.5,
         done_in_s: 400.25,
         done_tasks: 7,
@@ -66,7 +66,7 @@
     let group = GroupBelowFloor {
         class: "nightly".into(),
         team: "team-a".into(),
-        held: 1.5,
+        allocated: 1.5,
         floor: 2.5,
         needed: 3.5,
         waits_for: BTreeMap::from([("room".into(), 12), ("its team's limit".into(), 3)]),
@@ -75,7 +75,7 @@
         leader: "n-1".into(),
         scarce_for_s: Some(60.5),
         machines: 31.25,
-        nothing_to_rent: true,
+        exhausted: true,
         groups: vec![group],
     }
 }
@@ -86,9 +86,9 @@
         team: "team-a".into(),
         service: true,
         ordinary: false,
-        held: 1.5,
+        allocated: 1.5,
         waiting: 2.5,
-        came: 3.5,
+        arrived: 3.5,
         floor: 4.5,
     };
     DemandLog {
