--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -52,9 +52,9 @@
 /// Capacity of the machines that are up or booting.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Supply {
-    /// Ordinary machines.
+    /// Capacity of ordinary machines.
     pub ordinary: Capacity,
-    /// Spot machines.
+    /// Capacity of spot machines.
     pub spot: Capacity,
     /// Whether nothing more can be rented now: the cloud refuses every combination of machine type and zone, the cloud
     /// is unavailable, or the controllers cannot manage more machines.
@@ -214,7 +214,7 @@
     arrivals: BTreeMap<K, Arrivals>,
     /// Time since which sustained demand has exceeded an exhausted supply.
     demand_above_since: Option<Duration>,
-    /// Time since which it has been below [`EXIT_THRESHOLD`] of the supply, or more could be rented.
+    /// Time since which that demand has been below [`EXIT_THRESHOLD`] of the supply, or more could be rented.
     demand_below_since: Option<Duration>,
     scarce_since: Option<Duration>,
     group_shares: BTreeMap<K, GroupShare>,
