--- a/crates/protocol/src/wire.rs
+++ b/crates/protocol/src/wire.rs
@@ -1,7 +1,7 @@
-//! The messages of the protocol: this module alone knows the protocol's own words and maps each once, by
-//! serde's `rename`, to the field's terms.
+//! Message types of the protocol. Only this module uses the names on the wire; serde's `rename` maps each to the usual
+//! term.
 //!
-//! | on the wire | here | in |
+//! | Name on the wire | Rust name | Types |
 //! |---|---|---|
 //! | `sweep` | `Array` | [`JobKind`] |
 //! | `service` | `Service` | [`JobKind`] |
@@ -22,10 +22,13 @@
 //! | `hall` | `zone` | [`JobSpec`], [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
 //! | `samePlace` | `one_zone` | [`JobSpec`] |
 //! | `lendable` | `spot` | [`JobSpec`], [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
+//! | `shape` | `kind` | [`JobSpec`] |
+//! | `urgency` | `priority` | [`JobSpec`] |
+//! | `flavors` | `machine_types` | [`JobSpec`] |
 //! | `expectS` | `expect_s` | [`JobSpec`] |
 //! | `snapshotEveryS` | `checkpoint_s` | [`JobSpec`] |
 //! | `snapshotS` | `save_s` | [`JobSpec`] |
-//! | `dueS` | `default` | [`JobSpec`] |
+//! | `dueS` | `due_s` | [`JobSpec`] |
 //! | `waitsOn` | `depends_on` | [`JobSpec`] |
 //! | `pending` | `Queued` | [`JobStatus`] |
 //! | `running` | `Running` | [`JobStatus`], [`TaskState`] |
@@ -38,7 +41,7 @@
 //! | `leg` | `task` | [`TaskStatus`], [`WorkerCommand`] |
 //! | `try` | `attempt` | [`TaskStatus`], [`WorkerCommand`] |
 //! | `status` | `state` | [`TaskStatus`] |
-//! | `exitCause` | `why` | [`TaskStatus`] |
+//! | `exitCause` | `exit_cause` | [`TaskStatus`] |
 //! | `spindle` | `machine` | [`Heartbeat`] |
 //! | `tenure` | `agent_epoch` | [`Heartbeat`], [`CommandBatch`] |
 //! | `tally` | `seq` | [`Heartbeat`] |
@@ -46,6 +49,7 @@
 //! | `recallS` | `notice_s` | [`Heartbeat`] |
 //! | `run` | `Start` | [`WorkerCommand`] |
 //! | `halt` | `Stop` | [`WorkerCommand`] |
+//! | `orders` | `commands` | [`CommandBatch`] |
 //! | `windDownS` | `grace_s` | [`WorkerCommand`] |
 //! | `forget` | `Forget` | [`WorkerCommand`] |
 //! | `foreman` | `leader` | [`NotLeader`] |
@@ -54,14 +58,16 @@
 //! | `marketPrice` | `spot_price` | [`MachineType`] |
 //! | `startupS` | `boot_s` | [`MachineType`] |
 //! | `halls` | `zones` | [`MachineType`] |
-//! | `hire` | `request` | [`RentalRequest`] |
+//! | `hire` | `request_id` | [`RentalRequest`] |
+//! | `flavor` | `machine_type` | [`Heartbeat`], [`RentalRequest`], [`ListedMachine`] |
+//! | `flavors` | `types` | [`MachineTypes`] |
 //! | `spindles` | `machines` | [`MachineIds`], [`MachinePage`] |
 //! | `nameId` | `machine` | [`ListedMachine`] |
 //! | `heldS` | `age_s` | [`ListedMachine`] |
 //! | `keyRev` | `rev` | [`Precondition`], [`KeyValue`], [`WatchEvent`] |
 //! | `write` | `key` | [`Write`] |
 //! | `remove` | `key` | [`Write`] |
-//! | `preconditions` | `preconditions` | [`Transaction`] |
+//! | `guards` | `preconditions` | [`Transaction`] |
 //! | `news` | `events` | [`WatchResponse`] |
 //! | `storeRev` | `rev` | [`CommitResponse`], [`RangeResponse`], [`WatchResponse`] |
 //! | `write` | `put` | [`WatchEvent`] |
@@ -78,7 +84,7 @@
 
 pub use cloud::{
     CloudError, ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType,
-    MachineTypes, RentalRequest, merge,
+    MachineTypes, RentalRequest, merge_machine_types,
 };
 pub use codec::{WireError, decode, encode, hex, unhex};
 pub use job::{JobKind, JobName, JobSpec, JobStatus, JobView, Priority};
--- a/src/api.rs
+++ b/src/api.rs
@@ -291,7 +291,7 @@
 
     fn retry_later(&mut self) -> Response {
         self.rejected += 1;
-        Response::later_in(503, retry_after_s(self.pending.len(), self.rejected))
+        Response::retry_after(503, retry_after_s(self.pending.len(), self.rejected))
     }
 
     fn finish_with_retry(&mut self, ticket: u64) -> Response {
--- a/src/controller/delegated_answers.rs
+++ b/src/controller/delegated_answers.rs
@@ -23,7 +23,7 @@
         let stored_leader = self.store.cache.leader.as_ref().map(|leader| &leader.value.controller);
         match self.later_leader(now).or(stored_leader) {
             Some(leader) if leader != self.name() => redirect(leader),
-            _ => Response::later(503),
+            _ => Response::retry_later(503),
         }
     }
 
@@ -66,7 +66,7 @@
             .map(stop)
             .collect();
         tracing::debug!(machine = %heartbeat.machine, fencing_token = %token, "answered on behalf of the leader");
-        Some(CommandBatch { token, agent_epoch: None, orders: stops })
+        Some(CommandBatch { token, agent_epoch: None, commands: stops })
     }
 
     fn knows_cancellations_of(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
--- a/src/jobs/transitions.rs
+++ b/src/jobs/transitions.rs
@@ -120,7 +120,7 @@
     let newly_completed: BTreeSet<u32> = newly_completed.copied().collect();
     let mut completed = live.completed.clone();
     newly_completed.iter().for_each(|task| completed.insert(*task));
-    if live.spec.shape != JobKind::Service && completed.len() >= live.spec.tasks {
+    if live.spec.kind != JobKind::Service && completed.len() >= live.spec.tasks {
         let duplicates = Some(duplicate_attempts).filter(|n| *n > 0 && layout.is_second());
         let record = JobRecord {
             phase: JobPhase::Done,
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -321,7 +321,7 @@
                     self.record_accepted(pending.heartbeat, commands.is_empty());
                     let worker_commands = commands.into_iter().map(WorkerCommand::from).collect();
                     let commands =
-                        CommandBatch { token, agent_epoch: None, orders: worker_commands };
+                        CommandBatch { token, agent_epoch: None, commands: worker_commands };
                     replies.push(WorkerReply { ticket, commands });
                 }
             }
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -22,13 +22,13 @@
         task: TaskId::parse(name).unwrap(),
         attempt: Attempt(7),
         state: *state,
-        why: (*state == TaskState::Exited).then(|| "done".into()),
+        exit_cause: (*state == TaskState::Exited).then(|| "done".into()),
         saved: None,
     };
     Heartbeat {
         machine: MachineId::new(machine),
         address: "127.0.0.1:9".into(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
@@ -92,9 +92,9 @@
     let results = vec![(0, HeartbeatResult::Accepted(vec![command.clone()]))];
     let replies = relay.on_results(FencingToken(3), batch.number, results, now);
     let expected =
-        CommandBatch { token: FencingToken(3), agent_epoch: None, orders: vec![command.into()] };
+        CommandBatch { token: FencingToken(3), agent_epoch: None, commands: vec![command.into()] };
     assert_eq!(replies.len(), 1);
-    assert_eq!((replies[0].ticket, replies[0].commands.orders.clone()), (1, expected.orders));
+    assert_eq!((replies[0].ticket, replies[0].commands.commands.clone()), (1, expected.commands));
     relay.accept(2, heartbeat("i-1", 2, &[]), now).unwrap();
     assert!(matches!(
         relay_and_accept(&mut relay, now).heartbeats[..],
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -92,7 +92,7 @@
         self.direct_calls.all_dirty = true;
         match event {
             CloudEvent::MachineTypes(found) => {
-                crate::wire::merge(&mut self.fleet.machine_types, found);
+                crate::wire::merge_machine_types(&mut self.fleet.machine_types, found);
                 // The classification of tasks as heavy depends on the largest machine type.
                 self.fleet.machines.values_mut().for_each(Machine::invalidate_usage);
             }
--- a/src/scheduler/dependencies.rs
+++ b/src/scheduler/dependencies.rs
@@ -33,7 +33,10 @@
     /// Returns the priority by which a job is ordered, preempts others and is preempted: the highest of its own and
     /// those of all its dependents.
     pub(super) fn effective_priority(&self, id: &JobId, job: &LiveJob) -> Priority {
-        self.dependencies.inherited.get(id).map_or(job.spec.urgency, |inherited| inherited.priority)
+        self.dependencies
+            .inherited
+            .get(id)
+            .map_or(job.spec.priority, |inherited| inherited.priority)
     }
 
     /// Returns whether a job has an objective for its start or end: one of its class, or a deadline of its own or of a
@@ -74,7 +77,7 @@
                 !job.depends_on().is_empty() || self.settings.has_deadline(&job.spec.class);
             let due = job.spec.due_s.filter(|_| has_deadline);
             let due_ms = due.map(|due_s| job.accepted_ms.saturating_add((due_s * 1000.0) as u64));
-            InheritedPriority { priority: job.spec.urgency, due_ms }
+            InheritedPriority { priority: job.spec.priority, due_ms }
         };
         let jobs = live.iter().copied().collect();
         let use_learned = self.settings.operator.estimates.due;
@@ -85,7 +88,7 @@
         let previous = std::mem::replace(&mut self.dependencies.inherited, inherited);
         for (id, job) in live {
             let previous_priority =
-                previous.get(*id).map_or(job.spec.urgency, |inherited| inherited.priority);
+                previous.get(*id).map_or(job.spec.priority, |inherited| inherited.priority);
             let priority = self.effective_priority(id, job);
             let progress = self.jobs.progress.get(*id);
             let Some(progress) = progress.filter(|_| priority != previous_priority) else {
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -141,8 +141,8 @@
                 break;
             }
             let Some(live) = self.live(cache, id) else { continue };
-            let is_service = live.spec.shape == JobKind::Service;
-            let saves = live.spec.shape == JobKind::Array && live.spec.checkpoint_s > 0.0;
+            let is_service = live.spec.kind == JobKind::Service;
+            let saves = live.spec.kind == JobKind::Array && live.spec.checkpoint_s > 0.0;
             let running_task = |index: u32, placed: &Placement| {
                 let machine = self.fleet.machines.get(&placed.machine)?;
                 let key = (TaskId { job: id.clone(), index }, placed.attempt);
@@ -228,7 +228,7 @@
                 let spec = &live.spec;
                 let save_s = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
                 let early_s = if save_s > 0.0 { save_s + DRAIN_MARGIN_S } else { 0.0 };
-                if spec.shape != JobKind::Service && left_s <= early_s {
+                if spec.kind != JobKind::Service && left_s <= early_s {
                     let machine = machine.id.clone();
                     evacuations.push(Evacuation { key: key.clone(), machine, grace_s: save_s });
                 }
@@ -254,7 +254,7 @@
                     stuck += u64::from(self.is_stuck(task, entry, drain.by_in_s, cache, now));
                 }
             }
-            (drain.left, drain.stuck) = (Some(left), Some(stuck));
+            (drain.remaining, drain.stuck) = (Some(left), Some(stuck));
         }
         drains
     }
@@ -271,7 +271,7 @@
         let Some(live) = cache.jobs.get(&task.job).and_then(Job::live) else { return false };
         let spec = &live.spec;
         let pinned = spec.zone.as_ref().is_some_and(|zone| self.drains.drained.covers_zone(zone));
-        if spec.shape == JobKind::Service {
+        if spec.kind == JobKind::Service {
             let open_zones = self.drained_zones().iter().filter(|drained| !**drained).count();
             return pinned || open_zones == 0 || (spec.spread && open_zones == 1);
         }
@@ -293,7 +293,7 @@
         since_s: (now_ms - record.at_ms as f64) / 1000.0,
         author: record.author.clone(),
         reason: record.reason.clone(),
-        left: None,
+        remaining: None,
         stuck: None,
     });
     Drains { drains: drains.collect() }
--- a/src/scheduler/elastic_width.rs
+++ b/src/scheduler/elastic_width.rs
@@ -54,14 +54,18 @@
         let progress = self.jobs.progress.get(id)?;
         let width = progress.placed.len() as u64;
         let waiting = progress.waiting(job);
-        let elastic_job =
-            ElasticJob { need: job.request.cpu, width, most: elastic.max_width, waiting };
+        let elastic_job = ElasticJob {
+            task_request: job.request.cpu,
+            width,
+            max_width: elastic.max_width,
+            waiting,
+        };
         (width >= elastic.min_width).then_some(elastic_job)
     }
 
     /// Returns the elastic widths of an array's class, if it has any.
     fn elastic_class(&self, job: &LiveJob) -> Option<&ElasticClass> {
-        self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.shape == JobKind::Array)
+        self.settings.elastic_class(&job.spec.class).filter(|_| job.spec.kind == JobKind::Array)
     }
 
     fn width(&self, id: &JobId) -> u64 {
--- a/src/scheduler/fair_share.rs
+++ b/src/scheduler/fair_share.rs
@@ -80,7 +80,7 @@
 
     /// Returns whether capacity is scarce.
     pub(super) fn is_scarce(&self) -> bool {
-        self.scarcity.since().is_some()
+        self.scarcity.scarce_since().is_some()
     }
 
     /// Returns the capacity that each group holds above its floor; `None` while capacity is not
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -44,7 +44,7 @@
         let group = self.demand_group(job);
         let spec = &job.spec;
         let tasks = spec.tasks.saturating_sub(job.completed_count()) as f64;
-        let remaining_work = if spec.shape == JobKind::Service {
+        let remaining_work = if spec.kind == JobKind::Service {
             0.0
         } else {
             tasks * self.task_occupancy_s(id, job) * request.resources.cpu as f64
@@ -72,7 +72,10 @@
         for (group, group_share) in self.fair_share.scarcity.group_shares() {
             deficits.insert(
                 *group,
-                FloorDeficit { capacity: group_share.owed, reached: group_share.reached() },
+                FloorDeficit {
+                    capacity: group_share.deficit,
+                    reached: group_share.floor_fraction(),
+                },
             );
         }
         let mut prioritized: Vec<JobRequest> = Vec::new();
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -78,7 +78,7 @@
         (self.fair_share.demands, self.fair_share.supply) = (demands, supply);
         match change {
             Some(ScarcityChange::Began) => tracing::info!(
-                machines = supply.all() as f64 / UNITS_PER_MACHINE as f64,
+                machines = supply.total() as f64 / UNITS_PER_MACHINE as f64,
                 held_floor_needed = ?self.group_shares(),
                 waiting_for = ?self.statistics.waiting_by_cause,
                 "capacity is scarce"
@@ -96,7 +96,7 @@
         let group = known_group.unwrap_or_else(|| self.demand_group(job));
         let teams = &self.settings.platform.params.teams;
         let Some(team) = teams.get(group.team.index()) else { return };
-        let guest = team.guarantee().is_zero();
+        let unguaranteed = team.guarantee().is_zero();
         let task_capacity = machine_share(&job.request, &totals.largest);
         let occupancy_s = self.task_occupancy_s(id, job);
         let Some(progress) = self.jobs.progress.get_mut(id) else { return };
@@ -105,16 +105,16 @@
             return;
         }
         let (placed, waiting) = (progress.placed.len() as u64, progress.waiting(job));
-        let empty = Demand { ordinary: true, guest, ..Demand::default() };
+        let empty = Demand { ordinary: true, unguaranteed, ..Demand::default() };
         let demand = totals.demands.entry(group).or_insert(empty);
         demand.ordinary &= !job.spec.spot;
-        demand.held += task_capacity * placed;
+        demand.allocated += task_capacity * placed;
         demand.waiting += task_capacity * waiting;
         if progress.predates_term && totals.has_unconfirmed {
             *totals.maybe_started.entry(group).or_default() += task_capacity * waiting;
         }
-        if job.spec.shape == JobKind::Service {
-            demand.offered += task_capacity * (placed + waiting);
+        if job.spec.kind == JobKind::Service {
+            demand.offered_load += task_capacity * (placed + waiting);
             self.fair_share.service_groups.insert(group);
             return;
         }
@@ -157,12 +157,13 @@
         for (group, demand) in &mut demands {
             let maybe_started = maybe_started.get(group).copied().unwrap_or(0);
             let presumed_started = (maybe_started as f64 * started_share) as Capacity;
-            demand.held += presumed_started;
+            demand.allocated += presumed_started;
             demand.waiting -= presumed_started;
             let arrival_rate = self.fair_share.scarcity.arrival_rate(group, elapsed);
             // A backlog still needs capacity when no more work arrives.
             let backlog = backlog.get(group).map_or(0, |backlog| *backlog as Capacity);
-            demand.offered += (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
+            demand.offered_load +=
+                (arrival_rate.max(backlog) as f64 * ARRAY_DEMAND_SHARE) as Capacity;
             let headroom = fleet.team_headroom.get(group.team.index());
             let limit = headroom.map_or(0, |headroom| machine_share(headroom, &largest));
             demand.waiting = demand.waiting.min(limit);
@@ -189,7 +190,7 @@
                 let Some(group) = progress.demand_group else { continue };
                 if let Some(demand) = demands.get_mut(&group) {
                     let task_capacity = machine_share(&entry.request, largest);
-                    demand.held = demand.held.saturating_sub(task_capacity);
+                    demand.allocated = demand.allocated.saturating_sub(task_capacity);
                     demand.waiting += task_capacity;
                 }
             }
@@ -207,7 +208,7 @@
         let is_exhausted = || rental.remaining == 0 || self.are_rentals_impossible(fleet, cloud);
         let mut supply = Supply {
             exhausted: rental.allowed && is_exhausted(),
-            presumed: !self.fair_share.cloud_responded
+            presumed_exhausted: !self.fair_share.cloud_responded
                 && self.term.token.0 > 1
                 && elapsed < SCARCITY_PRESUMED_FOR,
             ..Supply::default()
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -76,7 +76,9 @@
     /// Returns the capacity of a machine of this type; zero for an unknown type.
     pub(super) fn capacity(&self, machine_type: usize) -> Amount {
         let found = self.machine_types.get(machine_type);
-        found.map(|found| Amount::room(found.cpus, found.gpus, found.ram_gb)).unwrap_or_default()
+        found
+            .map(|found| Amount::capacity(found.cpus, found.gpus, found.ram_gb))
+            .unwrap_or_default()
     }
 
     /// Adds a machine, or returns it if it is known. Indices are assigned round-robin over the zones, and a machine
--- a/src/scheduler/planning/starts.rs
+++ b/src/scheduler/planning/starts.rs
@@ -106,7 +106,7 @@
         };
         // The tasks of a gang find each other by their attempt, which all tasks of a generation
         // share.
-        let is_gang = live.spec.shape == JobKind::Gang;
+        let is_gang = live.spec.kind == JobKind::Gang;
         let gang_attempt = || progress.placed.values().map(|placed| placed.attempt).max();
         let attempt = match is_gang.then(gang_attempt).flatten() {
             Some(shared) => shared,
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -43,7 +43,8 @@
             return Some(self.answer(Vec::new()));
         }
         if !self.fleet.machines.contains_key(&heartbeat.machine) {
-            let Some(pool) = self.fleet.pool(&heartbeat.flavor, &heartbeat.zone, heartbeat.spot)
+            let Some(pool) =
+                self.fleet.pool(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot)
             else {
                 return Some(self.answer(Vec::new()));
             };
@@ -72,7 +73,7 @@
         self.direct_calls.dirty_machines.insert(id.clone());
         let answered = !matches!(heartbeat, Err(crate::http::CallError::Unknown));
         if let (Some(batch), true) = (sent, answered) {
-            machine.track_starts_in_flight(&batch.orders, -1);
+            machine.track_starts_in_flight(&batch.commands, -1);
         }
         match heartbeat {
             Ok(heartbeat) if heartbeat.machine == *id => {
@@ -110,7 +111,7 @@
 
     /// Returns the answer to a heartbeat that carries these commands.
     pub(super) fn answer(&self, commands: Vec<WorkerCommand>) -> CommandBatch {
-        CommandBatch { token: self.term.token, agent_epoch: None, orders: commands }
+        CommandBatch { token: self.term.token, agent_epoch: None, commands: commands }
     }
 
     /// Applies a heartbeat. Returns false if the worker has seen a higher fencing token than ours.
@@ -377,7 +378,7 @@
                 .filter(|_| use_estimates)
                 .and_then(|ran_s| self.runtime_predictor.remaining_s(&task.job, ran_s));
             let remaining_s = estimated_s.unwrap_or(live.spec.expect_s - ran_s.unwrap_or(0.0));
-            live.spec.shape != JobKind::Array || ran_s.is_none() || remaining_s >= left_s - 1.0
+            live.spec.kind != JobKind::Array || ran_s.is_none() || remaining_s >= left_s - 1.0
         };
         let keys: Vec<_> =
             machine.attempts.iter().filter(must_leave).map(|(k, _)| k.clone()).collect();
--- a/src/scheduler/relayed_heartbeats.rs
+++ b/src/scheduler/relayed_heartbeats.rs
@@ -28,7 +28,7 @@
             let result = match relayed {
                 RelayedHeartbeat::Full(heartbeat) => {
                     let heartbeat = Heartbeat::from(heartbeat);
-                    let commands = self.on_heartbeat(&heartbeat, cache, now)?.orders;
+                    let commands = self.on_heartbeat(&heartbeat, cache, now)?.commands;
                     if let Some(machine) = self.fleet.machines.get_mut(&heartbeat.machine) {
                         machine.relayed_by =
                             Some(Relayer { controller: from.clone(), received_at: now });
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -159,7 +159,7 @@
         live: Option<&LiveJob>,
         run: &ObservedRun,
     ) {
-        let Some(live) = live.filter(|live| live.spec.shape != JobKind::Service) else { return };
+        let Some(live) = live.filter(|live| live.spec.kind != JobKind::Service) else { return };
         // Run times on a machine that may be faulty are not representative.
         let suspect = |m: &Machine| m.faulty || !m.failed_jobs.is_empty();
         if !self.is_learning() || self.fleet.machines.get(machine).is_some_and(suspect) {
@@ -235,7 +235,7 @@
     /// Returns a job's estimate, recomputed if it is older than `ESTIMATE_MAX_AGE`; `None` for services and while
     /// learning is switched off.
     fn estimate(&mut self, id: &JobId, live: &LiveJob, now: Instant) -> Option<Estimate> {
-        if live.spec.shape == JobKind::Service || !self.is_learning() {
+        if live.spec.kind == JobKind::Service || !self.is_learning() {
             return None;
         }
         let latest = self.runtime_predictor.observations.get(id).and_then(|job| job.estimate);
@@ -267,7 +267,7 @@
             latest.is_none_or(|(_, at)| now >= at + ESTIMATE_MAX_AGE)
         };
         let rotated = live[start..].iter().chain(&live[..start]).enumerate();
-        let batch_jobs = rotated.filter(|(_, (_, job))| job.spec.shape != JobKind::Service);
+        let batch_jobs = rotated.filter(|(_, (_, job))| job.spec.kind != JobKind::Service);
         let stale: Vec<_> =
             batch_jobs.filter(|(_, (id, _))| is_stale(id)).take(ESTIMATES_PER_PASS).collect();
         self.runtime_predictor.next_refresh =
@@ -408,7 +408,7 @@
                 job: id.clone(),
                 class: job.spec.class.clone(),
                 team: job.spec.team.clone(),
-                late: job.late_probability,
+                late_probability: job.late_probability,
                 due_in_s: (due_ms as f64 - self.wall_clock.ms(now) as f64) / 1000.0,
                 done_in_s: job.done_in_s,
                 done_tasks: live.completed_count(),
@@ -418,7 +418,11 @@
         };
         let mut jobs: Vec<JobAtRisk> =
             self.runtime_predictor.observations.iter().filter_map(job_at_risk).collect();
-        jobs.sort_by(|a, b| b.late.total_cmp(&a.late).then(a.due_in_s.total_cmp(&b.due_in_s)));
+        jobs.sort_by(|a, b| {
+            b.late_probability
+                .total_cmp(&a.late_probability)
+                .then(a.due_in_s.total_cmp(&b.due_in_s))
+        });
         let counts = &self.runtime_predictor;
         JobsAtRisk {
             leader: self.settings.platform.host_name.to_string(),
--- a/src/scheduler/task_exit.rs
+++ b/src/scheduler/task_exit.rs
@@ -74,7 +74,7 @@
         self.record_vacated(exit, now);
         let live = self.live(cache, &exit.task.job);
         let completed =
-            exit.exit_cause == DONE && live.is_some_and(|live| live.spec.shape != JobKind::Service);
+            exit.exit_cause == DONE && live.is_some_and(|live| live.spec.kind != JobKind::Service);
         let first_report = live.is_some_and(|live| !self.is_completing(&exit.task, live));
         if (completed && first_report) || exit.was_stopped() {
             let run = self.observed_run(exit, completed, now);
--- a/src/scheduler/tests/elastic_width.rs
+++ b/src/scheduler/tests/elastic_width.rs
@@ -31,7 +31,7 @@
                         task,
                         attempt,
                         state: TaskState::Running,
-                        why: None,
+                        exit_cause: None,
                         saved: None,
                     }),
                     WorkerCommand::Stop { task, attempt, .. } => {
@@ -39,7 +39,7 @@
                             statuses.iter_mut().find(|t| (&t.task, t.attempt) == (&task, attempt));
                         if let Some(exited) = exited {
                             exited.state = TaskState::Exited;
-                            exited.why = Some("halted".into());
+                            exited.exit_cause = Some("halted".into());
                         }
                     }
                     WorkerCommand::Forget { task, attempt } => {
@@ -68,7 +68,7 @@
     let production = leader.job("wk-2", JobKind::Service, 14);
     let Some(job) = leader.store.cache.jobs.all.get_mut(&production) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
+    Arc::make_mut(&mut live.spec).priority = Priority::Production;
     for _ in 0..4 {
         run_one_second(&mut leader);
     }
--- a/src/scheduler/tests/failover.rs
+++ b/src/scheduler/tests/failover.rs
@@ -59,7 +59,7 @@
         }
         leader.store.cache.jobs.apply_record(id.clone(), &data, Revision(9));
         leader.begin_new_term();
-        let request = Amount::need(4.0, 0.0, 4.0);
+        let request = Amount::request(4.0, 0.0, 4.0);
         assert_eq!(leader.scheduler.jobs.orphaned_capacity.of(0), request.times(tasks), "{case}");
         leader.heartbeat("i-1", vec![]);
         leader.pass(MIN_PASS_INTERVAL * 5);
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -52,7 +52,7 @@
         let live = leader.store.cache.jobs.all.get_mut(&service);
         let Some(JobBody::Live(live)) = live.map(|job| &mut job.body) else { panic!() };
         let spec = Arc::make_mut(&mut live.spec);
-        (spec.urgency, spec.class) = (Priority::Production, "urgent".into());
+        (spec.priority, spec.class) = (Priority::Production, "urgent".into());
         for _ in 0..5 {
             leader.pass(Duration::from_millis(500));
         }
@@ -69,7 +69,7 @@
     // By the arrival rate of its 400 tasks of 10 s, the array needs 13 machines; the service needs
     // 4. The array's floor is therefore three quarters of the fleet.
     assert_eq!(array_tasks, 12, "{report:?}");
-    assert!(report.scarce_for_s.is_some() && report.nothing_to_rent);
+    assert!(report.scarce_for_s.is_some() && report.exhausted);
     let below: Vec<&str> = report.groups.iter().map(|group| group.class.as_str()).collect();
     assert_eq!(below, ["urgent"], "the capacity preempted for the service is not free yet");
 }
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -41,7 +41,7 @@
     /// Adds an accepted job to the cache and to the scheduler.
     pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
         let spec = JobSpec {
-            shape,
+            kind: shape,
             cpus: 4.0,
             ram_gb: 4.0,
             spot: shape == JobKind::Array,
@@ -69,7 +69,7 @@
         let heartbeat = Heartbeat {
             machine: MachineId::new(machine),
             address: "127.0.0.1:9000".into(),
-            flavor: "f".into(),
+            machine_type: "f".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: 1,
@@ -82,7 +82,7 @@
         for machine in self.scheduler.fleet.machines.values_mut() {
             machine.recorded = true;
         }
-        answer.orders
+        answer.commands
     }
 
     /// Advances the clock by `time` and runs the scheduler once.
@@ -99,7 +99,7 @@
             task: task.clone(),
             attempt: *attempt,
             state,
-            why: (state == TaskState::Exited).then(|| "halted".into()),
+            exit_cause: (state == TaskState::Exited).then(|| "halted".into()),
             saved: None,
         }),
         _ => None,
@@ -110,7 +110,7 @@
 /// Returns the statuses of the tasks that these commands start, all of them failed.
 pub(super) fn failed_statuses(commands: &[WorkerCommand]) -> Vec<TaskStatus> {
     let mut tasks = task_statuses(commands, TaskState::Exited);
-    tasks.iter_mut().for_each(|task| task.why = Some("error".into()));
+    tasks.iter_mut().for_each(|task| task.exit_cause = Some("error".into()));
     tasks
 }
 
@@ -152,7 +152,7 @@
         task: TaskId { job: job.clone(), index: 0 },
         attempt: Attempt(attempt),
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         saved: None,
     }
 }
--- a/src/scheduler/tests/limits.rs
+++ b/src/scheduler/tests/limits.rs
@@ -60,7 +60,7 @@
                 },
                 attempt: Attempt(u64::from(index) + 1),
                 state: TaskState::Running,
-                why: None,
+                exit_cause: None,
                 saved: None,
             };
             (0..3).for_each(|job| {
--- a/src/scheduler/tests/pacing.rs
+++ b/src/scheduler/tests/pacing.rs
@@ -22,7 +22,7 @@
         let id = leader.job("wk-1", JobKind::Array, 400);
         let Some(job) = leader.store.cache.jobs.all.get_mut(&id) else { panic!() };
         let JobBody::Live(live) = &mut job.body else { panic!() };
-        Arc::make_mut(&mut live.spec).urgency = Priority::Low;
+        Arc::make_mut(&mut live.spec).priority = Priority::Low;
         for _ in 0..20 {
             leader.scheduler.adjust_pace(late, leader.now);
             leader.pass(PACE_ADJUSTMENT_INTERVAL);
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -40,7 +40,7 @@
     let id = leader.job("wk-3", JobKind::Service, 1);
     let Some(job) = leader.store.cache.jobs.all.get_mut(&id) else { panic!() };
     let JobBody::Live(live) = &mut job.body else { panic!() };
-    Arc::make_mut(&mut live.spec).urgency = Priority::Production;
+    Arc::make_mut(&mut live.spec).priority = Priority::Production;
     leader.pass(MIN_PASS_INTERVAL * 5);
     let has_stop = |machine: &Machine| machine.attempts.values().any(|e| e.stop.is_some());
     let stopped: Vec<_> = leader.scheduler.fleet.machines.values().map(has_stop).collect();
--- a/src/scheduler/tests/runtime_prediction.rs
+++ b/src/scheduler/tests/runtime_prediction.rs
@@ -29,7 +29,7 @@
     leader.heartbeat("i-1", task_statuses(&commands, TaskState::Running));
     leader.now += Duration::from_secs(run_s);
     let mut completed = task_statuses(&commands, TaskState::Exited);
-    completed.iter_mut().for_each(|task| task.why = Some("done".into()));
+    completed.iter_mut().for_each(|task| task.exit_cause = Some("done".into()));
     completed
 }
 
@@ -119,7 +119,7 @@
     leader.job("wk-1", JobKind::Array, 4);
     let running = completed.iter().cloned().map(|task| TaskStatus {
         state: TaskState::Running,
-        why: None,
+        exit_cause: None,
         ..task
     });
     leader.heartbeat("i-1", running.collect());
--- a/src/schema/records.rs
+++ b/src/schema/records.rs
@@ -106,7 +106,7 @@
 impl TaskFootprint {
     /// Returns the resource request of the task.
     pub fn request(&self) -> Amount {
-        Amount::need(self.cpus, self.gpus, self.ram_gb)
+        Amount::request(self.cpus, self.gpus, self.ram_gb)
     }
 }
 
--- a/src/store/cache.rs
+++ b/src/store/cache.rs
@@ -258,7 +258,7 @@
             && self.machine_types.revision < rev
         {
             self.machine_types.revision = rev;
-            wire::merge(&mut self.machine_types.value, types);
+            wire::merge_machine_types(&mut self.machine_types.value, types);
         }
     }
 
@@ -267,7 +267,7 @@
             && self.machine_type_key_revisions.get(key).is_none_or(|known| *known < rev)
         {
             self.machine_type_key_revisions.insert(key.to_owned(), rev);
-            wire::merge(&mut self.machine_types.value, vec![machine_type]);
+            wire::merge_machine_types(&mut self.machine_types.value, vec![machine_type]);
         }
     }
 
--- a/src/workers/command_delivery/tests.rs
+++ b/src/workers/command_delivery/tests.rs
@@ -16,14 +16,14 @@
 fn start_batch(token: u64) -> CommandBatch {
     let command =
         WorkerCommand::Start { task: TaskId::parse("wk-1/0").unwrap(), attempt: Attempt(9) };
-    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), orders: vec![command] }
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(2), commands: vec![command] }
 }
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         machine: machine(),
         address: String::new(),
-        flavor: "f".into(),
+        machine_type: "f".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 2,
@@ -59,7 +59,7 @@
         panic!()
     };
     assert_eq!((batch.token, batch.agent_epoch), (FencingToken(3), Some(2)));
-    assert_eq!(batch.orders, start_batch(3).orders);
+    assert_eq!(batch.commands, start_batch(3).commands);
     // The end of a call for another leader, or of one that this controller made for itself, is not recorded.
     assert!(!forwarded.end(&machine(), Some(&start_batch(4)), &Ok(heartbeat()), now));
     assert!(!forwarded.end(&machine(), None, &Ok(heartbeat()), now));
--- a/src/workers/machine/heartbeat.rs
+++ b/src/workers/machine/heartbeat.rs
@@ -118,7 +118,7 @@
             TaskState::Exited if !attempt.exit_handled => events.push(TaskEvent::Exited {
                 task: key.0,
                 attempt: key.1,
-                exit_cause: status.why.clone().unwrap_or_default(),
+                exit_cause: status.exit_cause.clone().unwrap_or_default(),
                 saved: status.saved.unwrap_or(false),
             }),
             _ => {}
