--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,4 +1,4 @@
-//! Communication between controllers: the frames that they exchange, the assignment of workers to controllers,
+//! Communication between controllers: the messages that they exchange, the assignment of workers to controllers,
 //! and the relay of heartbeats to the leader.
 
 pub mod heartbeat_relay;
--- a/src/peers/heartbeat_relay.rs
+++ b/src/peers/heartbeat_relay.rs
@@ -1,9 +1,9 @@
 //! Relay of heartbeats: a controller receives its workers' heartbeats and sends them on to the leader.
 //!
-//! The relay keeps the worker's request open, sends the heartbeat in a batch, and answers with the leader's result for
-//! exactly this heartbeat. It makes no decisions: *every answer that renews a lease is the leader's own, given after
-//! the heartbeat was sent*. The leader's record of its last answer therefore bounds the worker's lease, despite delays
-//! and losses. A heartbeat with the same content as the previous one is sent as its sequence number only.
+//! The relay keeps the worker's request open under a number, its ticket, sends the heartbeat in a batch, and answers
+//! with the leader's result for exactly this heartbeat. It makes no decisions: *every answer that renews a lease is the
+//! leader's own, given after the heartbeat was sent*. The leader's record of its last answer therefore bounds the
+//! worker's lease, despite delays and losses. An unchanged heartbeat is sent as its sequence number only.
 
 mod messages;
 
@@ -30,7 +30,7 @@
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1700);
 /// Time that unchanged heartbeats wait for others to join their batch.
 pub const BATCH_DELAY: Duration = Duration::from_millis(60);
-/// Time that a batch of heartbeats waits for others if at least one of them has changed.
+/// Time that heartbeats wait for others to join their batch if at least one of them has changed.
 pub const CHANGED_BATCH_DELAY: Duration = Duration::from_millis(12);
 /// Maximum number of batches in flight, so that a leader that falls behind receives fewer and larger batches.
 pub const MAX_BATCHES_IN_FLIGHT: usize = 8;
@@ -55,7 +55,7 @@
 struct PendingHeartbeat {
     heartbeat: Heartbeat,
     received: Instant,
-    /// The heartbeat has to be sent in full.
+    /// True if the heartbeat has to be sent in full.
     in_full: bool,
 }
 
@@ -70,7 +70,7 @@
 struct SendQueue {
     tickets: Vec<u64>,
     since: Option<Instant>,
-    /// At least one of the heartbeats has changed.
+    /// True if at least one of the heartbeats has changed.
     has_changes: bool,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Error that returns a heartbeat that is too large to be relayed.
+/// Error for a heartbeat that is too large to be relayed; it contains the heartbeat.
 #[derive(Debug, thiserror::Error)]
 #[error("a heartbeat is too large to be relayed")]
 pub struct OversizedHeartbeat(pub Box<Heartbeat>);
@@ -139,7 +139,7 @@
 }
 
 impl HeartbeatRelay {
-    /// Creates a relay that numbers its batches starting after `first_batch`. The caller passes a random number, so that
+    /// Creates a relay whose first batch has the number after `first_batch`. The caller passes a random number, so that
     /// results for an earlier run of this process match no batch.
     pub fn new(first_batch: u64) -> HeartbeatRelay {
         HeartbeatRelay {
@@ -195,7 +195,7 @@
         self.current_assignment(newest, now).map(|assignment| &assignment.members)
     }
 
-    /// Returns the age of the last assignment if the leader with this fencing token sent it and it has members.
+    /// Returns the age of the last assignment if it has members and is from the leader with this fencing token.
     pub fn time_since_assignment(&self, token: FencingToken, now: Instant) -> Option<Duration> {
         let assignment = self.assignment.as_ref()?;
         let permits = assignment.token == token && !assignment.members.is_empty();
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Queues a heartbeat whose worker waits under this ticket. Returns it as an error if it is too large to be relayed.
+    /// Queues the heartbeat of the request with this ticket. Returns it in an error if it is too large to be relayed.
     pub fn accept(
         &mut self,
         ticket: u64,
@@ -220,7 +220,7 @@
             return Err(OversizedHeartbeat(Box::new(heartbeat)));
         }
         let pending = PendingHeartbeat { heartbeat, received: now, in_full: false };
-        let is_change = self.unchanged_since(&pending).is_none();
+        let is_change = self.unchanged_reference(&pending).is_none();
         self.pending.insert(ticket, pending);
         self.queue.push(ticket, is_change, now);
         Ok(())
@@ -232,8 +232,8 @@
         self.queue.due().into_iter().chain(oldest).min()
     }
 
-    /// Returns the accepted heartbeat with the same content, unless this one has to be sent in full.
-    fn unchanged_since(&self, pending: &PendingHeartbeat) -> Option<&Heartbeat> {
+    /// Returns the worker's last accepted heartbeat if this one is unchanged and need not be sent in full.
+    fn unchanged_reference(&self, pending: &PendingHeartbeat) -> Option<&Heartbeat> {
         let previous = self.accepted.get(&pending.heartbeat.machine)?;
         (!pending.in_full && is_unchanged(previous, &pending.heartbeat)).then_some(previous)
     }
@@ -279,7 +279,7 @@
     }
 
     fn relayed_size(&self, pending: &PendingHeartbeat) -> usize {
-        match self.unchanged_since(pending) {
+        match self.unchanged_reference(pending) {
             Some(_) => HEARTBEAT_BYTES,
             None => encoded_size(&pending.heartbeat),
         }
@@ -287,7 +287,7 @@
 
     fn relayed(&self, pending: &PendingHeartbeat) -> RelayedHeartbeat {
         let heartbeat = &pending.heartbeat;
-        match self.unchanged_since(pending) {
+        match self.unchanged_reference(pending) {
             Some(previous) => RelayedHeartbeat::Unchanged(UnchangedHeartbeat {
                 machine: heartbeat.machine.clone(),
                 agent_epoch: heartbeat.agent_epoch,
@@ -336,8 +336,8 @@
         }
     }
 
-    /// Keeps a heartbeat that was accepted without commands as the reference for later ones. One answered with commands
-    /// is not kept, because the leader may have removed attempts that the worker still reports.
+    /// Stores a heartbeat that was accepted without commands as the reference for later ones. After an answer with
+    /// commands there is no reference, because the leader may have removed attempts that the worker still reports.
     fn record_accepted(&mut self, heartbeat: Heartbeat, without_commands: bool) {
         if without_commands {
             self.accepted.insert(heartbeat.machine.clone(), heartbeat);
--- a/src/peers/heartbeat_relay/messages.rs
+++ b/src/peers/heartbeat_relay/messages.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Heartbeat whose content is the same as that of an earlier one of the same agent epoch.
+/// Heartbeat with the same content as an earlier one of the same agent epoch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnchangedHeartbeat {
     /// Machine that the worker runs on.
@@ -155,14 +155,14 @@
 /// The leader's result for a heartbeat in a batch. A heartbeat without a result is accepted without commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum HeartbeatResult {
-    /// The worker's lease is renewed, and the worker receives these commands.
+    /// The leader renews the worker's lease and sends it these commands.
     Accepted(Vec<RelayedCommand>),
     /// The leader does not know the earlier heartbeat and needs the complete one.
     ResendInFull,
 }
 
 impl HeartbeatResult {
-    /// Returns whether this is the default result, which the leader does not send.
+    /// Returns whether this is the result of a heartbeat without one, which the leader does not send.
     pub fn is_default(&self) -> bool {
         matches!(self, HeartbeatResult::Accepted(commands) if commands.is_empty())
     }
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -126,8 +126,8 @@
     ));
 }
 
-/// Heartbeats that one leader accepted are no reference for the next, and those that it did not answer are sent to the
-/// next one immediately.
+/// Heartbeats that one leader accepted are no reference for its successor. Those that it did not answer are sent to the
+/// successor immediately.
 #[test]
 fn new_leader_gets_full_heartbeats_and_results_of_the_previous_one_are_ignored() {
     let now = Instant::now();
@@ -172,24 +172,24 @@
     let now = Instant::now();
     let mut relay = relay(now);
     let names: Vec<String> = (0..300).map(|n| format!("wk-1/{n}")).collect();
-    let many: Vec<(&str, TaskState)> =
+    let tasks: Vec<(&str, TaskState)> =
         names.iter().map(|name| (name.as_str(), TaskState::Running)).collect();
     for ticket in 0..40 {
-        assert!(relay.accept(ticket, heartbeat(&format!("i-{ticket}"), 1, &many), now).is_ok());
+        assert!(relay.accept(ticket, heartbeat(&format!("i-{ticket}"), 1, &tasks), now).is_ok());
     }
     let batches = relay.take_batches(FencingToken(3), now + BATCH_DELAY);
     assert_eq!(batches.iter().map(|batch| batch.heartbeats.len()).sum::<usize>(), 40);
     for batch in batches {
         assert!(postcard::to_stdvec(&batch.heartbeats).unwrap().len() < BODY_MAX);
     }
-    relay.accept(50, heartbeat("i-1", 2, &many), now).unwrap();
+    relay.accept(50, heartbeat("i-1", 2, &tasks), now).unwrap();
     assert!(relay.take_batches(FencingToken(3), now + BATCH_DELAY * 2).is_empty());
-    let too_many: Vec<(&str, TaskState)> = many.iter().cycle().take(700).copied().collect();
-    assert!(relay.accept(60, heartbeat("i-9", 1, &too_many), now).is_err());
+    let oversized: Vec<(&str, TaskState)> = tasks.iter().cycle().take(700).copied().collect();
+    assert!(relay.accept(60, heartbeat("i-9", 1, &oversized), now).is_err());
 }
 
-/// One leader receives each heartbeat of a worker in full, another receives it as relayed. Both must record the same
-/// state, although heartbeats are lost or arrive directly from the worker in between.
+/// One leader receives each heartbeat of a worker in full, and another receives it as relayed. Both must record the
+/// same state, even if some heartbeats are lost or arrive directly from the worker.
 #[test]
 fn relayed_heartbeats_lead_to_the_same_state_as_full_ones() {
     let states = [TaskState::Fetching, TaskState::Running, TaskState::Running, TaskState::Exited];
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -60,7 +60,7 @@
         self.0.is_empty()
     }
 
-    /// Returns the controller that receives a worker's heartbeats; one in the worker's zone is more likely.
+    /// Returns the controller that receives a worker's heartbeats; it is more likely to be in the worker's zone.
     pub fn owner(&self, worker: &MachineId, zone: &str) -> Option<&ControllerId> {
         let mut best: Option<(f64, &ControllerId)> = None;
         for member in self.0.iter().filter(|member| member.weight > 0) {
@@ -89,11 +89,11 @@
     pub zone: String,
     /// Free share of its public sockets, in thousandths.
     pub free_sockets_permille: u16,
-    /// The controller is reachable, supports relayed heartbeats, and is not drained.
+    /// True if the controller is reachable, supports relayed heartbeats, and is not drained.
     pub is_available: bool,
 }
 
-/// Inputs to the choice of members that concern the leader and the size of the cluster.
+/// Leader and size of the cluster, as input to the choice of members.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaderLoad {
     /// Name of the leader.
@@ -104,7 +104,7 @@
     pub workers: usize,
     /// Number of workers that one controller can serve.
     pub workers_per_controller: u32,
-    /// The leader is currently a member.
+    /// True if the leader is currently a member.
     pub is_member: bool,
 }
 
@@ -113,11 +113,11 @@
 pub struct MemberChoice {
     /// Chosen members, including the leader if it is one.
     pub membership: Membership,
-    /// The leader is a member.
+    /// True if the leader is a member.
     pub includes_leader: bool,
 }
 
-/// Chooses as members the available controllers, weighted by their free sockets. The leader is added when the workers
+/// Chooses the available controllers as members, weighted by their free sockets. The leader is added if the workers
 /// would use a large share of the others' capacity. Returns no members if no other controller can receive heartbeats.
 pub fn choose_members(candidates: &[MemberCandidate], leader: &LeaderLoad) -> MemberChoice {
     let available = candidates.iter().filter(|candidate| candidate.is_available);
@@ -142,7 +142,6 @@
     MemberChoice { membership: Membership(members), includes_leader }
 }
 
-/// Returns the weight of a controller with this share of free sockets.
 fn weight_for(free_sockets_permille: u16) -> u32 {
     let free_share = f64::from(free_sockets_permille) / 1000.0;
     if free_share < FREE_SOCKETS_EXHAUSTED {
--- a/src/peers/membership/tests.rs
+++ b/src/peers/membership/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_member_owns_twice_an_even_share_and_weight_zero_owns_none() {
+fn members_own_less_than_twice_the_even_share_and_weight_zero_owns_none() {
     let counts = shares(&members(&[1000; 12]));
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|n| *n < 2 * 5600 / 12), "{counts:?}");
@@ -95,7 +95,7 @@
     assert!(!choose_members(&candidates, &leader(700, false)).includes_leader);
     assert!(
         choose_members(&candidates, &leader(700, true)).includes_leader,
-        "a leader that is a member stays one between the two thresholds"
+        "between the two thresholds, a leader that is a member remains one"
     );
     assert!(!choose_members(&candidates, &leader(600, true)).includes_leader);
     let MemberChoice { membership, includes_leader } =
--- a/src/peers/mesh/chunking.rs
+++ b/src/peers/mesh/chunking.rs
@@ -3,7 +3,7 @@
 use crate::schema::encoding;
 use std::collections::BTreeMap;
 
-/// Maximum size of the header before the text of a chunk, in bytes.
+/// Size reserved for the header before the text of a chunk, in bytes.
 const CHUNK_HEADER_BYTES: usize = 40;
 
 /// Splits a message's text into chunks of at most `value_max` bytes: `<sequence number>.<count>.<index>:<text>`.
@@ -31,7 +31,7 @@
         let count = numbers.next()?.ok()?;
         let index = numbers.next()?.ok()?;
         if seq != self.seq {
-            // A restarted sender counts from another number, so any different number is that of a newer message.
+            // A restarted sender may continue from a lower number, so any other number means a newer message.
             *self = ChunkAssembler { seq, chunks: BTreeMap::new() };
         }
         self.chunks.insert(index as usize, text.to_owned());
--- a/src/peers/mesh/dialer.rs
+++ b/src/peers/mesh/dialer.rs
@@ -13,7 +13,7 @@
 
 /// Pause before the rest of a frame is written to a connection whose send buffer is full.
 const WRITE_RETRY: Duration = Duration::from_millis(5);
-/// Size in bytes of the buffer for acknowledgements of one byte each: more than a peer can have outstanding.
+/// Size of the buffer for acknowledgements, in bytes. Each is one byte; a peer never has so many outstanding.
 const ACK_BUFFER_BYTES: usize = 64;
 
 /// Traffic written to a peer since the process started.
@@ -69,8 +69,8 @@
     }
 }
 
-/// Connection to a peer, used for writing only. Acknowledgements are read when the next frame is written. The stream is
-/// deregistered from the runtime, which would otherwise wake up for each acknowledgement.
+/// Connection to a peer, used to send messages only. Acknowledgements are read when the next frame is written. The
+/// stream is deregistered from the runtime, which would otherwise wake up for each acknowledgement.
 struct PeerConnection {
     stream: std::net::TcpStream,
     /// Times at which the frames that are not yet acknowledged were written, oldest first.
--- a/src/peers/mesh/framing.rs
+++ b/src/peers/mesh/framing.rs
@@ -24,11 +24,10 @@
     },
 }
 
-/// Encodes a message as a frame.
 pub(super) fn encode_frame(message: &PeerMessage) -> Result<Vec<u8>, FrameError> {
     let mut body = postcard::to_stdvec(message)?;
     if let PeerMessage::PeerStatus { capabilities, .. } = message {
-        // The capabilities follow the message, where earlier versions ignore them.
+        // Earlier versions read only the message and ignore the capabilities after it.
         body.extend(postcard::to_stdvec(capabilities)?);
     }
     if body.len() > FRAME_MAX {
@@ -39,7 +38,6 @@
     Ok(frame)
 }
 
-/// Decodes the message in a frame's body.
 pub(super) fn decode_body(body: &[u8]) -> Result<PeerMessage, FrameError> {
     let (mut message, rest) = postcard::take_from_bytes::<PeerMessage>(body)?;
     if let PeerMessage::PeerStatus { capabilities, .. } = &mut message {
--- a/src/peers/mesh/message.rs
+++ b/src/peers/mesh/message.rs
@@ -17,15 +17,15 @@
         from: ControllerId,
         /// Sequence number of the status; replies repeat it.
         seq: u64,
-        /// Fencing token of the sender if it is the leader: it then requests an extension of its lease.
+        /// Fencing token of the sender if it is the leader, as a request to extend its leader lease.
         leading: Option<FencingToken>,
-        /// The sender cannot reach the key-value store.
+        /// True if the sender cannot reach the key-value store.
         store_unavailable: bool,
-        /// Newest lease grant that the sender received: fencing token of its leader and number of the grant.
+        /// Newest [`PeerMessage::LeaseGrant`] that the sender received: fencing token of the leader and number.
         acknowledged_grant: (FencingToken, u64),
         /// Time since the sender's process started, in milliseconds.
         uptime_ms: u64,
-        /// Workers that the sender answered on a leader's behalf, each with the time since then in milliseconds.
+        /// Workers that the sender answered on a leader's behalf, each with the time since that answer in milliseconds.
         answered_for_leader: Vec<(MachineId, u64)>,
         /// Time since the sender last received a worker's heartbeat, in milliseconds.
         last_heartbeat_age_ms: Option<u64>,
@@ -57,15 +57,15 @@
         /// Jobs whose cancellation the sender has confirmed to users.
         cancelled: Vec<JobId>,
     },
-    /// Numbers of running tasks by job, with which the receiver answers users' queries.
+    /// Number of running tasks of each job. The receiver needs it to answer users' queries.
     RunningTasks {
         /// Fencing token of the leader.
         token: FencingToken,
-        /// Jobs with their numbers of running tasks.
+        /// Jobs, each with its number of running tasks.
         counts: Vec<(JobId, u32)>,
     },
-    /// Users' request to cancel jobs, which every controller that may answer workers has to acknowledge. It is sent only
-    /// to controllers that hold a controller lease, because earlier versions do not know the message.
+    /// Users' request to cancel jobs. Every controller that may answer workers has to acknowledge it. It is sent only to
+    /// controllers that hold a controller lease, because earlier versions do not know the message.
     CancellationRequest {
         /// Controller that received the users' requests and needs the acknowledgements.
         from: ControllerId,
@@ -82,13 +82,13 @@
         seq: u64,
         /// Revision of the sender's controller lease under which the acknowledgement is valid.
         lease_revision: Revision,
-        /// Jobs whose cancellation is acknowledged: those of the request.
+        /// Jobs whose cancellation is acknowledged; the same as in the request.
         jobs: Vec<JobId>,
         /// Sent by a leader only: revision of its leader key and, for each job, the zones in which it may have tasks.
         placements: Option<(Revision, Vec<Vec<String>>)>,
     },
-    /// Assignment of shards: for a short time, members relay their workers' heartbeats to the leader; without members
-    /// no controller does. This and the following messages are sent only to peers whose protocol version has them.
+    /// Assignment of shards: for a short time, the members relay their workers' heartbeats to the leader. Without members,
+    /// it ends the relay. This and the following messages are sent only to peers whose protocol version includes them.
     ShardAssignment {
         /// Leader that assigns the shards and receives the heartbeats.
         from: ControllerId,
--- a/src/peers/mesh/tests.rs
+++ b/src/peers/mesh/tests.rs
@@ -10,8 +10,8 @@
     PeerMessage::RunningTasks { token: FencingToken(seq), counts: vec![(JobId::new("wk-1"), 1)] }
 }
 
-/// Earlier versions read only the message at the start of a frame. Capabilities therefore follow a status whose bytes
-/// stay the same, and a status without them has default capabilities.
+/// Earlier versions read only the message at the start of a frame, so its bytes must not depend on the capabilities
+/// after it. A status without capabilities is read as one with the default capabilities.
 #[test]
 fn capabilities_follow_a_status_and_earlier_versions_ignore_them() {
     let capabilities = PeerCapabilities { protocol: MESH_PROTOCOL, free_sockets_permille: 700 };
@@ -41,7 +41,7 @@
     );
 }
 
-/// Messages of any size arrive complete and in order, regardless of outstanding acknowledgements.
+/// Acknowledgements that the dialer has not read yet must not delay or reorder later messages.
 #[tokio::test]
 async fn messages_of_any_size_arrive_complete_and_in_order() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,8 +1,8 @@
 //! Assigns waiting tasks to machines and selects the machines to rent for the remaining tasks.
 //!
-//! Machines belong to one of two baskets, light and heavy, or to a pool of unassigned machines. Each
-//! task is placed first fit, in order of a fixed machine index, into its basket; the heavy basket is
-//! limited in size. `docs/design.md` names the paper that the algorithm follows.
+//! Each machine belongs to the light basket, the heavy basket, or the pool of unassigned machines. A
+//! task is placed first fit, in order of a fixed machine index, in its own basket or the pool. The
+//! heavy basket is limited in size. `docs/design.md` names the paper that the algorithm follows.
 //!
 //! The module has no state and no side effects: the caller passes machines as [`Bin`]s and waiting
 //! tasks as [`PlacementRequest`]s in order of service, and [`plan`] returns a [`PlacementPlan`].
--- a/src/placement/basket.rs
+++ b/src/placement/basket.rs
@@ -13,7 +13,7 @@
 
 impl Basket {
     /// Returns the basket of a task that needs `resources`. A task with GPUs is heavy if it needs
-    /// at least as many GPUs as any machine size has. A task without GPUs is heavy if it needs more
+    /// all GPUs of the machine size with the most GPUs. A task without GPUs is heavy if it needs more
     /// than the share `heavy_threshold` of the largest machine's CPUs or memory.
     pub fn classify(resources: &Amount, machine_sizes: &[Amount], heavy_threshold: f64) -> Basket {
         let largest =
--- a/src/placement/capacity_index.rs
+++ b/src/placement/capacity_index.rs
@@ -1,7 +1,7 @@
 //! Search for the next machine, in index order, that has enough free capacity for a task.
 //!
-//! A linear first-fit scan takes most of a planning pass at hundreds of machines and hundreds of
-//! waiting jobs. This index groups the machines that agree in every field of [`GroupKey`], sorts
+//! A linear first-fit scan would take most of a planning pass at hundreds of machines and hundreds
+//! of waiting jobs. This index groups the machines that agree in every field of [`GroupKey`], sorts
 //! each group by machine index, and keeps a segment tree of free resources for each basket. A
 //! search skips branches without enough capacity and finds the same machine as a scan.
 
@@ -16,7 +16,7 @@
 /// Number of segment trees in a group: one for each basket and one for the pool.
 const TREES: usize = 3;
 
-/// Returns the position of a basket's tree; `None` stands for the pool.
+/// Returns the position of a basket's tree in [`Group::trees`]; `None` stands for the pool.
 fn tree_number(basket: Option<Basket>) -> usize {
     match basket {
         Some(Basket::Light) => 0,
@@ -45,7 +45,6 @@
     }
 }
 
-/// Position of a group in the index.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct GroupNumber(usize);
 
@@ -90,7 +89,6 @@
     }
 }
 
-/// Location of a machine in the index.
 #[derive(Debug, Clone, Copy, Default)]
 struct Position {
     group: GroupNumber,
@@ -148,13 +146,12 @@
         }
     }
 
-    /// Returns all groups with their keys.
     pub(super) fn groups(&self) -> impl Iterator<Item = (GroupNumber, &GroupKey)> {
         self.groups.iter().enumerate().map(|(n, group)| (GroupNumber(n), &group.key))
     }
 
-    /// Returns the first machine of a group and basket (`None`: the pool) at or after slot `from`
-    /// into which `resources` fit.
+    /// Returns the first machine at or after slot `from` of a group that belongs to `basket` (`None`
+    /// stands for the pool) and has at least `resources` free.
     pub(super) fn first_fit(
         &self,
         group: GroupNumber,
--- a/src/placement/capacity_index/segment_tree.rs
+++ b/src/placement/capacity_index/segment_tree.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::Amount;
 
-/// Tree of nodes that hold the componentwise maximum of the amounts below them; the root is node 1,
-/// and the leaves begin at `width`.
+/// Binary tree in an array: each inner node holds the componentwise maximum of the leaves below it.
+/// The root is node 1, and the leaves begin at node `width`.
 #[derive(Debug, Default)]
 pub(super) struct SegmentTree {
     width: usize,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Returns the first leaf at or after `from` into which `resources` fit. Inner nodes hold separate
-    /// maxima for each resource, so a node may pass the check although no leaf below it does.
+    /// Returns the first leaf at or after `from` into which `resources` fit. The maxima of an inner
+    /// node may come from different leaves, so `resources` may fit the node but no leaf below it.
     pub(super) fn first_fit(&self, resources: &Amount, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -15,9 +15,9 @@
 }
 
 impl Packer {
-    /// Places a gang and returns the number of tasks that remain. If machines that are up can't fit
-    /// all of its tasks, none starts, but the capacity booked on booting machines and the machines
-    /// rented for the gang are kept.
+    /// Places a gang and returns the number of tasks that remain. Unless all of its tasks fit on
+    /// machines that are up, none starts. The capacity booked for the gang on booting machines and
+    /// the machines rented for it are kept even then.
     pub(super) fn place_gang(
         &mut self,
         index: RequestIndex,
@@ -40,7 +40,7 @@
         request.count
     }
 
-    /// Restores the state before the gang, except for booting machines and those to be rented.
+    /// Restores the state before the gang, except that of booting machines and of those to be rented.
     fn roll_back(&mut self, index: RequestIndex, request: &mut PlacementRequest, before: Snapshot) {
         self.plan.starts.truncate(before.starts);
         self.plan.booked.retain(|booked| booked.request != index);
@@ -58,8 +58,8 @@
         self.heavy_machines = self.bins.iter().filter(is_heavy).count();
     }
 
-    /// Returns the zone whose machines that are up fit the most of the request's tasks, and the
-    /// first of several such zones.
+    /// Returns the zone in which the most of the request's tasks fit on machines that are up; among
+    /// equal zones, the first.
     pub(super) fn best_single_zone(&self, request: &PlacementRequest) -> Option<ZoneId> {
         let task_count = u64::from(request.count);
         let fitting_tasks = |zone: &ZoneId| -> u64 {
--- a/src/placement/image_index.rs
+++ b/src/placement/image_index.rs
@@ -5,15 +5,15 @@
 use foldhash::HashMap;
 use std::sync::Arc;
 
-/// Machines that have an image and may have enough free capacity, in order of their index, for each
-/// requested image.
+/// Map from each requested image to the machines that have it and may have enough free capacity, in
+/// order of their index.
 pub(super) struct ImageIndex(HashMap<u32, Arc<[BinIndex]>>);
 
 impl ImageIndex {
     pub(super) fn new(bins: &[Bin], requests: &[PlacementRequest]) -> ImageIndex {
         let mut by_image: HashMap<u32, Vec<BinIndex>> =
             requests.iter().map(|request| (request.image, Vec::new())).collect();
-        // Skips machines that can't fit even the smallest request: in a busy fleet, most of them.
+        // Skips machines into which no request fits; in a busy fleet, these are most machines.
         let smallest: Amount = requests
             .iter()
             .map(|request| request.resources)
@@ -33,7 +33,6 @@
         ImageIndex(sorted.collect())
     }
 
-    /// Returns the indexed machines that have the image.
     pub(super) fn bins_with(&self, image: u32) -> Arc<[BinIndex]> {
         self.0.get(&image).cloned().unwrap_or_default()
     }
--- a/src/placement/model.rs
+++ b/src/placement/model.rs
@@ -19,7 +19,7 @@
 /// Machine that tasks can be placed on.
 #[derive(Debug, Clone)]
 pub struct Bin {
-    /// Fixed index, in whose order machines are filled; [`Bin::NEW`] for a machine to be rented.
+    /// Fixed index, by which machines are filled in order; [`Bin::NEW`] before the machine is rented.
     pub index: u64,
     /// Zone that the machine runs in.
     pub zone: ZoneId,
@@ -31,17 +31,17 @@
     pub free: Amount,
     /// Basket that the machine belongs to; `None` while it is in the pool.
     pub basket: Option<Basket>,
-    /// False for a machine that is still booting: tasks are booked on it but not started.
+    /// False for a machine that is still booting or unconfirmed: tasks are booked on it, not started.
     pub ready: bool,
     /// Images expected to be in the machine's cache.
     pub images: Images,
-    /// Tasks of higher priority left the machine recently and may return, so no best-effort task
-    /// is placed on it.
+    /// True if tasks of higher priority left the machine recently and may return, so that no
+    /// best-effort task is placed on it.
     pub recently_vacated: bool,
 }
 
 impl Bin {
-    /// Index of machines that are not up yet, which orders them after all others.
+    /// Index of machines whose rental is pending or planned, which orders them after all others.
     pub const NEW: u64 = u64::MAX;
 
     /// Returns a newly rented machine that runs no tasks and has no images.
@@ -117,7 +117,7 @@
 pub struct PlacementRequest {
     /// Team whose limit the tasks count towards.
     pub team: TeamId,
-    /// Priority of the job; `Production` prefers a machine with the image to one of its own basket.
+    /// Priority of the job; for `Production`, a machine with the image precedes one of the own basket.
     pub priority: Priority,
     /// Resources that each task needs.
     pub resources: Amount,
@@ -129,28 +129,29 @@
     pub zone: Option<ZoneId>,
     /// Machine types that the tasks may run on; `None` allows any.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// The tasks may run on spot machines.
+    /// True if the tasks may run on spot machines.
     pub allows_spot: bool,
     /// Number of additional tasks that each zone may run.
     pub zone_limits: ZoneLimits,
-    /// All tasks must run in the same zone; if `zone` is `None`, the planner selects it.
+    /// True if all tasks must run in the same zone; if `zone` is `None`, the planner selects it.
     pub single_zone: bool,
     /// Container image of the tasks.
     pub image: u32,
     /// Indices of machines on which tasks of this job failed.
     pub excluded_machines: Vec<u64>,
-    /// Gang scheduling: either all tasks start together or none starts.
+    /// True for a gang: either all tasks start together or none starts.
     pub gang: bool,
     /// Tightest objective for the start of a job of this class, in seconds.
     pub start_slo_s: Option<f64>,
-    /// Time until the job misses its next objective, in seconds; `None` if it has missed them all.
+    /// Time until the job misses its next start objective or its latest start for a deadline, in
+    /// seconds; `None` if it has missed them all.
     pub slo_slack_s: Option<f64>,
-    /// Kinds of machines that may be rented for the tasks.
+    /// Restriction on the machines that may be rented for the tasks.
     pub scale_out: ScaleOutPolicy,
 }
 
 impl PlacementRequest {
-    /// Returns whether the tasks may run on spot (or on-demand) machines of this zone and type.
+    /// Returns whether the tasks may run on machines of this zone and type, spot if `spot` is true.
     pub fn allows(&self, zone: ZoneId, machine_type: MachineTypeId, spot: bool) -> bool {
         (self.allows_spot || !spot)
             && self.zone.is_none_or(|required| required == zone)
@@ -158,7 +159,7 @@
     }
 }
 
-/// Kinds of machines that may be rented for a request.
+/// Restriction on the machines that may be rented for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScaleOutPolicy {
     /// Both spot and on-demand machines.
@@ -184,14 +185,15 @@
     pub capacity: Amount,
     /// Number of machines that may still be requested.
     pub available: u32,
-    /// Number of spot (or on-demand) machines in this zone already, used to balance the zones.
+    /// Number of machines of any type that are already in this zone and, like the offer, either spot
+    /// or on-demand. Among equal offers, the one with the fewest is chosen, to balance the zones.
     pub machines_in_zone: u32,
 }
 
 /// Input of one planning pass.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementInput {
-    /// Machines that are up or booting.
+    /// Machines that are up, booting or to be provided by a pending rental.
     pub bins: Vec<Bin>,
     /// Waiting tasks, in order of service.
     pub requests: Vec<PlacementRequest>,
@@ -199,7 +201,7 @@
     pub team_headroom: Vec<Amount>,
     /// Machines that can be rented.
     pub offers: Vec<MachineTypeOffer>,
-    /// Maximum number of machines in the heavy basket while light tasks wait.
+    /// Maximum number of machines in the heavy basket, unless every light task is placed.
     pub heavy_limit: usize,
     /// Number of machines that may still be rented, over all offers.
     pub rental_limit: u32,
@@ -214,12 +216,12 @@
     pub bin: BinIndex,
 }
 
-/// Number of tasks of one request; the tasks are interchangeable.
+/// Some of the tasks of one request, as a number because they are interchangeable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestTasks {
     /// Request that the tasks belong to.
     pub request: RequestIndex,
-    /// Number of its tasks that the entry counts.
+    /// Number of these tasks.
     pub tasks: u32,
 }
 
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -37,11 +37,10 @@
     image_index: ImageIndex,
     scale_out: ScaleOut,
     pub(super) team_headroom: Vec<Amount>,
-    /// Number of machines in the heavy basket.
     pub(super) heavy_machines: usize,
     heavy_limit: usize,
-    /// Requests that could not be placed completely. Free capacity only shrinks within a pass, so an
-    /// equivalent request needs no search. Users submit hundreds of equal small jobs.
+    /// Requests that could not be placed completely. Free capacity only shrinks within a pass, so no
+    /// search is made for equivalent requests; users submit hundreds of equal small jobs.
     unsatisfied: Vec<PlacementRequest>,
     pub(super) plan: PlacementPlan,
 }
@@ -69,7 +68,7 @@
 
 /// Returns the order in which a tier is filled: the request's own basket before the pool, and in
 /// each of them machines that have the image before the others. For the highest priority the image
-/// takes precedence over the basket, because fetching it takes longer than its users wait.
+/// takes precedence over the basket, because fetching an image takes longer than such users wait.
 fn stages(request: &PlacementRequest) -> [Stage; 4] {
     let stage = |basket, with_image| Stage { basket, with_image };
     let own_basket = Some(request.basket);
@@ -97,7 +96,7 @@
         && a.machine_types == b.machine_types
 }
 
-/// Returns whether placement depends only on zone limits and what [`is_equivalent`] compares.
+/// Returns whether only zone limits and the fields that [`is_equivalent`] compares decide placement.
 fn is_unconstrained(request: &PlacementRequest) -> bool {
     !request.gang
         && !request.single_zone
@@ -106,8 +105,8 @@
 }
 
 impl Packer {
-    /// Places all requests. Heavy tasks that remain because of the heavy basket's limit are placed
-    /// beyond that limit if no light task waits.
+    /// Places all requests. If no light task remains, the heavy tasks that remain are placed again
+    /// without the limit on the heavy basket.
     fn place_all(&mut self, requests: &mut [PlacementRequest]) {
         let mut light_tasks_wait = false;
         let mut remaining_heavy: Vec<RequestTasks> = Vec::new();
@@ -215,8 +214,8 @@
         allocation.remaining > 0 && request.resources.fits(headroom)
     }
 
-    /// Returns whether `basket` stands for the pool and the request, being heavy, may not take a
-    /// machine from it because the heavy basket has reached its limit.
+    /// Returns whether a heavy request is about to take machines from the pool (a `basket` of `None`)
+    /// while the heavy basket has reached its limit.
     fn is_at_heavy_limit(&self, allocation: &Allocation<'_>, basket: Option<Basket>) -> bool {
         basket.is_none()
             && allocation.request.basket == Basket::Heavy
@@ -265,7 +264,7 @@
                 .filter_map(|(n, candidate)| Some((n, (*candidate)?)))
                 .min_by_key(|(_, candidate)| (self.bins[candidate.bin.0].index, candidate.bin));
             let Some((n, Candidate { bin, slot })) = first else { return };
-            // A task that needs no resources also fits the empty leaves of machines in other baskets.
+            // Machines of other baskets have empty leaves, into which a task without resources fits.
             if self.bins[bin.0].basket == basket {
                 self.assign(allocation, bin);
             }
--- a/src/placement/scale_out.rs
+++ b/src/placement/scale_out.rs
@@ -3,8 +3,8 @@
 use super::model::{Bin, MachineTypeOffer, PlacementRequest, ScaleOutPolicy, max_copies};
 use std::cmp::Ordering;
 
-/// Number of machines in the fleet per remaining rental above which the machine limit counts as
-/// near: the planner then prefers large machines to cheap ones.
+/// Ratio of the fleet size to the remaining rentals. Above this ratio, the fleet is near its machine
+/// limit, and the planner prefers large machines to cheap ones.
 pub(super) const FLEET_PER_RENTAL_NEAR_LIMIT: usize = 8;
 
 /// Offers of machines, and the machines that the current planning pass rents.
@@ -26,8 +26,8 @@
     }
 
     /// Rents a machine of the usable offer with the lowest price per task; among equals, in the zone
-    /// with the fewest machines. When the fleet of `fleet_size` machines is near the machine limit,
-    /// the machine that fits the most tasks is chosen first.
+    /// with the fewest machines. Near the machine limit (see [`FLEET_PER_RENTAL_NEAR_LIMIT`]), offers
+    /// are compared by the number of tasks that fit on a machine first.
     pub(super) fn rent(&mut self, request: &PlacementRequest, fleet_size: usize) -> Option<Bin> {
         if self.remaining == 0 {
             return None;
--- a/src/placement/service_order.rs
+++ b/src/placement/service_order.rs
@@ -4,7 +4,8 @@
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
-/// Sort key of a waiting job; the derived order compares the fields from first to last.
+/// Sort key of a waiting job; the derived order compares the fields from first to last, and false
+/// precedes true.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuedJob {
     /// Effective priority, which includes the priority inherited from dependent jobs.
@@ -12,14 +13,15 @@
     /// False for a service whose replicas ran before. These go first, because the capacity freed
     /// for a moved replica could otherwise go to another task while the replica is down.
     pub first_start: bool,
-    /// The job exceeds its team's quota when added to the team's earlier jobs.
+    /// True if the job and its team's older jobs together exceed the team's quota.
     pub over_quota: bool,
-    /// The job's class has no service-level objective.
+    /// True if the job has neither an objective of its class nor a deadline, own or inherited.
     pub without_slo: bool,
-    /// The job has started as many tasks as its team may run at once; it comes later, so that a
-    /// large job doesn't starve the small ones behind it.
+    /// True if the job has started as many tasks as its team may run at once. Such a job comes later,
+    /// so that a large job doesn't starve the small ones behind it.
     pub reached_team_limit: bool,
-    /// Number of missed start objectives; jobs that can still start in time go first.
+    /// Number of missed start objectives, plus one if the latest start for the job's deadline has
+    /// passed. Jobs that can still start in time go first.
     pub missed_slos: usize,
     /// Number of tasks; zero for a job that has missed every objective, so that such jobs are served
     /// by age and none waits indefinitely behind smaller jobs that are equally late.
@@ -30,17 +32,17 @@
     pub team: TeamId,
 }
 
-/// Group of jobs that share the team's own order: one team's jobs of one priority.
+/// Key of the positions among which one team's jobs of one priority are reordered.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct TeamPositionsKey {
     priority: Priority,
     team: TeamId,
 }
 
-/// Sorts jobs into the order of service, which is the order of the fields of [`QueuedJob`]. Smaller
-/// jobs go first because objectives count jobs, and many small jobs start in the time that one
-/// large job takes. This order decides the positions that each team gets; which of the team's jobs
-/// takes which of these positions doesn't depend on the quota.
+/// Sorts jobs into the order of service. Smaller jobs go first because objectives count jobs, and
+/// many small jobs start in the time that one large job takes. The order of [`QueuedJob`] decides the
+/// positions that each team gets. Each team's jobs of one priority are then reordered among these
+/// positions, without regard to the quota and with missed objectives before the team limit.
 pub fn sort_by_service_order(jobs: &mut [QueuedJob]) {
     jobs.sort();
     let mut positions_by_team: BTreeMap<TeamPositionsKey, Vec<usize>> = BTreeMap::new();
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -124,7 +124,7 @@
 
 const MACHINE_SIZE: Amount = Amount { cpu: 16_000_000, gpu: 0, ram: 64_000_000 };
 
-/// Returns the index of the n-th machine, so that machines are passed out of index order.
+/// Returns the index of the n-th machine; machines are therefore not passed in index order.
 fn shuffled_index(n: u64) -> u64 {
     (n * 7919) % 10_007
 }
@@ -264,8 +264,8 @@
     assert!(plan.unplaceable.is_empty());
 }
 
-/// Near the machine limit, larger machines take precedence over those with a lower price per task;
-/// at the limit nothing is rented.
+/// Near the machine limit, larger machines take precedence over those with a lower price per task.
+/// At the limit, nothing is rented.
 #[test]
 fn larger_machines_are_rented_first_near_the_machine_limit() {
     let unlimited = Amount { cpu: u64::MAX, gpu: 0, ram: u64::MAX };
