--- a/tests/wire_format/settings.rs
+++ b/tests/wire_format/settings.rs
@@ -1,5 +1,5 @@
-//! Keys of the platform's settings (JSON) and of the operators' (YAML): a full example of each, with no value at its
-//! default, and where each value is found.
+//! Keys of the platform's settings (JSON) and of the operators' (YAML). A full example of each, with no value at its
+//! default, is parsed, and every field is checked.
 
 use std::time::Duration;
 use troutspindle::ids::ControllerId;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn every_key_of_the_platform_is_read() {
+fn every_platform_key_is_read() {
     let platform = settings().platform;
     assert_eq!((platform.host_name.as_str(), &*platform.location), ("n-0", "a"));
     assert_eq!(platform.listen.to_string(), "127.0.0.1:8000");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_parameter_of_the_platform_is_read() {
+fn every_platform_parameter_is_read() {
     let params = settings().platform.params;
     assert_eq!(params.zones, ["a", "b"]);
     let [team] = &params.teams[..] else { panic!("{:?}", params.teams) };
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn every_kind_of_objective_is_understood() {
+fn every_kind_of_objective_is_read() {
     let settings = settings();
     let objectives = &settings.platform.params.objectives;
     let read = objectives.iter().map(|o| (&*o.kind, o.class.as_deref(), o.within_s));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn every_key_of_the_operators_is_read() {
+fn every_operator_key_is_read() {
     let estimates = EstimateSettings {
         learn: true,
         warn: false,
@@ -143,9 +143,9 @@
     assert_eq!(settings().operator, expected);
 }
 
-/// Each switch alone, so that two of them can't change places.
+/// Sets each switch alone, so that two swapped switches are detected.
 #[test]
-fn every_switch_of_the_estimates_has_its_own_key() {
+fn every_estimate_switch_has_its_own_key() {
     type Switch = fn(&EstimateSettings) -> bool;
     let switches: [(&str, Switch); 6] = [
         ("learn", |estimates| estimates.learn),
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn every_choice_of_the_operators_has_its_word() {
+fn every_operator_choice_has_its_value() {
     let parse = |text: &str| Settings::parse(PLATFORM, Some(text)).unwrap().operator;
     assert_eq!(parse("log_format: text").log_format, LogFormat::Text);
     assert_eq!(parse("log_format: json").log_format, LogFormat::Json);
