--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud.
+//! The simulated cloud: rents, lists and terminates machines.
 
 use crate::config::ZONES;
 use crate::event::SimEvent;
@@ -17,12 +17,14 @@
 };
 
 impl World {
-    pub fn cloud(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
+    /// Handles a controller's request.
+    pub fn on_cloud_request(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
         if self.is_isolated(node) {
-            let gives_up = Event::CloudResponse { id, result: Err(CallError::Unknown) };
-            return self.at(self.now_ms + 4000, SimEvent::Controller(node, incarnation, gives_up));
+            let timeout = Event::CloudResponse { id, result: Err(CallError::Unknown) };
+            return self
+                .schedule(self.now_ms + 4000, SimEvent::Controller(node, incarnation, timeout));
         }
-        if self.cloud_out {
+        if self.cloud_unavailable {
             let body = wire::encode(&wire::CloudError { error: "trouble".into() });
             let refusal = Ok(Response::with(503, body));
             return self.schedule_soon(SimEvent::Controller(
@@ -50,30 +52,31 @@
                     }],
                 }),
             ),
-            CloudRequest::ScaleOut(kind, hire) => {
-                let known = self.hired.get(&hire.request).cloned();
-                let alike = |w: &&Worker| !w.gone && w.zone == kind.zone && w.spot == kind.spot;
-                let held = self.workers.values().filter(alike).count();
-                let most = self.capacity[usize::from(kind.spot)];
-                let room = most.saturating_sub(held).min(hire.count as usize);
-                if known.is_none() && room == 0 {
+            CloudRequest::ScaleOut(pool, rental) => {
+                let earlier = self.rentals.get(&rental.request).cloned();
+                let is_in_pool =
+                    |w: &&Worker| !w.terminated && w.zone == pool.zone && w.spot == pool.spot;
+                let rented = self.workers.values().filter(is_in_pool).count();
+                let limit = self.capacity[usize::from(pool.spot)];
+                let count = limit.saturating_sub(rented).min(rental.count as usize);
+                if earlier.is_none() && count == 0 {
                     let error = NO_CAPACITY.into();
                     Response::with(503, wire::encode(&wire::CloudError { error }))
                 } else {
-                    let machines = known.unwrap_or_else(|| {
-                        (0..room).map(|_| self.rent(kind.zone, kind.spot)).collect()
+                    let machines = earlier.unwrap_or_else(|| {
+                        (0..count).map(|_| self.rent(pool.zone, pool.spot)).collect()
                     });
-                    self.hired.insert(hire.request, machines.clone());
+                    self.rentals.insert(rental.request, machines.clone());
                     Response::with(200, wire::encode(&MachineIds { machines }))
                 }
             }
             CloudRequest::ScaleIn(machines) => {
                 for machine in machines {
                     if let Some(worker) = self.workers.get_mut(&machine)
-                        && !worker.gone
+                        && !worker.terminated
                     {
-                        worker.gone = true;
-                        worker.tasks_left_empty =
+                        worker.terminated = true;
+                        worker.terminated_idle =
                             worker.tasks.values().all(|r| r.state == TaskState::Exited);
                         worker.tasks.clear();
                     }
@@ -82,7 +85,8 @@
             }
             CloudRequest::List { .. } => {
                 let t = self.now_ms;
-                let rows = self.workers.iter().filter(|(_, w)| !w.gone && w.up_at + 2000 <= t);
+                let rows =
+                    self.workers.iter().filter(|(_, w)| !w.terminated && w.booted_at + 2000 <= t);
                 let machines = rows
                     .map(|(id, worker)| ListedMachine {
                         machine: id.clone(),
@@ -91,17 +95,17 @@
                         zone: ZONES[worker.zone].into(),
                         spot: worker.spot,
                         status: ListedMachineState::Running,
-                        age_s: (t - worker.up_at) as f64 / 1000.0,
+                        age_s: (t - worker.booted_at) as f64 / 1000.0,
                     })
                     .collect();
                 Response::with(200, wire::encode(&MachinePage { machines, truncated: false }))
             }
         };
         let lost = self.random.random_range(0..40) == 0;
-        if rents && self.targeted_faults.quick_boots {
-            // The machines are up and report before whoever rented them hears of them.
+        if rents && self.targeted_faults.fast_boots {
+            // The machines boot and send heartbeats before the controller receives the response.
             let late = self.now_ms + self.random.random_range(300..3000);
-            return self.at(
+            return self.schedule(
                 late,
                 SimEvent::Controller(
                     node,
@@ -118,38 +122,39 @@
         ));
     }
 
+    /// Adds a machine and schedules its boot.
     pub fn rent(&mut self, zone: usize, spot: bool) -> MachineId {
         self.next_machine += 1;
         let id = MachineId::new(&format!("i-{:06}", self.next_machine));
         let mut boot = self.random.random_range(1000..8000);
-        if self.targeted_faults.quick_boots {
+        if self.targeted_faults.fast_boots {
             boot = self.random.random_range(50..2000);
-            self.targeted_faults.record_effect("quick boots");
+            self.targeted_faults.record_effect("fast boots");
         }
-        let never = self.bad_boots && self.random.random_range(0..3) == 0;
-        let factor = if self.bad_boots { 3 } else { 1 };
-        let up_at = if never { u64::MAX / 2 } else { self.now_ms + boot * factor };
+        let never_boots = self.failed_boots && self.random.random_range(0..3) == 0;
+        let factor = if self.failed_boots { 3 } else { 1 };
+        let booted_at = if never_boots { u64::MAX / 2 } else { self.now_ms + boot * factor };
         self.workers.insert(
             id.clone(),
             Worker {
                 zone,
                 spot,
-                up_at,
-                gone: false,
+                booted_at,
+                terminated: false,
                 agent_epoch: 1,
                 seq: 0,
                 token: FencingToken(0),
-                renewed: up_at,
+                lease_renewed_at: booted_at,
                 target: self.random.random_range(0..self.nodes.len()),
-                asked: None,
-                next_report: up_at,
+                pending_heartbeat: None,
+                next_heartbeat_at: booted_at,
                 changed: false,
                 images: Vec::new(),
                 tasks: BTreeMap::new(),
-                tasks_left_empty: false,
+                terminated_idle: false,
             },
         );
-        self.at(up_at, SimEvent::Worker(id.clone()));
+        self.schedule(booted_at, SimEvent::Worker(id.clone()));
         id
     }
 }
--- a/crates/simulation/src/config.rs
+++ b/crates/simulation/src/config.rs
@@ -1,4 +1,4 @@
-//! How the simulated controllers, zones and teams are set up.
+//! Settings of the simulated controllers, zones and teams.
 
 use crate::previous_version;
 use crate::world::World;
@@ -6,24 +6,28 @@
 use troutspindle::settings::Settings;
 use troutspindle::wire::StoreValue;
 
+/// Duration of a worker's lease in milliseconds, as in the controllers' settings.
 pub const LEASE_MS: u64 = 14_000;
 
+/// Interval between a worker's heartbeats in milliseconds.
 pub const REPORT_MS: u64 = 2000;
 
+/// Maximum time in milliseconds that a task may run after its job was confirmed as cancelled.
 pub const CANCEL_MS: u64 = 32_000;
 
-/// Controllers on a usual day.
+/// Number of controllers by default.
 pub const CONTROLLERS: usize = 3;
 
+/// Names of the zones.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
-/// Ordinary and spot machines of a zone on a usual day.
+/// Number of ordinary and of spot machines that each zone offers by default.
 pub const DEFAULT_CAPACITY: [usize; 2] = [6, 6];
 
-/// Floors are on in every play, as in `run`: no rule may depend on them.
+/// Floor under scarcity. Enabled in every simulation, as in production: no rule may depend on it.
 pub const FLOOR: f64 = 0.7;
 
-/// Teams with their guarantee and limit in CPUs.
+/// Names of the teams with their guarantee and limit in CPUs.
 pub const TEAMS: [(&str, f64, f64); 3] = [("t", 40.0, 48.0), ("u", 8.0, 24.0), ("v", 8.0, 16.0)];
 
 fn teams() -> String {
@@ -33,23 +37,23 @@
     TEAMS.iter().map(team).collect::<Vec<String>>().join(",")
 }
 
-/// How a controller is set up; `old` stands for one of the version before this one.
-pub fn settings(count: usize, node: usize, old: bool, floor: f64) -> Arc<Settings> {
-    settings_with_sharding(count, node, old, floor, sharding_requested())
+/// Returns the settings of a controller; `previous` selects those of the previous version.
+pub fn settings(count: usize, node: usize, previous: bool, floor: f64) -> Arc<Settings> {
+    settings_with_sharding(count, node, previous, floor, sharding_requested())
 }
 
-/// Whether a person asked in SHARE for days on which reports are shared out.
+/// Returns whether the environment variable SHARE requests heartbeat sharding.
 pub fn sharding_requested() -> bool {
     std::env::var("SHARE").is_ok()
 }
 
-/// The same, where the leader shares workers' reports out or keeps to the usual rule.
+/// Returns the settings of a controller. With `sharding` the leader always shards heartbeats, otherwise by the default rule.
 pub fn settings_with_sharding(
     count: usize,
     node: usize,
-    old: bool,
+    previous: bool,
     floor: f64,
-    share: bool,
+    sharding: bool,
 ) -> Arc<Settings> {
     let others: Vec<String> = (0..count)
         .filter(|n| *n != node)
@@ -72,19 +76,19 @@
     );
     let text = text.replace("TEAMS", &teams());
     let operator =
-        if old { "hold_format: true".to_owned() } else { format!("{LEARNING}floor: {floor}") };
+        if previous { "hold_format: true".to_owned() } else { format!("{LEARNING}floor: {floor}") };
     let operator =
-        if share && !old { format!("{operator}\nshare_reports: always") } else { operator };
+        if sharding && !previous { format!("{operator}\nshare_reports: always") } else { operator };
     Arc::new(Settings::parse(&text, Some(&operator)).unwrap())
 }
 
-/// All that learned run times are used for, and arrays that grow and make way: no rule may depend on either.
+/// Operators' settings that enable all uses of learned run times, and elastic arrays. No rule may depend on either.
 pub const LEARNING: &str = "
 estimates: {learn: true, warn: true, due: true, ahead: true, make_way: true, drain: true}
 elastic: [{class: c, least: 4, most: 7}]
 ";
 
-/// A value as production keeps it: without the fields that it doesn't know.
+/// Returns a value as production stores it: without the fields that it does not know.
 pub fn as_production(data: &StoreValue) -> StoreValue {
     let StoreValue::Map(fields) = data else { return data.clone() };
     let known =
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,9 +1,7 @@
-//! A digest of all that the controllers of a simulated day send, so that a change that is meant to
-//! leave behaviour alone can be held against the version before it.
+//! Digest of all messages that the controllers of a simulation send, to check that a refactoring changes no behaviour.
 //!
-//! With `WORLD_DIGESTS=FILE` in the environment, every simulated world appends one line to that file
-//! when it is dropped: its seed, how many messages it counted, and their digest. Two runs of one test
-//! give the same lines, in any order.
+//! With `WORLD_DIGESTS=FILE` in the environment, every [`World`] appends one line to that file when it is dropped: its
+//! seed, the number of messages, and their digest. Two runs of the same test give the same lines in any order.
 
 use crate::World;
 use std::fs::OpenOptions;
@@ -15,10 +13,10 @@
 use troutspindle::workers::command_delivery::DirectCall;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Names the file to which digests are appended.
+/// Environment variable with the path of the file to which digests are appended.
 const FILE_VARIABLE: &str = "WORLD_DIGESTS";
 
-/// Running digest of one world; `None` where nobody asked for it.
+/// Running digest of one simulation; `None` if digests are not requested.
 pub struct Digest(Option<Box<Trace>>);
 
 struct Trace {
@@ -58,13 +56,14 @@
 }
 
 impl Digest {
+    /// Creates the digest of a simulation with this seed.
     pub fn new(seed: u64) -> Digest {
         let path = std::env::var(FILE_VARIABLE).ok();
         let trace = |path| Box::new(Trace { path, seed, messages: 0, hasher: Xxh3::new() });
         Digest(path.map(trace))
     }
 
-    /// A controller sends something.
+    /// Adds a message that a controller sends.
     pub fn effect(&mut self, at_ms: u64, node: usize, effect: &Effect) {
         let Some(trace) = &mut self.0 else { return };
         let node = &node.to_le_bytes();
@@ -91,7 +90,7 @@
         }
     }
 
-    /// A transaction was carried out, or refused.
+    /// Adds the result of a transaction.
     pub fn committed(&mut self, at_ms: u64, revision: u64, committed: bool) {
         let Some(trace) = &mut self.0 else { return };
         trace.add("commit", at_ms, &[&revision.to_le_bytes(), &[u8::from(committed)]]);
@@ -110,7 +109,7 @@
 }
 
 impl World {
-    /// Adds all keys and values that the state service keeps now.
+    /// Adds all keys and values in the store.
     pub fn digest_store(&mut self) {
         let Some(trace) = &mut self.digest.0 else { return };
         for (key, (data, revision, lease)) in &self.store.keys {
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulated world, and the faults that are injected into it.
+//! Events of the simulation, and the faults that can be injected.
 
 use crate::extra_requests::ExtraRequest;
 use troutspindle::cloud::CloudRequest;
@@ -10,120 +10,128 @@
 use troutspindle::wire::CommandBatch;
 use troutspindle::workers::command_delivery::DirectCall;
 
-/// What is due at some time.
+/// An event of the simulation. The first `usize` is the controller, a `u32` its incarnation.
 pub enum SimEvent {
     Tick(usize),
-    /// A message reaches the node, if the incarnation it was meant for still runs.
+    /// A message reaches the controller if the addressed incarnation still runs.
     Controller(usize, u32, Event),
-    State(usize, u32, u64, StoreRequest),
-    /// A transaction is carried out of which nobody waits for the answer any more.
+    /// A request with its call number reaches the store.
+    Store(usize, u32, u64, StoreRequest),
+    /// The store applies a transaction whose sender no longer waits for the response.
     DelayedCommit(wire::Transaction),
-    /// A transaction of this node, and of its call with that number, is carried out and answered.
+    /// The store applies the transaction of this call and responds.
     SlowCommit(usize, u32, u64, wire::Transaction),
+    /// A request with its call number reaches the cloud.
     Cloud(usize, u32, u64, CloudRequest),
     DirectCall(usize, u32, MachineId, DirectCall),
-    /// A report reaches a node.
+    /// An encoded heartbeat with its sequence number reaches a controller.
     Heartbeat(usize, MachineId, Vec<u8>, u64),
     HeartbeatResponse(MachineId, u64, Response),
+    /// A worker runs its periodic step.
     Worker(MachineId),
     Fault(Fault),
+    /// The user of this job runs the periodic step.
     User(u64),
     UserRequest(usize, u64, Request),
-    /// To the job's user, on the request made at that time.
+    /// The response to the request that the job's user sent at this time.
     UserResponse(u64, u64, Response),
-    /// A request beside the user's usual ones goes to a node, and its answer comes back.
+    /// A request in addition to the user's regular ones reaches a controller.
     ExtraRequest(usize, ExtraRequest),
     ExtraResponse(ExtraRequest, Response),
-    /// Users send odd requests as long as that trouble lasts.
+    /// Users send the next invalid request while that fault lasts.
     InvalidRequest,
-    /// Orders straight to a worker that were held up, whose sender has given up.
+    /// Delayed direct commands reach a worker after their sender has timed out.
     DelayedCommands(MachineId, CommandBatch),
     Restart(usize),
     LeaseCheck,
-    /// The node gets round to what is first in its line.
+    /// The controller handles the first event in its queue.
     NextQueued(usize),
 }
 
+/// A fault, or its begin (`true`) and end (`false`).
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
+    /// The controller crashes and restarts after 4 s.
     Crash(usize),
-    /// A crash, and after how many milliseconds the controller is back.
+    /// The controller crashes and restarts after this many milliseconds.
     CrashAndRestart(usize, u64),
-    /// Between a node and everything but the state service and the cloud.
-    CutNode(usize, bool),
-    /// Between zones: node 1 stands in zone b, the others in zone a.
-    CutZones(bool),
-    /// Between the leader and the workers of zone b, but not among nodes.
-    CutWorkers(bool),
-    /// Between zone b and everything, the state service, the cloud and users included.
+    /// Partitions a controller from everything but the store and the cloud.
+    PartitionController(usize, bool),
+    /// Partitions zone a from zone b. Controllers with odd numbers are in zone b, the others in zone a.
+    PartitionZones(bool),
+    /// Partitions the leader from the workers of zone b, but not controllers from each other.
+    CutLeaderFromWorkers(bool),
+    /// Partitions zone b from everything, including the store, the cloud and users.
     IsolateZone(bool),
-    Outage(bool),
+    /// The store is unavailable.
+    StoreOutage(bool),
+    /// The cloud reclaims one spot machine.
     ReclaimMachine,
-    /// All spot machines, without notice.
+    /// The cloud reclaims all spot machines without notice.
     ReclaimSpotMachines,
-    /// The state service refuses this node alone.
-    StoreRefuses(usize, bool),
+    /// The store rejects this controller only.
+    StoreRejects(usize, bool),
     CloudOutage(bool),
-    /// So many ordinary and spot machines can be had in each zone.
+    /// Sets the number of ordinary and of spot machines that each zone offers.
     Capacity([usize; 2]),
-    /// A third of the new machines never comes up, the others late.
+    /// A third of the new machines never boots, the others take three times as long.
     FailedBoots(bool),
-    /// Connections between nodes are refused.
+    /// Connections between controllers are rejected.
     RefusePeerConnections(bool),
-    /// The node takes up to 150 ms longer for most of what it does.
-    SlowNode(usize, bool),
-    /// Tasks started meanwhile run three times as long.
+    /// The controller handles 70 % of its messages up to 150 ms late.
+    SlowController(usize, bool),
+    /// Tasks that start during the fault run three times as long.
     SlowMachines(bool),
-    /// The node stands still, between two events or between an event and its effects, while its
-    /// clock runs on.
+    /// The controller stalls, between two events or between an event and its effects, while its clock continues.
     Stall(usize, bool),
-    /// The node is switched off for a minute: silent, not refusing.
+    /// The controller is down for a minute: connections time out instead of being rejected.
     Down(usize),
-    /// Users ask eight times as often.
+    /// Users poll eight times as often.
     PollStorm(bool),
-    /// Between a node and all workers, but nothing else.
+    /// Partitions a controller from all workers, but from nothing else.
     CutControllerFromWorkers(usize, bool),
-    /// The node is ended and comes back with the new version.
+    /// The controller crashes and restarts with the new version.
     Upgrade(usize),
-    /// Each event takes every node so many milliseconds, and what comes meanwhile waits in line.
+    /// Each event takes every controller this many milliseconds; later events queue.
     EventCost(u64),
-    /// The state service's limits become those that settings name as the next ones.
+    /// The store's limits change to those that the settings announce as the next ones.
     TightenStoreLimits,
-    /// A third of the transactions gets no answer, and is carried out 2 to 12 s later.
+    /// A third of the transactions gets no response and is applied 2 to 12 s later.
     DelayedCommits(bool),
-    /// Of a third of the reports a copy arrives again, 2 to 28 s later.
+    /// A copy of a third of the heartbeats arrives 2 to 28 s later.
     DelayedHeartbeats(bool),
-    /// The reports of a zone's workers arrive; answers and direct commands to them are lost.
+    /// Heartbeats of a zone's workers arrive, but responses and direct commands to them are lost.
     DropResponsesToWorkers(usize, bool),
-    /// A zone's workers hang: they do and hear nothing, and go on later.
+    /// A zone's workers hang: they neither act nor receive anything until the fault ends.
     HangWorkers(usize, bool),
-    /// A node loses the state service and the other nodes, not its workers or users.
+    /// Partitions a controller from the store and the other controllers, but not from workers and users.
     IsolateController(usize, bool),
-    /// What a node says to the others, or they to it, is lost.
+    /// Messages from a controller to its peers are lost.
     DropOutgoingPeerMessages(usize, bool),
+    /// Messages to a controller from its peers are lost.
     DropIncomingPeerMessages(usize, bool),
-    /// A third of the transactions is carried out at once, and its answer lost.
+    /// A third of the transactions is applied at once, and the response is lost.
     LoseCommitResponses(bool),
-    /// Transactions take some hundred milliseconds to seconds, and only then are carried out.
+    /// Transactions are applied 200 to 1450 ms late.
     SlowCommits(bool),
-    /// Copies of reports are kept, and reach all controllers as a next leader begins.
+    /// Copies of heartbeats are kept, and reach all controllers as the next leader starts.
     ReplayHeartbeatsToNextLeader(bool),
-    /// The workers of a zone reach no controller; direct commands reach them.
+    /// The workers of a zone cannot connect to any controller; direct commands still reach them.
     WorkersCannotConnect(usize, bool),
-    /// A third of the direct commands is held up for seconds, or their answers are.
+    /// A third of the direct commands, or of their responses, is delayed by seconds.
     DelayedCommands(bool),
-    /// After each news users ask at all nodes within milliseconds, repeat the submission, and some cancel.
+    /// After each status change users poll all controllers within milliseconds, repeat the submission, and some cancel.
     RapidRequests(bool),
-    /// Users call off so many jobs that run, within a fifth of a second.
+    /// Users cancel this many running jobs within 200 ms.
     CancelNow(usize),
-    /// Half of the jobs whose last task ends are called off at that moment.
+    /// Half of the jobs whose last task completes are cancelled within 60 ms.
     CancelAtEnd(bool),
-    /// Submissions that are broken or repeated, cancellations of what is done, questions about nothing.
+    /// Users send incomplete and repeated submissions, cancel completed jobs, and poll unknown jobs.
     InvalidRequests(bool),
-    /// So many machines with tasks are lost without notice.
+    /// This many machines with tasks are lost without notice.
     KillMachines(usize),
-    /// Whoever leads ends, and is back after so many milliseconds.
+    /// The leader crashes and restarts after this many milliseconds.
     CrashLeader(u64),
-    /// New machines are up within two seconds, mostly before the answer to their rental comes.
+    /// New machines boot within two seconds, mostly before the response to the rental arrives.
     FastBoots(bool),
 }
--- a/crates/simulation/src/extra_requests.rs
+++ b/crates/simulation/src/extra_requests.rs
@@ -1,5 +1,5 @@
-//! Requests beside the usual ones: looks at all nodes within milliseconds, and odd requests. Several
-//! requests of one user may be under way; answers are judged by real time alone.
+//! Additional requests of users: rapid requests to all controllers, and invalid requests. Several requests of one user may
+//! be in flight; their responses are compared by send and receive time only.
 
 use crate::event::SimEvent;
 use crate::model::Ticket;
@@ -11,7 +11,7 @@
 use troutspindle::wire;
 use troutspindle::wire::{JobSpec, JobStatus, JobView, StoreValue};
 
-/// What an answer told a user of a job, the newer the greater; both last ones are final.
+/// Job status reported by a response. A later status is greater; `Done` and `Cancelled` are final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportedStatus {
     Accepted,
@@ -20,7 +20,7 @@
 }
 
 impl ReportedStatus {
-    /// None: that there is no such job, or none that is well formed or can run.
+    /// Returns the status in a response; `None` if the job is unknown, malformed or cannot run.
     pub fn of(response: &Response) -> Option<ReportedStatus> {
         if !matches!(response.status, 200 | 201) {
             return None;
@@ -34,71 +34,78 @@
     }
 }
 
+/// Kind of an additional request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestKind {
     Submit,
     Poll,
-    Abort,
-    /// A submission that only names the job, or asks for more than any machine has.
-    Broken,
+    Cancel,
+    /// A repeated submission that contains only the job's id.
+    Incomplete,
+    /// A repeated submission that requests more CPUs than any machine has.
     TooLarge,
-    /// The same of a job that nobody submitted, and a question about it.
-    BrokenNew,
-    TooLargeNew,
-    PollNew,
+    /// An incomplete submission of an unknown job.
+    IncompleteUnknown,
+    /// A submission of an unknown job that is too large.
+    TooLargeUnknown,
+    /// A poll for an unknown job.
+    PollUnknown,
 }
 
-/// A request of a user, when and in which event it was sent, and whether it is one of the odd ones.
+/// An additional request of a user.
 #[derive(Clone, Debug)]
 pub struct ExtraRequest {
     pub job: u64,
-    pub ask: RequestKind,
-    pub at: u64,
-    pub sent: u64,
+    pub kind: RequestKind,
+    /// Send time in milliseconds.
+    pub sent_ms: u64,
+    /// Event in which the request was sent; 0 before.
+    pub sent_event: u64,
 }
 
-/// Jobs with such numbers are never submitted by anybody.
-const NOBODYS: u64 = 900_000;
+/// First number of the jobs that no user submits.
+const FIRST_UNKNOWN_JOB: u64 = 900_000;
 
 impl World {
-    /// A user has heard news of a job.
+    /// Schedules rapid requests after a user has received a new status of a job.
     pub fn send_rapid_requests(&mut self, number: u64) {
-        if !self.targeted_faults.close_looks {
+        if !self.targeted_faults.rapid_requests {
             return;
         }
-        let begins = self.jobs[&number].cancel_at.is_some_and(|at| self.now_ms >= at);
+        let may_cancel = self.jobs[&number].cancel_at.is_some_and(|at| self.now_ms >= at);
         for node in 0..self.nodes.len() {
             for round in [0, 1, 3, 8, 20, 60] {
                 let at = self.now_ms + round + self.random.random_range(0..2);
-                let ask = match self.random.random_range(0..4) {
+                let kind = match self.random.random_range(0..4) {
                     0 => RequestKind::Submit,
-                    1 if begins => RequestKind::Abort,
+                    1 if may_cancel => RequestKind::Cancel,
                     _ => RequestKind::Poll,
                 };
-                self.send_extra_request_at(at, node, number, ask);
+                self.send_extra_request_at(at, node, number, kind);
             }
         }
     }
 
-    /// The request leaves at that time.
-    pub fn send_extra_request_at(&mut self, at: u64, node: usize, job: u64, ask: RequestKind) {
-        // The events in which it leaves and arrives are known only then.
-        let asked = ExtraRequest { job, ask, at, sent: 0 };
-        self.at(at, SimEvent::ExtraRequest(node, asked));
+    /// Schedules a request that is sent at this time.
+    pub fn send_extra_request_at(&mut self, at: u64, node: usize, job: u64, kind: RequestKind) {
+        // The number of the sending event is known only when it occurs.
+        let asked = ExtraRequest { job, kind, sent_ms: at, sent_event: 0 };
+        self.schedule(at, SimEvent::ExtraRequest(node, asked));
     }
 
+    /// Sends a request, or delivers it to its controller if it was sent before.
     pub fn deliver_extra_request(&mut self, node: usize, mut asked: ExtraRequest) {
-        if asked.sent == 0 {
-            asked.sent = self.events;
+        if asked.sent_event == 0 {
+            asked.sent_event = self.events;
             let job = self.jobs.get_mut(&asked.job);
-            if asked.ask == RequestKind::Abort
+            if asked.kind == RequestKind::Cancel
                 && let Some(job) = job
             {
-                job.asked_abort = true;
+                job.cancel_requested = true;
             }
             return self.schedule_soon(SimEvent::ExtraRequest(node, asked));
         }
-        if self.cut_node[node] || self.down[node] || self.is_isolated(node) {
+        if self.partitioned_controllers[node] || self.down[node] || self.is_isolated(node) {
             return;
         }
         if self.nodes[node].is_none() {
@@ -118,79 +125,85 @@
             post(wire::encode(&StoreValue::Map(vec![name])))
         };
         let spec = |cpus: f64| {
-            let some = known.or(self.jobs.values().next().map(|job| &job.spec)).unwrap();
-            let cpus = if cpus > 0.0 { cpus } else { some.cpus };
-            post(wire::encode(&JobSpec { id: JobId::new(&id), cpus, ..some.clone() }))
+            let template = known.or(self.jobs.values().next().map(|job| &job.spec)).unwrap();
+            let cpus = if cpus > 0.0 { cpus } else { template.cpus };
+            post(wire::encode(&JobSpec { id: JobId::new(&id), cpus, ..template.clone() }))
         };
-        match asked.ask {
+        match asked.kind {
             RequestKind::Submit => spec(0.0),
-            RequestKind::Broken | RequestKind::BrokenNew => incomplete(),
-            RequestKind::TooLarge | RequestKind::TooLargeNew => spec(9.0),
-            RequestKind::Poll | RequestKind::PollNew => {
+            RequestKind::Incomplete | RequestKind::IncompleteUnknown => incomplete(),
+            RequestKind::TooLarge | RequestKind::TooLargeUnknown => spec(9.0),
+            RequestKind::Poll | RequestKind::PollUnknown => {
                 Request { method: Method::Get, target: format!("/api/jobs/{id}"), body: Vec::new() }
             }
-            RequestKind::Abort => {
+            RequestKind::Cancel => {
                 let target = format!("/api/jobs/{id}/abort");
                 Request { method: Method::Post, target, body: Vec::new() }
             }
         }
     }
 
+    /// Checks the response to an additional request.
     pub fn on_extra_response(&mut self, asked: &ExtraRequest, response: &Response) {
-        if matches!(response.status, 503 | 599) || self.now_ms > asked.at + 5000 {
+        if matches!(response.status, 503 | 599) || self.now_ms > asked.sent_ms + 5000 {
             return;
         }
-        let expected = match asked.ask {
-            RequestKind::BrokenNew => 400,
-            RequestKind::TooLargeNew => 422,
-            RequestKind::PollNew => 404,
+        let expected = match asked.kind {
+            RequestKind::IncompleteUnknown => 400,
+            RequestKind::TooLargeUnknown => 422,
+            RequestKind::PollUnknown => 404,
             _ => {
-                self.targeted_faults.record_effect("close looks");
-                return self.judge(asked.job, 9, (asked.at, asked.sent), response);
+                self.targeted_faults.record_effect("rapid requests");
+                return self.check_response(
+                    asked.job,
+                    9,
+                    (asked.sent_ms, asked.sent_event),
+                    response,
+                );
             }
         };
-        self.targeted_faults.record_effect("odd requests");
+        self.targeted_faults.record_effect("invalid requests");
         if response.status != expected {
             self.record_violation(format!("invented: {asked:?} got {}", response.status));
         }
     }
 
-    /// One odd request, and the next one soon.
+    /// Sends one invalid request and schedules the next one.
     pub fn send_invalid_request(&mut self) {
-        if !self.targeted_faults.odd_requests {
+        if !self.targeted_faults.invalid_requests {
             return;
         }
         let accepted = self.jobs.iter().filter(|(_, job)| job.accepted);
         let accepted: Vec<u64> = accepted.map(|(number, _)| *number).collect();
         let node = self.random.random_range(0..self.nodes.len());
-        let nobodys = NOBODYS + self.events;
+        let unknown_job = FIRST_UNKNOWN_JOB + self.events;
         let pick = self.random.random_range(0..accepted.len().max(1));
-        let (job, ask) = match (self.random.random_range(0..7), accepted.get(pick)) {
-            (0, _) | (_, None) => (nobodys, RequestKind::BrokenNew),
-            (1, _) => (nobodys, RequestKind::TooLargeNew),
-            (2, _) => (nobodys, RequestKind::PollNew),
-            (3, Some(job)) => (*job, RequestKind::Broken),
+        let (job, kind) = match (self.random.random_range(0..7), accepted.get(pick)) {
+            (0, _) | (_, None) => (unknown_job, RequestKind::IncompleteUnknown),
+            (1, _) => (unknown_job, RequestKind::TooLargeUnknown),
+            (2, _) => (unknown_job, RequestKind::PollUnknown),
+            (3, Some(job)) => (*job, RequestKind::Incomplete),
             (4, Some(job)) => (*job, RequestKind::TooLarge),
             (5, Some(job)) => (*job, RequestKind::Submit),
-            // What is done stays done, whoever calls it off.
-            (_, Some(job)) if self.jobs[job].told_done => (*job, RequestKind::Abort),
+            // A completed job must stay completed when it is cancelled.
+            (_, Some(job)) if self.jobs[job].completion_confirmed => (*job, RequestKind::Cancel),
             (_, Some(job)) => (*job, RequestKind::Poll),
         };
         if !self.jobs.is_empty() {
-            self.send_extra_request_at(self.now_ms, node, job, ask);
+            self.send_extra_request_at(self.now_ms, node, job, kind);
         }
         let next = self.now_ms + self.random.random_range(20..200);
-        self.at(next, SimEvent::InvalidRequest);
+        self.schedule(next, SimEvent::InvalidRequest);
     }
 
-    /// Calls a job off right now at some node; its user goes on until it is told.
+    /// Cancels a job at a time through a random controller; its user repeats the request until it is confirmed.
     pub fn cancel_job(&mut self, number: u64, at: u64) {
         let job = self.jobs.get_mut(&number).unwrap();
-        if job.cancel_at.is_none_or(|abort| abort > at) {
+        if job.cancel_at.is_none_or(|cancel_at| cancel_at > at) {
             job.cancel_at = Some(at);
             let node = self.random.random_range(0..self.nodes.len());
-            self.send_extra_request_at(at, node, number, RequestKind::Abort);
-            self.at(at + 1, SimEvent::User(number));
+            self.send_extra_request_at(at, node, number, RequestKind::Cancel);
+            self.schedule(at + 1, SimEvent::User(number));
         }
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles, and days made of them.
+//! Injection of faults, queries on the simulation's state, and the standard simulated day.
 
 use crate::event::{Fault, SimEvent};
 use crate::world::World;
@@ -6,6 +6,7 @@
 use troutspindle_runtime_estimates::Bucket;
 
 impl World {
+    /// Begins or ends a fault now.
     pub fn fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash(node) => self.fault(Fault::CrashAndRestart(node, 4000)),
@@ -13,41 +14,44 @@
                 self.nodes[node] = None;
                 self.incarnation[node] += 1;
                 self.tickets[node].clear();
-                self.at(self.now_ms + back, SimEvent::Restart(node));
+                self.schedule(self.now_ms + back, SimEvent::Restart(node));
             }
-            Fault::CutNode(node, on) => self.cut_node[node] = on,
-            Fault::CutZones(on) => self.cut_zones = on,
+            Fault::PartitionController(node, on) => self.partitioned_controllers[node] = on,
+            Fault::PartitionZones(on) => self.zones_partitioned = on,
             Fault::IsolateZone(on) => self.isolated_zone = on,
-            Fault::CutWorkers(on) => {
+            Fault::CutLeaderFromWorkers(on) => {
                 let leader = (0..self.nodes.len()).find(|node| self.leads(*node));
-                self.cut_workers = leader.filter(|_| on);
+                self.cut_off_from_zone_b = leader.filter(|_| on);
             }
-            Fault::CutControllerFromWorkers(node, on) => self.deaf = on.then_some(node),
-            Fault::Outage(on) => {
-                self.store.out = on;
+            Fault::CutControllerFromWorkers(node, on) => {
+                self.cut_off_from_workers = on.then_some(node)
+            }
+            Fault::StoreOutage(on) => {
+                self.store.unavailable = on;
                 let t = self.now_ms;
                 for (ms, until) in self.store.leases.values_mut() {
                     *until = t + *ms;
                 }
             }
-            Fault::StoreRefuses(node, on) => self.refused = on.then_some(node),
-            Fault::CloudOutage(on) => self.cloud_out = on,
+            Fault::StoreRejects(node, on) => self.rejected_by_store = on.then_some(node),
+            Fault::CloudOutage(on) => self.cloud_unavailable = on,
             Fault::Capacity(machines) => self.capacity = machines,
-            Fault::FailedBoots(on) => self.bad_boots = on,
-            Fault::RefusePeerConnections(on) => self.no_mesh = on,
-            Fault::SlowNode(node, on) => self.slow_node = on.then_some(node),
+            Fault::FailedBoots(on) => self.failed_boots = on,
+            Fault::RefusePeerConnections(on) => self.peer_connections_rejected = on,
+            Fault::SlowController(node, on) => self.slow_controller = on.then_some(node),
             Fault::SlowMachines(on) => self.slow_machines = on,
-            Fault::PollStorm(on) => self.polls = on,
+            Fault::PollStorm(on) => self.poll_storm = on,
             Fault::Stall(node, on) => {
                 self.stalled[node] = on;
-                let woken = |(other, _): &mut (usize, _)| !on && *other == node;
-                for (node, effects) in self.unsent_effects.extract_if(.., woken).collect::<Vec<_>>()
+                let is_resumed = |(other, _): &mut (usize, _)| !on && *other == node;
+                for (node, effects) in
+                    self.unsent_effects.extract_if(.., is_resumed).collect::<Vec<_>>()
                 {
                     if self.nodes[node].is_some() {
-                        self.carry_out(node, effects);
+                        self.apply_effects(node, effects);
                     }
                 }
-                // Whatever queued up comes at once, in order; what is for others waits on.
+                // Handles the queued events at once and in order; events of other stalled controllers keep waiting.
                 for due in std::mem::take(&mut self.stalled_events) {
                     self.step(due);
                 }
@@ -57,24 +61,26 @@
                 self.incarnation[node] += 1;
                 self.tickets[node].clear();
                 self.down[node] = true;
-                self.at(self.now_ms + 60_000, SimEvent::Restart(node));
+                self.schedule(self.now_ms + 60_000, SimEvent::Restart(node));
             }
             Fault::Upgrade(node) => {
-                self.old[node] = false;
+                self.runs_previous_version[node] = false;
                 self.fault(Fault::Crash(node));
             }
-            Fault::EventCost(cost) => self.cost = cost,
-            Fault::DelayedCommits(on) => self.late_writes = on,
-            Fault::DelayedHeartbeats(on) => self.late_reports = on,
-            Fault::DropResponsesToWorkers(zone, on) => self.deaf_zone = on.then_some(zone),
+            Fault::EventCost(cost) => self.event_cost_ms = cost,
+            Fault::DelayedCommits(on) => self.delayed_commits = on,
+            Fault::DelayedHeartbeats(on) => self.delayed_heartbeats = on,
+            Fault::DropResponsesToWorkers(zone, on) => {
+                self.zone_without_responses = on.then_some(zone)
+            }
             Fault::HangWorkers(zone, on) => self.hung_zone = on.then_some(zone),
-            Fault::IsolateController(node, on) => self.isolated = on.then_some(node),
+            Fault::IsolateController(node, on) => self.isolated_controller = on.then_some(node),
             Fault::DropOutgoingPeerMessages(node, on) => self.drops_outgoing = on.then_some(node),
             Fault::DropIncomingPeerMessages(node, on) => self.drops_incoming = on.then_some(node),
             Fault::TightenStoreLimits => self.limits = (4, 2048),
             Fault::ReclaimSpotMachines => {
                 for worker in self.workers.values_mut().filter(|w| w.spot) {
-                    worker.gone = true;
+                    worker.terminated = true;
                     worker.tasks.clear();
                 }
             }
@@ -89,33 +95,36 @@
             | Fault::InvalidRequests(_)
             | Fault::KillMachines(_)
             | Fault::CrashLeader(_)
-            | Fault::FastBoots(_)) => self.aim(fault),
+            | Fault::FastBoots(_)) => self.apply_targeted_fault(fault),
             Fault::ReclaimMachine => {
-                if let Some(worker) = self.workers.values_mut().find(|w| !w.gone && w.spot) {
-                    worker.gone = true;
+                if let Some(worker) = self.workers.values_mut().find(|w| !w.terminated && w.spot) {
+                    worker.terminated = true;
                     worker.tasks.clear();
                 }
             }
         }
-        // Whatever was held back comes once its way is open again; what isn't is held anew.
-        for due in std::mem::take(&mut self.held) {
+        // Delivers the messages that a partition kept back; those that are still blocked are kept back again.
+        for due in std::mem::take(&mut self.blocked_messages) {
             self.schedule_soon(due);
         }
     }
 
+    /// Returns the leader. Panics if there is none.
     pub fn leader(&self) -> usize {
         (0..self.nodes.len()).find(|node| self.leads(*node)).unwrap()
     }
 
+    /// Returns whether a controller acts as leader.
     pub fn leads(&self, node: usize) -> bool {
         self.nodes[node].as_ref().is_some_and(|node| node.scheduler.is_some())
     }
 
+    /// Returns the number of running tasks of a job.
     pub fn running(&self, number: u64) -> usize {
         self.tasks(number, |state| state == TaskState::Running)
     }
 
-    /// Tasks of a job that are on machines, whatever they do there.
+    /// Returns the number of a job's tasks on machines that have not exited.
     pub fn on_machines(&self, number: u64) -> usize {
         self.tasks(number, |state| state != TaskState::Exited)
     }
@@ -126,22 +135,25 @@
         tasks.filter(|(task, r)| task.job == *id && counts(r.state)).count()
     }
 
-    /// Whoever led, crashed or wrote late: values are whole, and no run counts more tasks than its job has.
-    pub fn check_learned(&self) -> usize {
+    /// Checks that the stored run times are readable and that no run counts more tasks than the largest array has, and
+    /// returns the number of runs.
+    pub fn check_stored_estimates(&self) -> usize {
         let kept = self.store.keys.range("t/e/".to_owned().."t/e0".to_owned());
         let arrays = self.jobs.values().filter(|job| job.spec.shape != JobKind::Service);
-        let most = arrays.map(|job| job.spec.tasks).max().unwrap_or(0);
+        let max_tasks = arrays.map(|job| job.spec.tasks).max().unwrap_or(0);
         let mut runs = 0;
         for (key, (data, ..)) in kept {
             let bucket = Bucket::decode(data.as_text().unwrap()).expect(key);
             for run in bucket.runs() {
-                assert!(u64::from(run.tasks) <= most, "{key}: {run:?}");
+                assert!(u64::from(run.tasks) <= max_tasks, "{key}: {run:?}");
                 runs += 1;
             }
         }
         runs
     }
 
+    /// Runs a standard day of three services and fifteen arrays with these faults, and checks that no rule is violated and
+    /// that every job finishes or keeps running.
     pub fn day(seed: u64, faults: &[(u64, Fault)]) -> World {
         let mut world = World::new(seed);
         for n in 0..3 {
@@ -152,7 +164,7 @@
             world.submit_at(n * 3000, n, false, cancel_at);
         }
         for (t, fault) in faults {
-            world.at(*t, SimEvent::Fault(*fault));
+            world.schedule(*t, SimEvent::Fault(*fault));
         }
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
@@ -162,18 +174,21 @@
                 JobKind::Service if !cancelled => {
                     assert_eq!(world.running(*number), 4, "seed {seed}: service {number}");
                 }
-                _ => assert!(job.told_done || cancelled, "seed {seed}: {number} is not over"),
+                _ => assert!(
+                    job.completion_confirmed || cancelled,
+                    "seed {seed}: {number} is not finished"
+                ),
             }
         }
-        let runs = world.check_learned();
+        let runs = world.check_stored_estimates();
         assert!(runs > 0 || !faults.is_empty(), "seed {seed}: nothing was learned");
         world
     }
 }
 
-/// Which seeds a person asked for in SEEDS, from which to which.
-pub fn seeds_requested(usual: &str) -> std::ops::Range<u64> {
-    let seeds = std::env::var("SEEDS").unwrap_or(usual.into());
+/// Returns the range of seeds in the environment variable SEEDS, or the default.
+pub fn seeds_requested(default: &str) -> std::ops::Range<u64> {
+    let seeds = std::env::var("SEEDS").unwrap_or(default.into());
     let (from, to) = seeds.split_once("..").unwrap();
     from.parse().unwrap()..to.parse().unwrap()
 }
--- a/crates/simulation/src/in_memory_store.rs
+++ b/crates/simulation/src/in_memory_store.rs
@@ -1,44 +1,48 @@
-//! The state service by itself: keys, revisions, leases and the log of changes, with no clock and no network.
+//! In-memory key-value store with revisions, leases and a change log, without clock and network.
 //!
-//! The simulated world and the scale run put their own time and transport around it.
+//! The simulation and the scale test add their own time and transport.
 
 use std::collections::{BTreeMap, HashMap};
 use troutspindle::ids::Revision;
 use troutspindle::schema::encoding::json_len;
 use troutspindle::wire::{StoreValue, Transaction, WatchEvent, WatchResponse, Write};
 
-/// A value with the revision of its last change and the lease that it is attached to.
+/// A value, the revision of its last change, and the lease that it is attached to.
 type Stored = (StoreValue, u64, Option<u64>);
 
-/// Why a transaction was not applied.
+/// Reason why a transaction was not applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitError {
-    /// The guards of these keys failed.
+    /// The preconditions on these keys failed.
     Conflict(Vec<String>),
-    /// More writes, guards or bytes than the limits permit.
+    /// More writes, preconditions or bytes than the limits permit.
     TooLarge,
-    /// A write names a lease that has ended.
+    /// A write refers to a lease that does not exist or has expired.
     NoSuchLease,
 }
 
-/// The keys and their history.
+/// Keys, leases and the change log.
 #[derive(Default)]
 pub struct Store {
+    /// Current values by key.
     pub keys: BTreeMap<String, Stored>,
+    /// Revision of the last change.
     pub rev: u64,
-    /// Changes in order of their revision; None stands for a removal.
+    /// Changes in order of their revision; `None` is a deletion.
     pub log: Vec<(u64, String, Option<StoreValue>)>,
-    /// Life in milliseconds and the time of the end, by lease.
+    /// Duration in milliseconds and expiry time of each lease.
     pub leases: HashMap<u64, (u64, u64)>,
+    /// Number of the lease created last.
     pub next_lease: u64,
-    /// Refuses everybody.
-    pub out: bool,
-    /// Follows that wait in the simulated world: node, its incarnation, call, revision, end.
-    pub waiting: Vec<(usize, u32, u64, u64, u64)>,
+    /// Whether the store is unavailable to all clients.
+    pub unavailable: bool,
+    /// Watches that wait for a change in the simulation: controller, incarnation, call, revision, deadline.
+    pub pending_watches: Vec<(usize, u32, u64, u64, u64)>,
 }
 
 impl Store {
-    /// Applies a transaction whose guards hold, within limits of (writes, bytes of a value).
+    /// Applies a transaction if its preconditions hold and it stays within the limits (writes, bytes of a value).
+    /// At most four times as many preconditions as writes are permitted.
     pub fn commit(
         &mut self,
         txn: Transaction,
@@ -47,19 +51,21 @@
         let failed: Vec<String> = txn
             .preconditions
             .iter()
-            .filter(|g| self.keys.get(&g.key).map_or(0, |(_, rev, _)| *rev) != g.rev.0)
-            .map(|g| g.key.clone())
+            .filter(|precondition| {
+                self.keys.get(&precondition.key).map_or(0, |(_, rev, _)| *rev) != precondition.rev.0
+            })
+            .map(|precondition| precondition.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(CommitError::Conflict(failed));
         }
-        let large = |write: &Write| match write {
+        let is_too_large = |write: &Write| match write {
             Write::Put { data, .. } => json_len(data) > bytes,
             Write::Delete { .. } => false,
         };
         if txn.writes.len() > ops
             || txn.preconditions.len() > ops * 4
-            || txn.writes.iter().any(large)
+            || txn.writes.iter().any(is_too_large)
         {
             return Err(CommitError::TooLarge);
         }
@@ -87,18 +93,18 @@
         Ok(Revision(self.rev))
     }
 
-    /// All changes later than a revision.
+    /// Returns all changes after a revision.
     pub fn news(&self, after: u64) -> WatchResponse {
         let first = self.log.partition_point(|(rev, ..)| *rev <= after);
-        let news = self.log[first..].iter().map(|(rev, key, data)| {
+        let events = self.log[first..].iter().map(|(rev, key, data)| {
             let (put, delete) =
                 if data.is_some() { (Some(key.clone()), None) } else { (None, Some(key.clone())) };
             WatchEvent { put, delete, data: data.clone(), rev: Revision(*rev) }
         });
-        WatchResponse { rev: Revision(self.rev), events: news.collect() }
+        WatchResponse { rev: Revision(self.rev), events: events.collect() }
     }
 
-    /// Ends a lease and removes the keys that are attached to it.
+    /// Ends a lease and deletes the keys that are attached to it.
     pub fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Ends the leases whose time is over; gives how many there were.
+    /// Ends all expired leases and returns their number.
     pub fn end_expired_leases(&mut self, now_ms: u64) -> usize {
         let expired = self.leases.iter().filter(|(_, (_, until))| *until <= now_ms);
         let ended: Vec<u64> = expired.map(|(lease, _)| *lease).collect();
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Controllers against stand-ins for the state service, the cloud and the workers, in
-//! simulated time with fixed seeds. An independent checker watches the rules.
+//! Deterministic simulation: real controllers with a simulated store, cloud, workers and users, in simulated time with
+//! fixed seeds. Independent checks record violations of the scheduler's rules.
 //!
-//! The stand-ins follow PROTOCOL and know nothing of the controllers' insides. Messages are
-//! delayed at random, lost by cuts, or held back and delivered when the cut ends.
+//! The simulated services follow PROTOCOL and do not depend on the controllers' internals. Messages are delayed at random,
+//! lost in partitions, or kept back and delivered when the partition ends.
 
 mod cloud;
 mod config;
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -1,8 +1,9 @@
-//! Production's types as they were, for what the new version writes before all controllers have it.
-//! A copy on purpose: it must not change with the code.
+//! Types of the version in production, which read what the new version writes before all controllers are upgraded.
+//! They are deliberate copies and must not change with the code.
 
 use serde::{Deserialize, Serialize};
 
+/// Job description as production reads it.
 #[derive(Debug, Deserialize)]
 pub struct Spec {
     #[serde(rename = "nameId")]
@@ -19,6 +20,7 @@
     _tasks: u64,
 }
 
+/// Phase of a job record.
 #[derive(Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -27,6 +29,7 @@
     Cancelled,
 }
 
+/// Job record as production reads it.
 #[derive(Debug, Deserialize)]
 pub struct Record {
     pub p: Phase,
@@ -41,6 +44,7 @@
     pub _w: Option<(String, f64, f64, f64)>,
 }
 
+/// Messages between controllers that production knows.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Beat {
@@ -72,12 +76,12 @@
     },
 }
 
-/// Whether production reads the message as it was meant.
+/// Returns whether production decodes the message completely: encoding it again must give the same bytes.
 pub fn reads(text: &str) -> bool {
     let Some(bytes) = troutspindle::wire::unhex(text) else { return false };
     let message: Result<PeerMessage, _> = postcard::from_bytes(&bytes);
-    message.is_ok_and(|message| postcard::to_stdvec(&message).is_ok_and(|same| same == bytes))
+    message.is_ok_and(|message| postcard::to_stdvec(&message).is_ok_and(|encoded| encoded == bytes))
 }
 
-/// Fields that production drops when it reads or rewrites a job's record.
+/// Fields that production drops when it reads or rewrites a job record.
 pub const UNKNOWN: [&str; 4] = ["e", "t", "x", "waitsOn"];
--- a/crates/simulation/src/store_service.rs
+++ b/crates/simulation/src/store_service.rs
@@ -1,4 +1,4 @@
-//! The state service.
+//! The simulated store service: delivers requests to the in-memory store and applies its faults.
 
 use crate::config::as_production;
 use crate::event::SimEvent;
@@ -14,43 +14,52 @@
 use troutspindle::wire::{KeyValue, RangeResponse, StoreValue, WatchResponse, Write};
 
 impl World {
-    /// A transaction that took its time is carried out, and answered.
-    pub fn slow_write(&mut self, node: usize, incarnation: u32, id: u64, txn: wire::Transaction) {
-        let refuses = self.store.out || self.refused == Some(node);
-        let reply = if refuses { StoreResponse::Unavailable } else { self.commit(txn) };
-        self.at(
+    /// Applies a delayed transaction and responds.
+    pub fn finish_slow_commit(
+        &mut self,
+        node: usize,
+        incarnation: u32,
+        id: u64,
+        txn: wire::Transaction,
+    ) {
+        let rejects = self.store.unavailable || self.rejected_by_store == Some(node);
+        let reply = if rejects { StoreResponse::Unavailable } else { self.commit(txn) };
+        self.schedule(
             self.now_ms + 3,
             SimEvent::Controller(node, incarnation, Event::StoreResponse { id, response: reply }),
         );
     }
 
-    pub fn state(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
-        if self.is_isolated(node) || self.isolated == Some(node) {
-            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
+    /// Handles a controller's request.
+    pub fn on_store_request(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
+        if self.is_isolated(node) || self.isolated_controller == Some(node) {
+            let timeout = Event::StoreResponse { id, response: StoreResponse::Unknown };
             if matches!(call, StoreRequest::Commit(_)) {
-                // Held back, and applied when the cut ends.
-                self.held.push(SimEvent::State(node, incarnation, id, call));
+                // The network delivers the transaction when the partition ends.
+                self.blocked_messages.push(SimEvent::Store(node, incarnation, id, call));
             }
-            return self.at(self.now_ms + 1500, SimEvent::Controller(node, incarnation, gives_up));
+            return self
+                .schedule(self.now_ms + 1500, SimEvent::Controller(node, incarnation, timeout));
         }
-        if self.late_writes
-            && !self.store.out
-            && self.refused != Some(node)
+        if self.delayed_commits
+            && !self.store.unavailable
+            && self.rejected_by_store != Some(node)
             && matches!(call, StoreRequest::Commit(_))
             && self.random.random_range(0..3) == 0
         {
             let StoreRequest::Commit(txn) = call else { return };
             let later = self.now_ms + self.random.random_range(2000..12_000);
-            self.at(later, SimEvent::DelayedCommit(txn));
-            let gives_up = Event::StoreResponse { id, response: StoreResponse::Unknown };
-            return self.at(self.now_ms + 1500, SimEvent::Controller(node, incarnation, gives_up));
+            self.schedule(later, SimEvent::DelayedCommit(txn));
+            let timeout = Event::StoreResponse { id, response: StoreResponse::Unknown };
+            return self
+                .schedule(self.now_ms + 1500, SimEvent::Controller(node, incarnation, timeout));
         }
-        let reply = if self.store.out || self.refused == Some(node) {
+        let reply = if self.store.unavailable || self.rejected_by_store == Some(node) {
             if let StoreRequest::Watch { after, wait } = &call
                 && !wait.is_zero()
             {
                 let until = self.now_ms + wait.as_millis() as u64;
-                self.store.waiting.push((node, incarnation, id, after.0, until));
+                self.store.pending_watches.push((node, incarnation, id, after.0, until));
                 return;
             }
             StoreResponse::Unavailable
@@ -59,10 +68,10 @@
                 StoreRequest::Watch { after, wait } => {
                     if !wait.is_zero() && self.store.rev <= after.0 {
                         let until = self.now_ms + wait.as_millis() as u64;
-                        self.store.waiting.push((node, incarnation, id, after.0, until));
+                        self.store.pending_watches.push((node, incarnation, id, after.0, until));
                         return;
                     }
-                    StoreResponse::Watch(self.news_for(node, after.0))
+                    StoreResponse::Watch(self.changes_for(node, after.0))
                 }
                 StoreRequest::Range { .. } => {
                     let rows = self.store.keys.iter().map(|(key, (data, rev, _))| KeyValue {
@@ -71,8 +80,10 @@
                         rev: Revision(*rev),
                     });
                     let mut rows: Vec<KeyValue> = rows.collect();
-                    if self.old[node] {
-                        rows.iter_mut().for_each(|row| row.data = self.shown(&row.key, &row.data));
+                    if self.runs_previous_version[node] {
+                        rows.iter_mut().for_each(|row| {
+                            row.data = self.as_seen_by_previous_version(&row.key, &row.data)
+                        });
                     }
                     StoreResponse::Range(RangeResponse {
                         rows,
@@ -98,7 +109,8 @@
                     StoreResponse::Done
                 }
                 StoreRequest::Commit(mut txn) => {
-                    for write in txn.writes.iter_mut().filter(|_| self.old[node]) {
+                    for write in txn.writes.iter_mut().filter(|_| self.runs_previous_version[node])
+                    {
                         if let Write::Put { data, .. } = write {
                             *data = as_production(data);
                         }
@@ -107,15 +119,15 @@
                         CommitDelivery::Usual => self.commit(txn),
                         CommitDelivery::ResponseLost => {
                             self.commit(txn);
-                            let gives_up =
+                            let timeout =
                                 Event::StoreResponse { id, response: StoreResponse::Unknown };
-                            return self.at(
+                            return self.schedule(
                                 self.now_ms + 1500,
-                                SimEvent::Controller(node, incarnation, gives_up),
+                                SimEvent::Controller(node, incarnation, timeout),
                             );
                         }
                         CommitDelivery::Later(ms) => {
-                            return self.at(
+                            return self.schedule(
                                 self.now_ms + ms,
                                 SimEvent::SlowCommit(node, incarnation, id, txn),
                             );
@@ -124,7 +136,7 @@
                 }
             }
         };
-        // Now and then an answer gets lost after the deed.
+        // One response in 200 is lost after the request was handled.
         let lost = self.random.random_range(0..200) == 0;
         let reply = if lost { StoreResponse::Unknown } else { reply };
         self.schedule_soon(SimEvent::Controller(
@@ -134,12 +146,12 @@
         ));
     }
 
-    /// What a node of the old version makes of a value: it has to be able to read it, and drops the
-    /// fields that it doesn't know.
-    pub fn shown(&self, key: &str, data: &StoreValue) -> StoreValue {
+    /// Returns a value as a controller of the previous version sees it, without the fields that it does not know. Panics
+    /// if that version cannot read the value.
+    pub fn as_seen_by_previous_version(&self, key: &str, data: &StoreValue) -> StoreValue {
         if key.starts_with("t/j/") {
             let record: previous_version::Record = data.deserialized().unwrap();
-            // It takes a live record without a description for a job that is done.
+            // The previous version takes a live record without a description for a completed job.
             assert!(record.s.is_some() || record.p != previous_version::Phase::Live, "{key}");
         } else if key.starts_with("t/x/") && key.matches('/').count() == 3 {
             assert!(previous_version::reads(data.as_text().unwrap()), "{key}");
@@ -147,16 +159,18 @@
         as_production(data)
     }
 
-    pub fn news_for(&self, node: usize, after: u64) -> WatchResponse {
-        let mut news = self.news(after);
-        for change in news.events.iter_mut().filter(|_| self.old[node]) {
+    /// Returns the changes after a revision as a controller sees them.
+    pub fn changes_for(&self, node: usize, after: u64) -> WatchResponse {
+        let mut changes = self.changes_after(after);
+        for change in changes.events.iter_mut().filter(|_| self.runs_previous_version[node]) {
             if let (Some(key), Some(data)) = (&change.put, &mut change.data) {
-                *data = self.shown(key, data);
+                *data = self.as_seen_by_previous_version(key, data);
             }
         }
-        news
+        changes
     }
 
+    /// Commits a transaction and wakes pending watches.
     pub fn commit(&mut self, txn: wire::Transaction) -> StoreResponse {
         let outcome = self.store.commit(txn, self.limits);
         self.digest.committed(self.now_ms, self.store.rev, outcome.is_ok());
@@ -174,22 +188,24 @@
         }
     }
 
-    pub fn news(&self, after: u64) -> WatchResponse {
+    /// Returns all changes after a revision.
+    pub fn changes_after(&self, after: u64) -> WatchResponse {
         self.store.news(after)
     }
 
+    /// Answers the watches that have changes to report or have timed out.
     pub fn complete_watches(&mut self) {
-        if self.store.out {
+        if self.store.unavailable {
             return;
         }
         let (t, rev) = (self.now_ms, self.store.rev);
         let ready: Vec<_> = self
             .store
-            .waiting
-            .extract_if(.., |w| self.refused != Some(w.0) && (w.3 < rev || w.4 <= t))
+            .pending_watches
+            .extract_if(.., |w| self.rejected_by_store != Some(w.0) && (w.3 < rev || w.4 <= t))
             .collect();
         for (node, incarnation, id, after, _) in ready {
-            let reply = StoreResponse::Watch(self.news_for(node, after));
+            let reply = StoreResponse::Watch(self.changes_for(node, after));
             self.schedule_soon(SimEvent::Controller(
                 node,
                 incarnation,
@@ -198,13 +214,15 @@
         }
     }
 
+    /// Ends a lease and deletes its keys.
     pub fn end_lease(&mut self, lease: u64) {
         self.store.end_lease(lease);
         self.complete_watches();
     }
 
-    pub fn end_leases(&mut self) {
-        if !self.store.out {
+    /// Ends expired leases unless the store is unavailable.
+    pub fn end_expired_leases(&mut self) {
+        if !self.store.unavailable {
             self.store.end_expired_leases(self.now_ms);
         }
         self.complete_watches();
--- a/crates/simulation/src/targeted_faults.rs
+++ b/crates/simulation/src/targeted_faults.rs
@@ -1,5 +1,5 @@
-//! Troubles that bring a meeting about on purpose. Each counts how often it took effect: a day in which
-//! one did not shows nothing.
+//! Faults that target a particular situation. Each counts how often it took effect, since a run in which a fault took no
+//! effect proves nothing.
 
 use crate::event::{Fault, SimEvent};
 use crate::model::UserJob;
@@ -9,84 +9,96 @@
 use troutspindle::ids::{MachineId, TaskId};
 use troutspindle::wire::CommandBatch;
 
+/// Active targeted faults, and the number of effects of each.
 #[derive(Default)]
 pub struct TargetedFaults {
-    pub lost_answers: bool,
-    pub slow_writes: bool,
-    pub copies_for_next: bool,
-    pub kept: Vec<(MachineId, Vec<u8>)>,
-    pub mute_zone: Option<usize>,
-    pub held_commands: bool,
-    pub close_looks: bool,
+    pub lost_responses: bool,
+    pub slow_commits: bool,
+    pub replayed_heartbeats: bool,
+    /// Encoded heartbeats to be replayed to the next leader.
+    pub kept_heartbeats: Vec<(MachineId, Vec<u8>)>,
+    /// Zone whose workers cannot connect to any controller.
+    pub unconnectable_zone: Option<usize>,
+    pub delayed_commands: bool,
+    pub rapid_requests: bool,
     pub cancel_at_end: bool,
-    pub odd_requests: bool,
-    pub quick_boots: bool,
-    /// Nodes that led when they were told anything last.
-    pub led: Vec<usize>,
+    pub invalid_requests: bool,
+    pub fast_boots: bool,
+    /// Controllers that were leader after their last event.
+    pub last_leaders: Vec<usize>,
     effects: BTreeMap<&'static str, u64>,
 }
 
-/// What becomes of a transaction.
+/// Outcome of a transaction's delivery to the store.
 pub enum CommitDelivery {
+    /// Applied and answered normally.
     Usual,
-    /// At once, and its answer is lost.
+    /// Applied at once; the response is lost.
     ResponseLost,
-    /// After so many milliseconds.
+    /// Applied and answered after this many milliseconds.
     Later(u64),
 }
 
 impl TargetedFaults {
+    /// Counts an effect of a fault.
     pub fn record_effect(&mut self, what: &'static str) {
         *self.effects.entry(what).or_default() += 1;
     }
 
+    /// Returns how often a fault took effect.
     pub fn effects(&self, what: &str) -> u64 {
         self.effects.get(what).copied().unwrap_or(0)
     }
 }
 
 impl World {
-    pub fn aim(&mut self, fault: Fault) {
+    /// Begins or ends a targeted fault.
+    pub fn apply_targeted_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::LoseCommitResponses(on) => self.targeted_faults.lost_answers = on,
-            Fault::SlowCommits(on) => self.targeted_faults.slow_writes = on,
-            Fault::ReplayHeartbeatsToNextLeader(on) => self.targeted_faults.copies_for_next = on,
+            Fault::LoseCommitResponses(on) => self.targeted_faults.lost_responses = on,
+            Fault::SlowCommits(on) => self.targeted_faults.slow_commits = on,
+            Fault::ReplayHeartbeatsToNextLeader(on) => {
+                self.targeted_faults.replayed_heartbeats = on
+            }
             Fault::WorkersCannotConnect(zone, on) => {
-                self.targeted_faults.mute_zone = on.then_some(zone)
+                self.targeted_faults.unconnectable_zone = on.then_some(zone)
             }
-            Fault::DelayedCommands(on) => self.targeted_faults.held_commands = on,
-            Fault::RapidRequests(on) => self.targeted_faults.close_looks = on,
+            Fault::DelayedCommands(on) => self.targeted_faults.delayed_commands = on,
+            Fault::RapidRequests(on) => self.targeted_faults.rapid_requests = on,
             Fault::CancelNow(count) => self.cancel_now(count),
             Fault::CancelAtEnd(on) => self.targeted_faults.cancel_at_end = on,
             Fault::InvalidRequests(on) => {
-                self.targeted_faults.odd_requests = on;
+                self.targeted_faults.invalid_requests = on;
                 self.send_invalid_request();
             }
             Fault::KillMachines(count) => {
-                let busy = self.workers.values_mut().filter(|w| !w.gone && !w.tasks.is_empty());
+                let busy =
+                    self.workers.values_mut().filter(|w| !w.terminated && !w.tasks.is_empty());
                 for worker in busy.take(count) {
-                    worker.gone = true;
+                    worker.terminated = true;
                     worker.tasks.clear();
                     self.targeted_faults.record_effect("machines lost");
                 }
             }
             Fault::CrashLeader(back) => {
                 if let Some(leader) = (0..self.nodes.len()).find(|node| self.leads(*node)) {
-                    self.targeted_faults.record_effect("leader ends");
+                    self.targeted_faults.record_effect("leader crashed");
                     self.fault(Fault::CrashAndRestart(leader, back));
                 }
             }
-            Fault::FastBoots(on) => self.targeted_faults.quick_boots = on,
+            Fault::FastBoots(on) => self.targeted_faults.fast_boots = on,
             _ => {}
         }
     }
 
     fn cancel_now(&mut self, count: usize) {
-        let open = |(number, job): (&u64, &UserJob)| {
-            let open = job.accepted && !job.told_done && job.cancellation_confirmed_ms.is_none();
+        let running_number = |(number, job): (&u64, &UserJob)| {
+            let open = job.accepted
+                && !job.completion_confirmed
+                && job.cancellation_confirmed_ms.is_none();
             (open && self.on_machines(*number) > 0).then_some(*number)
         };
-        let mut running: Vec<u64> = self.jobs.iter().filter_map(open).collect();
+        let mut running: Vec<u64> = self.jobs.iter().filter_map(running_number).collect();
         for _ in 0..count.min(running.len()) {
             let number = running.swap_remove(self.random.random_range(0..running.len()));
             let at = self.now_ms + self.random.random_range(0..200);
@@ -95,55 +107,57 @@
         }
     }
 
-    /// The last of a job's tasks has ended, or one of several.
-    pub fn ended(&mut self, task: &TaskId) {
-        let number = Self::number(&task.job);
+    /// Cancels the job of a completed task at once, if it was the last task and the fault is active.
+    pub fn on_task_completed(&mut self, task: &TaskId) {
+        let number = Self::job_number(&task.job);
         let tasks = self.jobs[&number].spec.tasks as u32;
         let done = |index| self.finished.contains_key(&TaskId { job: task.job.clone(), index });
         if self.targeted_faults.cancel_at_end && (0..tasks).all(done) && self.random.random() {
-            self.targeted_faults.record_effect("cancel at end");
+            self.targeted_faults.record_effect("cancel at completion");
             let at = self.now_ms + self.random.random_range(0..60);
             self.cancel_job(number, at);
         }
     }
 
-    /// Copies that were kept reach all controllers in the milliseconds in which a leader begins.
+    /// Replays kept heartbeats to all controllers within 40 ms after a leader has started.
     pub fn on_leader_change(&mut self) {
-        for (machine, body) in std::mem::take(&mut self.targeted_faults.kept) {
-            self.targeted_faults.record_effect("copies for next");
+        for (machine, body) in std::mem::take(&mut self.targeted_faults.kept_heartbeats) {
+            self.targeted_faults.record_effect("replayed heartbeats");
             for node in 0..self.nodes.len() {
                 let at = self.now_ms + self.random.random_range(0..40);
-                self.at(at, SimEvent::Heartbeat(node, machine.clone(), body.clone(), 0));
+                self.schedule(at, SimEvent::Heartbeat(node, machine.clone(), body.clone(), 0));
             }
         }
     }
 
+    /// Keeps a copy of a third of the heartbeats while the fault is active.
     pub fn keep_heartbeat_copy(&mut self, machine: &MachineId, body: &[u8]) {
-        if self.targeted_faults.copies_for_next && self.random.random_range(0..3) == 0 {
-            self.targeted_faults.kept.push((machine.clone(), body.to_vec()));
+        if self.targeted_faults.replayed_heartbeats && self.random.random_range(0..3) == 0 {
+            self.targeted_faults.kept_heartbeats.push((machine.clone(), body.to_vec()));
         }
     }
 
+    /// Chooses the delivery of the next transaction.
     pub fn choose_commit_delivery(&mut self) -> CommitDelivery {
-        if self.targeted_faults.lost_answers && self.random.random_range(0..3) == 0 {
-            self.targeted_faults.record_effect("lost answers");
+        if self.targeted_faults.lost_responses && self.random.random_range(0..3) == 0 {
+            self.targeted_faults.record_effect("lost commit responses");
             return CommitDelivery::ResponseLost;
         }
-        if self.targeted_faults.slow_writes {
-            self.targeted_faults.record_effect("slow writes");
+        if self.targeted_faults.slow_commits {
+            self.targeted_faults.record_effect("slow commits");
             return CommitDelivery::Later(self.random.random_range(200..1450));
         }
         CommitDelivery::Usual
     }
 
-    /// Orders that come when their sender has long given up.
+    /// Delivers direct commands after their sender has timed out.
     pub fn execute_delayed_commands(&mut self, id: &MachineId, orders: CommandBatch) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let valid = orders.token >= worker.token && orders.agent_epoch == Some(worker.agent_epoch);
-        if valid && !worker.gone {
+        if valid && !worker.terminated {
             worker.token = orders.token;
             worker.changed = true;
-            self.targeted_faults.record_effect("held commands");
+            self.targeted_faults.record_effect("delayed commands");
             self.execute(id, orders.orders);
         }
     }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -1,4 +1,4 @@
-//! Users, and the rules that are seen in what they are told.
+//! Simulated users, and checks of the rules on responses to them.
 
 use crate::event::SimEvent;
 use crate::extra_requests::ReportedStatus;
@@ -11,6 +11,7 @@
 use troutspindle::wire::{JobKind, JobSpec, JobStatus, JobView, Priority};
 
 impl World {
+    /// Schedules the submission of a job, and optionally its cancellation.
     pub fn submit_at(&mut self, t: u64, number: u64, service: bool, cancel_at: Option<u64>) {
         let tasks = if service { 4 } else { self.random.random_range(1..9) };
         let spec = JobSpec {
@@ -40,37 +41,39 @@
             spec,
             accepted: false,
             cancel_at,
-            asked_abort: false,
+            cancel_requested: false,
             cancellation_confirmed_ms: None,
-            ran_when_told: 0,
-            put_off: 0,
-            told_done: false,
+            tasks_when_confirmed: 0,
+            cancellations_postponed: 0,
+            completion_confirmed: false,
             always_fails: false,
-            asked: None,
-            told: Vec::new(),
-            sent: 0,
-            last_good: t,
+            pending_request: None,
+            received: Vec::new(),
+            sent_event: 0,
+            last_response_ms: t,
         };
         self.jobs.insert(number, job);
-        self.at(t, SimEvent::User(number));
+        self.schedule(t, SimEvent::User(number));
     }
 
-    pub fn user(&mut self, number: u64) {
+    /// Runs the periodic step of a job's user: sends the next regular request.
+    pub fn step_user(&mut self, number: u64) {
         let t = self.now_ms;
         let job = &self.jobs[&number];
-        if job.asked.is_some_and(|(since, _)| t < since + 5000) {
-            return self.at(t + 500, SimEvent::User(number));
+        if job.pending_request.is_some_and(|(since, _)| t < since + 5000) {
+            return self.schedule(t + 500, SimEvent::User(number));
         }
-        let over = job.told_done || job.cancellation_confirmed_ms.is_some();
+        let is_finished = job.completion_confirmed || job.cancellation_confirmed_ms.is_some();
         let id = job.spec.id.clone();
-        let depends_on: Vec<u64> = job.spec.depends_on.iter().flatten().map(Self::number).collect();
-        if depends_on.iter().any(|need| !self.jobs[need].accepted) {
-            return self.at(t + 200, SimEvent::User(number));
+        let depends_on: Vec<u64> =
+            job.spec.depends_on.iter().flatten().map(Self::job_number).collect();
+        if depends_on.iter().any(|dependency| !self.jobs[dependency].accepted) {
+            return self.schedule(t + 200, SimEvent::User(number));
         }
         let (kind, request) = if !job.accepted {
             let body = wire::encode(&job.spec);
             (0, Request { method: Method::Post, target: "/api/jobs".into(), body })
-        } else if !over && job.cancel_at.is_some_and(|at| t >= at) {
+        } else if !is_finished && job.cancel_at.is_some_and(|at| t >= at) {
             let target = format!("/api/jobs/{id}/abort");
             (2, Request { method: Method::Post, target, body: Vec::new() })
         } else {
@@ -84,56 +87,66 @@
             )
         };
         let job = self.jobs.get_mut(&number).unwrap();
-        job.asked = Some((t, kind));
-        job.sent = self.events;
-        job.asked_abort |= kind == 2;
+        job.pending_request = Some((t, kind));
+        job.sent_event = self.events;
+        job.cancel_requested |= kind == 2;
         let any = self.random.random_range(0..self.nodes.len());
-        let node = self.cancel_at.filter(|_| kind == 2).unwrap_or(any);
+        let node = self.cancel_via.filter(|_| kind == 2).unwrap_or(any);
         self.schedule_soon(SimEvent::UserRequest(node, number, request));
-        let wait = if over { 20_000 } else { 1500 } / if self.polls { 8 } else { 1 };
-        self.at(t + wait, SimEvent::User(number));
+        let wait = if is_finished { 20_000 } else { 1500 } / if self.poll_storm { 8 } else { 1 };
+        self.schedule(t + wait, SimEvent::User(number));
     }
 
-    pub fn user_answer(&mut self, number: u64, asked: u64, response: &Response) {
+    /// Handles the response to a user's regular request.
+    pub fn on_user_response(&mut self, number: u64, asked: u64, response: &Response) {
         let job = self.jobs.get_mut(&number).unwrap();
-        // An answer to a request that was given up finds its connection closed.
-        let Some((_, kind)) = job.asked.take_if(|(at, _)| *at == asked) else { return };
+        // The user has closed the connection of a request that timed out.
+        let Some((_, kind)) = job.pending_request.take_if(|(at, _)| *at == asked) else { return };
         if matches!(response.status, 503 | 599) {
-            job.put_off += u32::from(kind == 2 && response.status == 503);
+            job.cancellations_postponed += u32::from(kind == 2 && response.status == 503);
             return;
         }
-        let sent = job.sent;
-        self.judge(number, kind, (asked, sent), response);
+        let sent = job.sent_event;
+        self.check_response(number, kind, (asked, sent), response);
     }
 
-    /// The rules that an answer to a user may break, whichever of its requests it answers: one that
-    /// was sent at this time, and in this event.
-    pub fn judge(&mut self, number: u64, kind: u8, (asked, sent): (u64, u64), response: &Response) {
+    /// Checks the rules on a response to any of a user's requests, given the request's kind, send time and event.
+    pub fn check_response(
+        &mut self,
+        number: u64,
+        kind: u8,
+        (asked, sent): (u64, u64),
+        response: &Response,
+    ) {
         let t = self.now_ms;
-        let before = self.before(number);
-        let wanted = before.iter().any(|n| self.jobs[n].asked_abort);
-        let told = before.iter().filter_map(|n| self.jobs[n].cancellation_confirmed_ms).min();
+        let job_and_dependencies = self.with_dependencies(number);
+        let was_requested = job_and_dependencies.iter().any(|n| self.jobs[n].cancel_requested);
+        let confirmed_at = job_and_dependencies
+            .iter()
+            .filter_map(|n| self.jobs[n].cancellation_confirmed_ms)
+            .min();
         let on_machines = self.on_machines(number);
         let events = self.events;
-        let mut news = false;
+        let mut is_new = false;
         let job = self.jobs.get_mut(&number).unwrap();
-        job.last_good = t;
-        let mut wrong = Vec::new();
-        let says = ReportedStatus::of(response);
-        // What had arrived before the request was sent; users compare no others.
-        let known = job.told.iter().filter(|(at, _)| *at < sent).map(|(_, told)| *told).max();
-        if known.is_some_and(|known| says < Some(known)) {
+        job.last_response_ms = t;
+        let mut found = Vec::new();
+        let reported = ReportedStatus::of(response);
+        // Only statuses received before the request was sent are compared.
+        let known =
+            job.received.iter().filter(|(at, _)| *at < sent).map(|(_, status)| *status).max();
+        if known.is_some_and(|known| reported < Some(known)) {
             let id = &job.spec.id;
-            wrong.push(format!("older: {id} of kind {kind} got {says:?} after {known:?}"));
+            found.push(format!("older: {id} of kind {kind} got {reported:?} after {known:?}"));
         }
-        if let Some(says) = says
-            && job.told.iter().all(|(_, told)| *told != says)
+        if let Some(reported) = reported
+            && job.received.iter().all(|(_, status)| *status != reported)
         {
-            job.told.push((events, says));
-            news = true;
+            job.received.push((events, reported));
+            is_new = true;
         }
         if !matches!(response.status, 200 | 201) {
-            wrong
+            found
                 .push(format!("forgotten: {} of kind {kind} got {}", job.spec.id, response.status));
         } else {
             let view: JobView = wire::decode(&response.body).unwrap();
@@ -142,53 +155,54 @@
                 self.finished.contains_key(&TaskId { job: job.spec.id.clone(), index })
             });
             if view.status == JobStatus::Done && (!all_done || job.spec.shape == JobKind::Service) {
-                wrong.push(format!("not_done: {}", job.spec.id));
+                found.push(format!("not_done: {}", job.spec.id));
             }
             let open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
-            // An answer that was on its way when another one came may still say that it is open.
-            let later = !open || known >= Some(ReportedStatus::Done);
-            let back = later && job.told_done && view.status != JobStatus::Done
-                || later
+            // A response that was in flight when another arrived may still report the job as open.
+            let is_later = !open || known >= Some(ReportedStatus::Done);
+            let went_back = is_later && job.completion_confirmed && view.status != JobStatus::Done
+                || is_later
                     && job.cancellation_confirmed_ms.is_some()
                     && view.status != JobStatus::Cancelled
-                || (view.status == JobStatus::Cancelled && !wanted);
-            // Whoever asks after any user was told finds the job cancelled.
-            if open && told.is_some_and(|at| asked > at) {
-                wrong.push(format!("orphaned: {}", job.spec.id));
+                || (view.status == JobStatus::Cancelled && !was_requested);
+            // Every request sent after a confirmation to any user must find the job cancelled.
+            if open && confirmed_at.is_some_and(|at| asked > at) {
+                found.push(format!("orphaned: {}", job.spec.id));
             }
-            if back {
-                wrong.push(format!("went_back: {} to {:?}", job.spec.id, view.status));
+            if went_back {
+                found.push(format!("went_back: {} to {:?}", job.spec.id, view.status));
             }
-            job.told_done |= view.status == JobStatus::Done;
+            job.completion_confirmed |= view.status == JobStatus::Done;
             if view.status == JobStatus::Cancelled && job.cancellation_confirmed_ms.is_none() {
                 job.cancellation_confirmed_ms = Some(t);
-                job.ran_when_told = on_machines;
+                job.tasks_when_confirmed = on_machines;
             }
         }
-        for what in wrong {
+        for what in found {
             self.record_violation(what);
         }
-        if news {
+        if is_new {
             self.send_rapid_requests(number);
         }
     }
 }
 
 impl World {
-    /// All troubles have been over for long: each job is over or runs as a whole, and its user hears of it.
+    /// Checks, long after all faults have ended, that each job is finished or runs completely, and that its user receives
+    /// responses.
     pub fn check_final_state(&mut self) {
         for (number, job) in &self.jobs {
             let cancelled = job.cancellation_confirmed_ms.is_some();
-            let whole = self.running(*number) as u64 == job.spec.tasks;
-            let outlasts = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
-            let what = if self.now_ms > job.last_good + 75_000 {
-                "forgotten: nobody is told of it"
-            } else if job.cancel_at.is_some() && !cancelled && !job.told_done {
+            let runs_completely = self.running(*number) as u64 == job.spec.tasks;
+            let is_long_running = job.spec.shape == JobKind::Service || job.spec.expect_s > 60.0;
+            let what = if self.now_ms > job.last_response_ms + 75_000 {
+                "forgotten: no response about it"
+            } else if job.cancel_at.is_some() && !cancelled && !job.completion_confirmed {
                 "it was never cancelled"
-            } else if outlasts && !cancelled && !whole {
+            } else if is_long_running && !cancelled && !runs_completely {
                 "it does not run"
-            } else if !outlasts && !cancelled && !job.told_done {
-                "it is not over"
+            } else if !is_long_running && !cancelled && !job.completion_confirmed {
+                "it is not finished"
             } else {
                 continue;
             };
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers, and the rules that are seen when they start tasks.
+//! Simulated workers, and checks of the rules on starting and stopping tasks.
 
 use crate::config::{CANCEL_MS, LEASE_MS, REPORT_MS, TEAMS, ZONES};
 use crate::event::SimEvent;
@@ -15,28 +15,29 @@
 use troutspindle::workers::command_delivery::DirectCall;
 
 impl World {
-    pub fn worker(&mut self, id: MachineId) {
+    /// Runs a worker's periodic step: lease expiry, progress of tasks, and the next heartbeat.
+    pub fn step_worker(&mut self, id: MachineId) {
         let t = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        if worker.gone {
+        if worker.terminated {
             return;
         }
         if self.hung_zone == Some(worker.zone) {
-            return self.at(t + 100, SimEvent::Worker(id));
+            return self.schedule(t + 100, SimEvent::Worker(id));
         }
-        if t > worker.renewed + LEASE_MS {
+        if t > worker.lease_renewed_at + LEASE_MS {
             worker.agent_epoch += 1;
             worker.tasks.clear();
-            worker.renewed = t;
+            worker.lease_renewed_at = t;
             worker.changed = true;
         }
-        let outlives = |(task, running): (&TaskId, &Running)| {
-            let told = self.jobs[&Self::number(&task.job)].cancellation_confirmed_ms;
-            let late = told.is_some_and(|at| t > at + CANCEL_MS);
+        let outlives_cancellation = |(task, running): (&TaskId, &Running)| {
+            let confirmed = self.jobs[&Self::job_number(&task.job)].cancellation_confirmed_ms;
+            let late = confirmed.is_some_and(|at| t > at + CANCEL_MS);
             (late && running.state != TaskState::Exited).then(|| task.clone())
         };
-        if let Some(task) = worker.tasks.iter().find_map(outlives) {
-            self.record_violation(format!("ran_cancelled: {task} is still there"));
+        if let Some(task) = worker.tasks.iter().find_map(outlives_cancellation) {
+            self.record_violation(format!("ran_cancelled: {task} is still running"));
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let mut finished = Vec::new();
@@ -47,55 +48,57 @@
             }
             if running.state == TaskState::Running && running.ends_at.is_some_and(|at| at <= t) {
                 running.state = TaskState::Exited;
-                running.why = Some("done".into());
+                running.exit_cause = Some("done".into());
                 worker.changed = true;
                 finished.push(task.clone());
             }
         }
         for task in finished {
             self.finished.insert(task.clone(), true);
-            self.ended(&task);
+            self.on_task_completed(&task);
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        if let Some((_, _, since)) = worker.asked
+        if let Some((_, _, since)) = worker.pending_heartbeat
             && t > since + 4000
         {
-            worker.asked = None;
+            worker.pending_heartbeat = None;
             worker.target = (worker.target + 1) % self.nodes.len();
-            worker.next_report = t + 1000;
+            worker.next_heartbeat_at = t + 1000;
         }
-        let wants = worker.asked.is_none() && (t >= worker.next_report || worker.changed);
-        if wants && self.targeted_faults.mute_zone == Some(worker.zone) {
-            // It can't open a connection, and tries the next node a second later.
-            (worker.changed, worker.next_report) = (false, t + 1000);
+        let sends_heartbeat =
+            worker.pending_heartbeat.is_none() && (t >= worker.next_heartbeat_at || worker.changed);
+        if sends_heartbeat && self.targeted_faults.unconnectable_zone == Some(worker.zone) {
+            // The worker cannot open a connection, and tries the next controller a second later.
+            (worker.changed, worker.next_heartbeat_at) = (false, t + 1000);
             worker.target = (worker.target + 1) % self.nodes.len();
-            self.targeted_faults.record_effect("mute workers");
-        } else if wants {
+            self.targeted_faults.record_effect("workers without connection");
+        } else if sends_heartbeat {
             worker.changed = false;
-            worker.next_report = t + REPORT_MS;
+            worker.next_heartbeat_at = t + REPORT_MS;
             worker.seq += 1;
-            let report = Self::report(&id, worker);
+            let heartbeat = Self::heartbeat(&id, worker);
             let (seq, agent_epoch, target) = (worker.seq, worker.agent_epoch, worker.target);
-            worker.asked = Some((seq, agent_epoch, t));
-            let body = wire::encode(&report);
-            if self.late_reports && self.random.random_range(0..3) == 0 {
-                // Nobody reads the answer to a copy: it bears a number that no question has.
+            worker.pending_heartbeat = Some((seq, agent_epoch, t));
+            let body = wire::encode(&heartbeat);
+            if self.delayed_heartbeats && self.random.random_range(0..3) == 0 {
+                // The response to a copy is ignored: no heartbeat has sequence number 0.
                 let later = t + self.random.random_range(2000..28_000);
                 let node = self.random.random_range(0..self.nodes.len());
-                self.at(later, SimEvent::Heartbeat(node, id.clone(), body.clone(), 0));
+                self.schedule(later, SimEvent::Heartbeat(node, id.clone(), body.clone(), 0));
             }
             self.keep_heartbeat_copy(&id, &body);
             self.schedule_soon(SimEvent::Heartbeat(target, id.clone(), body, seq));
         }
-        self.at(t + 100, SimEvent::Worker(id));
+        self.schedule(t + 100, SimEvent::Worker(id));
     }
 
-    pub fn report(id: &MachineId, worker: &Worker) -> Heartbeat {
+    /// Returns the heartbeat of a worker in its current state.
+    pub fn heartbeat(id: &MachineId, worker: &Worker) -> Heartbeat {
         let tasks = worker.tasks.iter().map(|(task, running)| TaskStatus {
             task: task.clone(),
             attempt: running.attempt,
             state: running.state,
-            why: running.why.clone(),
+            why: running.exit_cause.clone(),
             saved: None,
         });
         Heartbeat {
@@ -112,26 +115,27 @@
         }
     }
 
+    /// Lets a worker process the response to its pending heartbeat.
     pub fn on_heartbeat_response(&mut self, id: MachineId, seq: u64, response: Response) {
         let t = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let Some((asked, agent_epoch, since)) = worker.asked else { return };
-        if asked != seq || worker.gone {
+        let Some((asked, agent_epoch, since)) = worker.pending_heartbeat else { return };
+        if asked != seq || worker.terminated {
             return;
         }
         if self.hung_zone == Some(worker.zone) && t < since + 4000 {
-            return self.at(t + 200, SimEvent::HeartbeatResponse(id, seq, response));
+            return self.schedule(t + 200, SimEvent::HeartbeatResponse(id, seq, response));
         }
-        worker.asked = None;
+        worker.pending_heartbeat = None;
         if response.status != 200 {
             match wire::decode::<NotLeader>(&response.body) {
                 Ok(to) if response.status == 421 => {
                     worker.target = to.leader[2..].parse().unwrap();
-                    worker.next_report = t + 300;
+                    worker.next_heartbeat_at = t + 300;
                 }
                 _ => {
                     worker.target = (worker.target + 1) % self.nodes.len();
-                    worker.next_report = t + 1000;
+                    worker.next_heartbeat_at = t + 1000;
                 }
             }
             return;
@@ -142,11 +146,18 @@
         }
         worker.changed |= orders.token > worker.token;
         worker.token = orders.token;
-        worker.renewed = since;
+        worker.lease_renewed_at = since;
         self.execute(&id, orders.orders);
     }
 
-    pub fn direct(&mut self, node: usize, incarnation: u32, id: MachineId, direct: DirectCall) {
+    /// Delivers a controller's direct call to a worker.
+    pub fn on_direct_call(
+        &mut self,
+        node: usize,
+        incarnation: u32,
+        id: MachineId,
+        direct: DirectCall,
+    ) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let sent = match &direct {
             DirectCall::Do(orders) => Some(orders.clone()),
@@ -157,25 +168,30 @@
             sent: sent.clone(),
             result: Err(CallError::Unknown),
         };
-        if worker.gone || worker.up_at > self.now_ms {
-            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+        if worker.terminated || worker.booted_at > self.now_ms {
+            return self
+                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         let zone = worker.zone;
-        if self.deaf_zone == Some(zone) {
-            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+        if self.zone_without_responses == Some(zone) {
+            return self
+                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         if self.is_cut_off(node, zone) || self.hung_zone == Some(zone) {
-            self.held.push(SimEvent::DirectCall(node, incarnation, id, direct));
-            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
-        }
-        let held = self.targeted_faults.held_commands && self.random.random_range(0..3) == 0;
-        if held && self.random.random() {
-            // Held up on its way, and executed when nobody waits for the answer any more.
+            self.blocked_messages.push(SimEvent::DirectCall(node, incarnation, id, direct));
+            return self
+                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+        }
+        let is_delayed =
+            self.targeted_faults.delayed_commands && self.random.random_range(0..3) == 0;
+        if is_delayed && self.random.random() {
+            // The command is delayed, and executed after its sender has timed out.
             if let Some(orders) = sent {
                 let later = self.now_ms + self.random.random_range(1000..9000);
-                self.at(later, SimEvent::DelayedCommands(id, orders));
+                self.schedule(later, SimEvent::DelayedCommands(id, orders));
             }
-            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+            return self
+                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let valid = sent.as_ref().is_none_or(|orders| {
@@ -187,18 +203,20 @@
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.seq += 1;
-        let report = Self::report(&id, worker);
-        if held {
-            // It was carried out, and its answer is held up.
-            return self.at(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+        let heartbeat = Self::heartbeat(&id, worker);
+        if is_delayed {
+            // The command was executed, and its response is delayed.
+            return self
+                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
         }
         self.schedule_soon(SimEvent::Controller(
             node,
             incarnation,
-            Event::WorkerResponse { machine: id, sent, result: Ok(report) },
+            Event::WorkerResponse { machine: id, sent, result: Ok(heartbeat) },
         ));
     }
 
+    /// Executes commands that a worker has accepted.
     pub fn execute(&mut self, id: &MachineId, orders: Vec<WorkerCommand>) {
         for order in orders {
             match order {
@@ -210,7 +228,7 @@
                         && running.state != TaskState::Exited
                     {
                         running.state = TaskState::Exited;
-                        running.why = Some("halted".into());
+                        running.exit_cause = Some("halted".into());
                         worker.changed = true;
                     }
                 }
@@ -228,16 +246,17 @@
         }
     }
 
+    /// Starts a task on a worker and checks the rules on placement, dependencies, quotas and duplicates.
     pub fn start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
         let number: u64 = task.job.as_str()[3..].parse().unwrap();
         let Some(job) = self.jobs.get(&number) else {
-            return self.record_violation(format!("{task} is of no job"));
+            return self.record_violation(format!("{task} belongs to no job"));
         };
         let (spec, always_fails) = (job.spec.clone(), job.always_fails);
         let late = job.cancellation_confirmed_ms.is_some_and(|at| self.now_ms > at + CANCEL_MS);
         let t = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
-        // What its owner takes to run for minutes outlasts any day.
+        // Tasks with an expected run time over a minute outlast the simulation.
         let long = self.long_tasks || spec.expect_s > 60.0;
         let run_ms = self.random.random_range(2000..9000) * factor;
         let worker = self.workers.get_mut(id).unwrap();
@@ -258,20 +277,21 @@
         });
         worker.tasks.insert(
             task.clone(),
-            Running { attempt, state: TaskState::Fetching, why: None, ready_at, ends_at },
+            Running { attempt, state: TaskState::Fetching, exit_cause: None, ready_at, ends_at },
         );
         if always_fails {
             let running = worker.tasks.get_mut(&task).unwrap();
-            (running.state, running.why) = (TaskState::Exited, Some("error".into()));
+            (running.state, running.exit_cause) = (TaskState::Exited, Some("error".into()));
         }
         worker.changed = true;
         self.starts += 1;
-        // The rules.
-        for need in spec.depends_on.iter().flatten() {
-            let tasks = self.jobs[&Self::number(need)].spec.tasks as u32;
-            let done = |index| self.finished.contains_key(&TaskId { job: need.clone(), index });
+        // Checks of the rules.
+        for dependency in spec.depends_on.iter().flatten() {
+            let tasks = self.jobs[&Self::job_number(dependency)].spec.tasks as u32;
+            let done =
+                |index| self.finished.contains_key(&TaskId { job: dependency.clone(), index });
             if !(0..tasks).all(done) {
-                self.record_violation(format!("too_early: {task} before {need}"));
+                self.record_violation(format!("too_early: {task} before {dependency}"));
             }
         }
         let worker = self.workers.get_mut(id).unwrap();
@@ -292,8 +312,8 @@
                     continue;
                 }
                 let number: u64 = running.job.as_str()[3..].parse().unwrap();
-                let theirs = &self.jobs[&number].spec;
-                cpus += if theirs.team == team { theirs.cpus } else { 0.0 };
+                let other_spec = &self.jobs[&number].spec;
+                cpus += if other_spec.team == team { other_spec.cpus } else { 0.0 };
                 same_zone += u64::from(running.job == task.job && worker.zone == zone);
                 if *running == task && other != id {
                     elsewhere.push(other.clone());
@@ -303,11 +323,11 @@
         if !elsewhere.is_empty() {
             self.record_violation(format!("ran_twice: {task} on {id} and {elsewhere:?}"));
         }
-        let most = TEAMS.iter().find(|(name, ..)| *name == team).map_or(0.0, |team| team.2);
-        if cpus > most {
-            self.record_violation(format!("quota: {team} uses {cpus} of {most}, by {task}"));
+        let limit = TEAMS.iter().find(|(name, ..)| *name == team).map_or(0.0, |team| team.2);
+        if cpus > limit {
+            self.record_violation(format!("quota: {team} uses {cpus} of {limit}, by {task}"));
         }
-        if spec.zone.as_ref().is_some_and(|bound| *bound != ZONES[zone]) {
+        if spec.zone.as_ref().is_some_and(|zone_name| *zone_name != ZONES[zone]) {
             self.record_violation(format!("wrong_place: {task} in zone {}", ZONES[zone]));
         }
         if spec.spread && same_zone > spec.tasks.div_ceil(2) {
@@ -315,20 +335,22 @@
         }
     }
 
-    pub fn number(id: &JobId) -> u64 {
+    /// Returns the number in a job's id.
+    pub fn job_number(id: &JobId) -> u64 {
         id.as_str()[3..].parse().unwrap()
     }
 
-    /// The job itself and all that it needs, directly or through others.
-    pub fn before(&self, number: u64) -> Vec<u64> {
-        let mut all = vec![number];
+    /// Returns the job and all its direct and indirect dependencies.
+    pub fn with_dependencies(&self, number: u64) -> Vec<u64> {
+        let mut jobs = vec![number];
         let mut at = 0;
-        while at < all.len() {
-            let depends_on = self.jobs[&all[at]].spec.depends_on.iter().flatten();
-            let new: Vec<u64> = depends_on.map(Self::number).filter(|n| !all.contains(n)).collect();
-            all.extend(new);
+        while at < jobs.len() {
+            let depends_on = self.jobs[&jobs[at]].spec.depends_on.iter().flatten();
+            let new: Vec<u64> =
+                depends_on.map(Self::job_number).filter(|n| !jobs.contains(n)).collect();
+            jobs.extend(new);
             at += 1;
         }
-        all
+        jobs
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: its state, its clock and its queue of events.
+//! State, clock and event queue of the simulation.
 
 use crate::config::{
     CONTROLLERS, DEFAULT_CAPACITY, FLOOR, settings_with_sharding, sharding_requested,
@@ -20,98 +20,123 @@
 use troutspindle::http::{Method, Request, Response};
 use troutspindle::ids::{MachineId, TaskId};
 
+/// A simulated cluster with its store, cloud, workers and users.
 pub struct World {
-    /// Milliseconds since the day began.
+    /// Milliseconds since the simulation began.
     pub now_ms: u64,
+    /// Instant at which the simulation began.
     pub base: Instant,
-    /// Of all that controllers send.
+    /// Digest of all messages that controllers send.
     pub digest: digest::Digest,
     pub random: StdRng,
+    /// Time and number of each scheduled event; events of equal time run in the order in which they were scheduled.
     pub queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events by number.
     pub due: HashMap<u64, SimEvent>,
     pub next_due: u64,
+    /// Running controllers; `None` while one is down.
     pub nodes: Vec<Option<Controller>>,
-    /// Nodes that run the version before this one.
-    pub old: Vec<bool>,
+    /// Whether each controller runs the previous version.
+    pub runs_previous_version: Vec<bool>,
+    /// Limits of the store: writes per transaction, bytes per value.
     pub limits: (usize, usize),
+    /// Number of crashes of each controller.
     pub incarnation: Vec<u32>,
+    /// Unanswered requests of each controller.
     pub tickets: Vec<HashMap<u64, Ticket>>,
     pub next_ticket: u64,
     pub store: Store,
     pub workers: BTreeMap<MachineId, Worker>,
-    pub hired: HashMap<String, Vec<MachineId>>,
+    /// Rented machines by rental request.
+    pub rentals: HashMap<String, Vec<MachineId>>,
     pub next_machine: u64,
     pub jobs: BTreeMap<u64, UserJob>,
+    /// Completed tasks.
     pub finished: HashMap<TaskId, bool>,
-    pub cut_node: Vec<bool>,
-    pub cut_zones: bool,
+    pub partitioned_controllers: Vec<bool>,
+    pub zones_partitioned: bool,
+    /// Whether zone b is isolated.
     pub isolated_zone: bool,
-    pub cut_workers: Option<usize>,
-    pub deaf: Option<usize>,
-    pub refused: Option<usize>,
-    pub slow_node: Option<usize>,
-    pub cloud_out: bool,
-    /// Ordinary and spot machines that the cloud has in each zone.
+    /// Controller that is cut off from the workers of zone b.
+    pub cut_off_from_zone_b: Option<usize>,
+    /// Controller that is cut off from all workers.
+    pub cut_off_from_workers: Option<usize>,
+    /// Controller that the store rejects.
+    pub rejected_by_store: Option<usize>,
+    pub slow_controller: Option<usize>,
+    pub cloud_unavailable: bool,
+    /// Number of ordinary and of spot machines that the cloud offers in each zone.
     pub capacity: [usize; 2],
-    /// The operators' floor under scarcity.
+    /// Floor under scarcity in the operators' settings.
     pub floor: f64,
-    pub bad_boots: bool,
-    pub no_mesh: bool,
+    pub failed_boots: bool,
+    pub peer_connections_rejected: bool,
     pub slow_machines: bool,
-    pub polls: bool,
+    pub poll_storm: bool,
+    /// Whether each controller is switched off, so that connections to it time out.
     pub down: Vec<bool>,
     pub stalled: Vec<bool>,
-    /// What waits for a node that stands still, and effects that it had not got round to.
+    /// Events for stalled controllers.
     pub stalled_events: Vec<SimEvent>,
+    /// Effects of the last event before a stall, sent when the controller resumes.
     pub unsent_effects: Vec<(usize, Vec<Effect>)>,
-    pub held: Vec<SimEvent>,
-    /// Milliseconds that each event takes, and what waits for each node.
-    pub cost: u64,
-    pub lines: Vec<VecDeque<SimEvent>>,
-    pub late_writes: bool,
-    pub late_reports: bool,
-    pub deaf_zone: Option<usize>,
+    /// Messages that are delivered when a partition ends.
+    pub blocked_messages: Vec<SimEvent>,
+    /// Milliseconds that a controller needs for each event.
+    pub event_cost_ms: u64,
+    /// Events that wait for each busy controller.
+    pub event_queues: Vec<VecDeque<SimEvent>>,
+    pub delayed_commits: bool,
+    pub delayed_heartbeats: bool,
+    /// Zone whose workers receive no responses and no direct commands.
+    pub zone_without_responses: Option<usize>,
     pub hung_zone: Option<usize>,
-    pub isolated: Option<usize>,
+    /// Controller that is cut off from the store and its peers.
+    pub isolated_controller: Option<usize>,
     pub drops_outgoing: Option<usize>,
     pub drops_incoming: Option<usize>,
-    /// Tasks of arrays run longer than any day.
+    /// Whether tasks of arrays outlast the simulation.
     pub long_tasks: bool,
-    /// Users ask this node alone to cancel their jobs.
-    pub cancel_at: Option<usize>,
-    /// A node ends once it has told a user that a job is cancelled, and is back after so many milliseconds.
+    /// Controller to which users send all cancellations, if set.
+    pub cancel_via: Option<usize>,
+    /// If set, a controller crashes after it confirmed a cancellation, and restarts after this many milliseconds.
     pub restarts_after_cancellation: Option<u64>,
-    /// When each node answered a worker last with orders.
-    pub answered: Vec<u64>,
-    /// The troubles of meetings that are brought about on purpose, and how often each took effect.
+    /// Time in milliseconds at which each controller last answered a worker with commands.
+    pub last_answered_ms: Vec<u64>,
+    /// State of the targeted faults, and the number of times each took effect.
     pub targeted_faults: TargetedFaults,
-    /// Events so far: what is later in the day has a higher number, within a millisecond too.
+    /// Number of events so far; orders events within the same millisecond.
     pub events: u64,
+    /// Violations of rules found so far.
     pub violations: Vec<String>,
+    /// Number of executed start commands.
     pub starts: u64,
-    /// Transactions that went beyond the limits.
+    /// Number of transactions that exceeded the store's limits.
     pub too_large: u64,
-    /// Whether the leader shares reports out.
-    pub share: bool,
-    /// Messages about shared reports arrive twice now and then, the second time late.
-    pub copied_batches: bool,
+    /// Whether the leader shards heartbeats.
+    pub sharding: bool,
+    /// Whether a quarter of the messages of heartbeat sharding arrives a second time, 0.5 to 9 s later.
+    pub duplicated_batches: bool,
 }
 
 impl World {
+    /// Creates a simulation of [`CONTROLLERS`] controllers of this version.
     pub fn new(seed: u64) -> World {
         World::running_previous_version(seed, false)
     }
 
-    pub fn running_previous_version(seed: u64, old: bool) -> World {
-        World::with_controllers(seed, CONTROLLERS, old)
+    /// Creates a simulation of [`CONTROLLERS`] controllers; `previous` selects the previous version.
+    pub fn running_previous_version(seed: u64, previous: bool) -> World {
+        World::with_controllers(seed, CONTROLLERS, previous)
     }
 
-    pub fn with_controllers(seed: u64, count: usize, old: bool) -> World {
-        World::with_sharding(seed, count, old, sharding_requested())
+    /// Creates a simulation of `count` controllers, with heartbeat sharding if SHARE requests it.
+    pub fn with_controllers(seed: u64, count: usize, previous: bool) -> World {
+        World::with_sharding(seed, count, previous, sharding_requested())
     }
 
-    /// One whose leader shares workers' reports out, or keeps to the usual rule.
-    pub fn with_sharding(seed: u64, count: usize, old: bool, share: bool) -> World {
+    /// Creates a simulation whose leader shards heartbeats always (`sharding`) or by the default rule.
+    pub fn with_sharding(seed: u64, count: usize, previous: bool, sharding: bool) -> World {
         let mut world = World {
             now_ms: 0,
             base: Instant::now(),
@@ -121,101 +146,108 @@
             due: HashMap::new(),
             next_due: 0,
             nodes: Vec::new(),
-            old: vec![old; count],
+            runs_previous_version: vec![previous; count],
             limits: (12, 16 * 1024),
             incarnation: vec![0; count],
             tickets: (0..count).map(|_| HashMap::new()).collect(),
             next_ticket: 100,
             store: Store { rev: 1, ..Store::default() },
             workers: BTreeMap::new(),
-            hired: HashMap::new(),
+            rentals: HashMap::new(),
             next_machine: 0,
             jobs: BTreeMap::new(),
             finished: HashMap::new(),
-            cut_node: vec![false; count],
-            cut_zones: false,
+            partitioned_controllers: vec![false; count],
+            zones_partitioned: false,
             isolated_zone: false,
-            cut_workers: None,
-            deaf: None,
-            refused: None,
-            slow_node: None,
-            cloud_out: false,
+            cut_off_from_zone_b: None,
+            cut_off_from_workers: None,
+            rejected_by_store: None,
+            slow_controller: None,
+            cloud_unavailable: false,
             capacity: DEFAULT_CAPACITY,
             floor: FLOOR,
-            bad_boots: false,
-            no_mesh: false,
+            failed_boots: false,
+            peer_connections_rejected: false,
             slow_machines: false,
-            polls: false,
+            poll_storm: false,
             down: vec![false; count],
             stalled: vec![false; count],
             stalled_events: Vec::new(),
             unsent_effects: Vec::new(),
-            held: Vec::new(),
-            cost: 0,
-            lines: std::iter::repeat_with(VecDeque::new).take(count).collect(),
-            late_writes: false,
-            late_reports: false,
-            deaf_zone: None,
+            blocked_messages: Vec::new(),
+            event_cost_ms: 0,
+            event_queues: std::iter::repeat_with(VecDeque::new).take(count).collect(),
+            delayed_commits: false,
+            delayed_heartbeats: false,
+            zone_without_responses: None,
             hung_zone: None,
-            isolated: None,
+            isolated_controller: None,
             drops_outgoing: None,
             drops_incoming: None,
             long_tasks: false,
-            cancel_at: None,
+            cancel_via: None,
             restarts_after_cancellation: None,
-            answered: vec![0; count],
+            last_answered_ms: vec![0; count],
             targeted_faults: TargetedFaults::default(),
             events: 0,
             violations: Vec::new(),
             starts: 0,
             too_large: 0,
-            share,
-            copied_batches: false,
+            sharding,
+            duplicated_batches: false,
         };
         for node in 0..count {
             let wall = world.wall();
             world.nodes.push(
                 Controller::new(
-                    settings_with_sharding(count, node, old, world.floor, share),
+                    settings_with_sharding(count, node, previous, world.floor, sharding),
                     seed * 10 + node as u64,
                     wall,
                 )
                 .ok(),
             );
-            world.at(1 + node as u64, SimEvent::Tick(node));
+            world.schedule(1 + node as u64, SimEvent::Tick(node));
         }
-        world.at(50, SimEvent::LeaseCheck);
+        world.schedule(50, SimEvent::LeaseCheck);
         world
     }
 
+    /// Returns the simulated time as an instant.
     pub fn now(&self) -> Instant {
         self.base + Duration::from_millis(self.now_ms)
     }
 
+    /// Returns the simulated wall clock.
     pub fn wall(&self) -> WallClock {
         WallClock { at: self.now(), ms: 1_700_000_000_000 + self.now_ms }
     }
 
-    pub fn at(&mut self, t: u64, due: SimEvent) {
+    /// Schedules an event at a time in milliseconds.
+    pub fn schedule(&mut self, t: u64, due: SimEvent) {
         self.next_due += 1;
         self.queue.push(Reverse((t, self.next_due)));
         self.due.insert(self.next_due, due);
     }
 
+    /// Schedules an event within 12 ms, or one in fifty within 300 ms.
     pub fn schedule_soon(&mut self, due: SimEvent) {
-        let slow = if self.random.random_range(0..50) == 0 { 300 } else { 12 };
-        let delay = self.random.random_range(1..slow);
-        self.at(self.now_ms + delay, due);
+        let max_ms = if self.random.random_range(0..50) == 0 { 300 } else { 12 };
+        let delay = self.random.random_range(1..max_ms);
+        self.schedule(self.now_ms + delay, due);
     }
 
+    /// Records a violation of a rule at the current time.
     pub fn record_violation(&mut self, what: String) {
         self.violations.push(format!("{} ms: {what}", self.now_ms));
     }
 
+    /// Returns the zone of a controller.
     pub fn node_zone(node: usize) -> usize {
         node % 2
     }
 
+    /// Runs all events up to a time in milliseconds.
     pub fn run(&mut self, until: u64) {
         while let Some(&Reverse((t, n))) = self.queue.peek() {
             if t > until {
@@ -231,6 +263,7 @@
         self.digest_store();
     }
 
+    /// Handles an event, or keeps it back while its controller is stalled or busy.
     pub fn step(&mut self, due: SimEvent) {
         if let SimEvent::Tick(node)
         | SimEvent::Controller(node, ..)
@@ -241,7 +274,7 @@
         {
             let node = *node;
             if self.unsent_effects.iter().all(|(other, _)| *other != node) && self.random.random() {
-                // It stops between this event and its effects.
+                // The controller stalls between this event and its effects.
                 self.unsent_effects.push((node, Vec::new()));
             } else {
                 return self.stalled_events.push(due);
@@ -252,51 +285,56 @@
         | SimEvent::Heartbeat(node, ..)
         | SimEvent::ExtraRequest(node, ..)
         | SimEvent::UserRequest(node, ..) = &due
-            && (self.cost > 0 || !self.lines[*node].is_empty())
+            && (self.event_cost_ms > 0 || !self.event_queues[*node].is_empty())
         {
             let node = *node;
-            self.lines[node].push_back(due);
-            if self.lines[node].len() == 1 {
-                self.at(self.now_ms + self.cost, SimEvent::NextQueued(node));
+            self.event_queues[node].push_back(due);
+            if self.event_queues[node].len() == 1 {
+                self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(node));
             }
             return;
         }
         self.handle(due);
     }
 
+    /// Handles an event now.
     pub fn handle(&mut self, due: SimEvent) {
         match due {
             SimEvent::NextQueued(node) => {
-                if let Some(due) = self.lines[node].pop_front() {
+                if let Some(due) = self.event_queues[node].pop_front() {
                     self.handle(due);
                 }
-                if !self.lines[node].is_empty() {
-                    self.at(self.now_ms + self.cost, SimEvent::NextQueued(node));
+                if !self.event_queues[node].is_empty() {
+                    self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(node));
                 }
             }
             SimEvent::Tick(node) => {
                 self.deliver(node, Event::Tick);
-                self.at(self.now_ms + 40, SimEvent::Tick(node));
+                self.schedule(self.now_ms + 40, SimEvent::Tick(node));
             }
             SimEvent::Controller(node, incarnation, event) => {
-                if self.slow_node == Some(node) && self.random.random_bool(0.7) {
+                if self.slow_controller == Some(node) && self.random.random_bool(0.7) {
                     let later = self.now_ms + self.random.random_range(1..150);
-                    self.at(later, SimEvent::Controller(node, incarnation, event));
+                    self.schedule(later, SimEvent::Controller(node, incarnation, event));
                 } else if self.incarnation[node] == incarnation {
                     self.deliver(node, event);
                 }
             }
-            SimEvent::State(node, incarnation, id, call) => self.state(node, incarnation, id, call),
-            SimEvent::DelayedCommit(txn) if self.store.out => {
-                self.at(self.now_ms + 1000, SimEvent::DelayedCommit(txn))
+            SimEvent::Store(node, incarnation, id, call) => {
+                self.on_store_request(node, incarnation, id, call)
+            }
+            SimEvent::DelayedCommit(txn) if self.store.unavailable => {
+                self.schedule(self.now_ms + 1000, SimEvent::DelayedCommit(txn))
             }
             SimEvent::DelayedCommit(txn) => drop(self.commit(txn)),
             SimEvent::SlowCommit(node, incarnation, id, txn) => {
-                self.slow_write(node, incarnation, id, txn);
+                self.finish_slow_commit(node, incarnation, id, txn);
+            }
+            SimEvent::Cloud(node, incarnation, id, call) => {
+                self.on_cloud_request(node, incarnation, id, call)
             }
-            SimEvent::Cloud(node, incarnation, id, call) => self.cloud(node, incarnation, id, call),
             SimEvent::DirectCall(node, incarnation, machine, direct) => {
-                self.direct(node, incarnation, machine, direct);
+                self.on_direct_call(node, incarnation, machine, direct);
             }
             SimEvent::Heartbeat(node, machine, body, id) => {
                 if self.is_cut_off(node, self.workers[&machine].zone) {
@@ -319,14 +357,14 @@
             SimEvent::HeartbeatResponse(machine, id, response) => {
                 self.on_heartbeat_response(machine, id, response)
             }
-            SimEvent::Worker(machine) => self.worker(machine),
+            SimEvent::Worker(machine) => self.step_worker(machine),
             SimEvent::Fault(fault) => self.fault(fault),
-            SimEvent::User(job) => self.user(job),
+            SimEvent::User(job) => self.step_user(job),
             SimEvent::UserRequest(node, job, request) => {
-                if self.cut_node[node] || self.down[node] || self.is_isolated(node) {
+                if self.partitioned_controllers[node] || self.down[node] || self.is_isolated(node) {
                     return;
                 }
-                let asked = self.jobs[&job].asked.map_or(0, |(at, _)| at);
+                let asked = self.jobs[&job].pending_request.map_or(0, |(at, _)| at);
                 if self.nodes[node].is_none() {
                     return self.schedule_soon(SimEvent::UserResponse(
                         job,
@@ -337,7 +375,9 @@
                 let ticket = self.ticket(node, Ticket::User(job, asked));
                 self.deliver(node, Event::Request { ticket, request });
             }
-            SimEvent::UserResponse(job, asked, response) => self.user_answer(job, asked, &response),
+            SimEvent::UserResponse(job, asked, response) => {
+                self.on_user_response(job, asked, &response)
+            }
             SimEvent::ExtraRequest(node, asked) => self.deliver_extra_request(node, asked),
             SimEvent::ExtraResponse(asked, response) => self.on_extra_response(&asked, &response),
             SimEvent::InvalidRequest => self.send_invalid_request(),
@@ -351,9 +391,9 @@
                     settings_with_sharding(
                         self.nodes.len(),
                         node,
-                        self.old[node],
+                        self.runs_previous_version[node],
                         self.floor,
-                        self.share,
+                        self.sharding,
                     ),
                     seed,
                     self.wall(),
@@ -361,8 +401,8 @@
                 .ok();
             }
             SimEvent::LeaseCheck => {
-                self.end_leases();
-                self.at(self.now_ms + 50, SimEvent::LeaseCheck);
+                self.end_expired_leases();
+                self.schedule(self.now_ms + 50, SimEvent::LeaseCheck);
             }
         }
     }
--- a/tests/cluster/controller_crashes.rs
+++ b/tests/cluster/controller_crashes.rs
@@ -11,11 +11,13 @@
     world.run(30_000);
     assert_eq!(world.running(0), 4);
     world.fault(begin_fault);
-    world.at(55_000, SimEvent::Fault(end_fault));
+    world.schedule(55_000, SimEvent::Fault(end_fault));
     world.run(80_000);
     // Replicas may be moved by command, but no worker's lease has expired and no busy machine was terminated.
-    let lost =
-        world.workers.values().filter(|w| w.agent_epoch > 1 || (w.gone && !w.tasks_left_empty));
+    let lost = world
+        .workers
+        .values()
+        .filter(|w| w.agent_epoch > 1 || (w.terminated && !w.terminated_idle));
     assert_eq!((world.running(0), lost.count()), (4, 0));
 }
 
@@ -61,12 +63,12 @@
             );
         }
         let (begin_fault, end_fault) = match random.random_range(0..5) {
-            0 => (Fault::Outage(true), Fault::Outage(false)),
-            1 => (Fault::CutZones(true), Fault::CutZones(false)),
+            0 => (Fault::StoreOutage(true), Fault::StoreOutage(false)),
+            1 => (Fault::PartitionZones(true), Fault::PartitionZones(false)),
             2 => (Fault::RefusePeerConnections(true), Fault::RefusePeerConnections(false)),
             3 => (
-                Fault::StoreRefuses(nodes.first().copied().unwrap_or(0), true),
-                Fault::StoreRefuses(0, false),
+                Fault::StoreRejects(nodes.first().copied().unwrap_or(0), true),
+                Fault::StoreRejects(0, false),
             ),
             _ => (Fault::PollStorm(true), Fault::PollStorm(false)),
         };
@@ -114,7 +116,7 @@
         let leader = world.leader();
         for node in [leader, (leader + 1) % CONTROLLERS] {
             world.fault(disable[seed as usize % 2](node));
-            world.at(52_000, SimEvent::Fault(Fault::Stall(node, false)));
+            world.schedule(52_000, SimEvent::Fault(Fault::Stall(node, false)));
         }
         world.run(120_000);
         let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
@@ -129,10 +131,10 @@
 fn a_stalled_controller_acts_on_no_expired_lease() {
     let others: [fn(usize, bool) -> Fault; 5] = [
         |_, on| Fault::PollStorm(on),
-        |_, on| Fault::Outage(on),
-        |_, on| Fault::CutZones(on),
-        Fault::CutNode,
-        Fault::StoreRefuses,
+        |_, on| Fault::StoreOutage(on),
+        |_, on| Fault::PartitionZones(on),
+        Fault::PartitionController,
+        Fault::StoreRejects,
     ];
     for seed in 210..240 {
         let random = &mut StdRng::seed_from_u64(seed);
--- a/tests/cluster/dag.rs
+++ b/tests/cluster/dag.rs
@@ -38,20 +38,24 @@
         let end_at = at + random.random_range(5000..25_000);
         let faults: [[Fault; 2]; 6] = [
             [Fault::Crash(node), Fault::ReclaimSpotMachines],
-            [Fault::Outage(true), Fault::Outage(false)],
-            [Fault::CutZones(true), Fault::CutZones(false)],
-            [Fault::CutNode(node, true), Fault::CutNode(node, false)],
+            [Fault::StoreOutage(true), Fault::StoreOutage(false)],
+            [Fault::PartitionZones(true), Fault::PartitionZones(false)],
+            [Fault::PartitionController(node, true), Fault::PartitionController(node, false)],
             [Fault::PollStorm(true), Fault::Crash(node)],
-            [Fault::StoreRefuses(node, true), Fault::StoreRefuses(node, false)],
+            [Fault::StoreRejects(node, true), Fault::StoreRejects(node, false)],
         ];
         let [begin_fault, end_fault] = faults[seed as usize % 6];
-        world.at(at, SimEvent::Fault(begin_fault));
-        world.at(end_at, SimEvent::Fault(end_fault));
+        world.schedule(at, SimEvent::Fault(begin_fault));
+        world.schedule(end_at, SimEvent::Fault(end_fault));
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        let is_finished = |job: &UserJob| job.told_done || job.cancellation_confirmed_ms.is_some();
+        let is_finished =
+            |job: &UserJob| job.completion_confirmed || job.cancellation_confirmed_ms.is_some();
         assert!(world.jobs.values().all(is_finished), "seed {seed}");
         // The last jobs of pipelines that no user cancelled have completed.
-        assert!((0..9).step_by(3).all(|n| world.jobs[&(104 + n * 10)].told_done), "seed {seed}");
+        assert!(
+            (0..9).step_by(3).all(|n| world.jobs[&(104 + n * 10)].completion_confirmed),
+            "seed {seed}"
+        );
     }
 }
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -32,7 +32,7 @@
 
 /// Number of tasks with an allocation in a zone.
 fn tasks_in_zone(world: &World, zone: usize) -> usize {
-    let workers_here = world.workers.values().filter(|w| w.zone == zone && !w.gone);
+    let workers_here = world.workers.values().filter(|w| w.zone == zone && !w.terminated);
     let tasks = workers_here.flat_map(|w| w.tasks.values());
     tasks.filter(|task| task.state != TaskState::Exited).count()
 }
@@ -54,7 +54,7 @@
         set_drain(&mut world, DrainKind::Zone, "a", Some(40_000), true);
         if seed % 2 == 0 {
             let leader = world.leader();
-            world.at(53_000, SimEvent::Fault(Fault::Crash(leader)));
+            world.schedule(53_000, SimEvent::Fault(Fault::Crash(leader)));
         }
         let mut now_ms = 50_000;
         while tasks_in_zone(&world, 0) > 0 {
@@ -77,7 +77,7 @@
         for (number, job) in &world.jobs {
             let service = job.spec.shape == JobKind::Service;
             assert!(
-                job.told_done || service && world.running(*number) == 4,
+                job.completion_confirmed || service && world.running(*number) == 4,
                 "seed {seed}: {number}"
             );
         }
@@ -101,7 +101,7 @@
         set_drain(&mut world, DrainKind::Zone, "a", Some(20_000), true);
         world.run(52_000);
         let spread = JobId::new("wk-0");
-        let workers_here = world.workers.values().filter(|w| w.zone == 0 && !w.gone);
+        let workers_here = world.workers.values().filter(|w| w.zone == 0 && !w.terminated);
         let remaining =
             workers_here.flat_map(|w| w.tasks.keys()).filter(|task| task.job == spread).count();
         assert_eq!((remaining, world.running(0)), (2, 4), "seed {seed}");
@@ -155,9 +155,9 @@
         for node in 0..CONTROLLERS {
             set_drain(&mut world, DrainKind::Controller, &format!("n-{node}"), None, false);
         }
-        world.at(now_ms + 1000, SimEvent::Fault(Fault::Crash(leaders[CONTROLLERS - 1])));
+        world.schedule(now_ms + 1000, SimEvent::Fault(Fault::Crash(leaders[CONTROLLERS - 1])));
         world.run(150_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        assert!(world.jobs.values().skip(2).all(|job| job.told_done), "seed {seed}");
+        assert!(world.jobs.values().skip(2).all(|job| job.completion_confirmed), "seed {seed}");
     }
 }
--- a/tests/cluster/fair_share.rs
+++ b/tests/cluster/fair_share.rs
@@ -25,7 +25,7 @@
         world.submit_at(n * 4000, n, false, None);
     }
     for (at_ms, fault) in faults {
-        world.at(*at_ms, SimEvent::Fault(*fault));
+        world.schedule(*at_ms, SimEvent::Fault(*fault));
     }
     let (mut running, mut requested) = (0, 0);
     for second in 0..200 {
@@ -40,7 +40,7 @@
     }
     assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
     // Arrays submitted in the last 40 s may still run.
-    let completed = (5..40).filter(|n| world.jobs[n].told_done).count();
+    let completed = (5..40).filter(|n| world.jobs[n].completion_confirmed).count();
     (completed as f64 / 35.0, running as f64 / requested as f64)
 }
 
@@ -57,7 +57,7 @@
         vec![],
         vec![(50_000, Fault::Crash(0)), (80_000, Fault::Crash(1)), (110_000, Fault::Crash(2))],
         crash_all,
-        vec![(1000, Fault::Outage(true)), (25_000, Fault::Outage(false))],
+        vec![(1000, Fault::StoreOutage(true)), (25_000, Fault::StoreOutage(false))],
         vec![(20_000, Fault::CloudOutage(true)), (90_000, Fault::CloudOutage(false))],
     ];
     for (n, faults) in all.iter().enumerate() {
@@ -84,10 +84,10 @@
             (70_000, Fault::EventCost(0)),
             (70_000, Fault::PollStorm(false)),
         ] {
-            world.at(at_ms, SimEvent::Fault(fault));
+            world.schedule(at_ms, SimEvent::Fault(fault));
         }
         world.run(69_000);
-        let longest = world.lines.iter().map(VecDeque::len).max().unwrap();
+        let longest = world.event_queues.iter().map(VecDeque::len).max().unwrap();
         let down = (0..4).any(|n| world.running(n) < 4);
         let wait_ms = longest as u64 * cost;
         assert!(
@@ -99,6 +99,6 @@
         assert_eq!(running, [4; 4], "cost {cost}: 20 s after it");
         world.run(160_000);
         assert!(world.violations.is_empty(), "cost {cost}: {:#?}", world.violations);
-        assert!((4..24).all(|n| world.jobs[&n].told_done), "cost {cost}");
+        assert!((4..24).all(|n| world.jobs[&n].completion_confirmed), "cost {cost}");
     }
 }
--- a/tests/cluster/machines_and_jobs.rs
+++ b/tests/cluster/machines_and_jobs.rs
@@ -10,12 +10,12 @@
 #[test]
 fn jobs_survive_faults_of_the_cloud_of_machines_and_of_single_controllers() {
     let faults_by_number: [fn(usize, bool) -> Fault; 7] = [
-        Fault::StoreRefuses,
+        Fault::StoreRejects,
         |_, on| Fault::CloudOutage(on),
         |_, on| Fault::Capacity(if on { [2, 2] } else { DEFAULT_CAPACITY }),
         |_, on| Fault::FailedBoots(on),
         |_, on| Fault::RefusePeerConnections(on),
-        Fault::SlowNode,
+        Fault::SlowController,
         |_, on| Fault::SlowMachines(on),
     ];
     for seed in 100..114 {
@@ -42,10 +42,11 @@
             world.submit_at(3000 + n * 1500, n, n % 5 == 4, always_fails.then_some(70_000));
             world.jobs.get_mut(&n).unwrap().always_fails = always_fails;
         }
-        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
+        world.schedule(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
         world.run(150_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        let is_finished = |job: &UserJob| job.told_done || job.cancellation_confirmed_ms.is_some();
+        let is_finished =
+            |job: &UserJob| job.completion_confirmed || job.cancellation_confirmed_ms.is_some();
         let is_array = |job: &&UserJob| job.spec.shape == JobKind::Array;
         assert!(world.jobs.values().filter(is_array).all(is_finished), "seed {seed}");
         starts += world.starts;
@@ -63,10 +64,10 @@
         for n in 1..60 {
             world.submit_at(20_000 + n * 50, n, false, None);
         }
-        world.at(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
+        world.schedule(30_000, SimEvent::Fault(Fault::Crash(seed as usize % CONTROLLERS)));
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        assert!(world.jobs.values().skip(1).all(|job| job.told_done), "seed {seed}");
+        assert!(world.jobs.values().skip(1).all(|job| job.completion_confirmed), "seed {seed}");
     }
 }
 
@@ -82,11 +83,15 @@
             match random.random_range(0..5) {
                 0 => faults.push((at, Fault::Crash(node))),
                 1 => faults.extend([
-                    (at, Fault::CutNode(node, true)),
-                    (end_at, Fault::CutNode(node, false)),
+                    (at, Fault::PartitionController(node, true)),
+                    (end_at, Fault::PartitionController(node, false)),
                 ]),
-                2 => faults.extend([(at, Fault::CutZones(true)), (end_at, Fault::CutZones(false))]),
-                3 => faults.extend([(at, Fault::Outage(true)), (end_at, Fault::Outage(false))]),
+                2 => faults.extend([
+                    (at, Fault::PartitionZones(true)),
+                    (end_at, Fault::PartitionZones(false)),
+                ]),
+                3 => faults
+                    .extend([(at, Fault::StoreOutage(true)), (end_at, Fault::StoreOutage(false))]),
                 _ => faults.push((at, Fault::ReclaimMachine)),
             }
         }
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -31,22 +31,25 @@
         world.fault(Fault::IsolateZone(true));
         match seed % 4 {
             // A controller outside the zone crashes during the partition, or the one inside does.
-            0 => world.at(40_000, SimEvent::Fault(Fault::Crash(2 * (seed as usize / 4 % 2)))),
-            1 if seed % 8 == 1 => world.at(45_000, SimEvent::Fault(Fault::Crash(1))),
+            0 => world.schedule(40_000, SimEvent::Fault(Fault::Crash(2 * (seed as usize / 4 % 2)))),
+            1 if seed % 8 == 1 => world.schedule(45_000, SimEvent::Fault(Fault::Crash(1))),
             2 => {
-                world.at(42_000, SimEvent::Fault(Fault::Outage(true)));
-                world.at(50_000, SimEvent::Fault(Fault::Outage(false)));
+                world.schedule(42_000, SimEvent::Fault(Fault::StoreOutage(true)));
+                world.schedule(50_000, SimEvent::Fault(Fault::StoreOutage(false)));
             }
             _ => {}
         }
-        world.at(78_000, SimEvent::Fault(Fault::IsolateZone(false)));
+        world.schedule(78_000, SimEvent::Fault(Fault::IsolateZone(false)));
         world.run(78_000);
         // A job without tasks in the zone is cancelled at once unless there is an outage or a new leader.
         let other = &world.jobs[&4];
         if seed % 4 == 3 {
-            assert!(other.cancellation_confirmed_ms.is_some() && other.put_off == 0, "seed {seed}");
+            assert!(
+                other.cancellation_confirmed_ms.is_some() && other.cancellations_postponed == 0,
+                "seed {seed}"
+            );
         }
-        postponed += (0..3).map(|n| world.jobs[&n].put_off).sum::<u32>();
+        postponed += (0..3).map(|n| world.jobs[&n].cancellations_postponed).sum::<u32>();
         confirmed_in_partition +=
             (0..3).filter(|n| world.jobs[n].cancellation_confirmed_ms.is_some()).count();
         world.run(140_000);
@@ -68,7 +71,10 @@
 fn jobs_survive_a_partition_of_one_controller() {
     for seed in 40..46 {
         let node = seed as usize % 3;
-        let faults = [(30_000, Fault::CutNode(node, true)), (55_000, Fault::CutNode(node, false))];
+        let faults = [
+            (30_000, Fault::PartitionController(node, true)),
+            (55_000, Fault::PartitionController(node, false)),
+        ];
         World::day(seed, &faults);
     }
 }
@@ -77,8 +83,8 @@
 fn jobs_survive_a_partition_between_zones() {
     for seed in 50..56 {
         let faults = [
-            (30_000, Fault::CutZones(true)),
-            (30_000 + 5000 * (seed - 49), Fault::CutZones(false)),
+            (30_000, Fault::PartitionZones(true)),
+            (30_000 + 5000 * (seed - 49), Fault::PartitionZones(false)),
             (90_000, Fault::Crash(0)),
         ];
         World::day(seed, &faults);
@@ -87,7 +93,7 @@
 
 #[test]
 fn a_partition_between_zones_keeps_running_tasks() {
-    assert_fault_keeps_running_tasks(57, Fault::CutZones(true), Fault::CutZones(false));
+    assert_fault_keeps_running_tasks(57, Fault::PartitionZones(true), Fault::PartitionZones(false));
 }
 
 #[test]
@@ -99,8 +105,8 @@
         assert_eq!(world.running(0), 4);
         let busy = |w: &&Worker| !w.tasks.is_empty();
         let before = world.workers.values().filter(busy).count();
-        world.fault(Fault::CutWorkers(true));
-        world.at(75_000, SimEvent::Fault(Fault::CutWorkers(false)));
+        world.fault(Fault::CutLeaderFromWorkers(true));
+        world.schedule(75_000, SimEvent::Fault(Fault::CutLeaderFromWorkers(false)));
         world.run(74_000);
         // Tasks keep running on the same machines under the same agent epoch.
         let kept = world.workers.values().filter(busy).filter(|w| w.agent_epoch == 1);
@@ -123,14 +129,14 @@
         for n in 1..16 {
             world.submit_at(24_000 + n * 450, n, n % 2 == 0, Some(30_500 + n * 100));
         }
-        world.at(30_000, SimEvent::Fault(Fault::CutZones(true)));
-        world.at(90_000, SimEvent::Fault(Fault::CutZones(false)));
+        world.schedule(30_000, SimEvent::Fault(Fault::PartitionZones(true)));
+        world.schedule(90_000, SimEvent::Fault(Fault::PartitionZones(false)));
         world.run(89_000);
         let is_start = |due: &&SimEvent| {
             matches!(due, SimEvent::DirectCall(_, _, _, DirectCall::Do(orders))
             if orders.orders.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
         };
-        delayed_starts += world.held.iter().filter(is_start).count();
+        delayed_starts += world.blocked_messages.iter().filter(is_start).count();
         world.run(110_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
@@ -150,14 +156,14 @@
         world.run(28_000);
         let leader = world.leader();
         let starts_before = world.starts;
-        world.fault(Fault::CutZones(true));
+        world.fault(Fault::PartitionZones(true));
         world.fault([Fault::Crash, |n| Fault::Stall(n, true)][seed as usize % 2](leader));
-        world.at(41_000, SimEvent::Fault(Fault::Stall(leader, false)));
-        world.at(60_000, SimEvent::Fault(Fault::CutZones(false)));
+        world.schedule(41_000, SimEvent::Fault(Fault::Stall(leader, false)));
+        world.schedule(60_000, SimEvent::Fault(Fault::PartitionZones(false)));
         world.submit_at(35_000, 8, false, None);
         world.run(120_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        assert!(world.starts > starts_before && world.jobs[&8].told_done, "seed {seed}");
+        assert!(world.starts > starts_before && world.jobs[&8].completion_confirmed, "seed {seed}");
         assert!((0..8).step_by(2).all(|n| world.running(n) == 4), "seed {seed}");
     }
 }
@@ -179,11 +185,12 @@
         world.fault(Fault::CutControllerFromWorkers(unreachable, true));
         for n in 0..CONTROLLERS {
             let crash = Fault::Crash((unreachable + n) % CONTROLLERS);
-            world.at(30_100 + 1000 * n as u64, SimEvent::Fault(crash));
+            world.schedule(30_100 + 1000 * n as u64, SimEvent::Fault(crash));
         }
         world.run(38_000);
         unreachable_leaders += u32::from(world.leader() == unreachable);
-        world.at(60_000, SimEvent::Fault(Fault::CutControllerFromWorkers(unreachable, false)));
+        world
+            .schedule(60_000, SimEvent::Fault(Fault::CutControllerFromWorkers(unreachable, false)));
         world.run(90_000);
         let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
         let running = (0..4).map(|n| world.running(n)).sum::<usize>();
--- a/tests/cluster/rolling_upgrade.rs
+++ b/tests/cluster/rolling_upgrade.rs
@@ -18,22 +18,22 @@
     world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
     world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
     for (n, node) in order.into_iter().enumerate() {
-        world.at(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
+        world.schedule(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
     }
     // Submitted early: dependent jobs are rejected until all controllers are upgraded, and none may start too early.
     submit_dags(&mut world, 30_000, 9);
-    world.at(52_000, SimEvent::Fault(Fault::TightenStoreLimits));
+    world.schedule(52_000, SimEvent::Fault(Fault::TightenStoreLimits));
     for (at_ms, fault) in faults {
-        world.at(*at_ms, SimEvent::Fault(*fault));
+        world.schedule(*at_ms, SimEvent::Fault(*fault));
     }
     world.run(19_900);
     let too_large_before = world.too_large;
     world.run(240_000);
     assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
-    assert!(world.old == [false; CONTROLLERS] && too_large_before == 0);
+    assert!(world.runs_previous_version == [false; CONTROLLERS] && too_large_before == 0);
     assert_eq!(world.too_large, 0, "seed {seed}, {faults:?}");
     for (number, job) in world.jobs.iter().filter(|(_, job)| job.spec.shape == JobKind::Array) {
-        let is_finished = job.told_done || job.cancellation_confirmed_ms.is_some();
+        let is_finished = job.completion_confirmed || job.cancellation_confirmed_ms.is_some();
         assert!(is_finished, "seed {seed}, {faults:?}: {number} is not finished");
     }
     assert_eq!(world.running(0), 4, "seed {seed}, {faults:?}");
@@ -42,7 +42,7 @@
         world.store.keys.keys().filter(|key| key[..4] != *"t/j/" && key[..4] != *"t/a/").collect();
     let is_expected = |key: &&String| ["t/m/", "t/x/", "t/e/"].contains(&&key[..4]);
     assert!(remaining.iter().all(is_expected), "{remaining:?}");
-    world.check_learned();
+    world.check_stored_estimates();
 }
 
 #[test]
@@ -61,11 +61,11 @@
         let at = random.random_range(18_000..45_000);
         let end_at = at + random.random_range(3000..20_000);
         let fault: [fn(usize, bool) -> Fault; 6] = [
-            |_, on| Fault::Outage(on),
-            |_, on| Fault::CutZones(on),
-            Fault::CutNode,
+            |_, on| Fault::StoreOutage(on),
+            |_, on| Fault::PartitionZones(on),
+            Fault::PartitionController,
             |_, on| Fault::RefusePeerConnections(on),
-            Fault::StoreRefuses,
+            Fault::StoreRejects,
             Fault::Stall,
         ];
         let fault = fault[seed as usize % 6];
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -20,12 +20,14 @@
 /// Returns the name, begin and end of fault number `kind`, applied to controller `node` or to `zone`.
 fn numbered_fault(kind: usize, node: usize, zone: usize) -> (&'static str, Fault, Option<Fault>) {
     match kind {
-        0 => ("late writes", Fault::DelayedCommits(true), Some(Fault::DelayedCommits(false))),
-        1 => {
-            ("late reports", Fault::DelayedHeartbeats(true), Some(Fault::DelayedHeartbeats(false)))
-        }
+        0 => ("delayed commits", Fault::DelayedCommits(true), Some(Fault::DelayedCommits(false))),
+        1 => (
+            "delayed heartbeats",
+            Fault::DelayedHeartbeats(true),
+            Some(Fault::DelayedHeartbeats(false)),
+        ),
         2 => (
-            "deaf workers",
+            "lost responses to workers",
             Fault::DropResponsesToWorkers(zone, true),
             Some(Fault::DropResponsesToWorkers(zone, false)),
         ),
@@ -33,30 +35,44 @@
             ("hung workers", Fault::HangWorkers(zone, true), Some(Fault::HangWorkers(zone, false)))
         }
         4 => (
-            "alone",
+            "isolated controller",
             Fault::IsolateController(node, true),
             Some(Fault::IsolateController(node, false)),
         ),
-        5 => ("refused", Fault::StoreRefuses(node, true), Some(Fault::StoreRefuses(node, false))),
-        6 => ("outage", Fault::Outage(true), Some(Fault::Outage(false))),
-        7 => ("back at once", Fault::CrashAndRestart(node, 60), None),
+        5 => (
+            "rejected by store",
+            Fault::StoreRejects(node, true),
+            Some(Fault::StoreRejects(node, false)),
+        ),
+        6 => ("store outage", Fault::StoreOutage(true), Some(Fault::StoreOutage(false))),
+        7 => ("quick restart", Fault::CrashAndRestart(node, 60), None),
         8 => ("crash", Fault::CrashAndRestart(node, 4000), None),
-        9 => ("cut node", Fault::CutNode(node, true), Some(Fault::CutNode(node, false))),
-        10 => ("cut zones", Fault::CutZones(true), Some(Fault::CutZones(false))),
-        11 => ("island", Fault::IsolateZone(true), Some(Fault::IsolateZone(false))),
-        12 => ("cut workers", Fault::CutWorkers(true), Some(Fault::CutWorkers(false))),
-        13 => ("stands still", Fault::Stall(node, true), Some(Fault::Stall(node, false))),
+        9 => (
+            "partitioned controller",
+            Fault::PartitionController(node, true),
+            Some(Fault::PartitionController(node, false)),
+        ),
+        10 => {
+            ("partitioned zones", Fault::PartitionZones(true), Some(Fault::PartitionZones(false)))
+        }
+        11 => ("isolated zone", Fault::IsolateZone(true), Some(Fault::IsolateZone(false))),
+        12 => (
+            "leader cut off from workers",
+            Fault::CutLeaderFromWorkers(true),
+            Some(Fault::CutLeaderFromWorkers(false)),
+        ),
+        13 => ("stalled controller", Fault::Stall(node, true), Some(Fault::Stall(node, false))),
         14 => (
-            "no mesh",
+            "no peer connections",
             Fault::RefusePeerConnections(true),
             Some(Fault::RefusePeerConnections(false)),
         ),
         15 => (
-            "deaf node",
+            "controller cut off from workers",
             Fault::CutControllerFromWorkers(node, true),
             Some(Fault::CutControllerFromWorkers(node, false)),
         ),
-        _ => ("all end", Fault::CrashAndRestart(0, 300), None),
+        _ => ("all crash", Fault::CrashAndRestart(0, 300), None),
     }
 }
 /// Number of faults that [`numbered_fault`] knows.
@@ -114,21 +130,21 @@
             let cancel_time = &mut world.jobs.get_mut(&job).unwrap().cancel_at;
             if cancel_time.is_none() {
                 *cancel_time = Some(cancel_at);
-                world.at(cancel_at, SimEvent::User(job));
+                world.schedule(cancel_at, SimEvent::User(job));
             }
         }
         description += &format!(", {name} ({node}) at {at} for {duration_ms}");
-        world.at(at, SimEvent::Fault(begin_fault));
+        world.schedule(at, SimEvent::Fault(begin_fault));
         if kind == 16 {
             for other in 1..3 {
-                world.at(
+                world.schedule(
                     at + 150 * other as u64,
                     SimEvent::Fault(Fault::CrashAndRestart(other, 300)),
                 );
             }
         }
         if let Some(end_fault) = end_fault {
-            world.at((at + duration_ms).min(FAULTS_END), SimEvent::Fault(end_fault));
+            world.schedule((at + duration_ms).min(FAULTS_END), SimEvent::Fault(end_fault));
         }
     }
     for job in 21..25 {
@@ -137,12 +153,12 @@
     world.run(FAULTS_END + 85_000);
     for (n, job) in &world.jobs {
         let cancelled = job.cancellation_confirmed_ms.is_some();
-        if job.last_good + 75_000 < world.now_ms {
+        if job.last_response_ms + 75_000 < world.now_ms {
             world.violations.push(format!("forgotten: no successful response about {n}"));
         }
         if job.spec.shape == JobKind::Service && !cancelled && world.running(*n) != 4 {
             world.violations.push(format!("service {n} does not run"));
-        } else if job.spec.shape != JobKind::Service && !job.told_done && !cancelled {
+        } else if job.spec.shape != JobKind::Service && !job.completion_confirmed && !cancelled {
             world.violations.push(format!("{n} is not finished"));
         }
     }
--- a/tests/heartbeat_sharding.rs
+++ b/tests/heartbeat_sharding.rs
@@ -14,7 +14,7 @@
     submit_jobs(&mut world);
     world.run(BEGIN);
     assert!(
-        world.targeted_faults.effects("reports passed on") > 0,
+        world.targeted_faults.effects("heartbeats relayed") > 0,
         "heartbeats are not sharded, seed {seed}"
     );
     world
@@ -58,18 +58,18 @@
 
 /// Schedules a fault that lasts `ms`, at most until [`FAULTS_END`].
 fn lasting(world: &mut World, at: u64, ms: u64, fault: impl Fn(bool) -> Fault) {
-    world.at(at, SimEvent::Fault(fault(true)));
-    world.at((at + ms).min(FAULTS_END), SimEvent::Fault(fault(false)));
+    world.schedule(at, SimEvent::Fault(fault(true)));
+    world.schedule((at + ms).min(FAULTS_END), SimEvent::Fault(fault(false)));
 }
 
 #[test]
 fn most_heartbeats_are_relayed_and_none_is_lost_without_faults() {
     let mut world = start_with_sharding(1);
-    let before = world.targeted_faults.effects("reports passed on");
+    let before = world.targeted_faults.effects("heartbeats relayed");
     world.run(BEGIN + 20_000);
-    assert!(world.targeted_faults.effects("reports passed on") > before + 100);
-    assert!(world.targeted_faults.effects("commands passed on") > 0);
-    assert!(world.targeted_faults.effects("results passed back") > 0);
+    assert!(world.targeted_faults.effects("heartbeats relayed") > before + 100);
+    assert!(world.targeted_faults.effects("commands relayed") > 0);
+    assert!(world.targeted_faults.effects("command results returned") > 0);
     assert_eq!(finish(world), Vec::<String>::new());
 }
 
@@ -86,11 +86,11 @@
     let ms = 500 + (seed * 3301) % 25_000;
     for (n, at) in [BEGIN + 100 + seed * 37, BEGIN + 16_000].into_iter().enumerate() {
         match (seed as usize + n * 5) % 8 {
-            0 => world.at(at, SimEvent::Fault(Fault::CrashAndRestart(relay, 60))),
-            1 => world.at(at, SimEvent::Fault(Fault::CrashAndRestart(relay, 4000))),
+            0 => world.schedule(at, SimEvent::Fault(Fault::CrashAndRestart(relay, 60))),
+            1 => world.schedule(at, SimEvent::Fault(Fault::CrashAndRestart(relay, 4000))),
             2 => lasting(world, at, ms.min(9000), |on| Fault::Stall(relay, on)),
             3 => lasting(world, at, ms, Fault::RefusePeerConnections),
-            4 => lasting(world, at, ms, |on| Fault::StoreRefuses(relay, on)),
+            4 => lasting(world, at, ms, |on| Fault::StoreRejects(relay, on)),
             5 => lasting(world, at, ms, |on| Fault::CutControllerFromWorkers(relay, on)),
             6 => lasting(world, at, ms, |on| Fault::DropOutgoingPeerMessages(relay, on)),
             _ => lasting(world, at, ms, |on| Fault::DropIncomingPeerMessages(relay, on)),
@@ -105,17 +105,17 @@
 }
 
 fn leader_faults(world: &mut World, seed: u64) {
-    world.copied_batches = true;
+    world.duplicated_batches = true;
     for (n, at) in [BEGIN + 100 + seed * 13, BEGIN + 14_000, BEGIN + 28_000].into_iter().enumerate()
     {
         let leader = world.leader();
         let ms = 2000 + (seed * 2203) % 20_000;
         match (seed as usize + n) % 6 {
-            0 => world.at(at, SimEvent::Fault(Fault::CrashLeader(60))),
-            1 => world.at(at, SimEvent::Fault(Fault::CrashLeader(5000))),
+            0 => world.schedule(at, SimEvent::Fault(Fault::CrashLeader(60))),
+            1 => world.schedule(at, SimEvent::Fault(Fault::CrashLeader(5000))),
             2 => lasting(world, at, ms.min(9000), |on| Fault::Stall(leader, on)),
-            3 => lasting(world, at, ms, |on| Fault::StoreRefuses(leader, on)),
-            4 => lasting(world, at, ms, |on| Fault::CutNode(leader, on)),
+            3 => lasting(world, at, ms, |on| Fault::StoreRejects(leader, on)),
+            4 => lasting(world, at, ms, |on| Fault::PartitionController(leader, on)),
             _ => lasting(world, at, ms, |on| Fault::IsolateController(leader, on)),
         }
     }
@@ -128,11 +128,11 @@
 }
 
 fn delays_and_duplicates(world: &mut World, seed: u64) {
-    world.copied_batches = true;
+    world.duplicated_batches = true;
     lasting(world, BEGIN + 100, 30_000, Fault::DelayedHeartbeats);
     lasting(world, BEGIN + 3000, 30_000, Fault::DelayedCommands);
     lasting(world, BEGIN + 6000, 20_000, |on| Fault::DropResponsesToWorkers(seed as usize % 2, on));
-    world.at(BEGIN + 9000 + seed * 41 % 4000, SimEvent::Fault(Fault::CrashLeader(900)));
+    world.schedule(BEGIN + 9000 + seed * 41 % 4000, SimEvent::Fault(Fault::CrashLeader(900)));
 }
 
 /// Zones are partitioned and reconnected, with a controller that receives heartbeats on each side.
@@ -144,11 +144,11 @@
 fn zone_partitions(world: &mut World, seed: u64) {
     let ms = 4000 + (seed * 1709) % 36_000;
     match seed % 3 {
-        0 => lasting(world, BEGIN + 500, ms, Fault::CutZones),
+        0 => lasting(world, BEGIN + 500, ms, Fault::PartitionZones),
         1 => lasting(world, BEGIN + 500, ms, Fault::IsolateZone),
-        _ => lasting(world, BEGIN + 500, ms, Fault::CutWorkers),
+        _ => lasting(world, BEGIN + 500, ms, Fault::CutLeaderFromWorkers),
     }
-    world.at(BEGIN + ms / 2, SimEvent::Fault(Fault::CancelNow(3)));
+    world.schedule(BEGIN + ms / 2, SimEvent::Fault(Fault::CancelNow(3)));
 }
 
 /// Sharding is used only between controllers that both support it: one of the previous version neither receives such
@@ -158,14 +158,14 @@
     for seed in seeds_requested("400..404") {
         let mut world = World::with_sharding(seed, CONTROLLERS, false, true);
         let old = seed as usize % CONTROLLERS;
-        world.old[old] = true;
-        world.at(1, SimEvent::Fault(Fault::CrashAndRestart(old, 100)));
+        world.runs_previous_version[old] = true;
+        world.schedule(1, SimEvent::Fault(Fault::CrashAndRestart(old, 100)));
         submit_jobs(&mut world);
         world.run(BEGIN);
         // The simulation panics on any message that the previous version cannot read.
-        assert!(world.targeted_faults.effects("reports passed on") > 0, "seed {seed}");
-        world.at(BEGIN + 2000, SimEvent::Fault(Fault::Upgrade(old)));
-        world.at(BEGIN + 12_000, SimEvent::Fault(Fault::CrashLeader(900)));
+        assert!(world.targeted_faults.effects("heartbeats relayed") > 0, "seed {seed}");
+        world.schedule(BEGIN + 2000, SimEvent::Fault(Fault::Upgrade(old)));
+        world.schedule(BEGIN + 12_000, SimEvent::Fault(Fault::CrashLeader(900)));
         assert_eq!(finish(world), Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -185,17 +185,17 @@
 fn heartbeats_are_still_relayed_during_a_store_outage() {
     for seed in 500..503 {
         let mut world = start_with_sharding(seed);
-        let relayed = |world: &World| world.targeted_faults.effects("reports passed on");
+        let relayed = |world: &World| world.targeted_faults.effects("heartbeats relayed");
         let at_begin = relayed(&world);
         world.run(BEGIN + 10_000);
         let baseline = relayed(&world) - at_begin;
-        world.fault(Fault::Outage(true));
+        world.fault(Fault::StoreOutage(true));
         world.run(BEGIN + 16_000);
         let before = relayed(&world);
         world.run(BEGIN + 26_000);
         let in_outage = relayed(&world) - before;
         assert!(in_outage > baseline / 2, "seed {seed}: {in_outage} of {baseline}");
-        world.fault(Fault::Outage(false));
+        world.fault(Fault::StoreOutage(false));
         assert_eq!(finish(world), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -87,7 +87,7 @@
     /// Whether the old leader answered workers with commands after the first confirmation.
     answered: bool,
     /// Number of cancellation requests that were answered with 503.
-    put_off: u32,
+    cancellations_postponed: u32,
     /// Number of workers whose lease expired.
     lost: usize,
     violations: usize,
@@ -97,7 +97,7 @@
     let mut world = World::with_controllers(seed, row.nodes, row.extra == Extra::PreviousVersion);
     world.long_tasks = true;
     if row.extra == Extra::PreviousVersion {
-        world.at(8000, SimEvent::Fault(Fault::Upgrade(seed as usize % row.nodes)));
+        world.schedule(8000, SimEvent::Fault(Fault::Upgrade(seed as usize % row.nodes)));
     }
     for n in 0..6 {
         let service = n % 2 == 0;
@@ -121,7 +121,7 @@
         let old_leader = world.leader();
         let others: Vec<usize> = (0..row.nodes).filter(|n| *n != old_leader).collect();
         let follower = others.get(seed as usize % others.len().max(1)).copied();
-        world.cancel_at = match row.confirmer {
+        world.cancel_via = match row.confirmer {
             Confirmer::Follower | Confirmer::Restarted => follower,
             _ => None,
         };
@@ -131,7 +131,7 @@
         world.restarts_after_cancellation =
             (row.confirmer == Confirmer::CrashesAfterwards).then_some(300);
         world.run(at);
-        world.fault(Fault::StoreRefuses(old_leader, true));
+        world.fault(Fault::StoreRejects(old_leader, true));
         match row.links {
             Links::All => {}
             Links::None | Links::Restored => {
@@ -143,28 +143,34 @@
         match row.extra {
             Extra::LostResponses => {
                 world.fault(Fault::DropResponsesToWorkers(1, true));
-                world.at(
+                world.schedule(
                     at + row.gap + 8000,
                     SimEvent::Fault(Fault::DropResponsesToWorkers(1, false)),
                 );
             }
             Extra::CutWorkers => {
-                world.fault(Fault::CutWorkers(true));
-                world.at(at + row.gap + 8000, SimEvent::Fault(Fault::CutWorkers(false)));
+                world.fault(Fault::CutLeaderFromWorkers(true));
+                world.schedule(
+                    at + row.gap + 8000,
+                    SimEvent::Fault(Fault::CutLeaderFromWorkers(false)),
+                );
             }
             _ => {}
         }
         match row.old_leader {
             OldLeader::KeepsRunning => {}
             OldLeader::Stalls => {
-                world.at(
+                world.schedule(
                     at + row.gap.saturating_sub(500),
                     SimEvent::Fault(Fault::Stall(old_leader, true)),
                 );
-                world.at(at + row.gap + 9000, SimEvent::Fault(Fault::Stall(old_leader, false)));
+                world.schedule(
+                    at + row.gap + 9000,
+                    SimEvent::Fault(Fault::Stall(old_leader, false)),
+                );
             }
             OldLeader::Restarts(after) => {
-                world.at(at + after, SimEvent::Fault(Fault::CrashAndRestart(old_leader, 300)))
+                world.schedule(at + after, SimEvent::Fault(Fault::CrashAndRestart(old_leader, 300)))
             }
         }
         // Users cancel throughout, the last of them just before the outage.
@@ -177,14 +183,14 @@
             let before = [30, 60, 150, 400, 900, row.gap / 2][order % 6];
             let cancel_at = (at + row.gap).saturating_sub(before).max(at - 20);
             world.jobs.get_mut(&n).unwrap().cancel_at = Some(cancel_at);
-            world.at(cancel_at, SimEvent::User(n));
+            world.schedule(cancel_at, SimEvent::User(n));
         }
         let outage_at = at + row.gap;
         world.run(outage_at);
         if row.confirmer == Confirmer::Leader {
-            world.cancel_at = others.iter().copied().find(|node| world.leads(*node)).or(follower);
+            world.cancel_via = others.iter().copied().find(|node| world.leads(*node)).or(follower);
         }
-        world.fault(Fault::Outage(true));
+        world.fault(Fault::StoreOutage(true));
         if row.links == Links::Restored {
             world.fault(Fault::IsolateController(old_leader, false));
         }
@@ -196,21 +202,22 @@
         let outage_end = outage_at + OUTAGE_MS;
         world.run(outage_end);
         let confirmed = |job: &&UserJob| {
-            job.cancellation_confirmed_ms.is_some_and(|t| t >= at && job.ran_when_told > 0)
+            job.cancellation_confirmed_ms.is_some_and(|t| t >= at && job.tasks_when_confirmed > 0)
         };
         let confirmed: Vec<&UserJob> = world.jobs.values().filter(confirmed).collect();
         observed.confirmed += confirmed.len();
         let first_confirmed_ms =
             confirmed.iter().filter_map(|job| job.cancellation_confirmed_ms).min();
-        observed.answered |= first_confirmed_ms
-            .is_some_and(|first_confirmed_ms| world.answered[old_leader] > first_confirmed_ms);
-        world.fault(Fault::Outage(false));
-        world.fault(Fault::StoreRefuses(old_leader, false));
+        observed.answered |= first_confirmed_ms.is_some_and(|first_confirmed_ms| {
+            world.last_answered_ms[old_leader] > first_confirmed_ms
+        });
+        world.fault(Fault::StoreOutage(false));
+        world.fault(Fault::StoreRejects(old_leader, false));
         world.fault(Fault::IsolateController(old_leader, false));
         world.fault(Fault::DropOutgoingPeerMessages(old_leader, false));
         world.fault(Fault::DropIncomingPeerMessages(old_leader, false));
         world.restarts_after_cancellation = None;
-        world.cancel_at = None;
+        world.cancel_via = None;
         at = outage_end + 40_000;
     }
     world.run(at + 40_000);
@@ -218,7 +225,7 @@
         if job.cancel_at.is_some() && job.cancellation_confirmed_ms.is_none() {
             world.violations.push(format!("{n} was never cancelled"));
         }
-        if world.now_ms > job.last_good + 75_000 {
+        if world.now_ms > job.last_response_ms + 75_000 {
             world.violations.push(format!("forgotten: no successful response about {n}"));
         }
         if job.cancellation_confirmed_ms.is_none()
@@ -228,7 +235,8 @@
             world.violations.push(format!("{n} does not run"));
         }
     }
-    observed.put_off = world.jobs.values().map(|job| job.put_off).sum();
+    observed.cancellations_postponed =
+        world.jobs.values().map(|job| job.cancellations_postponed).sum();
     observed.lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
     observed.violations = world.violations.len();
     (observed, world.violations)
@@ -351,7 +359,7 @@
             let (observed, found) = run(row, 5000 + seed);
             total.confirmed += observed.confirmed;
             total.answered |= observed.answered;
-            total.put_off += observed.put_off;
+            total.cancellations_postponed += observed.cancellations_postponed;
             total.lost += observed.lost;
             total.violations += usize::from(observed.violations > 0);
             first = first.or(found.first().cloned());
--- a/tests/targeted_faults.rs
+++ b/tests/targeted_faults.rs
@@ -35,7 +35,7 @@
     /// Runs the rest of the day and checks its final state.
     fn run(mut self, faults: &Faults) -> (World, String) {
         for (at, fault) in faults {
-            self.world.at(*at, SimEvent::Fault(*fault));
+            self.world.schedule(*at, SimEvent::Fault(*fault));
         }
         self.world.run(FAULTS_END + 85_000);
         self.world.check_final_state();
@@ -125,7 +125,7 @@
 
 /// 1: users poll all controllers repeatedly within milliseconds, repeat the submission and cancel.
 fn rapid_requests(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "close looks", submit_mixed_jobs);
+    let mut day = Day::new(seed, "rapid requests", submit_mixed_jobs);
     let leader = day.leader();
     let other = (leader + 1) % CONTROLLERS;
     day.world.fault(Fault::RapidRequests(true));
@@ -137,11 +137,11 @@
             (BEGIN + 300, Fault::CrashAndRestart(other, 60)),
             (BEGIN + 4000, Fault::CrashAndRestart(leader, 60)),
         ],
-        4 => lasting(BEGIN, 8000, |on| Fault::StoreRefuses(leader, on)),
+        4 => lasting(BEGIN, 8000, |on| Fault::StoreRejects(leader, on)),
         _ => lasting(BEGIN, 2500, |on| Fault::Stall(other, on)),
     };
     let faults = [lasting(BEGIN, 40_000, Fault::InvalidRequests), extra_faults].concat();
-    (day, faults, &["close looks", "odd requests"])
+    (day, faults, &["rapid requests", "invalid requests"])
 }
 
 #[test]
@@ -151,7 +151,7 @@
 
 /// 2: transactions are applied at once, but their response is lost while other controllers read the result.
 fn lost_responses(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "lost answers", submit_mixed_jobs);
+    let mut day = Day::new(seed, "lost commit responses", submit_mixed_jobs);
     let leader = day.leader();
     day.world.fault(Fault::RapidRequests(true));
     let lost = lasting(BEGIN, 40_000, Fault::LoseCommitResponses);
@@ -161,7 +161,7 @@
         (crash_at, Fault::CrashAndRestart(leader, 200)),
         (crash_at + 9000, Fault::CrashAndRestart(leader, 60)),
     ];
-    (day, [lost, crashes].concat(), &["lost answers", "close looks"])
+    (day, [lost, crashes].concat(), &["lost commit responses", "rapid requests"])
 }
 
 #[test]
@@ -177,7 +177,7 @@
     let unreachable = match seed % 4 {
         0 => lasting(BEGIN, 11_000, |on| Fault::HangWorkers(zone, on)),
         1 => lasting(BEGIN, 11_000, |on| Fault::DropResponsesToWorkers(zone, on)),
-        2 => lasting(BEGIN, 20_000, Fault::CutZones),
+        2 => lasting(BEGIN, 20_000, Fault::PartitionZones),
         _ => lasting(BEGIN, 13_000, |on| Fault::WorkersCannotConnect(zone, on)),
     };
     let cancelled = vec![(BEGIN + 100, Fault::CancelNow(6))];
@@ -193,12 +193,12 @@
 
 /// 4: jobs are cancelled while leadership changes in each possible way.
 fn failover(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "hand-over", submit_mixed_jobs);
+    let mut day = Day::new(seed, "failover", submit_mixed_jobs);
     let leader = day.leader();
     day.world.fault(Fault::RapidRequests(true));
     let leader_fault = match seed % 5 {
         0 => vec![(BEGIN, Fault::CrashAndRestart(leader, 80))],
-        1 => lasting(BEGIN, 6000, |on| Fault::StoreRefuses(leader, on)),
+        1 => lasting(BEGIN, 6000, |on| Fault::StoreRejects(leader, on)),
         2 => lasting(BEGIN, 8000, |on| Fault::Stall(leader, on)),
         3 => lasting(BEGIN, 9000, |on| Fault::IsolateController(leader, on)),
         _ => lasting(BEGIN, 9000, |on| Fault::CutControllerFromWorkers(leader, on)),
@@ -206,7 +206,7 @@
     let first = BEGIN + (seed % 40) * 190;
     let cancellations = (0..6).map(|n| (first + n * 311, Fault::CancelNow(2))).collect();
     let delayed = lasting(BEGIN - 500, 9000, Fault::DelayedCommands);
-    (day, [leader_fault, cancellations, delayed].concat(), &["cancel now", "close looks"])
+    (day, [leader_fault, cancellations, delayed].concat(), &["cancel now", "rapid requests"])
 }
 
 #[test]
@@ -216,7 +216,7 @@
 
 /// 5: machines boot and run tasks before the leader that rented them, or the next one, learns of them.
 fn fast_boots(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "quick boots", submit_one_service);
+    let mut day = Day::new(seed, "fast boots", submit_one_service);
     let leader = day.leader();
     day.world.fault(Fault::FastBoots(true));
     for n in 0..12 {
@@ -234,7 +234,7 @@
         (crash_at + 4700, Fault::Crash(leader)),
     ];
     let delayed = lasting(BEGIN, 12_000, Fault::DelayedCommands);
-    (day, [lag, crashes, delayed].concat(), &["quick boots"])
+    (day, [lag, crashes, delayed].concat(), &["fast boots"])
 }
 
 #[test]
@@ -244,7 +244,7 @@
 
 /// 6: heartbeats of earlier agent epochs, attempts and machines reach every controller as a new leader starts.
 fn replayed_heartbeats(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "copies for the next", submit_mixed_jobs);
+    let mut day = Day::new(seed, "replayed heartbeats", submit_mixed_jobs);
     let leader = day.leader();
     day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
     for n in 0..6 {
@@ -265,7 +265,7 @@
         (crash_at + 8000, Fault::Crash(leader)),
     ];
     let slow = lasting(BEGIN, 40_000, Fault::DelayedCommands);
-    (day, [moves, crashes, slow].concat(), &["copies for next"])
+    (day, [moves, crashes, slow].concat(), &["replayed heartbeats"])
 }
 
 #[test]
@@ -295,7 +295,7 @@
         vec![(BEGIN, Fault::Capacity([6, 0])), (BEGIN + 9000, Fault::Capacity(DEFAULT_CAPACITY))];
     let hung = lasting(BEGIN + 300, 12_000, |on| Fault::HangWorkers(zone, on));
     let crashes = vec![(BEGIN + 500 + (seed % 40) * 251, Fault::CrashLeader(120))];
-    (day, [lost_machines, capacity, hung, crashes].concat(), &["machines lost", "leader ends"])
+    (day, [lost_machines, capacity, hung, crashes].concat(), &["machines lost", "leader crashed"])
 }
 
 #[test]
@@ -311,11 +311,11 @@
         .map(|n| (BEGIN + interval_ms * n, Fault::CrashLeader(60 + 90 * (n + seed) % 700)))
         .collect();
     if seed.is_multiple_of(2) {
-        faults.extend(lasting(BEGIN + 12_000, 9000, Fault::Outage));
-        faults.extend(lasting(BEGIN + 30_000, 5000, Fault::Outage));
+        faults.extend(lasting(BEGIN + 12_000, 9000, Fault::StoreOutage));
+        faults.extend(lasting(BEGIN + 30_000, 5000, Fault::StoreOutage));
     }
     faults.extend(lasting(BEGIN, 44_000, Fault::ReplayHeartbeatsToNextLeader));
-    (day, faults, &["leader ends", "copies for next"])
+    (day, faults, &["leader crashed", "replayed heartbeats"])
 }
 
 #[test]
@@ -324,20 +324,20 @@
     let (day, faults, _) = ten_leaders(901);
     let (world, _) = day.run(&faults);
     assert!(
-        world.targeted_faults.effects("leader ends") >= 8,
+        world.targeted_faults.effects("leader crashed") >= 8,
         "{}",
-        world.targeted_faults.effects("leader ends")
+        world.targeted_faults.effects("leader crashed")
     );
 }
 
 /// All controllers are down for longer than a lease, and jobs are cancelled just before.
 fn all_controllers_down(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "all away", submit_mixed_jobs);
+    let mut day = Day::new(seed, "all controllers down", submit_mixed_jobs);
     day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
     let gap = 13 * (seed % 40);
     let mut faults = vec![(BEGIN - 1, Fault::CancelNow(4))];
     faults.extend((0..CONTROLLERS).map(|n| (BEGIN + gap * (1 + n as u64), Fault::Down(n))));
-    (day, faults, &["cancel now", "copies for next"])
+    (day, faults, &["cancel now", "replayed heartbeats"])
 }
 
 #[test]
@@ -363,12 +363,12 @@
         world.fault(Fault::CrashAndRestart(leader, 100));
         world.run(95_000);
         let leader = world.leader();
-        world.fault(Fault::StoreRefuses(leader, true));
-        world.at(110_000, SimEvent::Fault(Fault::StoreRefuses(leader, false)));
+        world.fault(Fault::StoreRejects(leader, true));
+        world.schedule(110_000, SimEvent::Fault(Fault::StoreRejects(leader, false)));
         world.run(12_000 + count * 250 + 90_000);
         world.check_final_state();
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        assert!(world.targeted_faults.effects("cancel at end") > 100);
+        assert!(world.targeted_faults.effects("cancel at completion") > 100);
         let is_confirmed = |job: &&UserJob| job.cancellation_confirmed_ms.is_some();
         assert!(world.jobs.values().filter(is_confirmed).count() as u64 > count / 5);
     }
@@ -377,13 +377,13 @@
 const COMBINATIONS: [(&str, BuildCombination); 9] = [
     ("bound to a zone", zone_bound_jobs),
     ("ten leaders", ten_leaders),
-    ("all away", all_controllers_down),
-    ("close looks", rapid_requests),
-    ("lost answers", lost_responses),
+    ("all controllers down", all_controllers_down),
+    ("rapid requests", rapid_requests),
+    ("lost commit responses", lost_responses),
     ("teams at their limit", teams_at_their_limit),
-    ("hand-over", failover),
-    ("quick boots", fast_boots),
-    ("copies for the next", replayed_heartbeats),
+    ("failover", failover),
+    ("fast boots", fast_boots),
+    ("replayed heartbeats", replayed_heartbeats),
 ];
 
 #[test]
