--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -2,8 +2,8 @@
 //! whatever machine this runs on. `cargo bench --bench footprint [MACHINES]`; under callgrind or `perf stat -e
 //! instructions:u` the same day gives instructions.
 //!
-//! One controller without peers leads; store, cloud and workers are the least that lets it: nothing is ever lost or late,
-//! and what the store is told counts as committed.
+//! One controller without peers leads; store, cloud and workers are the least that lets it: nothing is ever lost or
+//! late, and what the store is told counts as committed.
 
 use allocation_counter::{AllocationInfo, measure};
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -18,17 +18,25 @@
 
 impl World {
     /// Handles a controller's request.
-    pub fn on_cloud_request(&mut self, node: usize, incarnation: u32, id: u64, call: CloudRequest) {
-        if self.is_isolated(node) {
+    pub fn on_cloud_request(
+        &mut self,
+        controller: usize,
+        incarnation: u32,
+        id: u64,
+        call: CloudRequest,
+    ) {
+        if self.is_isolated(controller) {
             let timeout = Event::CloudResponse { id, result: Err(CallError::Unknown) };
-            return self
-                .schedule(self.now_ms + 4000, SimEvent::Controller(node, incarnation, timeout));
+            return self.schedule(
+                self.now_ms + 4000,
+                SimEvent::Controller(controller, incarnation, timeout),
+            );
         }
         if self.cloud_unavailable {
             let body = wire::encode(&wire::CloudError { error: "trouble".into() });
             let refusal = Ok(Response::with(503, body));
             return self.schedule_soon(SimEvent::Controller(
-                node,
+                controller,
                 incarnation,
                 Event::CloudResponse { id, result: refusal },
             ));
@@ -84,9 +92,11 @@
                 Response::empty(200)
             }
             CloudRequest::List { .. } => {
-                let t = self.now_ms;
-                let rows =
-                    self.workers.iter().filter(|(_, w)| !w.terminated && w.booted_at + 2000 <= t);
+                let now_ms = self.now_ms;
+                let rows = self
+                    .workers
+                    .iter()
+                    .filter(|(_, w)| !w.terminated && w.booted_at + 2000 <= now_ms);
                 let machines = rows
                     .map(|(id, worker)| ListedMachine {
                         machine: id.clone(),
@@ -95,7 +105,7 @@
                         zone: ZONES[worker.zone].into(),
                         spot: worker.spot,
                         status: ListedMachineState::Running,
-                        age_s: (t - worker.booted_at) as f64 / 1000.0,
+                        age_s: (now_ms - worker.booted_at) as f64 / 1000.0,
                     })
                     .collect();
                 Response::with(200, wire::encode(&MachinePage { machines, truncated: false }))
@@ -108,7 +118,7 @@
             return self.schedule(
                 late,
                 SimEvent::Controller(
-                    node,
+                    controller,
                     incarnation,
                     Event::CloudResponse { id, result: Ok(response) },
                 ),
@@ -116,7 +126,7 @@
         }
         let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
         self.schedule_soon(SimEvent::Controller(
-            node,
+            controller,
             incarnation,
             Event::CloudResponse { id, result },
         ));
@@ -145,7 +155,7 @@
                 seq: 0,
                 token: FencingToken(0),
                 lease_renewed_at: booted_at,
-                target: self.random.random_range(0..self.nodes.len()),
+                target: self.random.random_range(0..self.controllers.len()),
                 pending_heartbeat: None,
                 next_heartbeat_at: booted_at,
                 changed: false,
--- a/crates/simulation/src/config.rs
+++ b/crates/simulation/src/config.rs
@@ -38,8 +38,8 @@
 }
 
 /// Returns the settings of a controller; `previous` selects those of the previous version.
-pub fn settings(count: usize, node: usize, previous: bool, floor: f64) -> Arc<Settings> {
-    settings_with_sharding(count, node, previous, floor, sharding_requested())
+pub fn settings(count: usize, controller: usize, previous: bool, floor: f64) -> Arc<Settings> {
+    settings_with_sharding(count, controller, previous, floor, sharding_requested())
 }
 
 /// Returns whether the environment variable SHARE requests heartbeat sharding.
@@ -47,31 +47,32 @@
     std::env::var("SHARE").is_ok()
 }
 
-/// Returns the settings of a controller. With `sharding` the leader always shards heartbeats, otherwise by the default rule.
+/// Returns the settings of a controller. With `sharding` the leader always shards heartbeats, otherwise by the
+/// default rule.
 pub fn settings_with_sharding(
     count: usize,
-    node: usize,
+    controller: usize,
     previous: bool,
     floor: f64,
     sharding: bool,
 ) -> Arc<Settings> {
     let others: Vec<String> = (0..count)
-        .filter(|n| *n != node)
+        .filter(|n| *n != controller)
         .map(|n| {
-            let zone = ZONES[World::node_zone(n)];
+            let zone = ZONES[World::controller_zone(n)];
             let port = 2 + n;
             format!(r#"{{"host_name":"n-{n}","location":"{zone}","peer_addr":"127.0.0.1:{port}"}}"#)
         })
         .collect();
     let text = format!(
-        r#"{{"host_name":"n-{node}","location":"{}","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
+        r#"{{"host_name":"n-{controller}","location":"{}","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
         "others":[{}],"external":{{"cloud":"127.0.0.1:8","state":"127.0.0.1:9"}},
         "params":{{"zones":["a","b"],"teams":[TEAMS],
         "workers":{{"report_s":2.0,"lease_s":14.0,"cancel_s":32.0}},
         "state":{{"rps":150.0,"write_rps":60.0,"value_kb":16.0,"txn_ops":12,
         "next":{{"write_rps":42.0,"value_kb":2.0,"txn_ops":4}}}},
         "cloud":{{"rps":5.0,"list_lag_s":3.0}},"resources":{{"max_sockets":700}}}}}}"#,
-        ZONES[World::node_zone(node)],
+        ZONES[World::controller_zone(controller)],
         others.join(",")
     );
     let text = text.replace("TEAMS", &teams());
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -37,21 +37,21 @@
         }
     }
 
-    fn request(&mut self, kind: &str, at_ms: u64, node: &[u8], request: &Request) {
+    fn request(&mut self, kind: &str, at_ms: u64, controller: &[u8], request: &Request) {
         let method: &[u8] = match request.method {
             Method::Get => b"GET",
             Method::Post => b"POST",
             Method::Delete => b"DELETE",
             Method::Other => b"other",
         };
-        self.add(kind, at_ms, &[node, method, request.target.as_bytes(), &request.body]);
+        self.add(kind, at_ms, &[controller, method, request.target.as_bytes(), &request.body]);
     }
 
-    fn response(&mut self, at_ms: u64, node: &[u8], ticket: u64, response: &Response) {
+    fn response(&mut self, at_ms: u64, controller: &[u8], ticket: u64, response: &Response) {
         let retry_after = response.retry_after_s.map_or(0, |seconds| seconds + 1);
         let head = [u64::from(response.status), retry_after, u64::from(response.close), ticket];
         let head: Vec<u8> = head.iter().flat_map(|number| number.to_le_bytes()).collect();
-        self.add("response", at_ms, &[node, &head, &response.body]);
+        self.add("response", at_ms, &[controller, &head, &response.body]);
     }
 }
 
@@ -64,16 +64,18 @@
     }
 
     /// Adds a message that a controller sends.
-    pub fn effect(&mut self, at_ms: u64, node: usize, effect: &Effect) {
+    pub fn effect(&mut self, at_ms: u64, controller: usize, effect: &Effect) {
         let Some(trace) = &mut self.0 else { return };
-        let node = &node.to_le_bytes();
+        let controller = &controller.to_le_bytes();
         match effect {
-            Effect::Respond { ticket, response } => trace.response(at_ms, node, *ticket, response),
+            Effect::Respond { ticket, response } => {
+                trace.response(at_ms, controller, *ticket, response)
+            }
             Effect::CallStore { request: call, .. } => {
-                trace.request("state", at_ms, node, &call.to_http().request)
+                trace.request("state", at_ms, controller, &call.to_http().request)
             }
             Effect::CallCloud { request: call, .. } => {
-                trace.request("cloud", at_ms, node, &call.request())
+                trace.request("cloud", at_ms, controller, &call.request())
             }
             Effect::CallWorker { machine, address, call: direct } => {
                 let target = format!("{machine} {address}");
@@ -81,11 +83,11 @@
                     DirectCall::Status => Vec::new(),
                     DirectCall::Do(orders) => wire::encode(orders),
                 };
-                trace.add("direct", at_ms, &[node, target.as_bytes(), &body]);
+                trace.add("direct", at_ms, &[controller, target.as_bytes(), &body]);
             }
             Effect::SendToPeer { to: peer, message } => {
                 let text = mesh::encode_text(message).unwrap_or_default();
-                trace.add("mesh", at_ms, &[node, peer.as_str().as_bytes(), text.as_bytes()]);
+                trace.add("mesh", at_ms, &[controller, peer.as_str().as_bytes(), text.as_bytes()]);
             }
         }
     }
--- a/crates/simulation/src/extra_requests.rs
+++ b/crates/simulation/src/extra_requests.rs
@@ -1,5 +1,5 @@
-//! Additional requests of users: rapid requests to all controllers, and invalid requests. Several requests of one user may
-//! be in flight; their responses are compared by send and receive time only.
+//! Additional requests of users: rapid requests to all controllers, and invalid requests. Several requests of one
+//! user may be in flight; their responses are compared by send and receive time only.
 
 use crate::event::SimEvent;
 use crate::model::Ticket;
@@ -73,7 +73,7 @@
             return;
         }
         let may_cancel = self.jobs[&number].cancel_at.is_some_and(|at| self.now_ms >= at);
-        for node in 0..self.nodes.len() {
+        for controller in 0..self.controllers.len() {
             for round in [0, 1, 3, 8, 20, 60] {
                 let at = self.now_ms + round + self.random.random_range(0..2);
                 let kind = match self.random.random_range(0..4) {
@@ -81,20 +81,26 @@
                     1 if may_cancel => RequestKind::Cancel,
                     _ => RequestKind::Poll,
                 };
-                self.send_extra_request_at(at, node, number, kind);
+                self.send_extra_request_at(at, controller, number, kind);
             }
         }
     }
 
     /// Schedules a request that is sent at this time.
-    pub fn send_extra_request_at(&mut self, at: u64, node: usize, job: u64, kind: RequestKind) {
+    pub fn send_extra_request_at(
+        &mut self,
+        at: u64,
+        controller: usize,
+        job: u64,
+        kind: RequestKind,
+    ) {
         // The number of the sending event is known only when it occurs.
         let asked = ExtraRequest { job, kind, sent_ms: at, sent_event: 0 };
-        self.schedule(at, SimEvent::ExtraRequest(node, asked));
+        self.schedule(at, SimEvent::ExtraRequest(controller, asked));
     }
 
     /// Sends a request, or delivers it to its controller if it was sent before.
-    pub fn deliver_extra_request(&mut self, node: usize, mut asked: ExtraRequest) {
+    pub fn deliver_extra_request(&mut self, controller: usize, mut asked: ExtraRequest) {
         if asked.sent_event == 0 {
             asked.sent_event = self.events;
             let job = self.jobs.get_mut(&asked.job);
@@ -103,17 +109,20 @@
             {
                 job.cancel_requested = true;
             }
-            return self.schedule_soon(SimEvent::ExtraRequest(node, asked));
+            return self.schedule_soon(SimEvent::ExtraRequest(controller, asked));
         }
-        if self.partitioned_controllers[node] || self.down[node] || self.is_isolated(node) {
+        if self.partitioned_controllers[controller]
+            || self.down[controller]
+            || self.is_isolated(controller)
+        {
             return;
         }
-        if self.nodes[node].is_none() {
+        if self.controllers[controller].is_none() {
             return self.schedule_soon(SimEvent::ExtraResponse(asked, Response::empty(599)));
         }
         let request = self.build_extra_request(&asked);
-        let ticket = self.ticket(node, Ticket::ExtraRequest(asked));
-        self.deliver(node, Event::Request { ticket, request });
+        let ticket = self.ticket(controller, Ticket::ExtraRequest(asked));
+        self.deliver(controller, Event::Request { ticket, request });
     }
 
     fn build_extra_request(&self, asked: &ExtraRequest) -> Request {
@@ -175,7 +184,7 @@
         }
         let accepted = self.jobs.iter().filter(|(_, job)| job.accepted);
         let accepted: Vec<u64> = accepted.map(|(number, _)| *number).collect();
-        let node = self.random.random_range(0..self.nodes.len());
+        let controller = self.random.random_range(0..self.controllers.len());
         let unknown_job = FIRST_UNKNOWN_JOB + self.events;
         let pick = self.random.random_range(0..accepted.len().max(1));
         let (job, kind) = match (self.random.random_range(0..7), accepted.get(pick)) {
@@ -190,7 +199,7 @@
             (_, Some(job)) => (*job, RequestKind::Poll),
         };
         if !self.jobs.is_empty() {
-            self.send_extra_request_at(self.now_ms, node, job, kind);
+            self.send_extra_request_at(self.now_ms, controller, job, kind);
         }
         let next = self.now_ms + self.random.random_range(20..200);
         self.schedule(next, SimEvent::InvalidRequest);
@@ -201,8 +210,8 @@
         let job = self.jobs.get_mut(&number).unwrap();
         if job.cancel_at.is_none_or(|cancel_at| cancel_at > at) {
             job.cancel_at = Some(at);
-            let node = self.random.random_range(0..self.nodes.len());
-            self.send_extra_request_at(at, node, number, RequestKind::Cancel);
+            let controller = self.random.random_range(0..self.controllers.len());
+            self.send_extra_request_at(at, controller, number, RequestKind::Cancel);
             self.schedule(at + 1, SimEvent::User(number));
         }
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -9,46 +9,52 @@
     /// Begins or ends a fault now.
     pub fn fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Crash(node) => self.fault(Fault::CrashAndRestart(node, 4000)),
-            Fault::CrashAndRestart(node, back) => {
-                self.nodes[node] = None;
-                self.incarnation[node] += 1;
-                self.tickets[node].clear();
-                self.schedule(self.now_ms + back, SimEvent::Restart(node));
-            }
-            Fault::PartitionController(node, on) => self.partitioned_controllers[node] = on,
+            Fault::Crash(controller) => self.fault(Fault::CrashAndRestart(controller, 4000)),
+            Fault::CrashAndRestart(controller, back) => {
+                self.controllers[controller] = None;
+                self.incarnation[controller] += 1;
+                self.tickets[controller].clear();
+                self.schedule(self.now_ms + back, SimEvent::Restart(controller));
+            }
+            Fault::PartitionController(controller, on) => {
+                self.partitioned_controllers[controller] = on
+            }
             Fault::PartitionZones(on) => self.zones_partitioned = on,
             Fault::IsolateZone(on) => self.isolated_zone = on,
             Fault::CutLeaderFromWorkers(on) => {
-                let leader = (0..self.nodes.len()).find(|node| self.leads(*node));
+                let leader = (0..self.controllers.len()).find(|controller| self.leads(*controller));
                 self.cut_off_from_zone_b = leader.filter(|_| on);
             }
-            Fault::CutControllerFromWorkers(node, on) => {
-                self.cut_off_from_workers = on.then_some(node)
+            Fault::CutControllerFromWorkers(controller, on) => {
+                self.cut_off_from_workers = on.then_some(controller)
             }
             Fault::StoreOutage(on) => {
                 self.store.unavailable = on;
-                let t = self.now_ms;
+                let now_ms = self.now_ms;
                 for (ms, until) in self.store.leases.values_mut() {
-                    *until = t + *ms;
+                    *until = now_ms + *ms;
                 }
             }
-            Fault::StoreRejects(node, on) => self.rejected_by_store = on.then_some(node),
+            Fault::StoreRejects(controller, on) => {
+                self.rejected_by_store = on.then_some(controller)
+            }
             Fault::CloudOutage(on) => self.cloud_unavailable = on,
             Fault::Capacity(machines) => self.capacity = machines,
             Fault::FailedBoots(on) => self.failed_boots = on,
             Fault::RefusePeerConnections(on) => self.peer_connections_rejected = on,
-            Fault::SlowController(node, on) => self.slow_controller = on.then_some(node),
+            Fault::SlowController(controller, on) => {
+                self.slow_controller = on.then_some(controller)
+            }
             Fault::SlowMachines(on) => self.slow_machines = on,
             Fault::PollStorm(on) => self.poll_storm = on,
-            Fault::Stall(node, on) => {
-                self.stalled[node] = on;
-                let is_resumed = |(other, _): &mut (usize, _)| !on && *other == node;
-                for (node, effects) in
+            Fault::Stall(controller, on) => {
+                self.stalled[controller] = on;
+                let is_resumed = |(other, _): &mut (usize, _)| !on && *other == controller;
+                for (controller, effects) in
                     self.unsent_effects.extract_if(.., is_resumed).collect::<Vec<_>>()
                 {
-                    if self.nodes[node].is_some() {
-                        self.apply_effects(node, effects);
+                    if self.controllers[controller].is_some() {
+                        self.apply_effects(controller, effects);
                     }
                 }
                 // Handles the queued events at once and in order; events of other stalled controllers keep waiting.
@@ -56,16 +62,16 @@
                     self.step(due);
                 }
             }
-            Fault::Down(node) => {
-                self.nodes[node] = None;
-                self.incarnation[node] += 1;
-                self.tickets[node].clear();
-                self.down[node] = true;
-                self.schedule(self.now_ms + 60_000, SimEvent::Restart(node));
+            Fault::Down(controller) => {
+                self.controllers[controller] = None;
+                self.incarnation[controller] += 1;
+                self.tickets[controller].clear();
+                self.down[controller] = true;
+                self.schedule(self.now_ms + 60_000, SimEvent::Restart(controller));
             }
-            Fault::Upgrade(node) => {
-                self.runs_previous_version[node] = false;
-                self.fault(Fault::Crash(node));
+            Fault::Upgrade(controller) => {
+                self.runs_previous_version[controller] = false;
+                self.fault(Fault::Crash(controller));
             }
             Fault::EventCost(cost) => self.event_cost_ms = cost,
             Fault::DelayedCommits(on) => self.delayed_commits = on,
@@ -74,9 +80,15 @@
                 self.zone_without_responses = on.then_some(zone)
             }
             Fault::HangWorkers(zone, on) => self.hung_zone = on.then_some(zone),
-            Fault::IsolateController(node, on) => self.isolated_controller = on.then_some(node),
-            Fault::DropOutgoingPeerMessages(node, on) => self.drops_outgoing = on.then_some(node),
-            Fault::DropIncomingPeerMessages(node, on) => self.drops_incoming = on.then_some(node),
+            Fault::IsolateController(controller, on) => {
+                self.isolated_controller = on.then_some(controller)
+            }
+            Fault::DropOutgoingPeerMessages(controller, on) => {
+                self.drops_outgoing = on.then_some(controller)
+            }
+            Fault::DropIncomingPeerMessages(controller, on) => {
+                self.drops_incoming = on.then_some(controller)
+            }
             Fault::TightenStoreLimits => self.limits = (4, 2048),
             Fault::ReclaimSpotMachines => {
                 for worker in self.workers.values_mut().filter(|w| w.spot) {
@@ -111,12 +123,14 @@
 
     /// Returns the leader. Panics if there is none.
     pub fn leader(&self) -> usize {
-        (0..self.nodes.len()).find(|node| self.leads(*node)).unwrap()
+        (0..self.controllers.len()).find(|controller| self.leads(*controller)).unwrap()
     }
 
     /// Returns whether a controller acts as leader.
-    pub fn leads(&self, node: usize) -> bool {
-        self.nodes[node].as_ref().is_some_and(|node| node.scheduler.is_some())
+    pub fn leads(&self, controller: usize) -> bool {
+        self.controllers[controller]
+            .as_ref()
+            .is_some_and(|controller| controller.scheduler.is_some())
     }
 
     /// Returns the number of running tasks of a job.
@@ -152,8 +166,8 @@
         runs
     }
 
-    /// Runs a standard day of three services and fifteen arrays with these faults, and checks that no rule is violated and
-    /// that every job finishes or keeps running.
+    /// Runs a standard day of three services and fifteen arrays with these faults, and checks that no rule is
+    /// violated and that every job finishes or keeps running.
     pub fn day(seed: u64, faults: &[(u64, Fault)]) -> World {
         let mut world = World::new(seed);
         for n in 0..3 {
@@ -163,8 +177,8 @@
             let cancel_at = (n % 5 == 0).then_some(n * 3000 + 6000);
             world.submit_at(n * 3000, n, false, cancel_at);
         }
-        for (t, fault) in faults {
-            world.schedule(*t, SimEvent::Fault(*fault));
+        for (at_ms, fault) in faults {
+            world.schedule(*at_ms, SimEvent::Fault(*fault));
         }
         world.run(170_000);
         assert!(world.violations.is_empty(), "seed {seed}, {faults:?}: {:#?}", world.violations);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
 //! Deterministic simulation: real controllers with a simulated store, cloud, workers and users, in simulated time with
 //! fixed seeds. Independent checks record violations of the scheduler's rules.
 //!
-//! The simulated services follow PROTOCOL and do not depend on the controllers' internals. Messages are delayed at random,
-//! lost in partitions, or kept back and delivered when the partition ends.
+//! The simulated services follow PROTOCOL and do not depend on the controllers' internals. Messages are delayed at
+//! random, lost in partitions, or kept back and delivered when the partition ends.
 
 mod cloud;
 mod config;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -12,98 +12,110 @@
 
 impl World {
     /// Returns whether a controller is partitioned from a zone.
-    pub fn is_partitioned(&self, node: usize, zone: usize) -> bool {
+    pub fn is_partitioned(&self, controller: usize, zone: usize) -> bool {
         let zones = self.zones_partitioned || self.isolated_zone;
-        self.partitioned_controllers[node] || (zones && Self::node_zone(node) != zone)
+        self.partitioned_controllers[controller]
+            || (zones && Self::controller_zone(controller) != zone)
     }
 
     /// Returns whether a controller is in the isolated zone, and so cut off from the store, the cloud and users.
-    pub fn is_isolated(&self, node: usize) -> bool {
-        self.isolated_zone && Self::node_zone(node) == 1
+    pub fn is_isolated(&self, controller: usize) -> bool {
+        self.isolated_zone && Self::controller_zone(controller) == 1
     }
 
     /// Returns whether a controller and the workers of a zone cannot reach each other.
-    pub fn is_cut_off(&self, node: usize, zone: usize) -> bool {
-        let without_workers = self.cut_off_from_workers == Some(node)
-            || (self.cut_off_from_zone_b == Some(node) && zone == 1);
-        self.is_partitioned(node, zone) || without_workers
+    pub fn is_cut_off(&self, controller: usize, zone: usize) -> bool {
+        let without_workers = self.cut_off_from_workers == Some(controller)
+            || (self.cut_off_from_zone_b == Some(controller) && zone == 1);
+        self.is_partitioned(controller, zone) || without_workers
     }
 
     /// Registers a request to a controller and returns its ticket.
-    pub fn ticket(&mut self, node: usize, ticket: Ticket) -> u64 {
+    pub fn ticket(&mut self, controller: usize, ticket: Ticket) -> u64 {
         self.next_ticket += 1;
-        self.tickets[node].insert(self.next_ticket, ticket);
+        self.tickets[controller].insert(self.next_ticket, ticket);
         self.next_ticket
     }
 
     /// Lets a controller handle an event and applies its effects, unless it has stalled before them.
-    pub fn deliver(&mut self, node: usize, event: Event) {
+    pub fn deliver(&mut self, controller: usize, event: Event) {
         let now = self.now();
-        let Some(core) = &mut self.nodes[node] else { return };
-        core.handle(event, now);
-        let effects = std::mem::take(&mut core.effects);
-        let leads = core.scheduler.is_some();
-        if leads && !self.targeted_faults.last_leaders.contains(&node) {
+        let Some(running) = &mut self.controllers[controller] else { return };
+        running.handle(event, now);
+        let effects = std::mem::take(&mut running.effects);
+        let leads = running.scheduler.is_some();
+        if leads && !self.targeted_faults.last_leaders.contains(&controller) {
             self.on_leader_change();
         }
-        self.targeted_faults.last_leaders.retain(|other| *other != node);
-        self.targeted_faults.last_leaders.extend(leads.then_some(node));
-        match self.unsent_effects.iter_mut().find(|(other, _)| *other == node) {
+        self.targeted_faults.last_leaders.retain(|other| *other != controller);
+        self.targeted_faults.last_leaders.extend(leads.then_some(controller));
+        match self.unsent_effects.iter_mut().find(|(other, _)| *other == controller) {
             Some((_, unsent_effects)) => unsent_effects.extend(effects),
-            None => self.apply_effects(node, effects),
+            None => self.apply_effects(controller, effects),
         }
     }
 
     /// Sends the controller's messages and responses.
-    pub fn apply_effects(&mut self, node: usize, effects: Vec<Effect>) {
-        let incarnation = self.incarnation[node];
+    pub fn apply_effects(&mut self, controller: usize, effects: Vec<Effect>) {
+        let incarnation = self.incarnation[controller];
         for effect in effects {
-            self.digest.effect(self.now_ms, node, &effect);
+            self.digest.effect(self.now_ms, controller, &effect);
             match effect {
-                Effect::Respond { ticket, response } => match self.tickets[node].remove(&ticket) {
+                Effect::Respond { ticket, response } => match self.tickets[controller]
+                    .remove(&ticket)
+                {
                     Some(Ticket::Heartbeat(machine, id))
-                        if !self.is_cut_off(node, self.workers[&machine].zone) =>
+                        if !self.is_cut_off(controller, self.workers[&machine].zone) =>
                     {
                         if response.status == 200 {
-                            self.last_answered_ms[node] = self.now_ms;
+                            self.last_answered_ms[controller] = self.now_ms;
                         }
                         if self.zone_without_responses != Some(self.workers[&machine].zone) {
                             self.schedule_soon(SimEvent::HeartbeatResponse(machine, id, response));
                         }
                     }
                     Some(Ticket::ExtraRequest(asked))
-                        if !self.partitioned_controllers[node] && !self.is_isolated(node) =>
+                        if !self.partitioned_controllers[controller]
+                            && !self.is_isolated(controller) =>
                     {
                         self.schedule_soon(SimEvent::ExtraResponse(asked, response));
                     }
                     Some(Ticket::User(job, asked))
-                        if !self.partitioned_controllers[node] && !self.is_isolated(node) =>
+                        if !self.partitioned_controllers[controller]
+                            && !self.is_isolated(controller) =>
                     {
-                        self.crash_after_cancellation(node, job, &response);
+                        self.crash_after_cancellation(controller, job, &response);
                         self.schedule_soon(SimEvent::UserResponse(job, asked, response));
                     }
                     _ => {}
                 },
                 Effect::CallStore { id, request: call } => {
-                    self.schedule_soon(SimEvent::Store(node, incarnation, id, call))
+                    self.schedule_soon(SimEvent::Store(controller, incarnation, id, call))
                 }
                 Effect::CallCloud { id, request: call } => {
-                    self.schedule_soon(SimEvent::Cloud(node, incarnation, id, call))
+                    self.schedule_soon(SimEvent::Cloud(controller, incarnation, id, call))
                 }
                 Effect::CallWorker { machine, call: direct, .. } => {
-                    self.schedule_soon(SimEvent::DirectCall(node, incarnation, machine, direct));
+                    self.schedule_soon(SimEvent::DirectCall(
+                        controller,
+                        incarnation,
+                        machine,
+                        direct,
+                    ));
+                }
+                Effect::SendToPeer { to: peer, message } => {
+                    self.send_to_peer(controller, &peer, message)
                 }
-                Effect::SendToPeer { to: peer, message } => self.send_to_peer(node, &peer, message),
             }
         }
     }
 
     /// Crashes a controller right after it confirmed a cancellation, if the test requests it.
-    fn crash_after_cancellation(&mut self, node: usize, job: u64, response: &Response) {
+    fn crash_after_cancellation(&mut self, controller: usize, job: u64, response: &Response) {
         let Some(back) = self.restarts_after_cancellation else { return };
         let cancels = self.jobs[&job].pending_request.is_some_and(|(_, kind)| kind == 2);
-        if cancels && response.status == 200 && self.rejected_by_store != Some(node) {
-            self.schedule(self.now_ms, SimEvent::Fault(Fault::CrashAndRestart(node, back)));
+        if cancels && response.status == 200 && self.rejected_by_store != Some(controller) {
+            self.schedule(self.now_ms, SimEvent::Fault(Fault::CrashAndRestart(controller, back)));
         }
     }
 
@@ -125,7 +137,8 @@
         {
             return;
         }
-        if self.is_partitioned(from, Self::node_zone(to)) || self.partitioned_controllers[to] {
+        if self.is_partitioned(from, Self::controller_zone(to)) || self.partitioned_controllers[to]
+        {
             // The network delivers the message when the partition ends.
             self.blocked_messages.push(due);
         } else {
--- a/crates/simulation/src/store_service.rs
+++ b/crates/simulation/src/store_service.rs
@@ -17,33 +17,45 @@
     /// Applies a delayed transaction and responds.
     pub fn finish_slow_commit(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u32,
         id: u64,
         txn: wire::Transaction,
     ) {
-        let rejects = self.store.unavailable || self.rejected_by_store == Some(node);
+        let rejects = self.store.unavailable || self.rejected_by_store == Some(controller);
         let reply = if rejects { StoreResponse::Unavailable } else { self.commit(txn) };
         self.schedule(
             self.now_ms + 3,
-            SimEvent::Controller(node, incarnation, Event::StoreResponse { id, response: reply }),
+            SimEvent::Controller(
+                controller,
+                incarnation,
+                Event::StoreResponse { id, response: reply },
+            ),
         );
     }
 
     /// Handles a controller's request.
-    pub fn on_store_request(&mut self, node: usize, incarnation: u32, id: u64, call: StoreRequest) {
-        if self.is_isolated(node) || self.isolated_controller == Some(node) {
+    pub fn on_store_request(
+        &mut self,
+        controller: usize,
+        incarnation: u32,
+        id: u64,
+        call: StoreRequest,
+    ) {
+        if self.is_isolated(controller) || self.isolated_controller == Some(controller) {
             let timeout = Event::StoreResponse { id, response: StoreResponse::Unknown };
             if matches!(call, StoreRequest::Commit(_)) {
                 // The network delivers the transaction when the partition ends.
-                self.blocked_messages.push(SimEvent::Store(node, incarnation, id, call));
+                self.blocked_messages.push(SimEvent::Store(controller, incarnation, id, call));
             }
-            return self
-                .schedule(self.now_ms + 1500, SimEvent::Controller(node, incarnation, timeout));
+            return self.schedule(
+                self.now_ms + 1500,
+                SimEvent::Controller(controller, incarnation, timeout),
+            );
         }
         if self.delayed_commits
             && !self.store.unavailable
-            && self.rejected_by_store != Some(node)
+            && self.rejected_by_store != Some(controller)
             && matches!(call, StoreRequest::Commit(_))
             && self.random.random_range(0..3) == 0
         {
@@ -51,15 +63,17 @@
             let later = self.now_ms + self.random.random_range(2000..12_000);
             self.schedule(later, SimEvent::DelayedCommit(txn));
             let timeout = Event::StoreResponse { id, response: StoreResponse::Unknown };
-            return self
-                .schedule(self.now_ms + 1500, SimEvent::Controller(node, incarnation, timeout));
+            return self.schedule(
+                self.now_ms + 1500,
+                SimEvent::Controller(controller, incarnation, timeout),
+            );
         }
-        let reply = if self.store.unavailable || self.rejected_by_store == Some(node) {
+        let reply = if self.store.unavailable || self.rejected_by_store == Some(controller) {
             if let StoreRequest::Watch { after, wait } = &call
                 && !wait.is_zero()
             {
                 let until = self.now_ms + wait.as_millis() as u64;
-                self.store.pending_watches.push((node, incarnation, id, after.0, until));
+                self.store.pending_watches.push((controller, incarnation, id, after.0, until));
                 return;
             }
             StoreResponse::Unavailable
@@ -68,10 +82,16 @@
                 StoreRequest::Watch { after, wait } => {
                     if !wait.is_zero() && self.store.rev <= after.0 {
                         let until = self.now_ms + wait.as_millis() as u64;
-                        self.store.pending_watches.push((node, incarnation, id, after.0, until));
+                        self.store.pending_watches.push((
+                            controller,
+                            incarnation,
+                            id,
+                            after.0,
+                            until,
+                        ));
                         return;
                     }
-                    StoreResponse::Watch(self.changes_for(node, after.0))
+                    StoreResponse::Watch(self.changes_for(controller, after.0))
                 }
                 StoreRequest::Range { .. } => {
                     let rows = self.store.keys.iter().map(|(key, (data, rev, _))| KeyValue {
@@ -80,7 +100,7 @@
                         rev: Revision(*rev),
                     });
                     let mut rows: Vec<KeyValue> = rows.collect();
-                    if self.runs_previous_version[node] {
+                    if self.runs_previous_version[controller] {
                         rows.iter_mut().for_each(|row| {
                             row.data = self.as_seen_by_previous_version(&row.key, &row.data)
                         });
@@ -109,7 +129,8 @@
                     StoreResponse::Done
                 }
                 StoreRequest::Commit(mut txn) => {
-                    for write in txn.writes.iter_mut().filter(|_| self.runs_previous_version[node])
+                    for write in
+                        txn.writes.iter_mut().filter(|_| self.runs_previous_version[controller])
                     {
                         if let Write::Put { data, .. } = write {
                             *data = as_production(data);
@@ -123,13 +144,13 @@
                                 Event::StoreResponse { id, response: StoreResponse::Unknown };
                             return self.schedule(
                                 self.now_ms + 1500,
-                                SimEvent::Controller(node, incarnation, timeout),
+                                SimEvent::Controller(controller, incarnation, timeout),
                             );
                         }
                         CommitDelivery::Later(ms) => {
                             return self.schedule(
                                 self.now_ms + ms,
-                                SimEvent::SlowCommit(node, incarnation, id, txn),
+                                SimEvent::SlowCommit(controller, incarnation, id, txn),
                             );
                         }
                     }
@@ -140,14 +161,14 @@
         let lost = self.random.random_range(0..200) == 0;
         let reply = if lost { StoreResponse::Unknown } else { reply };
         self.schedule_soon(SimEvent::Controller(
-            node,
+            controller,
             incarnation,
             Event::StoreResponse { id, response: reply },
         ));
     }
 
-    /// Returns a value as a controller of the previous version sees it, without the fields that it does not know. Panics
-    /// if that version cannot read the value.
+    /// Returns a value as a controller of the previous version sees it, without the fields that it does not know.
+    /// Panics if that version cannot read the value.
     pub fn as_seen_by_previous_version(&self, key: &str, data: &StoreValue) -> StoreValue {
         if key.starts_with("t/j/") {
             let record: previous_version::Record = data.deserialized().unwrap();
@@ -160,9 +181,9 @@
     }
 
     /// Returns the changes after a revision as a controller sees them.
-    pub fn changes_for(&self, node: usize, after: u64) -> WatchResponse {
+    pub fn changes_for(&self, controller: usize, after: u64) -> WatchResponse {
         let mut changes = self.changes_after(after);
-        for change in changes.events.iter_mut().filter(|_| self.runs_previous_version[node]) {
+        for change in changes.events.iter_mut().filter(|_| self.runs_previous_version[controller]) {
             if let (Some(key), Some(data)) = (&change.put, &mut change.data) {
                 *data = self.as_seen_by_previous_version(key, data);
             }
@@ -198,16 +219,16 @@
         if self.store.unavailable {
             return;
         }
-        let (t, rev) = (self.now_ms, self.store.rev);
+        let (now_ms, rev) = (self.now_ms, self.store.rev);
         let ready: Vec<_> = self
             .store
             .pending_watches
-            .extract_if(.., |w| self.rejected_by_store != Some(w.0) && (w.3 < rev || w.4 <= t))
+            .extract_if(.., |w| self.rejected_by_store != Some(w.0) && (w.3 < rev || w.4 <= now_ms))
             .collect();
-        for (node, incarnation, id, after, _) in ready {
-            let reply = StoreResponse::Watch(self.changes_for(node, after));
+        for (controller, incarnation, id, after, _) in ready {
+            let reply = StoreResponse::Watch(self.changes_for(controller, after));
             self.schedule_soon(SimEvent::Controller(
-                node,
+                controller,
                 incarnation,
                 Event::StoreResponse { id, response: reply },
             ));
--- a/crates/simulation/src/targeted_faults.rs
+++ b/crates/simulation/src/targeted_faults.rs
@@ -1,5 +1,5 @@
-//! Faults that target a particular situation. Each counts how often it took effect, since a run in which a fault took no
-//! effect proves nothing.
+//! Faults that target a particular situation. Each counts how often it took effect, since a run in which a fault took
+//! no effect proves nothing.
 
 use crate::event::{Fault, SimEvent};
 use crate::model::UserJob;
@@ -81,7 +81,9 @@
                 }
             }
             Fault::CrashLeader(back) => {
-                if let Some(leader) = (0..self.nodes.len()).find(|node| self.leads(*node)) {
+                if let Some(leader) =
+                    (0..self.controllers.len()).find(|controller| self.leads(*controller))
+                {
                     self.targeted_faults.record_effect("leader crashed");
                     self.fault(Fault::CrashAndRestart(leader, back));
                 }
@@ -123,9 +125,12 @@
     pub fn on_leader_change(&mut self) {
         for (machine, body) in std::mem::take(&mut self.targeted_faults.kept_heartbeats) {
             self.targeted_faults.record_effect("replayed heartbeats");
-            for node in 0..self.nodes.len() {
+            for controller in 0..self.controllers.len() {
                 let at = self.now_ms + self.random.random_range(0..40);
-                self.schedule(at, SimEvent::Heartbeat(node, machine.clone(), body.clone(), 0));
+                self.schedule(
+                    at,
+                    SimEvent::Heartbeat(controller, machine.clone(), body.clone(), 0),
+                );
             }
         }
     }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -12,7 +12,7 @@
 
 impl World {
     /// Schedules the submission of a job, and optionally its cancellation.
-    pub fn submit_at(&mut self, t: u64, number: u64, service: bool, cancel_at: Option<u64>) {
+    pub fn submit_at(&mut self, at_ms: u64, number: u64, service: bool, cancel_at: Option<u64>) {
         let tasks = if service { 4 } else { self.random.random_range(1..9) };
         let spec = JobSpec {
             id: JobId::new(&format!("wk-{number}")),
@@ -50,30 +50,30 @@
             pending_request: None,
             received: Vec::new(),
             sent_event: 0,
-            last_response_ms: t,
+            last_response_ms: at_ms,
         };
         self.jobs.insert(number, job);
-        self.schedule(t, SimEvent::User(number));
+        self.schedule(at_ms, SimEvent::User(number));
     }
 
     /// Runs the periodic step of a job's user: sends the next regular request.
     pub fn step_user(&mut self, number: u64) {
-        let t = self.now_ms;
+        let now_ms = self.now_ms;
         let job = &self.jobs[&number];
-        if job.pending_request.is_some_and(|(since, _)| t < since + 5000) {
-            return self.schedule(t + 500, SimEvent::User(number));
+        if job.pending_request.is_some_and(|(since, _)| now_ms < since + 5000) {
+            return self.schedule(now_ms + 500, SimEvent::User(number));
         }
         let is_finished = job.completion_confirmed || job.cancellation_confirmed_ms.is_some();
         let id = job.spec.id.clone();
         let depends_on: Vec<u64> =
             job.spec.depends_on.iter().flatten().map(Self::job_number).collect();
         if depends_on.iter().any(|dependency| !self.jobs[dependency].accepted) {
-            return self.schedule(t + 200, SimEvent::User(number));
+            return self.schedule(now_ms + 200, SimEvent::User(number));
         }
         let (kind, request) = if !job.accepted {
             let body = wire::encode(&job.spec);
             (0, Request { method: Method::Post, target: "/api/jobs".into(), body })
-        } else if !is_finished && job.cancel_at.is_some_and(|at| t >= at) {
+        } else if !is_finished && job.cancel_at.is_some_and(|at| now_ms >= at) {
             let target = format!("/api/jobs/{id}/abort");
             (2, Request { method: Method::Post, target, body: Vec::new() })
         } else {
@@ -87,14 +87,14 @@
             )
         };
         let job = self.jobs.get_mut(&number).unwrap();
-        job.pending_request = Some((t, kind));
+        job.pending_request = Some((now_ms, kind));
         job.sent_event = self.events;
         job.cancel_requested |= kind == 2;
-        let any = self.random.random_range(0..self.nodes.len());
-        let node = self.cancel_via.filter(|_| kind == 2).unwrap_or(any);
-        self.schedule_soon(SimEvent::UserRequest(node, number, request));
+        let any = self.random.random_range(0..self.controllers.len());
+        let controller = self.cancel_via.filter(|_| kind == 2).unwrap_or(any);
+        self.schedule_soon(SimEvent::UserRequest(controller, number, request));
         let wait = if is_finished { 20_000 } else { 1500 } / if self.poll_storm { 8 } else { 1 };
-        self.schedule(t + wait, SimEvent::User(number));
+        self.schedule(now_ms + wait, SimEvent::User(number));
     }
 
     /// Handles the response to a user's regular request.
@@ -118,7 +118,7 @@
         (asked, sent): (u64, u64),
         response: &Response,
     ) {
-        let t = self.now_ms;
+        let now_ms = self.now_ms;
         let job_and_dependencies = self.with_dependencies(number);
         let was_requested = job_and_dependencies.iter().any(|n| self.jobs[n].cancel_requested);
         let confirmed_at = job_and_dependencies
@@ -129,7 +129,7 @@
         let events = self.events;
         let mut is_new = false;
         let job = self.jobs.get_mut(&number).unwrap();
-        job.last_response_ms = t;
+        job.last_response_ms = now_ms;
         let mut found = Vec::new();
         let reported = ReportedStatus::of(response);
         // Only statuses received before the request was sent are compared.
@@ -174,7 +174,7 @@
             }
             job.completion_confirmed |= view.status == JobStatus::Done;
             if view.status == JobStatus::Cancelled && job.cancellation_confirmed_ms.is_none() {
-                job.cancellation_confirmed_ms = Some(t);
+                job.cancellation_confirmed_ms = Some(now_ms);
                 job.tasks_when_confirmed = on_machines;
             }
         }
@@ -188,8 +188,8 @@
 }
 
 impl World {
-    /// Checks, long after all faults have ended, that each job is finished or runs completely, and that its user receives
-    /// responses.
+    /// Checks, long after all faults have ended, that each job is finished or runs completely, and that its user
+    /// receives responses.
     pub fn check_final_state(&mut self) {
         for (number, job) in &self.jobs {
             let cancelled = job.cancellation_confirmed_ms.is_some();
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -17,23 +17,23 @@
 impl World {
     /// Runs a worker's periodic step: lease expiry, progress of tasks, and the next heartbeat.
     pub fn step_worker(&mut self, id: MachineId) {
-        let t = self.now_ms;
+        let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if worker.terminated {
             return;
         }
         if self.hung_zone == Some(worker.zone) {
-            return self.schedule(t + 100, SimEvent::Worker(id));
+            return self.schedule(now_ms + 100, SimEvent::Worker(id));
         }
-        if t > worker.lease_renewed_at + LEASE_MS {
+        if now_ms > worker.lease_renewed_at + LEASE_MS {
             worker.agent_epoch += 1;
             worker.tasks.clear();
-            worker.lease_renewed_at = t;
+            worker.lease_renewed_at = now_ms;
             worker.changed = true;
         }
         let outlives_cancellation = |(task, running): (&TaskId, &Running)| {
             let confirmed = self.jobs[&Self::job_number(&task.job)].cancellation_confirmed_ms;
-            let late = confirmed.is_some_and(|at| t > at + CANCEL_MS);
+            let late = confirmed.is_some_and(|at| now_ms > at + CANCEL_MS);
             (late && running.state != TaskState::Exited).then(|| task.clone())
         };
         if let Some(task) = worker.tasks.iter().find_map(outlives_cancellation) {
@@ -42,11 +42,12 @@
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let mut finished = Vec::new();
         for (task, running) in &mut worker.tasks {
-            if running.state == TaskState::Fetching && running.ready_at <= t {
+            if running.state == TaskState::Fetching && running.ready_at <= now_ms {
                 running.state = TaskState::Running;
                 worker.changed = true;
             }
-            if running.state == TaskState::Running && running.ends_at.is_some_and(|at| at <= t) {
+            if running.state == TaskState::Running && running.ends_at.is_some_and(|at| at <= now_ms)
+            {
                 running.state = TaskState::Exited;
                 running.exit_cause = Some("done".into());
                 worker.changed = true;
@@ -59,37 +60,37 @@
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if let Some((_, _, since)) = worker.pending_heartbeat
-            && t > since + 4000
+            && now_ms > since + 4000
         {
             worker.pending_heartbeat = None;
-            worker.target = (worker.target + 1) % self.nodes.len();
-            worker.next_heartbeat_at = t + 1000;
+            worker.target = (worker.target + 1) % self.controllers.len();
+            worker.next_heartbeat_at = now_ms + 1000;
         }
-        let sends_heartbeat =
-            worker.pending_heartbeat.is_none() && (t >= worker.next_heartbeat_at || worker.changed);
+        let sends_heartbeat = worker.pending_heartbeat.is_none()
+            && (now_ms >= worker.next_heartbeat_at || worker.changed);
         if sends_heartbeat && self.targeted_faults.unconnectable_zone == Some(worker.zone) {
             // The worker cannot open a connection, and tries the next controller a second later.
-            (worker.changed, worker.next_heartbeat_at) = (false, t + 1000);
-            worker.target = (worker.target + 1) % self.nodes.len();
+            (worker.changed, worker.next_heartbeat_at) = (false, now_ms + 1000);
+            worker.target = (worker.target + 1) % self.controllers.len();
             self.targeted_faults.record_effect("workers without connection");
         } else if sends_heartbeat {
             worker.changed = false;
-            worker.next_heartbeat_at = t + REPORT_MS;
+            worker.next_heartbeat_at = now_ms + REPORT_MS;
             worker.seq += 1;
             let heartbeat = Self::heartbeat(&id, worker);
             let (seq, agent_epoch, target) = (worker.seq, worker.agent_epoch, worker.target);
-            worker.pending_heartbeat = Some((seq, agent_epoch, t));
+            worker.pending_heartbeat = Some((seq, agent_epoch, now_ms));
             let body = wire::encode(&heartbeat);
             if self.delayed_heartbeats && self.random.random_range(0..3) == 0 {
                 // The response to a copy is ignored: no heartbeat has sequence number 0.
-                let later = t + self.random.random_range(2000..28_000);
-                let node = self.random.random_range(0..self.nodes.len());
-                self.schedule(later, SimEvent::Heartbeat(node, id.clone(), body.clone(), 0));
+                let later = now_ms + self.random.random_range(2000..28_000);
+                let controller = self.random.random_range(0..self.controllers.len());
+                self.schedule(later, SimEvent::Heartbeat(controller, id.clone(), body.clone(), 0));
             }
             self.keep_heartbeat_copy(&id, &body);
             self.schedule_soon(SimEvent::Heartbeat(target, id.clone(), body, seq));
         }
-        self.schedule(t + 100, SimEvent::Worker(id));
+        self.schedule(now_ms + 100, SimEvent::Worker(id));
     }
 
     /// Returns the heartbeat of a worker in its current state.
@@ -117,25 +118,25 @@
 
     /// Lets a worker process the response to its pending heartbeat.
     pub fn on_heartbeat_response(&mut self, id: MachineId, seq: u64, response: Response) {
-        let t = self.now_ms;
+        let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let Some((asked, agent_epoch, since)) = worker.pending_heartbeat else { return };
         if asked != seq || worker.terminated {
             return;
         }
-        if self.hung_zone == Some(worker.zone) && t < since + 4000 {
-            return self.schedule(t + 200, SimEvent::HeartbeatResponse(id, seq, response));
+        if self.hung_zone == Some(worker.zone) && now_ms < since + 4000 {
+            return self.schedule(now_ms + 200, SimEvent::HeartbeatResponse(id, seq, response));
         }
         worker.pending_heartbeat = None;
         if response.status != 200 {
             match wire::decode::<NotLeader>(&response.body) {
                 Ok(to) if response.status == 421 => {
                     worker.target = to.leader[2..].parse().unwrap();
-                    worker.next_heartbeat_at = t + 300;
+                    worker.next_heartbeat_at = now_ms + 300;
                 }
                 _ => {
-                    worker.target = (worker.target + 1) % self.nodes.len();
-                    worker.next_heartbeat_at = t + 1000;
+                    worker.target = (worker.target + 1) % self.controllers.len();
+                    worker.next_heartbeat_at = now_ms + 1000;
                 }
             }
             return;
@@ -153,7 +154,7 @@
     /// Delivers a controller's direct call to a worker.
     pub fn on_direct_call(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u32,
         id: MachineId,
         direct: DirectCall,
@@ -169,18 +170,24 @@
             result: Err(CallError::Unknown),
         };
         if worker.terminated || worker.booted_at > self.now_ms {
-            return self
-                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+            return self.schedule(
+                self.now_ms + 3000,
+                SimEvent::Controller(controller, incarnation, unknown),
+            );
         }
         let zone = worker.zone;
         if self.zone_without_responses == Some(zone) {
-            return self
-                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
-        }
-        if self.is_cut_off(node, zone) || self.hung_zone == Some(zone) {
-            self.blocked_messages.push(SimEvent::DirectCall(node, incarnation, id, direct));
-            return self
-                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+            return self.schedule(
+                self.now_ms + 3000,
+                SimEvent::Controller(controller, incarnation, unknown),
+            );
+        }
+        if self.is_cut_off(controller, zone) || self.hung_zone == Some(zone) {
+            self.blocked_messages.push(SimEvent::DirectCall(controller, incarnation, id, direct));
+            return self.schedule(
+                self.now_ms + 3000,
+                SimEvent::Controller(controller, incarnation, unknown),
+            );
         }
         let is_delayed =
             self.targeted_faults.delayed_commands && self.random.random_range(0..3) == 0;
@@ -190,8 +197,10 @@
                 let later = self.now_ms + self.random.random_range(1000..9000);
                 self.schedule(later, SimEvent::DelayedCommands(id, orders));
             }
-            return self
-                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+            return self.schedule(
+                self.now_ms + 3000,
+                SimEvent::Controller(controller, incarnation, unknown),
+            );
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let valid = sent.as_ref().is_none_or(|orders| {
@@ -206,11 +215,13 @@
         let heartbeat = Self::heartbeat(&id, worker);
         if is_delayed {
             // The command was executed, and its response is delayed.
-            return self
-                .schedule(self.now_ms + 3000, SimEvent::Controller(node, incarnation, unknown));
+            return self.schedule(
+                self.now_ms + 3000,
+                SimEvent::Controller(controller, incarnation, unknown),
+            );
         }
         self.schedule_soon(SimEvent::Controller(
-            node,
+            controller,
             incarnation,
             Event::WorkerResponse { machine: id, sent, result: Ok(heartbeat) },
         ));
@@ -254,7 +265,7 @@
         };
         let (spec, always_fails) = (job.spec.clone(), job.always_fails);
         let late = job.cancellation_confirmed_ms.is_some_and(|at| self.now_ms > at + CANCEL_MS);
-        let t = self.now_ms;
+        let now_ms = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
         // Tasks with an expected run time over a minute outlast the simulation.
         let long = self.long_tasks || spec.expect_s > 60.0;
@@ -268,7 +279,7 @@
         }
         let warm = worker.images.contains(&spec.image);
         worker.images.push(spec.image.clone());
-        let ready_at = if warm { t } else { t + 1500 };
+        let ready_at = if warm { now_ms } else { now_ms + 1500 };
         let done = self.finished.contains_key(&task);
         let ends_at = (spec.shape == JobKind::Array && !long).then_some(if done {
             ready_at
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -35,7 +35,7 @@
     pub due: HashMap<u64, SimEvent>,
     pub next_due: u64,
     /// Running controllers; `None` while one is down.
-    pub nodes: Vec<Option<Controller>>,
+    pub controllers: Vec<Option<Controller>>,
     /// Whether each controller runs the previous version.
     pub runs_previous_version: Vec<bool>,
     /// Limits of the store: writes per transaction, bytes per value.
@@ -145,7 +145,7 @@
             queue: BinaryHeap::new(),
             due: HashMap::new(),
             next_due: 0,
-            nodes: Vec::new(),
+            controllers: Vec::new(),
             runs_previous_version: vec![previous; count],
             limits: (12, 16 * 1024),
             incarnation: vec![0; count],
@@ -197,17 +197,17 @@
             sharding,
             duplicated_batches: false,
         };
-        for node in 0..count {
+        for controller in 0..count {
             let wall = world.wall();
-            world.nodes.push(
+            world.controllers.push(
                 Controller::new(
-                    settings_with_sharding(count, node, previous, world.floor, sharding),
-                    seed * 10 + node as u64,
+                    settings_with_sharding(count, controller, previous, world.floor, sharding),
+                    seed * 10 + controller as u64,
                     wall,
                 )
                 .ok(),
             );
-            world.schedule(1 + node as u64, SimEvent::Tick(node));
+            world.schedule(1 + controller as u64, SimEvent::Tick(controller));
         }
         world.schedule(50, SimEvent::LeaseCheck);
         world
@@ -224,9 +224,9 @@
     }
 
     /// Schedules an event at a time in milliseconds.
-    pub fn schedule(&mut self, t: u64, due: SimEvent) {
+    pub fn schedule(&mut self, at_ms: u64, due: SimEvent) {
         self.next_due += 1;
-        self.queue.push(Reverse((t, self.next_due)));
+        self.queue.push(Reverse((at_ms, self.next_due)));
         self.due.insert(self.next_due, due);
     }
 
@@ -243,20 +243,20 @@
     }
 
     /// Returns the zone of a controller.
-    pub fn node_zone(node: usize) -> usize {
-        node % 2
+    pub fn controller_zone(controller: usize) -> usize {
+        controller % 2
     }
 
     /// Runs all events up to a time in milliseconds.
-    pub fn run(&mut self, until: u64) {
-        while let Some(&Reverse((t, n))) = self.queue.peek() {
-            if t > until {
+    pub fn run(&mut self, until_ms: u64) {
+        while let Some(&Reverse((at_ms, number))) = self.queue.peek() {
+            if at_ms > until_ms {
                 break;
             }
             self.queue.pop();
-            self.now_ms = t;
+            self.now_ms = at_ms;
             self.events += 1;
-            if let Some(due) = self.due.remove(&n) {
+            if let Some(due) = self.due.remove(&number) {
                 self.step(due);
             }
         }
@@ -265,32 +265,34 @@
 
     /// Handles an event, or keeps it back while its controller is stalled or busy.
     pub fn step(&mut self, due: SimEvent) {
-        if let SimEvent::Tick(node)
-        | SimEvent::Controller(node, ..)
-        | SimEvent::Heartbeat(node, ..)
-        | SimEvent::ExtraRequest(node, ..)
-        | SimEvent::UserRequest(node, ..) = &due
-            && self.stalled[*node]
+        if let SimEvent::Tick(controller)
+        | SimEvent::Controller(controller, ..)
+        | SimEvent::Heartbeat(controller, ..)
+        | SimEvent::ExtraRequest(controller, ..)
+        | SimEvent::UserRequest(controller, ..) = &due
+            && self.stalled[*controller]
         {
-            let node = *node;
-            if self.unsent_effects.iter().all(|(other, _)| *other != node) && self.random.random() {
+            let controller = *controller;
+            if self.unsent_effects.iter().all(|(other, _)| *other != controller)
+                && self.random.random()
+            {
                 // The controller stalls between this event and its effects.
-                self.unsent_effects.push((node, Vec::new()));
+                self.unsent_effects.push((controller, Vec::new()));
             } else {
                 return self.stalled_events.push(due);
             }
         }
-        if let SimEvent::Tick(node)
-        | SimEvent::Controller(node, ..)
-        | SimEvent::Heartbeat(node, ..)
-        | SimEvent::ExtraRequest(node, ..)
-        | SimEvent::UserRequest(node, ..) = &due
-            && (self.event_cost_ms > 0 || !self.event_queues[*node].is_empty())
+        if let SimEvent::Tick(controller)
+        | SimEvent::Controller(controller, ..)
+        | SimEvent::Heartbeat(controller, ..)
+        | SimEvent::ExtraRequest(controller, ..)
+        | SimEvent::UserRequest(controller, ..) = &due
+            && (self.event_cost_ms > 0 || !self.event_queues[*controller].is_empty())
         {
-            let node = *node;
-            self.event_queues[node].push_back(due);
-            if self.event_queues[node].len() == 1 {
-                self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(node));
+            let controller = *controller;
+            self.event_queues[controller].push_back(due);
+            if self.event_queues[controller].len() == 1 {
+                self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(controller));
             }
             return;
         }
@@ -300,59 +302,62 @@
     /// Handles an event now.
     pub fn handle(&mut self, due: SimEvent) {
         match due {
-            SimEvent::NextQueued(node) => {
-                if let Some(due) = self.event_queues[node].pop_front() {
+            SimEvent::NextQueued(controller) => {
+                if let Some(due) = self.event_queues[controller].pop_front() {
                     self.handle(due);
                 }
-                if !self.event_queues[node].is_empty() {
-                    self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(node));
+                if !self.event_queues[controller].is_empty() {
+                    self.schedule(
+                        self.now_ms + self.event_cost_ms,
+                        SimEvent::NextQueued(controller),
+                    );
                 }
             }
-            SimEvent::Tick(node) => {
-                self.deliver(node, Event::Tick);
-                self.schedule(self.now_ms + 40, SimEvent::Tick(node));
+            SimEvent::Tick(controller) => {
+                self.deliver(controller, Event::Tick);
+                self.schedule(self.now_ms + 40, SimEvent::Tick(controller));
             }
-            SimEvent::Controller(node, incarnation, event) => {
-                if self.slow_controller == Some(node) && self.random.random_bool(0.7) {
+            SimEvent::Controller(controller, incarnation, event) => {
+                if self.slow_controller == Some(controller) && self.random.random_bool(0.7) {
                     let later = self.now_ms + self.random.random_range(1..150);
-                    self.schedule(later, SimEvent::Controller(node, incarnation, event));
-                } else if self.incarnation[node] == incarnation {
-                    self.deliver(node, event);
+                    self.schedule(later, SimEvent::Controller(controller, incarnation, event));
+                } else if self.incarnation[controller] == incarnation {
+                    self.deliver(controller, event);
                 }
             }
-            SimEvent::Store(node, incarnation, id, call) => {
-                self.on_store_request(node, incarnation, id, call)
+            SimEvent::Store(controller, incarnation, id, call) => {
+                self.on_store_request(controller, incarnation, id, call)
             }
             SimEvent::DelayedCommit(txn) if self.store.unavailable => {
                 self.schedule(self.now_ms + 1000, SimEvent::DelayedCommit(txn))
             }
             SimEvent::DelayedCommit(txn) => drop(self.commit(txn)),
-            SimEvent::SlowCommit(node, incarnation, id, txn) => {
-                self.finish_slow_commit(node, incarnation, id, txn);
+            SimEvent::SlowCommit(controller, incarnation, id, txn) => {
+                self.finish_slow_commit(controller, incarnation, id, txn);
             }
-            SimEvent::Cloud(node, incarnation, id, call) => {
-                self.on_cloud_request(node, incarnation, id, call)
+            SimEvent::Cloud(controller, incarnation, id, call) => {
+                self.on_cloud_request(controller, incarnation, id, call)
             }
-            SimEvent::DirectCall(node, incarnation, machine, direct) => {
-                self.on_direct_call(node, incarnation, machine, direct);
+            SimEvent::DirectCall(controller, incarnation, machine, direct) => {
+                self.on_direct_call(controller, incarnation, machine, direct);
             }
-            SimEvent::Heartbeat(node, machine, body, id) => {
-                if self.is_cut_off(node, self.workers[&machine].zone) {
+            SimEvent::Heartbeat(controller, machine, body, id) => {
+                if self.is_cut_off(controller, self.workers[&machine].zone) {
                     return;
                 }
-                if self.down[node] {
+                if self.down[controller] {
                     return;
                 }
-                if self.nodes[node].is_none() {
+                if self.controllers[controller].is_none() {
                     return self.schedule_soon(SimEvent::HeartbeatResponse(
                         machine,
                         id,
                         Response::empty(599),
                     ));
                 }
-                let ticket = self.ticket(node, Ticket::Heartbeat(machine, id));
+                let ticket = self.ticket(controller, Ticket::Heartbeat(machine, id));
                 let request = Request { method: Method::Post, target: "/hello".into(), body };
-                self.deliver(node, Event::Request { ticket, request });
+                self.deliver(controller, Event::Request { ticket, request });
             }
             SimEvent::HeartbeatResponse(machine, id, response) => {
                 self.on_heartbeat_response(machine, id, response)
@@ -360,38 +365,43 @@
             SimEvent::Worker(machine) => self.step_worker(machine),
             SimEvent::Fault(fault) => self.fault(fault),
             SimEvent::User(job) => self.step_user(job),
-            SimEvent::UserRequest(node, job, request) => {
-                if self.partitioned_controllers[node] || self.down[node] || self.is_isolated(node) {
+            SimEvent::UserRequest(controller, job, request) => {
+                if self.partitioned_controllers[controller]
+                    || self.down[controller]
+                    || self.is_isolated(controller)
+                {
                     return;
                 }
                 let asked = self.jobs[&job].pending_request.map_or(0, |(at, _)| at);
-                if self.nodes[node].is_none() {
+                if self.controllers[controller].is_none() {
                     return self.schedule_soon(SimEvent::UserResponse(
                         job,
                         asked,
                         Response::empty(599),
                     ));
                 }
-                let ticket = self.ticket(node, Ticket::User(job, asked));
-                self.deliver(node, Event::Request { ticket, request });
+                let ticket = self.ticket(controller, Ticket::User(job, asked));
+                self.deliver(controller, Event::Request { ticket, request });
             }
             SimEvent::UserResponse(job, asked, response) => {
                 self.on_user_response(job, asked, &response)
             }
-            SimEvent::ExtraRequest(node, asked) => self.deliver_extra_request(node, asked),
+            SimEvent::ExtraRequest(controller, asked) => {
+                self.deliver_extra_request(controller, asked)
+            }
             SimEvent::ExtraResponse(asked, response) => self.on_extra_response(&asked, &response),
             SimEvent::InvalidRequest => self.send_invalid_request(),
             SimEvent::DelayedCommands(machine, orders) => {
                 self.execute_delayed_commands(&machine, orders)
             }
-            SimEvent::Restart(node) => {
-                self.down[node] = false;
+            SimEvent::Restart(controller) => {
+                self.down[controller] = false;
                 let seed = self.random.random();
-                self.nodes[node] = Controller::new(
+                self.controllers[controller] = Controller::new(
                     settings_with_sharding(
-                        self.nodes.len(),
-                        node,
-                        self.runs_previous_version[node],
+                        self.controllers.len(),
+                        controller,
+                        self.runs_previous_version[controller],
                         self.floor,
                         self.sharding,
                     ),
--- a/tests/cluster/controller_crashes.rs
+++ b/tests/cluster/controller_crashes.rs
@@ -47,27 +47,29 @@
     let mut at_ms = 15_000;
     while at_ms < 100_000 {
         let restart_ms = random.random_range(50..900);
-        let nodes: Vec<usize> = match random.random_range(0..4) {
+        let controllers: Vec<usize> = match random.random_range(0..4) {
             0 => (0..CONTROLLERS).collect(),
             1 => vec![random.random_range(0..CONTROLLERS)],
             _ => (0..CONTROLLERS).filter(|_| random.random_range(0..2) == 0).collect(),
         };
-        faults.extend(nodes.iter().map(|node| (at_ms, Fault::CrashAndRestart(*node, restart_ms))));
+        faults.extend(
+            controllers
+                .iter()
+                .map(|controller| (at_ms, Fault::CrashAndRestart(*controller, restart_ms))),
+        );
         // Restarts them again during the election or while the next leader starts.
         if random.random_range(0..2) == 0 {
             let again = at_ms + restart_ms + random.random_range(100..3500);
-            faults.extend(
-                nodes
-                    .iter()
-                    .map(|node| (again, Fault::CrashAndRestart(*node, restart_ms / 2 + 50))),
-            );
+            faults.extend(controllers.iter().map(|controller| {
+                (again, Fault::CrashAndRestart(*controller, restart_ms / 2 + 50))
+            }));
         }
         let (begin_fault, end_fault) = match random.random_range(0..5) {
             0 => (Fault::StoreOutage(true), Fault::StoreOutage(false)),
             1 => (Fault::PartitionZones(true), Fault::PartitionZones(false)),
             2 => (Fault::RefusePeerConnections(true), Fault::RefusePeerConnections(false)),
             3 => (
-                Fault::StoreRejects(nodes.first().copied().unwrap_or(0), true),
+                Fault::StoreRejects(controllers.first().copied().unwrap_or(0), true),
                 Fault::StoreRejects(0, false),
             ),
             _ => (Fault::PollStorm(true), Fault::PollStorm(false)),
@@ -112,11 +114,12 @@
         world.run(30_000);
         let running = |world: &World| (0..4).map(|n| world.running(n)).sum::<usize>();
         assert_eq!(running(&world), 16);
-        let disable: [fn(usize) -> Fault; 2] = [|node| Fault::Stall(node, true), Fault::Down];
+        let disable: [fn(usize) -> Fault; 2] =
+            [|controller| Fault::Stall(controller, true), Fault::Down];
         let leader = world.leader();
-        for node in [leader, (leader + 1) % CONTROLLERS] {
-            world.fault(disable[seed as usize % 2](node));
-            world.schedule(52_000, SimEvent::Fault(Fault::Stall(node, false)));
+        for controller in [leader, (leader + 1) % CONTROLLERS] {
+            world.fault(disable[seed as usize % 2](controller));
+            world.schedule(52_000, SimEvent::Fault(Fault::Stall(controller, false)));
         }
         world.run(120_000);
         let lost = world.workers.values().filter(|w| w.agent_epoch > 1).count();
@@ -141,19 +144,19 @@
         let mut faults = Vec::new();
         let mut at = 12_000;
         while at < 90_000 {
-            let node = random.random_range(0..CONTROLLERS);
+            let controller = random.random_range(0..CONTROLLERS);
             let ms = [700, 1500, 2500, 4000, 9000, 16_000, 30_000][random.random_range(0..7)];
-            faults.push((at, Fault::Stall(node, true)));
-            faults.push((at + ms, Fault::Stall(node, false)));
+            faults.push((at, Fault::Stall(controller, true)));
+            faults.push((at + ms, Fault::Stall(controller, false)));
             at += ms + random.random_range(500..9000);
         }
         let other = others[seed as usize % 5];
         let at = random.random_range(15_000..70_000);
-        let node = random.random_range(0..CONTROLLERS);
-        faults.push((at, other(node, true)));
-        faults.push((at + random.random_range(5000..20_000), other(node, false)));
+        let controller = random.random_range(0..CONTROLLERS);
+        faults.push((at, other(controller, true)));
+        faults.push((at + random.random_range(5000..20_000), other(controller, false)));
         if seed >= 225 {
-            faults.push((random.random_range(20_000..60_000), Fault::Down(node)));
+            faults.push((random.random_range(20_000..60_000), Fault::Down(controller)));
         }
         World::day(seed, &faults);
     }
--- a/tests/cluster/dag.rs
+++ b/tests/cluster/dag.rs
@@ -33,16 +33,19 @@
         let random = &mut StdRng::seed_from_u64(seed);
         let mut world = World::new(seed);
         submit_dags(&mut world, 5000, 9);
-        let node = random.random_range(0..CONTROLLERS);
+        let controller = random.random_range(0..CONTROLLERS);
         let at = random.random_range(8000..40_000);
         let end_at = at + random.random_range(5000..25_000);
         let faults: [[Fault; 2]; 6] = [
-            [Fault::Crash(node), Fault::ReclaimSpotMachines],
+            [Fault::Crash(controller), Fault::ReclaimSpotMachines],
             [Fault::StoreOutage(true), Fault::StoreOutage(false)],
             [Fault::PartitionZones(true), Fault::PartitionZones(false)],
-            [Fault::PartitionController(node, true), Fault::PartitionController(node, false)],
-            [Fault::PollStorm(true), Fault::Crash(node)],
-            [Fault::StoreRejects(node, true), Fault::StoreRejects(node, false)],
+            [
+                Fault::PartitionController(controller, true),
+                Fault::PartitionController(controller, false),
+            ],
+            [Fault::PollStorm(true), Fault::Crash(controller)],
+            [Fault::StoreRejects(controller, true), Fault::StoreRejects(controller, false)],
         ];
         let [begin_fault, end_fault] = faults[seed as usize % 6];
         world.schedule(at, SimEvent::Fault(begin_fault));
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -106,8 +106,9 @@
             workers_here.flat_map(|w| w.tasks.keys()).filter(|task| task.job == spread).count();
         assert_eq!((remaining, world.running(0)), (2, 4), "seed {seed}");
         if !is_partitioned {
-            let node = world.nodes[world.leader()].as_ref().unwrap();
-            let report = node.scheduler.as_ref().unwrap().drains(&node.store.cache, world.now());
+            let controller = world.controllers[world.leader()].as_ref().unwrap();
+            let report =
+                controller.scheduler.as_ref().unwrap().drains(&controller.store.cache, world.now());
             assert_eq!((report.drains[0].left, report.drains[0].stuck), (Some(2), Some(2)));
             assert_eq!(world.running(1), 4);
         }
@@ -152,8 +153,8 @@
             );
         }
         // After all drains end, the last leader may crash: the others lead again.
-        for node in 0..CONTROLLERS {
-            set_drain(&mut world, DrainKind::Controller, &format!("n-{node}"), None, false);
+        for controller in 0..CONTROLLERS {
+            set_drain(&mut world, DrainKind::Controller, &format!("n-{controller}"), None, false);
         }
         world.schedule(now_ms + 1000, SimEvent::Fault(Fault::Crash(leaders[CONTROLLERS - 1])));
         world.run(150_000);
--- a/tests/cluster/fair_share.rs
+++ b/tests/cluster/fair_share.rs
@@ -4,16 +4,19 @@
 use troutspindle::controller::Controller;
 use troutspindle_simulation::{CONTROLLERS, FLOOR, Fault, SimEvent, World, settings};
 
-/// Runs four machines with demand for six: services request all of them, may preempt arrays and are never preempted, but
-/// are submitted and cancelled over time. Returns the fraction of the early arrays that completed, and the fraction of
-/// requested replicas that ran from second 60 on.
+/// Runs four machines with demand for six: services request all of them, may preempt arrays and are never preempted,
+/// but are submitted and cancelled over time. Returns the fraction of the early arrays that completed, and the
+/// fraction of requested replicas that ran from second 60 on.
 fn scarce_day(seed: u64, floor: f64, faults: &[(u64, Fault)]) -> (f64, f64) {
     let mut world = World::new(seed);
     world.floor = floor;
-    for node in 0..CONTROLLERS {
-        world.nodes[node] =
-            Controller::new(settings(CONTROLLERS, node, false, floor), seed * 10, world.wall())
-                .ok();
+    for controller in 0..CONTROLLERS {
+        world.controllers[controller] = Controller::new(
+            settings(CONTROLLERS, controller, false, floor),
+            seed * 10,
+            world.wall(),
+        )
+        .ok();
     }
     world.capacity = [2, 0];
     let services: Vec<u64> = (100..125).collect();
--- a/tests/cluster/machines_and_jobs.rs
+++ b/tests/cluster/machines_and_jobs.rs
@@ -19,12 +19,14 @@
         |_, on| Fault::SlowMachines(on),
     ];
     for seed in 100..114 {
-        let node = seed as usize % CONTROLLERS;
+        let controller = seed as usize % CONTROLLERS;
         let (first, second) =
             (faults_by_number[seed as usize % 7], faults_by_number[(seed as usize + 1) % 7]);
-        let mut faults = vec![(12_000, first(node, true)), (40_000, first(node, false))];
+        let mut faults =
+            vec![(12_000, first(controller, true)), (40_000, first(controller, false))];
         if seed >= 107 {
-            faults.extend([(20_000, second(node, true)), (45_000, second(node, false))]);
+            faults
+                .extend([(20_000, second(controller, true)), (45_000, second(controller, false))]);
             faults.push((25_000, Fault::ReclaimSpotMachines));
         }
         World::day(seed, &faults);
@@ -79,12 +81,12 @@
         for _ in 0..5 {
             let at = random.random_range(15_000..80_000);
             let end_at = at + random.random_range(3000..25_000);
-            let node = random.random_range(0..CONTROLLERS);
+            let controller = random.random_range(0..CONTROLLERS);
             match random.random_range(0..5) {
-                0 => faults.push((at, Fault::Crash(node))),
+                0 => faults.push((at, Fault::Crash(controller))),
                 1 => faults.extend([
-                    (at, Fault::PartitionController(node, true)),
-                    (end_at, Fault::PartitionController(node, false)),
+                    (at, Fault::PartitionController(controller, true)),
+                    (end_at, Fault::PartitionController(controller, false)),
                 ]),
                 2 => faults.extend([
                     (at, Fault::PartitionZones(true)),
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -7,9 +7,9 @@
 use troutspindle::workers::command_delivery::DirectCall;
 use troutspindle_simulation::{CONTROLLERS, Fault, SimEvent, Worker, World};
 
-/// A zone is isolated for longer than its controller may answer workers from its last view of the store. No task there
-/// is lost, and tasks of jobs confirmed as cancelled stop in time. Only cancellations of jobs that may have tasks in the
-/// zone have to wait.
+/// A zone is isolated for longer than its controller may answer workers from its last view of the store. No task
+/// there is lost, and tasks of jobs confirmed as cancelled stop in time. Only cancellations of jobs that may have
+/// tasks in the zone have to wait.
 #[test]
 fn an_isolated_zone_keeps_its_tasks_and_outlives_no_cancellation() {
     let (mut isolated_leaders, mut confirmed_in_partition, mut postponed) = (0, 0, 0);
@@ -70,10 +70,10 @@
 #[test]
 fn jobs_survive_a_partition_of_one_controller() {
     for seed in 40..46 {
-        let node = seed as usize % 3;
+        let controller = seed as usize % 3;
         let faults = [
-            (30_000, Fault::PartitionController(node, true)),
-            (55_000, Fault::PartitionController(node, false)),
+            (30_000, Fault::PartitionController(controller, true)),
+            (55_000, Fault::PartitionController(controller, false)),
         ];
         World::day(seed, &faults);
     }
--- a/tests/cluster/rolling_upgrade.rs
+++ b/tests/cluster/rolling_upgrade.rs
@@ -17,8 +17,8 @@
     world.submit_at(2500, 20, false, Some(112_000));
     world.jobs.get_mut(&20).unwrap().spec.tasks = 40_000;
     world.jobs.get_mut(&20).unwrap().spec.urgency = Priority::Low;
-    for (n, node) in order.into_iter().enumerate() {
-        world.schedule(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(node)));
+    for (n, controller) in order.into_iter().enumerate() {
+        world.schedule(20_000 + 10_000 * n as u64, SimEvent::Fault(Fault::Upgrade(controller)));
     }
     // Submitted early: dependent jobs are rejected until all controllers are upgraded, and none may start too early.
     submit_dags(&mut world, 30_000, 9);
@@ -57,7 +57,7 @@
 fn jobs_survive_faults_during_a_rolling_upgrade() {
     for seed in 310..334 {
         let random = &mut StdRng::seed_from_u64(seed);
-        let node = random.random_range(0..CONTROLLERS);
+        let controller = random.random_range(0..CONTROLLERS);
         let at = random.random_range(18_000..45_000);
         let end_at = at + random.random_range(3000..20_000);
         let fault: [fn(usize, bool) -> Fault; 6] = [
@@ -69,9 +69,9 @@
             Fault::Stall,
         ];
         let fault = fault[seed as usize % 6];
-        let mut faults = vec![(at, fault(node, true)), (end_at, fault(node, false))];
+        let mut faults = vec![(at, fault(controller, true)), (end_at, fault(controller, false))];
         if seed % 2 == 0 {
-            faults.extend((0..CONTROLLERS).map(|node| (35_000, Fault::Crash(node))));
+            faults.extend((0..CONTROLLERS).map(|controller| (35_000, Fault::Crash(controller))));
         }
         let first = random.random_range(0..CONTROLLERS);
         let order = [first, (first + 1) % CONTROLLERS, (first + 2) % CONTROLLERS];
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -1,5 +1,5 @@
-//! Combinations of two or three faults: the second begins in each phase of the first (before it is detected, while leases
-//! are valid, during the election, after the failover). `docs/meetings.md` describes each combination.
+//! Combinations of two or three faults: the second begins in each phase of the first (before it is detected, while
+//! leases are valid, during the election, after the failover). `docs/meetings.md` describes each combination.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -17,8 +17,12 @@
 /// the election, during the failover, when controller leases expire, after a worker's lease expires.
 const PHASES: [u64; 10] = [50, 400, 1500, 2800, 3100, 3600, 5000, 7500, 13_000, 18_000];
 
-/// Returns the name, begin and end of fault number `kind`, applied to controller `node` or to `zone`.
-fn numbered_fault(kind: usize, node: usize, zone: usize) -> (&'static str, Fault, Option<Fault>) {
+/// Returns the name, begin and end of fault number `kind`, applied to `controller` or to `zone`.
+fn numbered_fault(
+    kind: usize,
+    controller: usize,
+    zone: usize,
+) -> (&'static str, Fault, Option<Fault>) {
     match kind {
         0 => ("delayed commits", Fault::DelayedCommits(true), Some(Fault::DelayedCommits(false))),
         1 => (
@@ -36,21 +40,21 @@
         }
         4 => (
             "isolated controller",
-            Fault::IsolateController(node, true),
-            Some(Fault::IsolateController(node, false)),
+            Fault::IsolateController(controller, true),
+            Some(Fault::IsolateController(controller, false)),
         ),
         5 => (
             "rejected by store",
-            Fault::StoreRejects(node, true),
-            Some(Fault::StoreRejects(node, false)),
+            Fault::StoreRejects(controller, true),
+            Some(Fault::StoreRejects(controller, false)),
         ),
         6 => ("store outage", Fault::StoreOutage(true), Some(Fault::StoreOutage(false))),
-        7 => ("quick restart", Fault::CrashAndRestart(node, 60), None),
-        8 => ("crash", Fault::CrashAndRestart(node, 4000), None),
+        7 => ("quick restart", Fault::CrashAndRestart(controller, 60), None),
+        8 => ("crash", Fault::CrashAndRestart(controller, 4000), None),
         9 => (
             "partitioned controller",
-            Fault::PartitionController(node, true),
-            Some(Fault::PartitionController(node, false)),
+            Fault::PartitionController(controller, true),
+            Some(Fault::PartitionController(controller, false)),
         ),
         10 => {
             ("partitioned zones", Fault::PartitionZones(true), Some(Fault::PartitionZones(false)))
@@ -61,7 +65,11 @@
             Fault::CutLeaderFromWorkers(true),
             Some(Fault::CutLeaderFromWorkers(false)),
         ),
-        13 => ("stalled controller", Fault::Stall(node, true), Some(Fault::Stall(node, false))),
+        13 => (
+            "stalled controller",
+            Fault::Stall(controller, true),
+            Some(Fault::Stall(controller, false)),
+        ),
         14 => (
             "no peer connections",
             Fault::RefusePeerConnections(true),
@@ -69,8 +77,8 @@
         ),
         15 => (
             "controller cut off from workers",
-            Fault::CutControllerFromWorkers(node, true),
-            Some(Fault::CutControllerFromWorkers(node, false)),
+            Fault::CutControllerFromWorkers(controller, true),
+            Some(Fault::CutControllerFromWorkers(controller, false)),
         ),
         _ => ("all crash", Fault::CrashAndRestart(0, 300), None),
     }
@@ -116,8 +124,10 @@
             at += PHASES[random.random_range(0..PHASES.len())];
         }
         // Two thirds of the faults hit the leader.
-        let node = if random.random_range(0..3) > 0 { leader } else { random.random_range(0..3) };
-        let (name, begin_fault, end_fault) = numbered_fault(kind, node, random.random_range(0..2));
+        let controller =
+            if random.random_range(0..3) > 0 { leader } else { random.random_range(0..3) };
+        let (name, begin_fault, end_fault) =
+            numbered_fault(kind, controller, random.random_range(0..2));
         let max_ms = if random.random() { 5000 } else { 40_000 };
         let duration_ms = random.random_range(500..max_ms);
         let duration_ms = duration_ms.min(if kind == 13 || kind == 3 { 9000 } else { 40_000 });
@@ -133,7 +143,7 @@
                 world.schedule(cancel_at, SimEvent::User(job));
             }
         }
-        description += &format!(", {name} ({node}) at {at} for {duration_ms}");
+        description += &format!(", {name} ({controller}) at {at} for {duration_ms}");
         world.schedule(at, SimEvent::Fault(begin_fault));
         if kind == 16 {
             for other in 1..3 {
--- a/tests/heartbeat_sharding.rs
+++ b/tests/heartbeat_sharding.rs
@@ -200,16 +200,18 @@
     }
 }
 
-/// Controllers cannot reach each other, but the store and all workers can reach every controller. Workers are redirected
-/// to the leader, which keeps receiving their heartbeats and starts nothing on workers that only others keep alive.
+/// Controllers cannot reach each other, but the store and all workers can reach every controller. Workers are
+/// redirected to the leader, which keeps receiving their heartbeats and starts nothing on workers that only others
+/// keep alive.
 #[test]
 fn a_leader_that_no_controller_can_reach_receives_heartbeats_directly() {
     for seed in 600..603 {
         let mut world = start_with_sharding(seed);
         let leader = world.leader();
         let received = |world: &World| {
-            let node = world.nodes[leader].as_ref();
-            node.and_then(|node| node.scheduler.as_ref())
+            let controller = world.controllers[leader].as_ref();
+            controller
+                .and_then(|controller| controller.scheduler.as_ref())
                 .map_or(0, |scheduler| scheduler.heartbeats())
         };
         let at_begin = received(&world);
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Row {
     /// Number of controllers.
-    nodes: usize,
+    controllers: usize,
     /// Milliseconds from the first rejection to the outage.
     gap: u64,
     confirmer: Confirmer,
@@ -82,7 +82,8 @@
 /// Observations of one run.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 struct Observed {
-    /// Number of jobs confirmed as cancelled from the rejection until the outage ends, with tasks on machines at that time.
+    /// Number of jobs confirmed as cancelled from the rejection until the outage ends, with tasks on machines at that
+    /// time.
     confirmed: usize,
     /// Whether the old leader answered workers with commands after the first confirmation.
     answered: bool,
@@ -94,10 +95,11 @@
 }
 
 fn run(row: Row, seed: u64) -> (Observed, Vec<String>) {
-    let mut world = World::with_controllers(seed, row.nodes, row.extra == Extra::PreviousVersion);
+    let mut world =
+        World::with_controllers(seed, row.controllers, row.extra == Extra::PreviousVersion);
     world.long_tasks = true;
     if row.extra == Extra::PreviousVersion {
-        world.schedule(8000, SimEvent::Fault(Fault::Upgrade(seed as usize % row.nodes)));
+        world.schedule(8000, SimEvent::Fault(Fault::Upgrade(seed as usize % row.controllers)));
     }
     for n in 0..6 {
         let service = n % 2 == 0;
@@ -119,7 +121,7 @@
     for round in 0..rounds {
         world.run(at - 1000);
         let old_leader = world.leader();
-        let others: Vec<usize> = (0..row.nodes).filter(|n| *n != old_leader).collect();
+        let others: Vec<usize> = (0..row.controllers).filter(|n| *n != old_leader).collect();
         let follower = others.get(seed as usize % others.len().max(1)).copied();
         world.cancel_via = match row.confirmer {
             Confirmer::Follower | Confirmer::Restarted => follower,
@@ -188,15 +190,16 @@
         let outage_at = at + row.gap;
         world.run(outage_at);
         if row.confirmer == Confirmer::Leader {
-            world.cancel_via = others.iter().copied().find(|node| world.leads(*node)).or(follower);
+            world.cancel_via =
+                others.iter().copied().find(|controller| world.leads(*controller)).or(follower);
         }
         world.fault(Fault::StoreOutage(true));
         if row.links == Links::Restored {
             world.fault(Fault::IsolateController(old_leader, false));
         }
         if row.confirmer == Confirmer::AllCrash {
-            for node in &others {
-                world.fault(Fault::CrashAndRestart(*node, 200));
+            for controller in &others {
+                world.fault(Fault::CrashAndRestart(*controller, 200));
             }
         }
         let outage_end = outage_at + OUTAGE_MS;
@@ -244,7 +247,7 @@
 
 fn rows() -> Vec<Row> {
     let plain = Row {
-        nodes: 3,
+        controllers: 3,
         gap: 1000,
         confirmer: Confirmer::Any,
         links: Links::All,
@@ -273,9 +276,9 @@
             rows.push(Row { gap, extra, ..plain });
             rows.push(Row { gap, extra, confirmer: Confirmer::AllCrash, ..plain });
         }
-        for nodes in [1, 5] {
-            rows.push(Row { gap, nodes, ..plain });
-            rows.push(Row { gap, nodes, confirmer: Confirmer::AllCrash, ..plain });
+        for controllers in [1, 5] {
+            rows.push(Row { gap, controllers, ..plain });
+            rows.push(Row { gap, controllers, confirmer: Confirmer::AllCrash, ..plain });
         }
     }
     // Jobs are cancelled without the old leader's acknowledgement only long after its controller lease expired.
@@ -287,16 +290,18 @@
     rows
 }
 
-/// Checks that no rule is violated. If `must_occur`, also checks that the scenario came about: for each kind of row in which
-/// the old leader is connected and keeps running, cancellations were confirmed while their tasks ran, and the old leader
-/// answered workers afterwards.
+/// Checks that no rule is violated. If `must_occur`, also checks that the scenario came about: for each kind of row
+/// in which the old leader is connected and keeps running, cancellations were confirmed while their tasks ran, and
+/// the old leader answered workers afterwards.
 fn assert_no_violations(gaps: &[u64], seeds: std::ops::Range<u64>, must_occur: bool) {
     let mut kinds: BTreeMap<String, (usize, bool)> = BTreeMap::new();
     for row in rows().into_iter().filter(|row| gaps.contains(&row.gap)) {
         for seed in seeds.clone() {
             let (observed, violations) = run(row, seed);
             assert!(violations.is_empty(), "{row:?}, seed {seed}: {violations:#?}");
-            if row.links == Links::All && row.old_leader == OldLeader::KeepsRunning && row.nodes > 1
+            if row.links == Links::All
+                && row.old_leader == OldLeader::KeepsRunning
+                && row.controllers > 1
             {
                 let kind = format!("{:?} {:?}", row.confirmer, row.extra);
                 let (confirmed, answered) = kinds.entry(kind).or_default();
@@ -334,8 +339,9 @@
 #[test]
 fn a_leader_elected_before_the_outage_keeps_all_leases_in_it() {
     let is_selected = |row: &Row| {
-        let is_connected =
-            row.nodes > 1 && row.links == Links::All && row.old_leader == OldLeader::KeepsRunning;
+        let is_connected = row.controllers > 1
+            && row.links == Links::All
+            && row.old_leader == OldLeader::KeepsRunning;
         let is_plain = row.confirmer == Confirmer::Any && row.extra == Extra::Nothing;
         is_connected && is_plain && row.gap >= 7000
     };
--- a/tests/previous_version.rs
+++ b/tests/previous_version.rs
@@ -165,8 +165,8 @@
     assert_eq!(last, mesh::PeerMessage::RunningTasks { token: FencingToken(41), counts });
 }
 
-/// A lease message that revokes or delegates hundreds of machines is relayed through the store in chunks that fit a small
-/// value. If a chunk is missing, no message results.
+/// A lease message that revokes or delegates hundreds of machines is relayed through the store in chunks that fit a
+/// small value. If a chunk is missing, no message results.
 #[test]
 fn a_message_too_large_for_a_value_is_split_into_chunks() {
     let names = |from: u32| (from..from + 300).map(|n| MachineId::new(&format!("i-{n:06}")));
--- a/tests/targeted_faults.rs
+++ b/tests/targeted_faults.rs
@@ -1,5 +1,5 @@
-//! Targeted combinations of faults: the second fault is timed to the milliseconds in which the first one matters, and a run
-//! in which a fault took no effect fails. `docs/meetings.md` describes each combination.
+//! Targeted combinations of faults: the second fault is timed to the milliseconds in which the first one matters, and
+//! a run in which a fault took no effect fails. `docs/meetings.md` describes each combination.
 
 use troutspindle::wire::JobSpec;
 use troutspindle_simulation::{
--- a/tests/vocabulary.rs
+++ b/tests/vocabulary.rs
@@ -1,5 +1,5 @@
-//! Checks that the protocol's own terms are used only at the edge, in `crates/protocol/src/wire`, and that replaced names
-//! do not return.
+//! Checks that the protocol's own terms are used only at the edge, in `crates/protocol/src/wire`, and that replaced
+//! names do not return.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -47,7 +47,8 @@
     "JobBook",
 ];
 
-/// Paths in which the protocol's words are permitted: the edge itself, and code that checks or simulates bytes on the wire.
+/// Paths in which the protocol's words are permitted: the edge itself, and code that checks or simulates bytes on the
+/// wire.
 const EDGE: [&str; 5] = [
     "crates/protocol/src/wire",
     "crates/simulation/src/previous_version.rs",
@@ -68,7 +69,8 @@
     }
 }
 
-/// Splits a line into words. Hyphens belong to words, so that controller names in settings such as `spindle-0` are one word.
+/// Splits a line into words. Hyphens belong to words, so that controller names in settings such as `spindle-0` are
+/// one word.
 fn words(line: &str) -> impl Iterator<Item = &str> {
     line.split(|c: char| !(c.is_alphanumeric() || c == '_' || c == '-'))
 }
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -1,8 +1,8 @@
-//! Checks the exact bytes of everything that another process or a later version reads: messages, stored records and keys,
-//! requests. Names in the code may change freely, but lines of the fixture must not.
+//! Checks the exact bytes of everything that another process or a later version reads: messages, stored records and
+//! keys, requests. Names in the code may change freely, but lines of the fixture must not.
 //!
-//! Each module builds values; the fixture, `tests/fixtures/wire_format.txt`, holds their bytes. The bytes of the previous
-//! version's layouts are checked in `tests/previous_version.rs`.
+//! Each module builds values; the fixture, `tests/fixtures/wire_format.txt`, holds their bytes. The bytes of the
+//! previous version's layouts are checked in `tests/previous_version.rs`.
 
 mod mesh;
 mod operators;
