--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -1,9 +1,9 @@
-//! Counted work of a controller on a fixed day: allocations and bytes by kind of event, which repeat to the last digit
-//! whatever machine this runs on. `cargo bench --bench footprint [MACHINES]`; under callgrind or `perf stat -e
-//! instructions:u` the same day gives instructions.
+//! Measures allocations and bytes per kind of event of one controller in a fixed simulation. The figures are
+//! deterministic and independent of the machine. Run `cargo bench --bench footprint [MACHINES]`; under callgrind or
+//! `perf stat -e instructions:u` the same simulation gives the number of instructions.
 //!
-//! One controller without peers leads; store, cloud and workers are the least that lets it: nothing is ever lost or
-//! late, and what the store is told counts as committed.
+//! One controller without peers leads. The store, the cloud and the workers are minimal: nothing is ever lost or
+//! late, and the store commits every transaction.
 
 use allocation_counter::{AllocationInfo, measure};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -24,15 +24,19 @@
 };
 use troutspindle::workers::command_delivery::DirectCall;
 
-/// Count. Machines if none are named.
+/// Number of machines if none is given on the command line.
 const MACHINES: usize = 571;
-/// Milliseconds. How long the day is, between two reports of a worker, between two jobs, and of a task's run.
-const DAY: u64 = 120_000;
-const REPORT: u64 = 2500;
-const JOB: u64 = 4000;
-const RUN: u64 = 40_000;
-/// Count. Services at the start, and tasks of each job.
+/// Duration of the simulation in milliseconds.
+const DURATION_MS: u64 = 120_000;
+/// Interval between two heartbeats of a worker in milliseconds.
+const HEARTBEAT_MS: u64 = 2500;
+/// Interval between two submissions of an array in milliseconds.
+const SUBMISSION_MS: u64 = 4000;
+/// Run time of an array's task in milliseconds.
+const RUN_MS: u64 = 40_000;
+/// Number of services submitted at the start.
 const SERVICES: usize = 60;
+/// Number of tasks of each job.
 const TASKS: u64 = 20;
 
 const SETTINGS: &str = r#"{"host_name":"n-0","location":"a","listen":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
@@ -47,21 +51,22 @@
 struct Worker {
     seq: u64,
     token: FencingToken,
+    /// Attempt, start time in milliseconds, and whether the task was stopped.
     tasks: BTreeMap<TaskId, (Attempt, u64, bool)>,
 }
 
 impl Worker {
-    /// Takes orders; a task fetches its image until the next report, runs for its time and has ended.
-    fn execute(&mut self, orders: &CommandBatch, at: u64) {
-        self.token = self.token.max(orders.token);
-        for order in &orders.orders {
-            match order {
+    /// Executes commands. A task fetches its image for one heartbeat interval, then runs, and exits after [`RUN_MS`].
+    fn execute(&mut self, batch: &CommandBatch, at: u64) {
+        self.token = self.token.max(batch.token);
+        for command in &batch.orders {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     self.tasks.entry(task.clone()).or_insert((*attempt, at, false));
                 }
                 WorkerCommand::Stop { task, .. } => {
-                    if let Some(run) = self.tasks.get_mut(task) {
-                        run.2 = true;
+                    if let Some(task) = self.tasks.get_mut(task) {
+                        task.2 = true;
                     }
                 }
                 WorkerCommand::Forget { task, .. } => drop(self.tasks.remove(task)),
@@ -69,21 +74,22 @@
         }
     }
 
-    fn report(&mut self, n: usize, at: u64) -> Heartbeat {
+    /// Returns the next heartbeat.
+    fn heartbeat(&mut self, n: usize, at: u64) -> Heartbeat {
         self.seq += 1;
-        let shown = |(task, (attempt, began, halted)): (&TaskId, &(Attempt, u64, bool))| {
+        let status = |(task, (attempt, started, stopped)): (&TaskId, &(Attempt, u64, bool))| {
             let service = task.job.as_str() < "wk-001000";
-            let ended = *halted || !service && at > began + RUN;
-            let state = match at - began {
+            let ended = *stopped || !service && at > started + RUN_MS;
+            let state = match at - started {
                 _ if ended => TaskState::Exited,
-                0..REPORT => TaskState::Fetching,
+                0..HEARTBEAT_MS => TaskState::Fetching,
                 _ => TaskState::Running,
             };
-            let why = ended.then(|| if *halted { "halted" } else { "done" }.to_owned());
+            let why = ended.then(|| if *stopped { "halted" } else { "done" }.to_owned());
             TaskStatus { task: task.clone(), attempt: *attempt, state, why, saved: None }
         };
         Heartbeat {
-            machine: name(n),
+            machine: machine_id(n),
             address: format!("127.0.0.1:{}", 10_000 + n),
             flavor: "f".into(),
             zone: ["a", "b"][n % 2].into(),
@@ -92,12 +98,12 @@
             seq: self.seq,
             token: self.token,
             notice_s: None,
-            tasks: self.tasks.iter().map(shown).collect(),
+            tasks: self.tasks.iter().map(status).collect(),
         }
     }
 }
 
-fn name(n: usize) -> MachineId {
+fn machine_id(n: usize) -> MachineId {
     MachineId::new(&format!("i-{n:06}"))
 }
 
@@ -127,91 +133,105 @@
     }
 }
 
-/// What comes next, in order of time; equal times in the order in which they were set.
+/// A scheduled event.
 enum Due {
     Tick,
     Heartbeat(usize),
+    /// The number of the job to submit, and whether it is a service.
     Job(usize, bool),
+    /// An event for the controller with its label in the table.
     Event(&'static str, Box<Event>),
 }
 
-struct Day {
-    node: Controller,
+struct Simulation {
+    controller: Controller,
+    /// Instant at which the simulation began.
     base: Instant,
-    at: u64,
+    /// Milliseconds since `base`.
+    now_ms: u64,
+    /// Scheduled events by number.
     due: BTreeMap<u64, Due>,
+    /// Time and number of each scheduled event; events of equal time run in the order in which they were
+    /// scheduled.
     queue: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
     workers: Vec<Worker>,
+    /// Revision of the store's last change.
     rev: u64,
-    news: Vec<WatchEvent>,
-    follow: Option<(u64, u64)>,
-    hello: BTreeMap<u64, usize>,
+    /// All changes of the store.
+    changes: Vec<WatchEvent>,
+    /// Call number and revision of the pending watch.
+    pending_watch: Option<(u64, u64)>,
+    /// Workers of the unanswered heartbeats by ticket.
+    pending_heartbeats: BTreeMap<u64, usize>,
     ticket: u64,
-    work: BTreeMap<&'static str, (u64, AllocationInfo)>,
+    /// Number of events and total allocations by label.
+    measurements: BTreeMap<&'static str, (u64, AllocationInfo)>,
 }
 
-impl Day {
-    fn set(&mut self, at: u64, due: Due) {
+impl Simulation {
+    fn schedule(&mut self, at: u64, due: Due) {
         let n = self.due.last_key_value().map_or(0, |(n, _)| n + 1).max(self.ticket << 20);
         self.ticket += 1;
         self.due.insert(n, due);
         self.queue.push(std::cmp::Reverse((at, n)));
     }
 
-    fn tell(&mut self, kind: &'static str, event: Event) {
-        let now = self.base + Duration::from_millis(self.at);
+    /// Lets the controller handle an event, measures the allocations, and applies the effects.
+    fn deliver(&mut self, kind: &'static str, event: Event) {
+        let now = self.base + Duration::from_millis(self.now_ms);
         let mut event = Some(event);
-        let node = &mut self.node;
-        let info = measure(|| node.handle(event.take().unwrap(), now));
-        let row = self.work.entry(kind).or_default();
-        row.0 += 1;
-        row.1 += info;
-        let out: Vec<Effect> = self.node.effects.drain(..).collect();
-        out.into_iter().for_each(|effect| self.carry_out(effect));
+        let controller = &mut self.controller;
+        let info = measure(|| controller.handle(event.take().unwrap(), now));
+        let measurement = self.measurements.entry(kind).or_default();
+        measurement.0 += 1;
+        measurement.1 += info;
+        let effects: Vec<Effect> = self.controller.effects.drain(..).collect();
+        effects.into_iter().for_each(|effect| self.apply_effect(effect));
     }
 
-    fn soon(&mut self, kind: &'static str, event: Event) {
-        self.set(self.at + 2, Due::Event(kind, Box::new(event)));
+    /// Schedules an event for the controller in 2 ms.
+    fn deliver_soon(&mut self, kind: &'static str, event: Event) {
+        self.schedule(self.now_ms + 2, Due::Event(kind, Box::new(event)));
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Respond { ticket, response } => {
-                if let Some(n) = self.hello.remove(&ticket)
-                    && let Ok(orders) = wire::decode::<CommandBatch>(&response.body)
+                if let Some(n) = self.pending_heartbeats.remove(&ticket)
+                    && let Ok(batch) = wire::decode::<CommandBatch>(&response.body)
                 {
-                    self.workers[n].execute(&orders, self.at);
+                    self.workers[n].execute(&batch, self.now_ms);
                 }
             }
-            Effect::CallStore { id, request: call } => self.store(id, call),
+            Effect::CallStore { id, request: call } => self.on_store_request(id, call),
             Effect::CallCloud { id, request: call } => {
-                let response = Response::with(200, self.cloud(&call));
-                self.soon("cloud", Event::CloudResponse { id, result: Ok(response) });
+                let response = Response::with(200, self.cloud_response(&call));
+                self.deliver_soon("cloud", Event::CloudResponse { id, result: Ok(response) });
             }
             Effect::CallWorker { machine, call: direct, .. } => {
                 let n: usize = machine.as_str()[2..].parse().unwrap();
-                let sent = match direct {
-                    DirectCall::Do(orders) => Some(orders),
+                let commands = match direct {
+                    DirectCall::Do(batch) => Some(batch),
                     DirectCall::Status => None,
                 };
-                sent.iter().for_each(|orders| self.workers[n].execute(orders, self.at));
-                let report = self.workers[n].report(n, self.at);
-                self.soon(
+                commands.iter().for_each(|batch| self.workers[n].execute(batch, self.now_ms));
+                let heartbeat = self.workers[n].heartbeat(n, self.now_ms);
+                self.deliver_soon(
                     "answer to a call",
-                    Event::WorkerResponse { machine, sent, result: Ok(report) },
+                    Event::WorkerResponse { machine, sent: commands, result: Ok(heartbeat) },
                 );
             }
             Effect::SendToPeer { .. } => {}
         }
     }
 
-    fn store(&mut self, id: u64, call: StoreRequest) {
+    fn on_store_request(&mut self, id: u64, call: StoreRequest) {
         let reply = match call {
             StoreRequest::Commit(txn) => {
                 self.rev += 1;
                 let rev = Revision(self.rev);
                 for write in txn.writes {
-                    self.news.push(match write {
+                    self.changes.push(match write {
                         Write::Put { key, data, .. } => {
                             WatchEvent { put: Some(key), data: Some(data), delete: None, rev }
                         }
@@ -220,22 +240,25 @@
                         }
                     });
                 }
-                if let Some((id, after)) = self.follow.take() {
-                    let news = self.news_after(after);
-                    self.soon(
+                if let Some((id, after)) = self.pending_watch.take() {
+                    let changes = self.changes_after(after);
+                    self.deliver_soon(
                         "news of the store",
-                        Event::StoreResponse { id, response: StoreResponse::Watch(news) },
+                        Event::StoreResponse { id, response: StoreResponse::Watch(changes) },
                     );
                 }
                 StoreResponse::Committed(rev)
             }
             StoreRequest::Watch { after, wait } if !wait.is_zero() && after.0 >= self.rev => {
-                self.follow = Some((id, after.0));
+                self.pending_watch = Some((id, after.0));
                 return;
             }
             StoreRequest::Watch { after, .. } => {
-                let news = StoreResponse::Watch(self.news_after(after.0));
-                return self.soon("news of the store", Event::StoreResponse { id, response: news });
+                let changes = StoreResponse::Watch(self.changes_after(after.0));
+                return self.deliver_soon(
+                    "news of the store",
+                    Event::StoreResponse { id, response: changes },
+                );
             }
             StoreRequest::Range { .. } => StoreResponse::Range(RangeResponse {
                 rows: vec![],
@@ -245,15 +268,15 @@
             StoreRequest::GrantLease(_) => StoreResponse::LeaseGranted(LeaseId(7)),
             StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_) => StoreResponse::Done,
         };
-        self.soon("answer of the store", Event::StoreResponse { id, response: reply });
+        self.deliver_soon("answer of the store", Event::StoreResponse { id, response: reply });
     }
 
-    fn news_after(&self, after: u64) -> WatchResponse {
-        let from = self.news.partition_point(|change| change.rev.0 <= after);
-        WatchResponse { rev: Revision(self.rev), events: self.news[from..].to_vec() }
+    fn changes_after(&self, after: u64) -> WatchResponse {
+        let from = self.changes.partition_point(|change| change.rev.0 <= after);
+        WatchResponse { rev: Revision(self.rev), events: self.changes[from..].to_vec() }
     }
 
-    fn cloud(&self, call: &CloudRequest) -> Vec<u8> {
+    fn cloud_response(&self, call: &CloudRequest) -> Vec<u8> {
         match call {
             CloudRequest::MachineTypes => wire::encode(&MachineTypes {
                 flavors: vec![MachineType {
@@ -274,13 +297,13 @@
             }
             CloudRequest::List { .. } => {
                 let row = |n: usize| ListedMachine {
-                    machine: name(n),
+                    machine: machine_id(n),
                     address: None,
                     flavor: "f".into(),
                     zone: ["a", "b"][n % 2].into(),
                     spot: false,
                     status: ListedMachineState::Running,
-                    age_s: self.at as f64 / 1000.0,
+                    age_s: self.now_ms as f64 / 1000.0,
                 };
                 let machines = (0..self.workers.len()).map(row).collect();
                 wire::encode(&MachinePage { machines, truncated: false })
@@ -292,30 +315,30 @@
         self.ticket += 1;
         let ticket = FIRST_TICKET + self.ticket;
         let request = Request { method: Method::Post, target: target.into(), body };
-        self.tell(kind, Event::Request { ticket, request });
+        self.deliver(kind, Event::Request { ticket, request });
         ticket
     }
 
     fn step(&mut self, due: Due) {
         match due {
             Due::Tick => {
-                let now = self.base + Duration::from_millis(self.at);
-                self.tell("tick", Event::Tick);
-                let next = self.node.next_tick(now).saturating_duration_since(now);
-                self.set(self.at + (next.as_millis() as u64).max(1), Due::Tick);
+                let now = self.base + Duration::from_millis(self.now_ms);
+                self.deliver("tick", Event::Tick);
+                let next = self.controller.next_tick(now).saturating_duration_since(now);
+                self.schedule(self.now_ms + (next.as_millis() as u64).max(1), Due::Tick);
             }
             Due::Heartbeat(n) => {
-                let body = wire::encode(&self.workers[n].report(n, self.at));
-                // The ticket is known before the answer, which comes at once.
-                self.hello.insert(FIRST_TICKET + self.ticket + 1, n);
+                let body = wire::encode(&self.workers[n].heartbeat(n, self.now_ms));
+                // Registers the ticket before the request, since the controller responds at once.
+                self.pending_heartbeats.insert(FIRST_TICKET + self.ticket + 1, n);
                 self.request("report", "/hello", body);
-                self.set(self.at + REPORT, Due::Heartbeat(n));
+                self.schedule(self.now_ms + HEARTBEAT_MS, Due::Heartbeat(n));
             }
             Due::Job(n, service) => {
                 let body = wire::encode(&job(n, service));
                 self.request("submission", "/api/jobs", body);
             }
-            Due::Event(kind, event) => self.tell(kind, *event),
+            Due::Event(kind, event) => self.deliver(kind, *event),
         }
     }
 }
@@ -324,44 +347,44 @@
     let machines = std::env::args().find_map(|arg| arg.parse().ok()).unwrap_or(MACHINES);
     let settings = Arc::new(Settings::parse(SETTINGS, None).expect("settings"));
     let base = Instant::now();
-    let node =
-        Controller::new(settings, 1, WallClock { at: base, ms: 1_700_000_000_000 }).expect("node");
-    let mut day = Day {
-        node,
+    let controller = Controller::new(settings, 1, WallClock { at: base, ms: 1_700_000_000_000 })
+        .expect("controller");
+    let mut simulation = Simulation {
+        controller,
         base,
-        at: 0,
+        now_ms: 0,
         due: BTreeMap::new(),
         queue: BinaryHeap::new(),
         workers: (0..machines).map(|_| Worker::default()).collect(),
         rev: 1,
-        news: Vec::new(),
-        follow: None,
-        hello: BTreeMap::new(),
+        changes: Vec::new(),
+        pending_watch: None,
+        pending_heartbeats: BTreeMap::new(),
         ticket: 0,
-        work: BTreeMap::new(),
+        measurements: BTreeMap::new(),
     };
-    day.set(1, Due::Tick);
+    simulation.schedule(1, Due::Tick);
     for n in 0..machines {
-        day.set(3000 + n as u64 * REPORT / machines as u64, Due::Heartbeat(n));
+        simulation.schedule(3000 + n as u64 * HEARTBEAT_MS / machines as u64, Due::Heartbeat(n));
     }
     for n in 0..SERVICES {
-        day.set(4000 + n as u64 * 50, Due::Job(n, true));
+        simulation.schedule(4000 + n as u64 * 50, Due::Job(n, true));
     }
-    for n in 0..(DAY / JOB) as usize {
-        day.set(8000 + n as u64 * JOB, Due::Job(1000 + n, false));
+    for n in 0..(DURATION_MS / SUBMISSION_MS) as usize {
+        simulation.schedule(8000 + n as u64 * SUBMISSION_MS, Due::Job(1000 + n, false));
     }
-    while let Some(std::cmp::Reverse((at, n))) = day.queue.pop() {
-        if at > DAY {
+    while let Some(std::cmp::Reverse((at, n))) = simulation.queue.pop() {
+        if at > DURATION_MS {
             break;
         }
-        day.at = at;
-        let due = day.due.remove(&n).expect("due");
-        day.step(due);
+        simulation.now_ms = at;
+        let due = simulation.due.remove(&n).expect("due");
+        simulation.step(due);
     }
-    let running: usize = day.workers.iter().map(|worker| worker.tasks.len()).sum();
-    println!("{machines} machines, {} s, {running} tasks at the end", DAY / 1000);
+    let running: usize = simulation.workers.iter().map(|worker| worker.tasks.len()).sum();
+    println!("{machines} machines, {} s, {running} tasks at the end", DURATION_MS / 1000);
     println!("{:20} {:>9} {:>14} {:>14}", "event", "count", "allocations", "bytes");
-    for (kind, (count, info)) in &day.work {
+    for (kind, (count, info)) in &simulation.measurements {
         let each = |sum: u64| sum as f64 / *count as f64;
         println!(
             "{kind:20} {count:9} {:14.1} {:14.1}",
