--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -111,7 +111,7 @@
                 Response::with(200, wire::encode(&MachinePage { machines, truncated: false }))
             }
         };
-        let lost = self.random.random_range(0..40) == 0;
+        let response_lost = self.random.random_range(0..40) == 0;
         if rents && self.targeted_faults.fast_boots {
             // The machines boot and send heartbeats before the controller receives the response.
             let late = self.now_ms + self.random.random_range(300..3000);
@@ -124,7 +124,7 @@
                 ),
             );
         }
-        let result = if lost { Err(CallError::Unknown) } else { Ok(response) };
+        let result = if response_lost { Err(CallError::Unknown) } else { Ok(response) };
         self.schedule_soon(SimEvent::Controller(
             controller,
             incarnation,
--- a/crates/simulation/src/config.rs
+++ b/crates/simulation/src/config.rs
@@ -10,7 +10,7 @@
 pub const LEASE_MS: u64 = 14_000;
 
 /// Interval between a worker's heartbeats in milliseconds.
-pub const REPORT_MS: u64 = 2000;
+pub const HEARTBEAT_MS: u64 = 2000;
 
 /// Maximum time in milliseconds that a task may run after its job was confirmed as cancelled.
 pub const CANCEL_MS: u64 = 32_000;
@@ -31,8 +31,8 @@
 pub const TEAMS: [(&str, f64, f64); 3] = [("t", 40.0, 48.0), ("u", 8.0, 24.0), ("v", 8.0, 16.0)];
 
 fn teams() -> String {
-    let team = |(name, cpus, most): &(&str, f64, f64)| {
-        format!(r#"{{"name":"{name}","cpus":{cpus},"cpus_max":{most}}}"#)
+    let team = |(name, cpus, limit): &(&str, f64, f64)| {
+        format!(r#"{{"name":"{name}","cpus":{cpus},"cpus_max":{limit}}}"#)
     };
     TEAMS.iter().map(team).collect::<Vec<String>>().join(",")
 }
@@ -76,24 +76,30 @@
         others.join(",")
     );
     let text = text.replace("TEAMS", &teams());
-    let operator =
-        if previous { "hold_format: true".to_owned() } else { format!("{LEARNING}floor: {floor}") };
+    let operator = if previous {
+        "hold_format: true".to_owned()
+    } else {
+        format!("{ESTIMATE_SETTINGS}floor: {floor}")
+    };
     let operator =
         if sharding && !previous { format!("{operator}\nshare_reports: always") } else { operator };
     Arc::new(Settings::parse(&text, Some(&operator)).unwrap())
 }
 
 /// Operators' settings that enable all uses of learned run times, and elastic arrays. No rule may depend on either.
-pub const LEARNING: &str = "
+pub const ESTIMATE_SETTINGS: &str = "
 estimates: {learn: true, warn: true, due: true, ahead: true, make_way: true, drain: true}
 elastic: [{class: c, least: 4, most: 7}]
 ";
 
 /// Returns a value as production stores it: without the fields that it does not know.
-pub fn as_production(data: &StoreValue) -> StoreValue {
+pub fn as_stored_by_production(data: &StoreValue) -> StoreValue {
     let StoreValue::Map(fields) = data else { return data.clone() };
-    let known =
-        |key: &StoreValue| key.as_text().is_none_or(|k| !previous_version::UNKNOWN.contains(&k));
-    let kept = fields.iter().filter(|(key, _)| known(key));
-    StoreValue::Map(kept.map(|(key, value)| (key.clone(), as_production(value))).collect())
+    let is_known = |key: &StoreValue| {
+        key.as_text().is_none_or(|k| !previous_version::UNKNOWN_FIELDS.contains(&k))
+    };
+    let kept = fields.iter().filter(|(key, _)| is_known(key));
+    StoreValue::Map(
+        kept.map(|(key, value)| (key.clone(), as_stored_by_production(value))).collect(),
+    )
 }
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -85,7 +85,7 @@
     /// The controller stalls, between two events or between an event and its effects, while its clock continues.
     Stall(usize, bool),
     /// The controller is down for a minute: connections time out instead of being rejected.
-    Down(usize),
+    SwitchOff(usize),
     /// Users poll eight times as often.
     PollStorm(bool),
     /// Partitions a controller from all workers, but from nothing else.
@@ -125,7 +125,7 @@
     /// Users cancel this many running jobs within 200 ms.
     CancelNow(usize),
     /// Half of the jobs whose last task completes are cancelled within 60 ms.
-    CancelAtEnd(bool),
+    CancelAtCompletion(bool),
     /// Users send incomplete and repeated submissions, cancel completed jobs, and poll unknown jobs.
     InvalidRequests(bool),
     /// This many machines with tasks are lost without notice.
--- a/crates/simulation/src/extra_requests.rs
+++ b/crates/simulation/src/extra_requests.rs
@@ -95,21 +95,21 @@
         kind: RequestKind,
     ) {
         // The number of the sending event is known only when it occurs.
-        let asked = ExtraRequest { job, kind, sent_ms: at, sent_event: 0 };
-        self.schedule(at, SimEvent::ExtraRequest(controller, asked));
+        let extra = ExtraRequest { job, kind, sent_ms: at, sent_event: 0 };
+        self.schedule(at, SimEvent::ExtraRequest(controller, extra));
     }
 
     /// Sends a request, or delivers it to its controller if it was sent before.
-    pub fn deliver_extra_request(&mut self, controller: usize, mut asked: ExtraRequest) {
-        if asked.sent_event == 0 {
-            asked.sent_event = self.events;
-            let job = self.jobs.get_mut(&asked.job);
-            if asked.kind == RequestKind::Cancel
+    pub fn deliver_extra_request(&mut self, controller: usize, mut extra: ExtraRequest) {
+        if extra.sent_event == 0 {
+            extra.sent_event = self.events;
+            let job = self.jobs.get_mut(&extra.job);
+            if extra.kind == RequestKind::Cancel
                 && let Some(job) = job
             {
                 job.cancel_requested = true;
             }
-            return self.schedule_soon(SimEvent::ExtraRequest(controller, asked));
+            return self.schedule_soon(SimEvent::ExtraRequest(controller, extra));
         }
         if self.partitioned_controllers[controller]
             || self.down[controller]
@@ -118,27 +118,27 @@
             return;
         }
         if self.controllers[controller].is_none() {
-            return self.schedule_soon(SimEvent::ExtraResponse(asked, Response::empty(599)));
+            return self.schedule_soon(SimEvent::ExtraResponse(extra, Response::empty(599)));
         }
-        let request = self.build_extra_request(&asked);
-        let ticket = self.ticket(controller, Ticket::ExtraRequest(asked));
+        let request = self.build_extra_request(&extra);
+        let ticket = self.ticket(controller, Ticket::ExtraRequest(extra));
         self.deliver(controller, Event::Request { ticket, request });
     }
 
-    fn build_extra_request(&self, asked: &ExtraRequest) -> Request {
-        let id = format!("wk-{}", asked.job);
-        let known = self.jobs.get(&asked.job).map(|job| &job.spec);
+    fn build_extra_request(&self, extra: &ExtraRequest) -> Request {
+        let id = format!("wk-{}", extra.job);
+        let known_spec = self.jobs.get(&extra.job).map(|job| &job.spec);
         let post = |body| Request { method: Method::Post, target: "/api/jobs".into(), body };
         let incomplete = || {
             let name = (StoreValue::from("nameId"), StoreValue::from(id.as_str()));
             post(wire::encode(&StoreValue::Map(vec![name])))
         };
         let spec = |cpus: f64| {
-            let template = known.or(self.jobs.values().next().map(|job| &job.spec)).unwrap();
+            let template = known_spec.or(self.jobs.values().next().map(|job| &job.spec)).unwrap();
             let cpus = if cpus > 0.0 { cpus } else { template.cpus };
             post(wire::encode(&JobSpec { id: JobId::new(&id), cpus, ..template.clone() }))
         };
-        match asked.kind {
+        match extra.kind {
             RequestKind::Submit => spec(0.0),
             RequestKind::Incomplete | RequestKind::IncompleteUnknown => incomplete(),
             RequestKind::TooLarge | RequestKind::TooLargeUnknown => spec(9.0),
@@ -153,27 +153,27 @@
     }
 
     /// Checks the response to an additional request.
-    pub fn on_extra_response(&mut self, asked: &ExtraRequest, response: &Response) {
-        if matches!(response.status, 503 | 599) || self.now_ms > asked.sent_ms + 5000 {
+    pub fn on_extra_response(&mut self, extra: &ExtraRequest, response: &Response) {
+        if matches!(response.status, 503 | 599) || self.now_ms > extra.sent_ms + 5000 {
             return;
         }
-        let expected = match asked.kind {
+        let expected = match extra.kind {
             RequestKind::IncompleteUnknown => 400,
             RequestKind::TooLargeUnknown => 422,
             RequestKind::PollUnknown => 404,
             _ => {
                 self.targeted_faults.record_effect("rapid requests");
                 return self.check_response(
-                    asked.job,
+                    extra.job,
                     9,
-                    (asked.sent_ms, asked.sent_event),
+                    (extra.sent_ms, extra.sent_event),
                     response,
                 );
             }
         };
         self.targeted_faults.record_effect("invalid requests");
         if response.status != expected {
-            self.record_violation(format!("invented: {asked:?} got {}", response.status));
+            self.record_violation(format!("invented: {extra:?} got {}", response.status));
         }
     }
 
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -7,14 +7,14 @@
 
 impl World {
     /// Begins or ends a fault now.
-    pub fn fault(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Crash(controller) => self.fault(Fault::CrashAndRestart(controller, 4000)),
-            Fault::CrashAndRestart(controller, back) => {
+            Fault::Crash(controller) => self.inject(Fault::CrashAndRestart(controller, 4000)),
+            Fault::CrashAndRestart(controller, restart_after_ms) => {
                 self.controllers[controller] = None;
                 self.incarnation[controller] += 1;
                 self.tickets[controller].clear();
-                self.schedule(self.now_ms + back, SimEvent::Restart(controller));
+                self.schedule(self.now_ms + restart_after_ms, SimEvent::Restart(controller));
             }
             Fault::PartitionController(controller, on) => {
                 self.partitioned_controllers[controller] = on
@@ -58,11 +58,11 @@
                     }
                 }
                 // Handles the queued events at once and in order; events of other stalled controllers keep waiting.
-                for due in std::mem::take(&mut self.stalled_events) {
-                    self.step(due);
+                for event in std::mem::take(&mut self.stalled_events) {
+                    self.step(event);
                 }
             }
-            Fault::Down(controller) => {
+            Fault::SwitchOff(controller) => {
                 self.controllers[controller] = None;
                 self.incarnation[controller] += 1;
                 self.tickets[controller].clear();
@@ -71,7 +71,7 @@
             }
             Fault::Upgrade(controller) => {
                 self.runs_previous_version[controller] = false;
-                self.fault(Fault::Crash(controller));
+                self.inject(Fault::Crash(controller));
             }
             Fault::EventCost(cost) => self.event_cost_ms = cost,
             Fault::DelayedCommits(on) => self.delayed_commits = on,
@@ -103,7 +103,7 @@
             | Fault::DelayedCommands(_)
             | Fault::RapidRequests(_)
             | Fault::CancelNow(_)
-            | Fault::CancelAtEnd(_)
+            | Fault::CancelAtCompletion(_)
             | Fault::InvalidRequests(_)
             | Fault::KillMachines(_)
             | Fault::CrashLeader(_)
@@ -116,8 +116,8 @@
             }
         }
         // Delivers the messages that a partition kept back; those that are still blocked are kept back again.
-        for due in std::mem::take(&mut self.blocked_messages) {
-            self.schedule_soon(due);
+        for event in std::mem::take(&mut self.blocked_messages) {
+            self.schedule_soon(event);
         }
     }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -21,13 +21,13 @@
 mod world;
 
 pub use config::{
-    CANCEL_MS, CONTROLLERS, DEFAULT_CAPACITY, FLOOR, LEARNING, LEASE_MS, REPORT_MS, TEAMS, ZONES,
-    as_production, settings, settings_with_sharding, sharding_requested,
+    CANCEL_MS, CONTROLLERS, DEFAULT_CAPACITY, ESTIMATE_SETTINGS, FLOOR, HEARTBEAT_MS, LEASE_MS,
+    TEAMS, ZONES, as_stored_by_production, settings, settings_with_sharding, sharding_requested,
 };
 pub use event::{Fault, SimEvent};
 pub use extra_requests::{ExtraRequest, ReportedStatus, RequestKind};
 pub use faults::seeds_requested;
 pub use in_memory_store::{CommitError, Store};
-pub use model::{Running, Ticket, UserJob, Worker};
+pub use model::{RunningTask, Ticket, UserJob, Worker};
 pub use targeted_faults::TargetedFaults;
 pub use world::World;
--- a/crates/simulation/src/model.rs
+++ b/crates/simulation/src/model.rs
@@ -6,7 +6,7 @@
 use troutspindle::wire::{JobSpec, TaskState};
 
 /// A task on a worker.
-pub struct Running {
+pub struct RunningTask {
     pub attempt: Attempt,
     pub state: TaskState,
     /// Exit cause once the task has exited.
@@ -41,7 +41,7 @@
     pub changed: bool,
     /// Images in the machine's cache.
     pub images: Vec<String>,
-    pub tasks: BTreeMap<TaskId, Running>,
+    pub tasks: BTreeMap<TaskId, RunningTask>,
     /// Whether no task was running when the machine was terminated.
     pub terminated_idle: bool,
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -74,18 +74,18 @@
                             self.schedule_soon(SimEvent::HeartbeatResponse(machine, id, response));
                         }
                     }
-                    Some(Ticket::ExtraRequest(asked))
+                    Some(Ticket::ExtraRequest(extra))
                         if !self.partitioned_controllers[controller]
                             && !self.is_isolated(controller) =>
                     {
-                        self.schedule_soon(SimEvent::ExtraResponse(asked, response));
+                        self.schedule_soon(SimEvent::ExtraResponse(extra, response));
                     }
-                    Some(Ticket::User(job, asked))
+                    Some(Ticket::User(job, sent_ms))
                         if !self.partitioned_controllers[controller]
                             && !self.is_isolated(controller) =>
                     {
                         self.crash_after_cancellation(controller, job, &response);
-                        self.schedule_soon(SimEvent::UserResponse(job, asked, response));
+                        self.schedule_soon(SimEvent::UserResponse(job, sent_ms, response));
                     }
                     _ => {}
                 },
@@ -95,12 +95,12 @@
                 Effect::CallCloud { id, request: call } => {
                     self.schedule_soon(SimEvent::Cloud(controller, incarnation, id, call))
                 }
-                Effect::CallWorker { machine, call: direct, .. } => {
+                Effect::CallWorker { machine, call: direct_call, .. } => {
                     self.schedule_soon(SimEvent::DirectCall(
                         controller,
                         incarnation,
                         machine,
-                        direct,
+                        direct_call,
                     ));
                 }
                 Effect::SendToPeer { to: peer, message } => {
@@ -112,10 +112,13 @@
 
     /// Crashes a controller right after it confirmed a cancellation, if the test requests it.
     fn crash_after_cancellation(&mut self, controller: usize, job: u64, response: &Response) {
-        let Some(back) = self.restarts_after_cancellation else { return };
+        let Some(restart_after_ms) = self.restarts_after_cancellation else { return };
         let cancels = self.jobs[&job].pending_request.is_some_and(|(_, kind)| kind == 2);
         if cancels && response.status == 200 && self.rejected_by_store != Some(controller) {
-            self.schedule(self.now_ms, SimEvent::Fault(Fault::CrashAndRestart(controller, back)));
+            self.schedule(
+                self.now_ms,
+                SimEvent::Fault(Fault::CrashAndRestart(controller, restart_after_ms)),
+            );
         }
     }
 
@@ -124,11 +127,11 @@
         let to: usize = to.as_str()[2..].parse().unwrap();
         let text = troutspindle::peers::mesh::encode_text(&message).unwrap();
         assert!(
-            !self.runs_previous_version[to] || previous_version::reads(&text),
+            !self.runs_previous_version[to] || previous_version::can_read(&text),
             "production cannot read {message:?}"
         );
         let copy = self.count_relayed(&message);
-        let due = SimEvent::Controller(to, self.incarnation[to], Event::PeerMessage(message));
+        let delivery = SimEvent::Controller(to, self.incarnation[to], Event::PeerMessage(message));
         let isolated = [Some(from), Some(to)].contains(&self.isolated_controller);
         if self.peer_connections_rejected
             || isolated
@@ -140,27 +143,27 @@
         if self.is_partitioned(from, Self::controller_zone(to)) || self.partitioned_controllers[to]
         {
             // The network delivers the message when the partition ends.
-            self.blocked_messages.push(due);
+            self.blocked_messages.push(delivery);
         } else {
             if let Some(copy) = copy {
                 let later = self.now_ms + self.random.random_range(500..9000);
                 let event = Event::PeerMessage(copy);
                 self.schedule(later, SimEvent::Controller(to, self.incarnation[to], event));
             }
-            self.schedule_soon(due);
+            self.schedule_soon(delivery);
         }
     }
 
     /// Counts messages of heartbeat sharding, and returns a copy of some of them.
     fn count_relayed(&mut self, message: &PeerMessage) -> Option<PeerMessage> {
-        let what = match message {
+        let effect = match message {
             PeerMessage::RelayedHeartbeats { .. } => "heartbeats relayed",
             PeerMessage::HeartbeatResults { .. } => "heartbeat results returned",
             PeerMessage::RelayedCommands { .. } => "commands relayed",
             PeerMessage::CommandResults { .. } => "command results returned",
             _ => return None,
         };
-        self.targeted_faults.record_effect(what);
+        self.targeted_faults.record_effect(effect);
         let copied = self.duplicated_batches && self.random.random_range(0..4) == 0;
         copied.then(|| message.clone())
     }
--- a/crates/simulation/src/previous_version.rs
+++ b/crates/simulation/src/previous_version.rs
@@ -70,18 +70,18 @@
         token: u64,
         cancelled: Vec<String>,
     },
-    Running {
+    RunningTask {
         token: u64,
         counts: Vec<(String, u32)>,
     },
 }
 
 /// Returns whether production decodes the message completely: encoding it again must give the same bytes.
-pub fn reads(text: &str) -> bool {
+pub fn can_read(text: &str) -> bool {
     let Some(bytes) = troutspindle::wire::unhex(text) else { return false };
     let message: Result<PeerMessage, _> = postcard::from_bytes(&bytes);
     message.is_ok_and(|message| postcard::to_stdvec(&message).is_ok_and(|encoded| encoded == bytes))
 }
 
 /// Fields that production drops when it reads or rewrites a job record.
-pub const UNKNOWN: [&str; 4] = ["e", "t", "x", "waitsOn"];
+pub const UNKNOWN_FIELDS: [&str; 4] = ["e", "t", "x", "waitsOn"];
--- a/crates/simulation/src/store_service.rs
+++ b/crates/simulation/src/store_service.rs
@@ -1,6 +1,6 @@
 //! The simulated store service: delivers requests to the in-memory store and applies its faults.
 
-use crate::config::as_production;
+use crate::config::as_stored_by_production;
 use crate::event::SimEvent;
 use crate::in_memory_store::CommitError;
 use crate::previous_version;
@@ -133,7 +133,7 @@
                         txn.writes.iter_mut().filter(|_| self.runs_previous_version[controller])
                     {
                         if let Write::Put { data, .. } = write {
-                            *data = as_production(data);
+                            *data = as_stored_by_production(data);
                         }
                     }
                     match self.choose_commit_delivery() {
@@ -158,8 +158,8 @@
             }
         };
         // One response in 200 is lost after the request was handled.
-        let lost = self.random.random_range(0..200) == 0;
-        let reply = if lost { StoreResponse::Unknown } else { reply };
+        let response_lost = self.random.random_range(0..200) == 0;
+        let reply = if response_lost { StoreResponse::Unknown } else { reply };
         self.schedule_soon(SimEvent::Controller(
             controller,
             incarnation,
@@ -175,9 +175,9 @@
             // The previous version takes a live record without a description for a completed job.
             assert!(record.s.is_some() || record.p != previous_version::Phase::Live, "{key}");
         } else if key.starts_with("t/x/") && key.matches('/').count() == 3 {
-            assert!(previous_version::reads(data.as_text().unwrap()), "{key}");
+            assert!(previous_version::can_read(data.as_text().unwrap()), "{key}");
         }
-        as_production(data)
+        as_stored_by_production(data)
     }
 
     /// Returns the changes after a revision as a controller sees them.
--- a/crates/simulation/src/targeted_faults.rs
+++ b/crates/simulation/src/targeted_faults.rs
@@ -21,7 +21,7 @@
     pub unconnectable_zone: Option<usize>,
     pub delayed_commands: bool,
     pub rapid_requests: bool,
-    pub cancel_at_end: bool,
+    pub cancel_at_completion: bool,
     pub invalid_requests: bool,
     pub fast_boots: bool,
     /// Controllers that were leader after their last event.
@@ -41,13 +41,13 @@
 
 impl TargetedFaults {
     /// Counts an effect of a fault.
-    pub fn record_effect(&mut self, what: &'static str) {
-        *self.effects.entry(what).or_default() += 1;
+    pub fn record_effect(&mut self, effect: &'static str) {
+        *self.effects.entry(effect).or_default() += 1;
     }
 
     /// Returns how often a fault took effect.
-    pub fn effects(&self, what: &str) -> u64 {
-        self.effects.get(what).copied().unwrap_or(0)
+    pub fn effects(&self, effect: &str) -> u64 {
+        self.effects.get(effect).copied().unwrap_or(0)
     }
 }
 
@@ -66,7 +66,7 @@
             Fault::DelayedCommands(on) => self.targeted_faults.delayed_commands = on,
             Fault::RapidRequests(on) => self.targeted_faults.rapid_requests = on,
             Fault::CancelNow(count) => self.cancel_now(count),
-            Fault::CancelAtEnd(on) => self.targeted_faults.cancel_at_end = on,
+            Fault::CancelAtCompletion(on) => self.targeted_faults.cancel_at_completion = on,
             Fault::InvalidRequests(on) => {
                 self.targeted_faults.invalid_requests = on;
                 self.send_invalid_request();
@@ -80,12 +80,12 @@
                     self.targeted_faults.record_effect("machines lost");
                 }
             }
-            Fault::CrashLeader(back) => {
+            Fault::CrashLeader(restart_after_ms) => {
                 if let Some(leader) =
                     (0..self.controllers.len()).find(|controller| self.leads(*controller))
                 {
                     self.targeted_faults.record_effect("leader crashed");
-                    self.fault(Fault::CrashAndRestart(leader, back));
+                    self.inject(Fault::CrashAndRestart(leader, restart_after_ms));
                 }
             }
             Fault::FastBoots(on) => self.targeted_faults.fast_boots = on,
@@ -95,10 +95,10 @@
 
     fn cancel_now(&mut self, count: usize) {
         let running_number = |(number, job): (&u64, &UserJob)| {
-            let open = job.accepted
+            let is_open = job.accepted
                 && !job.completion_confirmed
                 && job.cancellation_confirmed_ms.is_none();
-            (open && self.on_machines(*number) > 0).then_some(*number)
+            (is_open && self.on_machines(*number) > 0).then_some(*number)
         };
         let mut running: Vec<u64> = self.jobs.iter().filter_map(running_number).collect();
         for _ in 0..count.min(running.len()) {
@@ -114,7 +114,8 @@
         let number = Self::job_number(&task.job);
         let tasks = self.jobs[&number].spec.tasks as u32;
         let done = |index| self.finished.contains_key(&TaskId { job: task.job.clone(), index });
-        if self.targeted_faults.cancel_at_end && (0..tasks).all(done) && self.random.random() {
+        if self.targeted_faults.cancel_at_completion && (0..tasks).all(done) && self.random.random()
+        {
             self.targeted_faults.record_effect("cancel at completion");
             let at = self.now_ms + self.random.random_range(0..60);
             self.cancel_job(number, at);
@@ -156,14 +157,14 @@
     }
 
     /// Delivers direct commands after their sender has timed out.
-    pub fn execute_delayed_commands(&mut self, id: &MachineId, orders: CommandBatch) {
+    pub fn execute_delayed_commands(&mut self, id: &MachineId, batch: CommandBatch) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let valid = orders.token >= worker.token && orders.agent_epoch == Some(worker.agent_epoch);
+        let valid = batch.token >= worker.token && batch.agent_epoch == Some(worker.agent_epoch);
         if valid && !worker.terminated {
-            worker.token = orders.token;
+            worker.token = batch.token;
             worker.changed = true;
             self.targeted_faults.record_effect("delayed commands");
-            self.execute(id, orders.orders);
+            self.execute(id, batch.orders);
         }
     }
 }
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -90,24 +90,24 @@
         job.pending_request = Some((now_ms, kind));
         job.sent_event = self.events;
         job.cancel_requested |= kind == 2;
-        let any = self.random.random_range(0..self.controllers.len());
-        let controller = self.cancel_via.filter(|_| kind == 2).unwrap_or(any);
+        let random_controller = self.random.random_range(0..self.controllers.len());
+        let controller = self.cancel_via.filter(|_| kind == 2).unwrap_or(random_controller);
         self.schedule_soon(SimEvent::UserRequest(controller, number, request));
         let wait = if is_finished { 20_000 } else { 1500 } / if self.poll_storm { 8 } else { 1 };
         self.schedule(now_ms + wait, SimEvent::User(number));
     }
 
     /// Handles the response to a user's regular request.
-    pub fn on_user_response(&mut self, number: u64, asked: u64, response: &Response) {
+    pub fn on_user_response(&mut self, number: u64, sent_ms: u64, response: &Response) {
         let job = self.jobs.get_mut(&number).unwrap();
         // The user has closed the connection of a request that timed out.
-        let Some((_, kind)) = job.pending_request.take_if(|(at, _)| *at == asked) else { return };
+        let Some((_, kind)) = job.pending_request.take_if(|(at, _)| *at == sent_ms) else { return };
         if matches!(response.status, 503 | 599) {
             job.cancellations_postponed += u32::from(kind == 2 && response.status == 503);
             return;
         }
-        let sent = job.sent_event;
-        self.check_response(number, kind, (asked, sent), response);
+        let sent_event = job.sent_event;
+        self.check_response(number, kind, (sent_ms, sent_event), response);
     }
 
     /// Checks the rules on a response to any of a user's requests, given the request's kind, send time and event.
@@ -115,7 +115,7 @@
         &mut self,
         number: u64,
         kind: u8,
-        (asked, sent): (u64, u64),
+        (sent_ms, sent_event): (u64, u64),
         response: &Response,
     ) {
         let now_ms = self.now_ms;
@@ -133,11 +133,13 @@
         let mut found = Vec::new();
         let reported = ReportedStatus::of(response);
         // Only statuses received before the request was sent are compared.
-        let known =
-            job.received.iter().filter(|(at, _)| *at < sent).map(|(_, status)| *status).max();
-        if known.is_some_and(|known| reported < Some(known)) {
+        let known_status =
+            job.received.iter().filter(|(at, _)| *at < sent_event).map(|(_, status)| *status).max();
+        if known_status.is_some_and(|known_status| reported < Some(known_status)) {
             let id = &job.spec.id;
-            found.push(format!("older: {id} of kind {kind} got {reported:?} after {known:?}"));
+            found.push(format!(
+                "older: {id} of kind {kind} got {reported:?} after {known_status:?}"
+            ));
         }
         if let Some(reported) = reported
             && job.received.iter().all(|(_, status)| *status != reported)
@@ -157,16 +159,16 @@
             if view.status == JobStatus::Done && (!all_done || job.spec.shape == JobKind::Service) {
                 found.push(format!("not_done: {}", job.spec.id));
             }
-            let open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
+            let is_open = matches!(view.status, JobStatus::Queued | JobStatus::Running);
             // A response that was in flight when another arrived may still report the job as open.
-            let is_later = !open || known >= Some(ReportedStatus::Done);
+            let is_later = !is_open || known_status >= Some(ReportedStatus::Done);
             let went_back = is_later && job.completion_confirmed && view.status != JobStatus::Done
                 || is_later
                     && job.cancellation_confirmed_ms.is_some()
                     && view.status != JobStatus::Cancelled
                 || (view.status == JobStatus::Cancelled && !was_requested);
             // Every request sent after a confirmation to any user must find the job cancelled.
-            if open && confirmed_at.is_some_and(|at| asked > at) {
+            if is_open && confirmed_at.is_some_and(|at| sent_ms > at) {
                 found.push(format!("orphaned: {}", job.spec.id));
             }
             if went_back {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -1,8 +1,8 @@
 //! Simulated workers, and checks of the rules on starting and stopping tasks.
 
-use crate::config::{CANCEL_MS, LEASE_MS, REPORT_MS, TEAMS, ZONES};
+use crate::config::{CANCEL_MS, HEARTBEAT_MS, LEASE_MS, TEAMS, ZONES};
 use crate::event::SimEvent;
-use crate::model::{Running, Worker};
+use crate::model::{RunningTask, Worker};
 use crate::world::World;
 use rand::Rng;
 use troutspindle::controller::Event;
@@ -31,10 +31,10 @@
             worker.lease_renewed_at = now_ms;
             worker.changed = true;
         }
-        let outlives_cancellation = |(task, running): (&TaskId, &Running)| {
+        let outlives_cancellation = |(task, running): (&TaskId, &RunningTask)| {
             let confirmed = self.jobs[&Self::job_number(&task.job)].cancellation_confirmed_ms;
-            let late = confirmed.is_some_and(|at| now_ms > at + CANCEL_MS);
-            (late && running.state != TaskState::Exited).then(|| task.clone())
+            let is_past_deadline = confirmed.is_some_and(|at| now_ms > at + CANCEL_MS);
+            (is_past_deadline && running.state != TaskState::Exited).then(|| task.clone())
         };
         if let Some(task) = worker.tasks.iter().find_map(outlives_cancellation) {
             self.record_violation(format!("ran_cancelled: {task} is still running"));
@@ -75,7 +75,7 @@
             self.targeted_faults.record_effect("workers without connection");
         } else if sends_heartbeat {
             worker.changed = false;
-            worker.next_heartbeat_at = now_ms + REPORT_MS;
+            worker.next_heartbeat_at = now_ms + HEARTBEAT_MS;
             worker.seq += 1;
             let heartbeat = Self::heartbeat(&id, worker);
             let (seq, agent_epoch, target) = (worker.seq, worker.agent_epoch, worker.target);
@@ -120,8 +120,8 @@
     pub fn on_heartbeat_response(&mut self, id: MachineId, seq: u64, response: Response) {
         let now_ms = self.now_ms;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let Some((asked, agent_epoch, since)) = worker.pending_heartbeat else { return };
-        if asked != seq || worker.terminated {
+        let Some((pending_seq, agent_epoch, since)) = worker.pending_heartbeat else { return };
+        if pending_seq != seq || worker.terminated {
             return;
         }
         if self.hung_zone == Some(worker.zone) && now_ms < since + 4000 {
@@ -141,14 +141,14 @@
             }
             return;
         }
-        let orders: CommandBatch = wire::decode(&response.body).unwrap();
-        if agent_epoch != worker.agent_epoch || orders.token < worker.token {
+        let batch: CommandBatch = wire::decode(&response.body).unwrap();
+        if agent_epoch != worker.agent_epoch || batch.token < worker.token {
             return;
         }
-        worker.changed |= orders.token > worker.token;
-        worker.token = orders.token;
+        worker.changed |= batch.token > worker.token;
+        worker.token = batch.token;
         worker.lease_renewed_at = since;
-        self.execute(&id, orders.orders);
+        self.execute(&id, batch.orders);
     }
 
     /// Delivers a controller's direct call to a worker.
@@ -157,11 +157,11 @@
         controller: usize,
         incarnation: u32,
         id: MachineId,
-        direct: DirectCall,
+        call: DirectCall,
     ) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let sent = match &direct {
-            DirectCall::Do(orders) => Some(orders.clone()),
+        let sent = match &call {
+            DirectCall::Do(batch) => Some(batch.clone()),
             DirectCall::Status => None,
         };
         let unknown = Event::WorkerResponse {
@@ -183,7 +183,7 @@
             );
         }
         if self.is_cut_off(controller, zone) || self.hung_zone == Some(zone) {
-            self.blocked_messages.push(SimEvent::DirectCall(controller, incarnation, id, direct));
+            self.blocked_messages.push(SimEvent::DirectCall(controller, incarnation, id, call));
             return self.schedule(
                 self.now_ms + 3000,
                 SimEvent::Controller(controller, incarnation, unknown),
@@ -193,9 +193,9 @@
             self.targeted_faults.delayed_commands && self.random.random_range(0..3) == 0;
         if is_delayed && self.random.random() {
             // The command is delayed, and executed after its sender has timed out.
-            if let Some(orders) = sent {
+            if let Some(batch) = sent {
                 let later = self.now_ms + self.random.random_range(1000..9000);
-                self.schedule(later, SimEvent::DelayedCommands(id, orders));
+                self.schedule(later, SimEvent::DelayedCommands(id, batch));
             }
             return self.schedule(
                 self.now_ms + 3000,
@@ -203,12 +203,12 @@
             );
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let valid = sent.as_ref().is_none_or(|orders| {
-            orders.token >= worker.token && orders.agent_epoch == Some(worker.agent_epoch)
+        let valid = sent.as_ref().is_none_or(|batch| {
+            batch.token >= worker.token && batch.agent_epoch == Some(worker.agent_epoch)
         });
-        if let (Some(orders), true) = (&sent, valid) {
-            worker.token = orders.token;
-            self.execute(&id, orders.orders.clone());
+        if let (Some(batch), true) = (&sent, valid) {
+            worker.token = batch.token;
+            self.execute(&id, batch.orders.clone());
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.seq += 1;
@@ -228,9 +228,9 @@
     }
 
     /// Executes commands that a worker has accepted.
-    pub fn execute(&mut self, id: &MachineId, orders: Vec<WorkerCommand>) {
-        for order in orders {
-            match order {
+    pub fn execute(&mut self, id: &MachineId, commands: Vec<WorkerCommand>) {
+        for command in commands {
+            match command {
                 WorkerCommand::Start { task, attempt } => self.start(id, task, attempt),
                 WorkerCommand::Stop { task, attempt, .. } => {
                     let worker = self.workers.get_mut(id).unwrap();
@@ -264,7 +264,8 @@
             return self.record_violation(format!("{task} belongs to no job"));
         };
         let (spec, always_fails) = (job.spec.clone(), job.always_fails);
-        let late = job.cancellation_confirmed_ms.is_some_and(|at| self.now_ms > at + CANCEL_MS);
+        let is_past_deadline =
+            job.cancellation_confirmed_ms.is_some_and(|at| self.now_ms > at + CANCEL_MS);
         let now_ms = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
         // Tasks with an expected run time over a minute outlast the simulation.
@@ -288,7 +289,13 @@
         });
         worker.tasks.insert(
             task.clone(),
-            Running { attempt, state: TaskState::Fetching, exit_cause: None, ready_at, ends_at },
+            RunningTask {
+                attempt,
+                state: TaskState::Fetching,
+                exit_cause: None,
+                ready_at,
+                ends_at,
+            },
         );
         if always_fails {
             let running = worker.tasks.get_mut(&task).unwrap();
@@ -307,7 +314,7 @@
         }
         let worker = self.workers.get_mut(id).unwrap();
         let (zone, spot) = (worker.zone, worker.spot);
-        if late {
+        if is_past_deadline {
             self.record_violation(format!("ran_cancelled: {task}"));
         }
         if spot && !spec.spot {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -32,8 +32,9 @@
     /// Time and number of each scheduled event; events of equal time run in the order in which they were scheduled.
     pub queue: BinaryHeap<Reverse<(u64, u64)>>,
     /// Scheduled events by number.
-    pub due: HashMap<u64, SimEvent>,
-    pub next_due: u64,
+    pub scheduled: HashMap<u64, SimEvent>,
+    /// Number of the event scheduled last.
+    pub last_number: u64,
     /// Running controllers; `None` while one is down.
     pub controllers: Vec<Option<Controller>>,
     /// Whether each controller runs the previous version.
@@ -143,8 +144,8 @@
             digest: digest::Digest::new(seed),
             random: StdRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            due: HashMap::new(),
-            next_due: 0,
+            scheduled: HashMap::new(),
+            last_number: 0,
             controllers: Vec::new(),
             runs_previous_version: vec![previous; count],
             limits: (12, 16 * 1024),
@@ -224,17 +225,17 @@
     }
 
     /// Schedules an event at a time in milliseconds.
-    pub fn schedule(&mut self, at_ms: u64, due: SimEvent) {
-        self.next_due += 1;
-        self.queue.push(Reverse((at_ms, self.next_due)));
-        self.due.insert(self.next_due, due);
+    pub fn schedule(&mut self, at_ms: u64, event: SimEvent) {
+        self.last_number += 1;
+        self.queue.push(Reverse((at_ms, self.last_number)));
+        self.scheduled.insert(self.last_number, event);
     }
 
     /// Schedules an event within 12 ms, or one in fifty within 300 ms.
-    pub fn schedule_soon(&mut self, due: SimEvent) {
+    pub fn schedule_soon(&mut self, event: SimEvent) {
         let max_ms = if self.random.random_range(0..50) == 0 { 300 } else { 12 };
         let delay = self.random.random_range(1..max_ms);
-        self.schedule(self.now_ms + delay, due);
+        self.schedule(self.now_ms + delay, event);
     }
 
     /// Records a violation of a rule at the current time.
@@ -256,20 +257,20 @@
             self.queue.pop();
             self.now_ms = at_ms;
             self.events += 1;
-            if let Some(due) = self.due.remove(&number) {
-                self.step(due);
+            if let Some(event) = self.scheduled.remove(&number) {
+                self.step(event);
             }
         }
         self.digest_store();
     }
 
     /// Handles an event, or keeps it back while its controller is stalled or busy.
-    pub fn step(&mut self, due: SimEvent) {
+    pub fn step(&mut self, event: SimEvent) {
         if let SimEvent::Tick(controller)
         | SimEvent::Controller(controller, ..)
         | SimEvent::Heartbeat(controller, ..)
         | SimEvent::ExtraRequest(controller, ..)
-        | SimEvent::UserRequest(controller, ..) = &due
+        | SimEvent::UserRequest(controller, ..) = &event
             && self.stalled[*controller]
         {
             let controller = *controller;
@@ -279,32 +280,32 @@
                 // The controller stalls between this event and its effects.
                 self.unsent_effects.push((controller, Vec::new()));
             } else {
-                return self.stalled_events.push(due);
+                return self.stalled_events.push(event);
             }
         }
         if let SimEvent::Tick(controller)
         | SimEvent::Controller(controller, ..)
         | SimEvent::Heartbeat(controller, ..)
         | SimEvent::ExtraRequest(controller, ..)
-        | SimEvent::UserRequest(controller, ..) = &due
+        | SimEvent::UserRequest(controller, ..) = &event
             && (self.event_cost_ms > 0 || !self.event_queues[*controller].is_empty())
         {
             let controller = *controller;
-            self.event_queues[controller].push_back(due);
+            self.event_queues[controller].push_back(event);
             if self.event_queues[controller].len() == 1 {
                 self.schedule(self.now_ms + self.event_cost_ms, SimEvent::NextQueued(controller));
             }
             return;
         }
-        self.handle(due);
+        self.handle(event);
     }
 
     /// Handles an event now.
-    pub fn handle(&mut self, due: SimEvent) {
-        match due {
+    pub fn handle(&mut self, event: SimEvent) {
+        match event {
             SimEvent::NextQueued(controller) => {
-                if let Some(due) = self.event_queues[controller].pop_front() {
-                    self.handle(due);
+                if let Some(event) = self.event_queues[controller].pop_front() {
+                    self.handle(event);
                 }
                 if !self.event_queues[controller].is_empty() {
                     self.schedule(
@@ -338,8 +339,8 @@
             SimEvent::Cloud(controller, incarnation, id, call) => {
                 self.on_cloud_request(controller, incarnation, id, call)
             }
-            SimEvent::DirectCall(controller, incarnation, machine, direct) => {
-                self.on_direct_call(controller, incarnation, machine, direct);
+            SimEvent::DirectCall(controller, incarnation, machine, call) => {
+                self.on_direct_call(controller, incarnation, machine, call);
             }
             SimEvent::Heartbeat(controller, machine, body, id) => {
                 if self.is_cut_off(controller, self.workers[&machine].zone) {
@@ -363,7 +364,7 @@
                 self.on_heartbeat_response(machine, id, response)
             }
             SimEvent::Worker(machine) => self.step_worker(machine),
-            SimEvent::Fault(fault) => self.fault(fault),
+            SimEvent::Fault(fault) => self.inject(fault),
             SimEvent::User(job) => self.step_user(job),
             SimEvent::UserRequest(controller, job, request) => {
                 if self.partitioned_controllers[controller]
@@ -372,27 +373,27 @@
                 {
                     return;
                 }
-                let asked = self.jobs[&job].pending_request.map_or(0, |(at, _)| at);
+                let sent_ms = self.jobs[&job].pending_request.map_or(0, |(at, _)| at);
                 if self.controllers[controller].is_none() {
                     return self.schedule_soon(SimEvent::UserResponse(
                         job,
-                        asked,
+                        sent_ms,
                         Response::empty(599),
                     ));
                 }
-                let ticket = self.ticket(controller, Ticket::User(job, asked));
+                let ticket = self.ticket(controller, Ticket::User(job, sent_ms));
                 self.deliver(controller, Event::Request { ticket, request });
             }
-            SimEvent::UserResponse(job, asked, response) => {
-                self.on_user_response(job, asked, &response)
+            SimEvent::UserResponse(job, sent_ms, response) => {
+                self.on_user_response(job, sent_ms, &response)
             }
-            SimEvent::ExtraRequest(controller, asked) => {
-                self.deliver_extra_request(controller, asked)
+            SimEvent::ExtraRequest(controller, extra) => {
+                self.deliver_extra_request(controller, extra)
             }
-            SimEvent::ExtraResponse(asked, response) => self.on_extra_response(&asked, &response),
+            SimEvent::ExtraResponse(extra, response) => self.on_extra_response(&extra, &response),
             SimEvent::InvalidRequest => self.send_invalid_request(),
-            SimEvent::DelayedCommands(machine, orders) => {
-                self.execute_delayed_commands(&machine, orders)
+            SimEvent::DelayedCommands(machine, batch) => {
+                self.execute_delayed_commands(&machine, batch)
             }
             SimEvent::Restart(controller) => {
                 self.down[controller] = false;
--- a/tests/cluster/controller_crashes.rs
+++ b/tests/cluster/controller_crashes.rs
@@ -10,7 +10,7 @@
     world.submit_at(3000, 0, true, None);
     world.run(30_000);
     assert_eq!(world.running(0), 4);
-    world.fault(begin_fault);
+    world.inject(begin_fault);
     world.schedule(55_000, SimEvent::Fault(end_fault));
     world.run(80_000);
     // Replicas may be moved by command, but no worker's lease has expired and no busy machine was terminated.
@@ -115,10 +115,10 @@
         let running = |world: &World| (0..4).map(|n| world.running(n)).sum::<usize>();
         assert_eq!(running(&world), 16);
         let disable: [fn(usize) -> Fault; 2] =
-            [|controller| Fault::Stall(controller, true), Fault::Down];
+            [|controller| Fault::Stall(controller, true), Fault::SwitchOff];
         let leader = world.leader();
         for controller in [leader, (leader + 1) % CONTROLLERS] {
-            world.fault(disable[seed as usize % 2](controller));
+            world.inject(disable[seed as usize % 2](controller));
             world.schedule(52_000, SimEvent::Fault(Fault::Stall(controller, false)));
         }
         world.run(120_000);
@@ -156,7 +156,7 @@
         faults.push((at, other(controller, true)));
         faults.push((at + random.random_range(5000..20_000), other(controller, false)));
         if seed >= 225 {
-            faults.push((random.random_range(20_000..60_000), Fault::Down(controller)));
+            faults.push((random.random_range(20_000..60_000), Fault::SwitchOff(controller)));
         }
         World::day(seed, &faults);
     }
--- a/tests/cluster/drains.rs
+++ b/tests/cluster/drains.rs
@@ -96,7 +96,7 @@
         world.run(40_000);
         // The leader stays on the side of the drained zone.
         if is_partitioned {
-            world.fault(Fault::IsolateZone(true));
+            world.inject(Fault::IsolateZone(true));
         }
         set_drain(&mut world, DrainKind::Zone, "a", Some(20_000), true);
         world.run(52_000);
@@ -113,7 +113,7 @@
             assert_eq!(world.running(1), 4);
         }
         if is_partitioned {
-            world.fault(Fault::IsolateZone(false));
+            world.inject(Fault::IsolateZone(false));
         }
         world.run(110_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -28,7 +28,7 @@
         world.jobs.get_mut(&4).unwrap().spec.zone = Some("a".into());
         world.run(30_000);
         isolated_leaders += usize::from(world.leader() == 1);
-        world.fault(Fault::IsolateZone(true));
+        world.inject(Fault::IsolateZone(true));
         match seed % 4 {
             // A controller outside the zone crashes during the partition, or the one inside does.
             0 => world.schedule(40_000, SimEvent::Fault(Fault::Crash(2 * (seed as usize / 4 % 2)))),
@@ -105,7 +105,7 @@
         assert_eq!(world.running(0), 4);
         let busy = |w: &&Worker| !w.tasks.is_empty();
         let before = world.workers.values().filter(busy).count();
-        world.fault(Fault::CutLeaderFromWorkers(true));
+        world.inject(Fault::CutLeaderFromWorkers(true));
         world.schedule(75_000, SimEvent::Fault(Fault::CutLeaderFromWorkers(false)));
         world.run(74_000);
         // Tasks keep running on the same machines under the same agent epoch.
@@ -156,8 +156,8 @@
         world.run(28_000);
         let leader = world.leader();
         let starts_before = world.starts;
-        world.fault(Fault::PartitionZones(true));
-        world.fault([Fault::Crash, |n| Fault::Stall(n, true)][seed as usize % 2](leader));
+        world.inject(Fault::PartitionZones(true));
+        world.inject([Fault::Crash, |n| Fault::Stall(n, true)][seed as usize % 2](leader));
         world.schedule(41_000, SimEvent::Fault(Fault::Stall(leader, false)));
         world.schedule(60_000, SimEvent::Fault(Fault::PartitionZones(false)));
         world.submit_at(35_000, 8, false, None);
@@ -182,7 +182,7 @@
         // Leases run from the end of the old leader, so it crashes last.
         let old_leader = world.leader();
         let unreachable = (old_leader + 1) % CONTROLLERS;
-        world.fault(Fault::CutControllerFromWorkers(unreachable, true));
+        world.inject(Fault::CutControllerFromWorkers(unreachable, true));
         for n in 0..CONTROLLERS {
             let crash = Fault::Crash((unreachable + n) % CONTROLLERS);
             world.schedule(30_100 + 1000 * n as u64, SimEvent::Fault(crash));
--- a/tests/heartbeat_sharding.rs
+++ b/tests/heartbeat_sharding.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Runs the rest of the day and returns all violations.
+/// Runs the rest of the simulation and returns all violations.
 fn finish(mut world: World) -> Vec<String> {
     world.run(FAULTS_END + 85_000);
     world.check_final_state();
@@ -189,13 +189,13 @@
         let at_begin = relayed(&world);
         world.run(BEGIN + 10_000);
         let baseline = relayed(&world) - at_begin;
-        world.fault(Fault::StoreOutage(true));
+        world.inject(Fault::StoreOutage(true));
         world.run(BEGIN + 16_000);
         let before = relayed(&world);
         world.run(BEGIN + 26_000);
         let in_outage = relayed(&world) - before;
         assert!(in_outage > baseline / 2, "seed {seed}: {in_outage} of {baseline}");
-        world.fault(Fault::StoreOutage(false));
+        world.inject(Fault::StoreOutage(false));
         assert_eq!(finish(world), Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -217,13 +217,13 @@
         let at_begin = received(&world);
         world.run(BEGIN + 10_000);
         let baseline = received(&world) - at_begin;
-        world.fault(Fault::RefusePeerConnections(true));
+        world.inject(Fault::RefusePeerConnections(true));
         world.run(BEGIN + 20_000);
         let before = received(&world);
         world.run(BEGIN + 30_000);
         let during_fault = received(&world) - before;
         assert!(during_fault > baseline / 2, "seed {seed}: {during_fault} of {baseline}");
-        world.fault(Fault::RefusePeerConnections(false));
+        world.inject(Fault::RefusePeerConnections(false));
         assert_eq!(finish(world), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -128,30 +128,30 @@
             _ => None,
         };
         if row.confirmer == Confirmer::Restarted {
-            world.fault(Fault::CrashAndRestart(follower.unwrap_or(0), 200));
+            world.inject(Fault::CrashAndRestart(follower.unwrap_or(0), 200));
         }
         world.restarts_after_cancellation =
             (row.confirmer == Confirmer::CrashesAfterwards).then_some(300);
         world.run(at);
-        world.fault(Fault::StoreRejects(old_leader, true));
+        world.inject(Fault::StoreRejects(old_leader, true));
         match row.links {
             Links::All => {}
             Links::None | Links::Restored => {
-                world.fault(Fault::IsolateController(old_leader, true))
+                world.inject(Fault::IsolateController(old_leader, true))
             }
-            Links::NoOutgoing => world.fault(Fault::DropOutgoingPeerMessages(old_leader, true)),
-            Links::NoIncoming => world.fault(Fault::DropIncomingPeerMessages(old_leader, true)),
+            Links::NoOutgoing => world.inject(Fault::DropOutgoingPeerMessages(old_leader, true)),
+            Links::NoIncoming => world.inject(Fault::DropIncomingPeerMessages(old_leader, true)),
         }
         match row.extra {
             Extra::LostResponses => {
-                world.fault(Fault::DropResponsesToWorkers(1, true));
+                world.inject(Fault::DropResponsesToWorkers(1, true));
                 world.schedule(
                     at + row.gap + 8000,
                     SimEvent::Fault(Fault::DropResponsesToWorkers(1, false)),
                 );
             }
             Extra::CutWorkers => {
-                world.fault(Fault::CutLeaderFromWorkers(true));
+                world.inject(Fault::CutLeaderFromWorkers(true));
                 world.schedule(
                     at + row.gap + 8000,
                     SimEvent::Fault(Fault::CutLeaderFromWorkers(false)),
@@ -193,13 +193,13 @@
             world.cancel_via =
                 others.iter().copied().find(|controller| world.leads(*controller)).or(follower);
         }
-        world.fault(Fault::StoreOutage(true));
+        world.inject(Fault::StoreOutage(true));
         if row.links == Links::Restored {
-            world.fault(Fault::IsolateController(old_leader, false));
+            world.inject(Fault::IsolateController(old_leader, false));
         }
         if row.confirmer == Confirmer::AllCrash {
             for controller in &others {
-                world.fault(Fault::CrashAndRestart(*controller, 200));
+                world.inject(Fault::CrashAndRestart(*controller, 200));
             }
         }
         let outage_end = outage_at + OUTAGE_MS;
@@ -214,11 +214,11 @@
         observed.answered |= first_confirmed_ms.is_some_and(|first_confirmed_ms| {
             world.last_answered_ms[old_leader] > first_confirmed_ms
         });
-        world.fault(Fault::StoreOutage(false));
-        world.fault(Fault::StoreRejects(old_leader, false));
-        world.fault(Fault::IsolateController(old_leader, false));
-        world.fault(Fault::DropOutgoingPeerMessages(old_leader, false));
-        world.fault(Fault::DropIncomingPeerMessages(old_leader, false));
+        world.inject(Fault::StoreOutage(false));
+        world.inject(Fault::StoreRejects(old_leader, false));
+        world.inject(Fault::IsolateController(old_leader, false));
+        world.inject(Fault::DropOutgoingPeerMessages(old_leader, false));
+        world.inject(Fault::DropIncomingPeerMessages(old_leader, false));
         world.restarts_after_cancellation = None;
         world.cancel_via = None;
         at = outage_end + 40_000;
--- a/tests/targeted_faults.rs
+++ b/tests/targeted_faults.rs
@@ -32,7 +32,7 @@
         self.world.leader()
     }
 
-    /// Runs the rest of the day and checks its final state.
+    /// Runs the rest of the simulation and checks its final state.
     fn run(mut self, faults: &Faults) -> (World, String) {
         for (at, fault) in faults {
             self.world.schedule(*at, SimEvent::Fault(*fault));
@@ -128,7 +128,7 @@
     let mut day = Day::new(seed, "rapid requests", submit_mixed_jobs);
     let leader = day.leader();
     let other = (leader + 1) % CONTROLLERS;
-    day.world.fault(Fault::RapidRequests(true));
+    day.world.inject(Fault::RapidRequests(true));
     let extra_faults = match seed % 6 {
         0 => vec![],
         1 => lasting(BEGIN, 30_000, Fault::SlowCommits),
@@ -153,7 +153,7 @@
 fn lost_responses(seed: u64) -> Combination {
     let mut day = Day::new(seed, "lost commit responses", submit_mixed_jobs);
     let leader = day.leader();
-    day.world.fault(Fault::RapidRequests(true));
+    day.world.inject(Fault::RapidRequests(true));
     let lost = lasting(BEGIN, 40_000, Fault::LoseCommitResponses);
     // The leader crashes during a write; the time varies by 137 ms per seed.
     let crash_at = BEGIN + 5000 + 137 * (seed % 40);
@@ -195,7 +195,7 @@
 fn failover(seed: u64) -> Combination {
     let mut day = Day::new(seed, "failover", submit_mixed_jobs);
     let leader = day.leader();
-    day.world.fault(Fault::RapidRequests(true));
+    day.world.inject(Fault::RapidRequests(true));
     let leader_fault = match seed % 5 {
         0 => vec![(BEGIN, Fault::CrashAndRestart(leader, 80))],
         1 => lasting(BEGIN, 6000, |on| Fault::StoreRejects(leader, on)),
@@ -218,7 +218,7 @@
 fn fast_boots(seed: u64) -> Combination {
     let mut day = Day::new(seed, "fast boots", submit_one_service);
     let leader = day.leader();
-    day.world.fault(Fault::FastBoots(true));
+    day.world.inject(Fault::FastBoots(true));
     for n in 0..12 {
         day.world.submit_at(BEGIN + 40 * n, 500 + n, n % 6 == 0, None);
         edit_spec(&mut day.world, 500 + n, |spec| (spec.tasks, spec.cpus) = (4, 2.0));
@@ -246,7 +246,7 @@
 fn replayed_heartbeats(seed: u64) -> Combination {
     let mut day = Day::new(seed, "replayed heartbeats", submit_mixed_jobs);
     let leader = day.leader();
-    day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
+    day.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
     for n in 0..6 {
         day.world.submit_at(BEGIN, 600 + n, n % 2 == 0, None);
         edit_spec(&mut day.world, 600 + n, |spec| {
@@ -333,10 +333,10 @@
 /// All controllers are down for longer than a lease, and jobs are cancelled just before.
 fn all_controllers_down(seed: u64) -> Combination {
     let mut day = Day::new(seed, "all controllers down", submit_mixed_jobs);
-    day.world.fault(Fault::ReplayHeartbeatsToNextLeader(true));
+    day.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
     let gap = 13 * (seed % 40);
     let mut faults = vec![(BEGIN - 1, Fault::CancelNow(4))];
-    faults.extend((0..CONTROLLERS).map(|n| (BEGIN + gap * (1 + n as u64), Fault::Down(n))));
+    faults.extend((0..CONTROLLERS).map(|n| (BEGIN + gap * (1 + n as u64), Fault::SwitchOff(n))));
     (day, faults, &["cancel now", "replayed heartbeats"])
 }
 
@@ -350,7 +350,7 @@
 fn four_jobs_a_second_with_a_quarter_cancelled_violate_no_rule() {
     for seed in 700..702u64 {
         let mut world = World::new(seed);
-        world.targeted_faults.cancel_at_end = true;
+        world.targeted_faults.cancel_at_completion = true;
         let count = 4 * 150;
         for n in 0..count {
             let at = 12_000 + n * 250;
@@ -360,10 +360,10 @@
         }
         world.run(60_000);
         let leader = world.leader();
-        world.fault(Fault::CrashAndRestart(leader, 100));
+        world.inject(Fault::CrashAndRestart(leader, 100));
         world.run(95_000);
         let leader = world.leader();
-        world.fault(Fault::StoreRejects(leader, true));
+        world.inject(Fault::StoreRejects(leader, true));
         world.schedule(110_000, SimEvent::Fault(Fault::StoreRejects(leader, false)));
         world.run(12_000 + count * 250 + 90_000);
         world.check_final_state();
