--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -118,7 +118,7 @@
     ReplayHeartbeatsToNextLeader(bool),
     /// The workers of a zone cannot connect to any controller; direct commands still reach them.
     WorkersCannotConnect(usize, bool),
-    /// A third of the direct commands, or of their responses, is delayed by seconds.
+    /// In a third of the direct calls, the command or its response is delayed by seconds.
     DelayedCommands(bool),
     /// After each status change users poll all controllers within milliseconds, repeat the submission, and some cancel.
     RapidRequests(bool),
--- a/crates/simulation/src/users.rs
+++ b/crates/simulation/src/users.rs
@@ -180,8 +180,8 @@
                 job.tasks_when_confirmed = on_machines;
             }
         }
-        for what in found {
-            self.record_violation(what);
+        for message in found {
+            self.record_violation(message);
         }
         if is_new {
             self.send_rapid_requests(number);
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -269,7 +269,7 @@
         let now_ms = self.now_ms;
         let factor = if self.slow_machines { 3 } else { 1 };
         // Tasks with an expected run time over a minute outlast the simulation.
-        let long = self.long_tasks || spec.expect_s > 60.0;
+        let is_long_running = self.long_tasks || spec.expect_s > 60.0;
         let run_ms = self.random.random_range(2000..9000) * factor;
         let worker = self.workers.get_mut(id).unwrap();
         if worker.tasks.get(&task).is_some_and(|r| r.attempt == attempt) {
@@ -278,15 +278,12 @@
         if worker.tasks.get(&task).is_some_and(|r| r.state != TaskState::Exited) {
             return;
         }
-        let warm = worker.images.contains(&spec.image);
+        let is_cached = worker.images.contains(&spec.image);
         worker.images.push(spec.image.clone());
-        let ready_at = if warm { now_ms } else { now_ms + 1500 };
-        let done = self.finished.contains_key(&task);
-        let ends_at = (spec.shape == JobKind::Array && !long).then_some(if done {
-            ready_at
-        } else {
-            ready_at + run_ms
-        });
+        let ready_at = if is_cached { now_ms } else { now_ms + 1500 };
+        let is_finished = self.finished.contains_key(&task);
+        let ends_at = (spec.shape == JobKind::Array && !is_long_running)
+            .then_some(if is_finished { ready_at } else { ready_at + run_ms });
         worker.tasks.insert(
             task.clone(),
             RunningTask {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -239,8 +239,8 @@
     }
 
     /// Records a violation of a rule at the current time.
-    pub fn record_violation(&mut self, what: String) {
-        self.violations.push(format!("{} ms: {what}", self.now_ms));
+    pub fn record_violation(&mut self, message: String) {
+        self.violations.push(format!("{} ms: {message}", self.now_ms));
     }
 
     /// Returns the zone of a controller.
--- a/tests/cluster/controller_crashes.rs
+++ b/tests/cluster/controller_crashes.rs
@@ -39,8 +39,9 @@
     }
 }
 
-/// Runs a day in which some, most or all controllers restart faster than a failure is detected, several times in a row:
-/// during an election, a failover or an outage, with messages to the previous incarnation delivered after the restart.
+/// Runs a simulation in which some, most or all controllers restart faster than a failure is detected, several times
+/// in a row: during an election, a failover or an outage, with messages to the previous incarnation delivered after
+/// the restart.
 fn run_quick_restarts(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
--- a/tests/cluster/fair_share.rs
+++ b/tests/cluster/fair_share.rs
@@ -6,7 +6,7 @@
 
 /// Runs four machines with demand for six: services request all of them, may preempt arrays and are never preempted,
 /// but are submitted and cancelled over time. Returns the fraction of the early arrays that completed, and the
-/// fraction of requested replicas that ran from second 60 on.
+/// fraction of requested replicas that ran from second 60 on, once there was free capacity.
 fn scarce_day(seed: u64, floor: f64, faults: &[(u64, Fault)]) -> (f64, f64) {
     let mut world = World::new(seed);
     world.floor = floor;
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -17,7 +17,8 @@
         let random = &mut StdRng::seed_from_u64(seed);
         let mut world = World::new(seed);
         for n in 0..4 {
-            // Some are cancelled within 1.5 s of the partition, before any controller has detected it.
+            // Some are cancelled from 0.5 s before to 1.5 s after the partition begins, before any controller has
+            // detected it.
             let near_partition = random.random_range(29_500..31_500);
             let at =
                 if random.random() { near_partition } else { random.random_range(28_000..75_000) };
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -123,7 +123,7 @@
         if n > 0 {
             at += PHASES[random.random_range(0..PHASES.len())];
         }
-        // Two thirds of the faults hit the leader.
+        // Two of three faults hit the leader, the others any controller.
         let controller =
             if random.random_range(0..3) > 0 { leader } else { random.random_range(0..3) };
         let (name, begin_fault, end_fault) =
@@ -164,7 +164,7 @@
     for (n, job) in &world.jobs {
         let cancelled = job.cancellation_confirmed_ms.is_some();
         if job.last_response_ms + 75_000 < world.now_ms {
-            world.violations.push(format!("forgotten: no successful response about {n}"));
+            world.violations.push(format!("forgotten: no response about {n}"));
         }
         if job.spec.shape == JobKind::Service && !cancelled && world.running(*n) != 4 {
             world.violations.push(format!("service {n} does not run"));
--- a/tests/leader_refused_by_store.rs
+++ b/tests/leader_refused_by_store.rs
@@ -229,7 +229,7 @@
             world.violations.push(format!("{n} was never cancelled"));
         }
         if world.now_ms > job.last_response_ms + 75_000 {
-            world.violations.push(format!("forgotten: no successful response about {n}"));
+            world.violations.push(format!("forgotten: no response about {n}"));
         }
         if job.cancellation_confirmed_ms.is_none()
             && job.spec.depends_on.is_none()
--- a/tests/targeted_faults.rs
+++ b/tests/targeted_faults.rs
@@ -15,17 +15,17 @@
 type Faults = Vec<(u64, Fault)>;
 
 /// A simulation whose jobs are scheduled from the start and whose faults begin at [`BEGIN`].
-struct Day {
+struct Scenario {
     world: World,
     description: String,
 }
 
-impl Day {
-    fn new(seed: u64, name: &str, jobs: fn(&mut World)) -> Day {
+impl Scenario {
+    fn new(seed: u64, name: &str, jobs: fn(&mut World)) -> Scenario {
         let mut world = World::new(seed);
         jobs(&mut world);
         world.run(BEGIN);
-        Day { world, description: format!("{name}, seed {seed}") }
+        Scenario { world, description: format!("{name}, seed {seed}") }
     }
 
     fn leader(&self) -> usize {
@@ -43,8 +43,8 @@
     }
 }
 
-/// A day, its faults, and the effects that must occur.
-type Combination = (Day, Faults, &'static [&'static str]);
+/// A simulation, its faults, and the effects that must occur.
+type Combination = (Scenario, Faults, &'static [&'static str]);
 /// Builds the combination of a seed.
 type BuildCombination = fn(u64) -> Combination;
 
@@ -52,8 +52,8 @@
 fn violations(build: BuildCombination, seeds: std::ops::Range<u64>) -> usize {
     let mut violated = 0;
     for seed in seeds {
-        let (day, faults, effects) = build(seed);
-        let (world, description) = day.run(&faults);
+        let (scenario, faults, effects) = build(seed);
+        let (world, description) = scenario.run(&faults);
         for effect in effects {
             assert!(
                 world.targeted_faults.effects(effect) > 0,
@@ -98,7 +98,7 @@
     world.submit_at(3000, 0, true, None);
 }
 
-/// Brings every team near its limit with tasks that outlast the day, and to it with new jobs throughout.
+/// Brings every team near its limit with tasks that outlast the simulation, and to it with new jobs throughout.
 fn submit_up_to_team_limits(world: &mut World) {
     for (team, (name, _, limit)) in TEAMS.into_iter().enumerate() {
         let first = 20 * team as u64;
@@ -125,10 +125,10 @@
 
 /// 1: users poll all controllers repeatedly within milliseconds, repeat the submission and cancel.
 fn rapid_requests(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "rapid requests", submit_mixed_jobs);
-    let leader = day.leader();
+    let mut scenario = Scenario::new(seed, "rapid requests", submit_mixed_jobs);
+    let leader = scenario.leader();
     let other = (leader + 1) % CONTROLLERS;
-    day.world.inject(Fault::RapidRequests(true));
+    scenario.world.inject(Fault::RapidRequests(true));
     let extra_faults = match seed % 6 {
         0 => vec![],
         1 => lasting(BEGIN, 30_000, Fault::SlowCommits),
@@ -141,7 +141,7 @@
         _ => lasting(BEGIN, 2500, |on| Fault::Stall(other, on)),
     };
     let faults = [lasting(BEGIN, 40_000, Fault::InvalidRequests), extra_faults].concat();
-    (day, faults, &["rapid requests", "invalid requests"])
+    (scenario, faults, &["rapid requests", "invalid requests"])
 }
 
 #[test]
@@ -151,9 +151,9 @@
 
 /// 2: transactions are applied at once, but their response is lost while other controllers read the result.
 fn lost_responses(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "lost commit responses", submit_mixed_jobs);
-    let leader = day.leader();
-    day.world.inject(Fault::RapidRequests(true));
+    let mut scenario = Scenario::new(seed, "lost commit responses", submit_mixed_jobs);
+    let leader = scenario.leader();
+    scenario.world.inject(Fault::RapidRequests(true));
     let lost = lasting(BEGIN, 40_000, Fault::LoseCommitResponses);
     // The leader crashes during a write; the time varies by 137 ms per seed.
     let crash_at = BEGIN + 5000 + 137 * (seed % 40);
@@ -161,7 +161,7 @@
         (crash_at, Fault::CrashAndRestart(leader, 200)),
         (crash_at + 9000, Fault::CrashAndRestart(leader, 60)),
     ];
-    (day, [lost, crashes].concat(), &["lost commit responses", "rapid requests"])
+    (scenario, [lost, crashes].concat(), &["lost commit responses", "rapid requests"])
 }
 
 #[test]
@@ -171,8 +171,8 @@
 
 /// 3: tasks of cancelled jobs that may still run count against their team under the next leader too.
 fn teams_at_their_limit(seed: u64) -> Combination {
-    let day = Day::new(seed, "teams at their limit", submit_up_to_team_limits);
-    let leader = day.leader();
+    let scenario = Scenario::new(seed, "teams at their limit", submit_up_to_team_limits);
+    let leader = scenario.leader();
     let zone = (seed % 2) as usize;
     let unreachable = match seed % 4 {
         0 => lasting(BEGIN, 11_000, |on| Fault::HangWorkers(zone, on)),
@@ -183,7 +183,7 @@
     let cancelled = vec![(BEGIN + 100, Fault::CancelNow(6))];
     let crash_at = BEGIN + 150 + (seed % 40) * 83;
     let crashes = vec![(crash_at, Fault::CrashAndRestart(leader, 100 + 40 * (seed % 5)))];
-    (day, [unreachable, cancelled, crashes].concat(), &["cancel now"])
+    (scenario, [unreachable, cancelled, crashes].concat(), &["cancel now"])
 }
 
 #[test]
@@ -193,9 +193,9 @@
 
 /// 4: jobs are cancelled while leadership changes in each possible way.
 fn failover(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "failover", submit_mixed_jobs);
-    let leader = day.leader();
-    day.world.inject(Fault::RapidRequests(true));
+    let mut scenario = Scenario::new(seed, "failover", submit_mixed_jobs);
+    let leader = scenario.leader();
+    scenario.world.inject(Fault::RapidRequests(true));
     let leader_fault = match seed % 5 {
         0 => vec![(BEGIN, Fault::CrashAndRestart(leader, 80))],
         1 => lasting(BEGIN, 6000, |on| Fault::StoreRejects(leader, on)),
@@ -206,7 +206,7 @@
     let first = BEGIN + (seed % 40) * 190;
     let cancellations = (0..6).map(|n| (first + n * 311, Fault::CancelNow(2))).collect();
     let delayed = lasting(BEGIN - 500, 9000, Fault::DelayedCommands);
-    (day, [leader_fault, cancellations, delayed].concat(), &["cancel now", "rapid requests"])
+    (scenario, [leader_fault, cancellations, delayed].concat(), &["cancel now", "rapid requests"])
 }
 
 #[test]
@@ -216,12 +216,12 @@
 
 /// 5: machines boot and run tasks before the leader that rented them, or the next one, learns of them.
 fn fast_boots(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "fast boots", submit_one_service);
-    let leader = day.leader();
-    day.world.inject(Fault::FastBoots(true));
+    let mut scenario = Scenario::new(seed, "fast boots", submit_one_service);
+    let leader = scenario.leader();
+    scenario.world.inject(Fault::FastBoots(true));
     for n in 0..12 {
-        day.world.submit_at(BEGIN + 40 * n, 500 + n, n % 6 == 0, None);
-        edit_spec(&mut day.world, 500 + n, |spec| (spec.tasks, spec.cpus) = (4, 2.0));
+        scenario.world.submit_at(BEGIN + 40 * n, 500 + n, n % 6 == 0, None);
+        edit_spec(&mut scenario.world, 500 + n, |spec| (spec.tasks, spec.cpus) = (4, 2.0));
     }
     let lag = match seed % 3 {
         0 => lasting(BEGIN - 100, 20_000, Fault::SlowCommits),
@@ -234,7 +234,7 @@
         (crash_at + 4700, Fault::Crash(leader)),
     ];
     let delayed = lasting(BEGIN, 12_000, Fault::DelayedCommands);
-    (day, [lag, crashes, delayed].concat(), &["fast boots"])
+    (scenario, [lag, crashes, delayed].concat(), &["fast boots"])
 }
 
 #[test]
@@ -244,12 +244,12 @@
 
 /// 6: heartbeats of earlier agent epochs, attempts and machines reach every controller as a new leader starts.
 fn replayed_heartbeats(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "replayed heartbeats", submit_mixed_jobs);
-    let leader = day.leader();
-    day.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
+    let mut scenario = Scenario::new(seed, "replayed heartbeats", submit_mixed_jobs);
+    let leader = scenario.leader();
+    scenario.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
     for n in 0..6 {
-        day.world.submit_at(BEGIN, 600 + n, n % 2 == 0, None);
-        edit_spec(&mut day.world, 600 + n, |spec| {
+        scenario.world.submit_at(BEGIN, 600 + n, n % 2 == 0, None);
+        edit_spec(&mut scenario.world, 600 + n, |spec| {
             (spec.expect_s, spec.tasks, spec.cpus) = (600.0, 4, 0.5);
         });
     }
@@ -265,7 +265,7 @@
         (crash_at + 8000, Fault::Crash(leader)),
     ];
     let slow = lasting(BEGIN, 40_000, Fault::DelayedCommands);
-    (day, [moves, crashes, slow].concat(), &["replayed heartbeats"])
+    (scenario, [moves, crashes, slow].concat(), &["replayed heartbeats"])
 }
 
 #[test]
@@ -287,7 +287,7 @@
 
 /// Services and arrays that may run in one zone only lose machines there, and the leader crashes.
 fn zone_bound_jobs(seed: u64) -> Combination {
-    let day = Day::new(seed, "bound to a zone", submit_zone_bound_jobs);
+    let scenario = Scenario::new(seed, "bound to a zone", submit_zone_bound_jobs);
     let zone = (seed % 2) as usize;
     let lost_machines =
         vec![(BEGIN, Fault::KillMachines(3)), (BEGIN + 20_000, Fault::KillMachines(2))];
@@ -295,7 +295,11 @@
         vec![(BEGIN, Fault::Capacity([6, 0])), (BEGIN + 9000, Fault::Capacity(DEFAULT_CAPACITY))];
     let hung = lasting(BEGIN + 300, 12_000, |on| Fault::HangWorkers(zone, on));
     let crashes = vec![(BEGIN + 500 + (seed % 40) * 251, Fault::CrashLeader(120))];
-    (day, [lost_machines, capacity, hung, crashes].concat(), &["machines lost", "leader crashed"])
+    (
+        scenario,
+        [lost_machines, capacity, hung, crashes].concat(),
+        &["machines lost", "leader crashed"],
+    )
 }
 
 #[test]
@@ -305,7 +309,7 @@
 
 /// The leader changes ten times within a minute, in half of the runs during store outages too.
 fn ten_leaders(seed: u64) -> Combination {
-    let day = Day::new(seed, "ten leaders", submit_mixed_jobs);
+    let scenario = Scenario::new(seed, "ten leaders", submit_mixed_jobs);
     let interval_ms = 4200 + 37 * (seed % 40);
     let mut faults: Faults = (0..10)
         .map(|n| (BEGIN + interval_ms * n, Fault::CrashLeader(60 + 90 * (n + seed) % 700)))
@@ -315,14 +319,14 @@
         faults.extend(lasting(BEGIN + 30_000, 5000, Fault::StoreOutage));
     }
     faults.extend(lasting(BEGIN, 44_000, Fault::ReplayHeartbeatsToNextLeader));
-    (day, faults, &["leader crashed", "replayed heartbeats"])
+    (scenario, faults, &["leader crashed", "replayed heartbeats"])
 }
 
 #[test]
 fn no_rule_is_violated_when_the_leader_changes_ten_times() {
     assert_no_violations(ten_leaders, 900..908);
-    let (day, faults, _) = ten_leaders(901);
-    let (world, _) = day.run(&faults);
+    let (scenario, faults, _) = ten_leaders(901);
+    let (world, _) = scenario.run(&faults);
     assert!(
         world.targeted_faults.effects("leader crashed") >= 8,
         "{}",
@@ -332,12 +336,12 @@
 
 /// All controllers are down for longer than a lease, and jobs are cancelled just before.
 fn all_controllers_down(seed: u64) -> Combination {
-    let mut day = Day::new(seed, "all controllers down", submit_mixed_jobs);
-    day.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
+    let mut scenario = Scenario::new(seed, "all controllers down", submit_mixed_jobs);
+    scenario.world.inject(Fault::ReplayHeartbeatsToNextLeader(true));
     let gap = 13 * (seed % 40);
     let mut faults = vec![(BEGIN - 1, Fault::CancelNow(4))];
     faults.extend((0..CONTROLLERS).map(|n| (BEGIN + gap * (1 + n as u64), Fault::SwitchOff(n))));
-    (day, faults, &["cancel now", "replayed heartbeats"])
+    (scenario, faults, &["cancel now", "replayed heartbeats"])
 }
 
 #[test]
