--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,9 +1,7 @@
-//! A digest of all that the controllers of a simulated day send, so that a change that is meant to
-//! leave behaviour alone can be held against the version before it.
+//! Digest of all messages that the controllers of a simulation send, to check that a refactoring changes no behaviour.
 //!
-//! With `WORLD_DIGESTS=FILE` in the environment, every simulated world appends one line to that file
-//! when it is dropped: its seed, how many messages it counted, and their digest. Two runs of one test
-//! give the same lines, in any order.
+//! With `WORLD_DIGESTS=FILE` in the environment, every [`World`] appends one line to that file when it is dropped: its
+//! seed, the number of messages, and their digest. Two runs of the same test give the same lines in any order.
 
 use crate::World;
 use std::fs::OpenOptions;
@@ -15,10 +13,10 @@
 use troutspindle::workers::command_delivery::DirectCall;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Names the file to which digests are appended.
+/// Environment variable with the path of the file to which digests are appended.
 const FILE_VARIABLE: &str = "WORLD_DIGESTS";
 
-/// Running digest of one world; `None` where nobody asked for it.
+/// Running digest of one simulation; `None` if digests are not requested.
 pub struct Digest(Option<Box<Trace>>);
 
 struct Trace {
@@ -39,42 +37,45 @@
         }
     }
 
-    fn request(&mut self, kind: &str, at_ms: u64, node: &[u8], request: &Request) {
+    fn request(&mut self, kind: &str, at_ms: u64, controller: &[u8], request: &Request) {
         let method: &[u8] = match request.method {
             Method::Get => b"GET",
             Method::Post => b"POST",
             Method::Delete => b"DELETE",
             Method::Other => b"other",
         };
-        self.add(kind, at_ms, &[node, method, request.target.as_bytes(), &request.body]);
+        self.add(kind, at_ms, &[controller, method, request.target.as_bytes(), &request.body]);
     }
 
-    fn response(&mut self, at_ms: u64, node: &[u8], ticket: u64, response: &Response) {
+    fn response(&mut self, at_ms: u64, controller: &[u8], ticket: u64, response: &Response) {
         let retry_after = response.retry_after_s.map_or(0, |seconds| seconds + 1);
         let head = [u64::from(response.status), retry_after, u64::from(response.close), ticket];
         let head: Vec<u8> = head.iter().flat_map(|number| number.to_le_bytes()).collect();
-        self.add("response", at_ms, &[node, &head, &response.body]);
+        self.add("response", at_ms, &[controller, &head, &response.body]);
     }
 }
 
 impl Digest {
+    /// Creates the digest of a simulation with this seed.
     pub fn new(seed: u64) -> Digest {
         let path = std::env::var(FILE_VARIABLE).ok();
         let trace = |path| Box::new(Trace { path, seed, messages: 0, hasher: Xxh3::new() });
         Digest(path.map(trace))
     }
 
-    /// A controller sends something.
-    pub fn effect(&mut self, at_ms: u64, node: usize, effect: &Effect) {
+    /// Adds a message that a controller sends.
+    pub fn effect(&mut self, at_ms: u64, controller: usize, effect: &Effect) {
         let Some(trace) = &mut self.0 else { return };
-        let node = &node.to_le_bytes();
+        let controller = &controller.to_le_bytes();
         match effect {
-            Effect::Respond { ticket, response } => trace.response(at_ms, node, *ticket, response),
+            Effect::Respond { ticket, response } => {
+                trace.response(at_ms, controller, *ticket, response)
+            }
             Effect::CallStore { request: call, .. } => {
-                trace.request("state", at_ms, node, &call.to_http().request)
+                trace.request("state", at_ms, controller, &call.to_http().request)
             }
             Effect::CallCloud { request: call, .. } => {
-                trace.request("cloud", at_ms, node, &call.request())
+                trace.request("cloud", at_ms, controller, &call.request())
             }
             Effect::CallWorker { machine, address, call: direct } => {
                 let target = format!("{machine} {address}");
@@ -82,16 +83,16 @@
                     DirectCall::Status => Vec::new(),
                     DirectCall::Do(orders) => wire::encode(orders),
                 };
-                trace.add("direct", at_ms, &[node, target.as_bytes(), &body]);
+                trace.add("direct", at_ms, &[controller, target.as_bytes(), &body]);
             }
             Effect::SendToPeer { to: peer, message } => {
                 let text = mesh::encode_text(message).unwrap_or_default();
-                trace.add("mesh", at_ms, &[node, peer.as_str().as_bytes(), text.as_bytes()]);
+                trace.add("mesh", at_ms, &[controller, peer.as_str().as_bytes(), text.as_bytes()]);
             }
         }
     }
 
-    /// A transaction was carried out, or refused.
+    /// Adds the result of a transaction.
     pub fn committed(&mut self, at_ms: u64, revision: u64, committed: bool) {
         let Some(trace) = &mut self.0 else { return };
         trace.add("commit", at_ms, &[&revision.to_le_bytes(), &[u8::from(committed)]]);
@@ -110,7 +111,7 @@
 }
 
 impl World {
-    /// Adds all keys and values that the state service keeps now.
+    /// Adds all keys and values in the store.
     pub fn digest_store(&mut self) {
         let Some(trace) = &mut self.digest.0 else { return };
         for (key, (data, revision, lease)) in &self.store.keys {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Controllers against stand-ins for the state service, the cloud and the workers, in
-//! simulated time with fixed seeds. An independent checker watches the rules.
+//! Deterministic simulation: real controllers with a simulated store, cloud, workers and users, in simulated time with
+//! fixed seeds. Independent checks record violations of the scheduler's rules.
 //!
-//! The stand-ins follow PROTOCOL and know nothing of the controllers' insides. Messages are
-//! delayed at random, lost by cuts, or held back and delivered when the cut ends.
+//! The simulated services follow PROTOCOL and do not depend on the controllers' internals. Messages are delayed at
+//! random, lost in partitions, or kept back and delivered when the partition ends.
 
 mod cloud;
 mod config;
@@ -21,13 +21,13 @@
 mod world;
 
 pub use config::{
-    CANCEL_MS, CONTROLLERS, DEFAULT_CAPACITY, FLOOR, LEARNING, LEASE_MS, REPORT_MS, TEAMS, ZONES,
-    as_production, settings, settings_with_sharding, sharding_requested,
+    CANCEL_MS, CONTROLLERS, DEFAULT_CAPACITY, ESTIMATE_SETTINGS, FLOOR, HEARTBEAT_MS, LEASE_MS,
+    TEAMS, ZONES, as_stored_by_production, settings, settings_with_sharding, sharding_requested,
 };
 pub use event::{Fault, SimEvent};
 pub use extra_requests::{ExtraRequest, ReportedStatus, RequestKind};
 pub use faults::seeds_requested;
 pub use in_memory_store::{CommitError, Store};
-pub use model::{Running, Ticket, UserJob, Worker};
+pub use model::{RunningTask, Ticket, UserJob, Worker};
 pub use targeted_faults::TargetedFaults;
 pub use world::World;
