--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,4 +1,4 @@
-//! Processor time budget of requests.
+//! Processor time of requests, and the number of requests read ahead that follows from it.
 
 use crate::constants::READ_TOGETHER;
 use crate::settings::Resources;
--- a/src/admission/load_estimator.rs
+++ b/src/admission/load_estimator.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Load of the process as seen from inside: the share of time spent handling events. Work of the operating system on
-/// its behalf is not included.
+/// Load that the process measures itself: the share of time spent handling events, without the work that the operating
+/// system does on its behalf.
 #[derive(Debug, Default)]
 pub struct LoadEstimator {
     events: u32,
@@ -38,8 +38,8 @@
         (self.busy / self.events.max(1)).as_micros() as u64
     }
 
-    /// Returns the busy share of the elapsed time `of`, rounded to hundredths.
-    pub fn busy_share(&self, of: Duration) -> f64 {
-        (self.busy.as_secs_f64() / of.as_secs_f64() * 100.0).round() / 100.0
+    /// Returns the busy share of the elapsed time, rounded to hundredths.
+    pub fn busy_share(&self, elapsed: Duration) -> f64 {
+        (self.busy.as_secs_f64() / elapsed.as_secs_f64() * 100.0).round() / 100.0
     }
 }
--- a/src/admission/machine_limit.rs
+++ b/src/admission/machine_limit.rs
@@ -11,7 +11,7 @@
 pub const MACHINE_BYTES: f64 = 12_000.0;
 /// Pause between two adjustments, longer than the time for which a failover keeps a leader busy.
 const ADJUSTMENT_INTERVAL: Duration = Duration::from_secs(15);
-/// Share of the machines allowed by resources up to which lateness does not limit scale-out.
+/// Share of `by_resources` that the number of machines must exceed before lateness limits scale-out.
 const LARGE_FLEET_SHARE: f64 = 0.5;
 /// Number of adjustments in which the limit rises from zero to the machines allowed by resources.
 const RECOVERY_STEPS: u32 = 40;
@@ -73,8 +73,8 @@
         machines as f64 > f64::from(self.by_resources) * LARGE_FLEET_SHARE
     }
 
-    /// Records whether this process is late. If it is late in more than half of the observations of an interval, no
-    /// more machines may be rented; afterwards the limit rises again in steps.
+    /// Records whether this process is late. If it is late in more than half of the observations of an interval and
+    /// the fleet is large, no more machines may be rented; afterwards the limit rises again in steps.
     pub fn observe(&mut self, machines: u32, is_late: bool, now: Instant) {
         self.observations += 1;
         self.late_observations += u32::from(is_late);
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -8,7 +8,7 @@
 /// Class of a request, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Health checks, heartbeats and cancellations.
+    /// Health checks, heartbeats, cancellations, and all requests that are neither submissions nor polls.
     Critical,
     /// Job submissions.
     Submission,
--- a/src/admission/sharding.rs
+++ b/src/admission/sharding.rs
@@ -1,4 +1,4 @@
-//! Decision whether workers' heartbeats are sharded over the controllers.
+//! Policy for sharding workers' heartbeats over the controllers.
 
 use crate::admission::{REQUEST_COST, SocketBudget};
 use crate::settings::{Settings, ShardHeartbeats};
@@ -7,12 +7,11 @@
 const SHARD_ABOVE: f64 = 0.6;
 /// Share of one controller's capacity at or below which the leader receives all heartbeats again.
 const UNSHARD_BELOW: f64 = 0.4;
-/// Number of workers above which heartbeats are sharded whatever the capacity of one controller. Otherwise the
-/// leader of a cluster with large controllers would carry several times the load of the others before they receive
-/// any heartbeat.
+/// Number of workers above which heartbeats are sharded in any case. Otherwise the leader of a cluster with large
+/// controllers would carry several times the load of the others before they receive any heartbeat.
 const SHARD_ABOVE_WORKERS: f64 = 1500.0;
 
-/// Decides whether heartbeats are more than one controller should receive alone, by its sockets or by the
+/// Policy that shards heartbeats if they are more than one controller should receive alone, by its sockets or by the
 /// processor time that they cost.
 #[derive(Debug)]
 pub struct ShardingPolicy {
@@ -35,8 +34,7 @@
         }
     }
 
-    /// Returns whether to shard the heartbeats of that many machines. Once begun, sharding continues until the
-    /// number is clearly below the threshold at which it begins.
+    /// Returns whether to shard the heartbeats of that many machines. Sharding stops clearly below where it starts.
     pub fn update(&mut self, machines: usize) -> bool {
         let capacity = self.machines_by_sockets.min(self.machines_by_processor);
         let share = machines as f64 / capacity.clamp(1.0, SHARD_ABOVE_WORKERS / SHARD_ABOVE);
--- a/src/api.rs
+++ b/src/api.rs
@@ -142,7 +142,7 @@
         None
     }
 
-    /// Responds or commits according to the cache. `is_fresh` says that the cache was synced for this request.
+    /// Responds or commits according to the cache. `is_fresh` is true if the cache was synced for this request.
     fn decide(
         &mut self,
         ticket: u64,
@@ -223,9 +223,9 @@
         self.pending.get_mut(&ticket)?.committing = false;
         match outcome {
             WriteOutcome::Committed => self.on_committed(ticket, store, now),
-            // The store rejects this transaction permanently; the log contains it.
+            // The store rejects this transaction permanently; the store client has logged its keys.
             WriteOutcome::Invalid => Some(self.finish_with_retry(ticket)),
-            // The change was made by another controller, possibly applied, or not applied: read, then decide again.
+            // Another controller changed the job, or the commit failed or may have failed: read, then decide again.
             WriteOutcome::Conflict | WriteOutcome::NotExecuted | WriteOutcome::Unknown => {
                 self.sync(ticket, store)
             }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -43,9 +43,8 @@
         others.iter().find(|other| other.host_name == *peer).map(|other| other.location.clone())
     }
 
-    /// Requests the acknowledgements that a cancellation needs before it can be committed. Rejects the user's request
-    /// with Retry-After after [`ACK_WAIT`], or at once if a quarantined controller still blocks the cancellation
-    /// although the leader has said in which zones the job may have tasks.
+    /// Requests missing acknowledgements. The user gets Retry-After after [`ACK_WAIT`], or at once if a quarantined
+    /// controller blocks the cancellation although the leader has reported the zones of the job's tasks.
     fn await_acks(
         &mut self,
         ticket: u64,
@@ -95,8 +94,7 @@
         answers
     }
 
-    /// Removes acknowledgement requests that may be repeated, and reported cancellations that every task has learned
-    /// of by now: those older than twice `cancel_s`.
+    /// Removes acknowledgement requests that may be repeated, and cancellations that every task must know by now.
     pub(super) fn remove_old_cancellations(&mut self, now: Instant) {
         let retention_s = self.settings.platform.params.workers.cancel_s * 2.0;
         self.last_ack_requests.retain(|_, at| now < *at + ACK_REQUEST_INTERVAL);
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -60,15 +60,15 @@
     pub(super) request: UserRequest,
     pub(super) deadline: Instant,
     pub(super) received_at: Instant,
-    /// The commit in flight writes chunks of the job's specification, and further commits follow.
+    /// True if the commit in flight writes only chunks of the job's specification, so that further commits follow.
     pub(super) writes_spec_chunks: bool,
-    /// The linearizable read that runs in parallel with the commit of a submission with dependencies has
-    /// completed. Another controller may just have reported a dependency to a user as cancelled; the response
-    /// has to reflect that, so it is sent only when this flag and `accepted` are both set.
+    /// True if the linearizable read beside the commit of a submission with dependencies has completed. Another
+    /// controller may just have reported a dependency to a user as cancelled. The response must reflect that, so it
+    /// is sent once both `synced` and `accepted` are true.
     pub(super) synced: bool,
-    /// The submission with dependencies is committed.
+    /// True if a submission with dependencies is committed.
     pub(super) accepted: bool,
-    /// A commit for this request is in flight.
+    /// True while a commit for this request is in flight.
     pub(super) committing: bool,
     /// Deadline for the acknowledgements of other controllers, if this is a cancellation that waits for them.
     pub(super) acks_deadline: Option<Instant>,
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Api {
-    /// Commits a new job or rejects it. `is_fresh` says that the cache was synced for this request.
+    /// Commits a new job or rejects it. `is_fresh` is true if the cache was synced for this request.
     pub(super) fn submit(
         &mut self,
         ticket: u64,
@@ -28,7 +28,7 @@
         let unsupported = spec.depends_on.is_some() && !layout.is_second();
         let check = check_runnable(spec, &self.settings, machine_types)
             .and_then(|()| check_dependencies(spec, &store.cache.jobs));
-        // The store may already contain what removes the obstacle, so read it before a rejection.
+        // Another controller may have written a change that makes the job acceptable: read before a rejection.
         if !is_fresh && (unsupported || check.is_err()) {
             return self.sync(ticket, store);
         }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// The API with a store client whose store succeeds with every request and changes only by its commits.
+/// The API with a store that executes every request and contains only what the API has committed.
 struct TestApi {
     api: Api,
     store: StoreClient,
@@ -121,8 +121,7 @@
     assert_eq!(synced, 1);
     let job = api.store.cache.jobs.get(&JobId::new("wk-3")).unwrap().live().unwrap();
     assert_eq!((job.depends_on().len(), job.unfinished_dependencies()), (1, 1));
-    // A job that was never accepted, the job itself, a service: rejected permanently, but only after a read of the
-    // store.
+    // A job never accepted, the job itself, a service: rejected permanently, but only after a read of the store.
     for (n, depends_on) in ["wk-9", "wk-4", "wk-2"].into_iter().enumerate() {
         assert_eq!(api.submit("wk-4", JobKind::Array, &["wk-1", depends_on]), 422, "{depends_on}");
         assert_eq!(api.syncs, synced + n as u32 + 1);
@@ -178,8 +177,7 @@
     assert!(api.store.cache.jobs.get(&JobId::new("wk-2")).is_none());
 }
 
-/// Guest teams have neither quota nor limit. A limit of zero must not be taken as "no capacity", which would reject
-/// each of their jobs.
+/// Guest teams have neither quota nor limit. Taking their zero as a limit would reject each of their jobs.
 #[test]
 fn team_without_a_limit_may_run_any_job_that_fits_a_machine() {
     let teams = r#"[{"name":"t","cpus":2.0,"cpus_max":8.0},{"name":"guest"}]"#;
--- a/src/api/validation.rs
+++ b/src/api/validation.rs
@@ -8,15 +8,14 @@
 use crate::wire::{JobKind, JobSpec, MachineType};
 use foldhash::{HashSet, HashSetExt};
 
-/// Maximum length of a name in a submission, in bytes: far longer than any name in use, and short enough for a
-/// record's value in the store.
+/// Maximum length of a name in a submission, in bytes: far above any in use, and short enough for a stored record.
 const MAX_TEXT_BYTES: usize = 200;
 /// Maximum number of machine types in a submission.
 const MAX_MACHINE_TYPES: usize = 32;
 /// Exclusive upper bound of every amount in a submission.
 const AMOUNT_END: f64 = 1e9;
 
-/// Reason for which a job can never run.
+/// Reason why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
     #[error("unknown team")]
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -24,7 +24,7 @@
 
 #[derive(Args)]
 struct SettingsFiles {
-    /// The operators' own settings (YAML); see deploy/operator.example.yaml.
+    /// The operators' settings (YAML); see deploy/operator.example.yaml.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// The platform's settings (JSON).
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -29,7 +29,6 @@
 /// Error text of the cloud's 503 when a pool has no machine left. Any other 503 is an outage.
 pub const NO_CAPACITY: &str = "no capacity";
 
-/// A request in flight.
 struct InFlight {
     request: CloudRequest,
     /// Number of the rental in the [`RentalQueue`], if the request rents machines.
--- a/src/cloud/listing.rs
+++ b/src/cloud/listing.rs
@@ -24,7 +24,6 @@
         !self.in_flight && now >= self.due
     }
 
-    /// Records that the request is sent.
     pub(super) fn begin(&mut self) {
         self.in_flight = true;
     }
@@ -35,7 +34,7 @@
     }
 }
 
-/// Lists the rented machines periodically and assembles the pages of each listing.
+/// Periodic listing of the rented machines, assembled from its pages.
 pub(super) struct MachineLister {
     schedule: Schedule,
     /// Time at which the first page of the current listing was requested.
@@ -59,8 +58,7 @@
         self.schedule.is_due(now)
     }
 
-    /// Records that the next page is requested. Returns the name of the last machine before it, empty for the
-    /// first page.
+    /// Records the request of the next page. Returns the last machine before it, or an empty text for the first page.
     pub(super) fn begin_page(&mut self, now: Instant) -> String {
         self.schedule.begin();
         self.requested_at.get_or_insert(now);
--- a/src/cloud/rentals.rs
+++ b/src/cloud/rentals.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Machines of a pool that are requested but not rented yet.
+/// Machines of a pool that were requested, without a final response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingRental {
     /// Pool of the requested machines.
@@ -23,7 +23,7 @@
     Rented(Vec<MachineId>),
     /// The pool has no machine, or the cloud rejected the request as invalid.
     NoCapacity,
-    /// The cloud as a whole is unavailable, and nothing was rented.
+    /// The cloud as a whole is unavailable and rejected the request.
     CloudUnavailable,
     /// The request may have been executed.
     Unknown,
@@ -52,8 +52,7 @@
         self.open.clear();
     }
 
-    /// Adds machines to rentals of the pool that were not sent yet, since the cloud allows few requests, and the
-    /// rest to new rentals.
+    /// Adds machines to unsent rentals of the pool, since the cloud allows few requests, and the rest to new rentals.
     pub(super) fn push(
         &mut self,
         pool: MachinePool,
@@ -114,8 +113,7 @@
         Some(CloudRequest::ScaleOut(rental.pool, rental.request.clone()))
     }
 
-    /// Handles the outcome of a rental. Rentals of an earlier term as leader are no longer in the queue and are
-    /// ignored.
+    /// Handles the outcome of a rental. Rentals of an earlier term as leader are no longer queued and are ignored.
     pub(super) fn on_outcome(
         &mut self,
         number: u64,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -5,7 +5,7 @@
 
 /// Default maximum share of machines in the heavy basket, from section 8.2.1 of the GRMU paper.
 const HEAVY_CAP: f64 = 0.3;
-/// Default share of any resource of a machine above which a task is heavy.
+/// Default share of the largest machine's CPUs or memory above which a task without GPUs is heavy.
 const HEAVY_THRESHOLD: f64 = 0.5;
 /// Default time, in seconds, that an empty machine stays in its basket before it returns to the pool.
 const HOLD_S: f64 = 0.0;
@@ -22,19 +22,18 @@
 pub struct OperatorSettings {
     /// Maximum share of machines in the heavy basket.
     pub heavy_cap: f64,
-    /// Share of any resource of a machine above which a task is heavy.
+    /// Share of the largest machine's CPUs or memory above which a task without GPUs is heavy.
     pub heavy_threshold: f64,
     /// Time, in seconds, that an empty machine stays in its basket before it returns to the pool.
     pub hold_s: f64,
-    /// Time, in seconds, that an empty ordinary machine is kept before it is terminated. Spot machines are kept
-    /// longer, in proportion to how much cheaper they are.
+    /// Seconds that an empty ordinary machine is kept. For a spot machine they are multiplied by the price ratio.
     pub idle_return_s: f64,
     /// Free capacity kept in each zone for tasks of the highest priority, in machines.
     pub warm_per_zone: f64,
     /// Free capacity kept in each zone as a share of the zone's machines, if that is more than `warm_per_zone`.
     pub warm_share: f64,
-    /// If true, this controller does not announce that it reads the newest stored format, so that no controller
-    /// writes a format that the previous version cannot read.
+    /// If true, this controller does not announce that it reads the newest stored format. While any controller has
+    /// this setting, no controller writes a format that the previous version cannot read.
     pub hold_format: bool,
     /// Format of log lines on standard error.
     pub log_format: LogFormat,
@@ -44,7 +43,7 @@
     pub estimates: EstimateSettings,
     /// Classes whose job arrays run as wide as free capacity allows, within the limits of each class.
     pub elastic: Vec<ElasticClass>,
-    /// Share of its demand that each class of each team is allocated before all other demand while capacity is scarce.
+    /// Share of the demand of each class of each team that is allocated before all other demand during scarcity.
     pub floor: f64,
     /// Condition for sharding heartbeats over the controllers.
     pub share_reports: ShardHeartbeats,
@@ -99,8 +98,7 @@
 pub struct ElasticClass {
     /// Class of the job arrays.
     pub class: String,
-    /// Number of tasks that are scheduled as those of any other job: machines are rented for them, and they are
-    /// preempted last.
+    /// Number of tasks scheduled like those of other jobs: machines are rented for them, and they are preempted last.
     #[serde(rename = "least")]
     pub min_width: u64,
     /// Maximum number of tasks that run at once. Tasks beyond `least` run only in capacity that has stayed free.
@@ -129,16 +127,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EstimateSettings {
-    /// Learns run times and keeps them in the key-value store. Without it the other fields have no effect.
+    /// Run times are learned and kept in the key-value store. Without this the other fields have no effect.
     pub learn: bool,
-    /// Warns of jobs that will probably be late: a log line, a metric and the operators' path.
+    /// Jobs that will probably be late cause warnings: a log line, a metric and the operators' path.
     pub warn: bool,
-    /// Uses learned run times to pass due times on to dependencies and to find jobs that can still start in time.
+    /// Learned run times serve to pass due times on to dependencies and to find jobs that can still start in time.
     pub due: bool,
-    /// Uses learned run times to reserve capacity for jobs whose dependencies will soon have completed.
+    /// Learned run times serve to reserve capacity for jobs whose dependencies will soon have completed.
     pub ahead: bool,
-    /// Does not preempt tasks that will soon end.
+    /// Tasks that will soon end are not preempted.
     pub make_way: bool,
-    /// Lets a task run to its end if it ends before its spot machine is reclaimed.
+    /// A task that ends before its spot machine is reclaimed runs to its end.
     pub drain: bool,
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -7,7 +7,6 @@
 
 /// Share of the store's limit of the value size that is used. The rest allows for differences in how the store counts.
 const VALUE_SHARE: f64 = 0.9;
-/// Bytes per KiB.
 const KIB: f64 = 1024.0;
 
 /// The platform's settings file.
@@ -162,8 +161,7 @@
     pub txn_ops: Option<usize>,
 }
 
-/// Store limits that this process observes from its start: for each limit the smaller of the current and the
-/// future value.
+/// Store limits that this process observes from its start: of each limit the smaller of the current and future value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveStoreLimits {
     /// Requests per second.
@@ -223,8 +221,7 @@
 }
 
 impl Resources {
-    /// Returns how many operations of `cost` processor time fit into the period `within`. Without a processor
-    /// limit, one core is assumed.
+    /// Returns how many operations of `cost` processor time fit into `within`. No processor limit counts as one core.
     pub fn fits(&self, within: Duration, cost: Duration) -> f64 {
         let cores = if self.cpu > 0.0 { self.cpu } else { 1.0 };
         within.as_secs_f64() * cores / cost.as_secs_f64()
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -48,7 +48,6 @@
     }
 }
 
-/// Returns the faults of these settings.
 pub(super) fn validate(
     platform: &PlatformSettings,
     operator: &OperatorSettings,
@@ -67,7 +66,7 @@
     faults
 }
 
-/// Collects the faults of range checks.
+/// Faults found by range checks.
 #[derive(Default)]
 struct RangeChecks {
     faults: Vec<SettingsFault>,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -62,7 +62,7 @@
     let current = limits(Settings::parse(PLATFORM, None).unwrap());
     assert_eq!(limits(next(r#""later": 1"#).unwrap()), current);
     let effective = limits(next(r#""write_rps": 42.0, "value_kb": 2.0, "txn_ops": 40"#).unwrap());
-    // The smaller of both in each dimension; the position of the completed tasks' chunks does not change.
+    // Of each limit the smaller value applies; the size of the first layout's chunks of completed tasks is unchanged.
     assert_eq!((effective.rps, effective.write_rps, effective.txn_ops), (150.0, 42.0, 12));
     assert!(
         effective.value_max < 2048
