--- a/src/scheduler/direct_calls.rs
+++ b/src/scheduler/direct_calls.rs
@@ -182,7 +182,7 @@
         }
         let send_commands = |agent_epoch: u64, commands: Vec<WorkerCommand>| {
             let agent_epoch = Some(agent_epoch);
-            let batch = CommandBatch { token: rules.token, agent_epoch, commands: commands };
+            let batch = CommandBatch { token: rules.token, agent_epoch, commands };
             NextDirectCall::Call(address, DirectCall::Do(batch))
         };
         if machine.agent_epoch == 0 {
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -111,7 +111,7 @@
 
     /// Returns the answer to a heartbeat that carries these commands.
     pub(super) fn answer(&self, commands: Vec<WorkerCommand>) -> CommandBatch {
-        CommandBatch { token: self.term.token, agent_epoch: None, commands: commands }
+        CommandBatch { token: self.term.token, agent_epoch: None, commands }
     }
 
     /// Applies a heartbeat. Returns false if the worker has seen a higher fencing token than ours.
