--- a/crates/runtime-estimates/src/history.rs
+++ b/crates/runtime-estimates/src/history.rs
@@ -1,29 +1,34 @@
-//! The last runs of jobs that are alike.
+//! The last runs of similar jobs and the prediction for their next run.
 
 use crate::constants::*;
 use crate::shape;
 use serde::{Deserialize, Serialize};
 
-/// One run of a job, or what one leader saw of it. Logarithms are in 512ths.
+/// Summary of one run of a job, or of the part that one leader observed. Logarithms are in units of 1/512
+/// ([`LN_UNITS`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Hours since the epoch when it was seen last.
+    /// Hours since the epoch of the last observation.
     pub hour: u32,
-    /// Which job, by a hash of its name.
+    /// Hash of the job's name, which identifies the run.
     pub id: u16,
-    /// Tasks that ended.
+    /// Number of completed tasks.
     pub tasks: u32,
+    /// Logarithm of the median run time of the tasks.
     pub ln: i16,
+    /// Standard deviation of the logarithms of the tasks' run times.
     pub within: u16,
-    /// The owner's estimate, if there was one.
+    /// Logarithm of the owner's estimate, if there was one.
     pub owner: Option<i16>,
 }
 
+/// Converts a logarithm to stored units, saturating.
 fn units(ln: f64) -> i16 {
     (ln * LN_UNITS).round().clamp(f64::from(i16::MIN), f64::from(i16::MAX)) as i16
 }
 
 impl Run {
+    /// Creates a run from unscaled logarithms.
     pub fn new(hour: u32, id: u16, tasks: u32, ln: f64, within: f64, owner: Option<f64>) -> Run {
         let within = units(within).max(0) as u16;
         Run { hour, id, tasks, ln: units(ln), within, owner: owner.map(units) }
@@ -38,236 +43,242 @@
         self.owner.map(|ln| f64::from(ln) / LN_UNITS)
     }
 
-    /// What two leaders saw of one run, each its own tasks.
+    /// Combines two leaders' observations of one run, each of its own tasks.
     fn join(&self, other: &Run) -> Run {
-        let (a, b) = (f64::from(self.tasks.max(1)), f64::from(other.tasks.max(1)));
-        let share = b / (a + b);
-        let off = other.ln() - self.ln();
-        let ln = self.ln() + off * share;
+        let (own_tasks, other_tasks) =
+            (f64::from(self.tasks.max(1)), f64::from(other.tasks.max(1)));
+        let share = other_tasks / (own_tasks + other_tasks);
+        let difference = other.ln() - self.ln();
+        let ln = self.ln() + difference * share;
         let squares = self.within().powi(2) * (1.0 - share) + other.within().powi(2) * share;
-        let within = (squares + off * off * share * (1.0 - share)).sqrt();
+        let within = (squares + difference * difference * share * (1.0 - share)).sqrt();
         let owner = self.owner.max(other.owner).map(|ln| f64::from(ln) / LN_UNITS);
         let tasks = self.tasks.saturating_add(other.tasks);
         Run::new(self.hour.max(other.hour), self.id, tasks, ln, within, owner)
     }
 }
 
-/// What history says of a run to come, before the run shows anything of itself.
+/// Prediction for a future run from its history alone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Believed {
-    /// Logarithm of the typical run time of its tasks.
+    /// Logarithm of the median run time of its tasks.
     pub ln: f64,
-    /// Standard deviation of that.
+    /// Standard deviation of `ln`.
     pub sd: f64,
-    /// Scatter of the tasks around it.
+    /// Standard deviation of the logarithms of the tasks' run times within the run.
     pub within: f64,
-    /// How many runs that rests on.
+    /// Number of runs that the prediction is based on.
     pub runs: f64,
 }
 
-/// The last runs, oldest first.
+/// The last runs of similar jobs, oldest first, at most [`MAX_RUNS`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     runs: Vec<Run>,
 }
 
-/// A run as it is weighed.
+/// A run as input of the weighted statistics.
 struct Sample {
     ln: f64,
+    /// Logarithm of the owner's estimate, less the mean of all owner's estimates; 0 if there was none.
     owner: f64,
     weight: f64,
     weekday: u32,
 }
 
-/// The hour since the epoch by which runs are dated, of so many seconds.
-pub fn hour_of(s: u64) -> u32 {
-    u32::try_from(s / HOUR_S).unwrap_or(0)
+/// Converts seconds since the epoch to the hour by which runs are dated.
+pub fn hour_of(epoch_s: u64) -> u32 {
+    u32::try_from(epoch_s / HOUR_S).unwrap_or(0)
 }
 
-/// Days since the epoch, of which the first was a Thursday.
+/// Returns the weekday of an hour since the epoch, 0 for Sunday; the epoch was a Thursday.
 fn weekday(hour: u32) -> u32 {
     (hour / 24 + 4) % 7
 }
 
 impl History {
+    /// Returns whether no run is known.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
+    /// Returns the runs, oldest first.
     pub fn runs(&self) -> &[Run] {
         &self.runs
     }
-    /// Hours since the epoch of its newest run.
+    /// Returns the hour since the epoch of the newest run, 0 if there is none.
     pub fn newest(&self) -> u32 {
         self.runs.last().map_or(0, |run| run.hour)
     }
 
-    /// Adds what a run showed; the order in which runs are added does not matter.
+    /// Adds a run, or joins it with the known observations of the same run. The order of calls does not matter.
     pub fn add(&mut self, run: Run) {
         let run = match self.runs.iter().position(|known| known.id == run.id) {
-            Some(at) => self.runs.remove(at).join(&run),
+            Some(index) => self.runs.remove(index).join(&run),
             None => run,
         };
-        let at = self.runs.partition_point(|known| (known.hour, known.id) < (run.hour, run.id));
-        self.runs.insert(at, run);
-        if self.runs.len() > RUNS {
+        let index = self.runs.partition_point(|known| (known.hour, known.id) < (run.hour, run.id));
+        self.runs.insert(index, run);
+        if self.runs.len() > MAX_RUNS {
             self.runs.remove(0);
         }
     }
 
-    /// Takes in all that another one knows, each observation of which is new.
+    /// Adds all runs of `other`, whose observations must not be included here yet.
     pub fn merge(&mut self, other: &History) {
         other.runs.iter().for_each(|run| self.add(*run));
     }
 
-    /// As it is stored: hours as distances from the run before.
+    /// Returns the stored form, in which each hour is the difference to the previous run's.
     pub(crate) fn packed(&self) -> History {
-        let mut last = 0;
+        let mut previous = 0;
         let mut packed = self.clone();
         for run in &mut packed.runs {
-            (run.hour, last) = (run.hour - last, run.hour);
+            (run.hour, previous) = (run.hour - previous, run.hour);
         }
         packed
     }
 
-    /// Read from what is stored; none if it can't be true.
+    /// Restores a history from its stored form, or returns `None` if it is invalid.
     pub(crate) fn unpacked(mut self) -> Option<History> {
-        let mut last = 0u32;
+        let mut hour = 0u32;
         for run in &mut self.runs {
-            last = last.checked_add(run.hour)?;
-            run.hour = last;
+            hour = hour.checked_add(run.hour)?;
+            run.hour = hour;
         }
-        self.is_sane().then_some(self)
+        self.is_valid().then_some(self)
     }
 
-    /// What can be true: runs in order, of sane lengths.
-    pub(crate) fn is_sane(&self) -> bool {
-        self.runs.len() <= RUNS
+    /// Returns whether the runs are in order, not too many, and each has tasks.
+    pub(crate) fn is_valid(&self) -> bool {
+        self.runs.len() <= MAX_RUNS
             && self.runs.iter().all(|run| run.tasks > 0)
             && self.runs.is_sorted_by_key(|run| (run.hour, run.id))
     }
 
-    /// How a run at this hour, of which the owner expects this (as a logarithm), will be.
+    /// Predicts a run at `hour`. `owner`: logarithm of the owner's estimate. Returns `None` without history.
     pub fn believe(&self, hour: u32, owner: Option<f64>) -> Option<Believed> {
         let newest = self.runs.len().checked_sub(1)?;
-        let owners = self.runs.iter().filter_map(Run::owner);
-        let (sum, count) = owners.fold((0.0, 0), |(sum, n), ln| (sum + ln, n + 1));
-        let middle = if count > 0 { sum / f64::from(count) } else { owner.unwrap_or(0.0) };
+        let owner_lns = self.runs.iter().filter_map(Run::owner);
+        let (sum, count) = owner_lns.fold((0.0, 0), |(sum, n), ln| (sum + ln, n + 1));
+        let owner_mean = if count > 0 { sum / f64::from(count) } else { owner.unwrap_or(0.0) };
         let fade = 0.5f64.powf(1.0 / HALF_LIFE_RUNS);
         let mut weight = fade.powi(newest as i32);
-        let mut samples = Vec::with_capacity(RUNS);
+        let mut samples = Vec::with_capacity(MAX_RUNS);
         for run in &self.runs {
-            let owner = run.owner().map_or(0.0, |ln| ln - middle);
+            let owner = run.owner().map_or(0.0, |ln| ln - owner_mean);
             samples.push(Sample { ln: run.ln(), owner, weight, weekday: weekday(run.hour) });
             weight /= fade;
         }
-        // How far the owner's estimates go with what came, and runs as they are beside them.
-        let slope = slope(&samples);
-        let mut rest: Vec<f64> = samples.iter().map(|s| s.ln - slope * s.owner).collect();
-        let cut = change(&rest);
-        let samples = &samples[cut..];
-        rest.drain(..cut);
-        let (mut ln, mut scatter) = centre(&rest, samples);
+        // Regression on the owner's estimates, and the residuals that they don't explain.
+        let slope = owner_slope(&samples);
+        let mut residuals: Vec<f64> = samples.iter().map(|s| s.ln - slope * s.owner).collect();
+        let first = last_change(&residuals);
+        let samples = &samples[first..];
+        residuals.drain(..first);
+        let (mut ln, mut scatter) = robust_center(&residuals, samples);
         let day = weekday(hour);
-        let off: Vec<f64> = rest.iter().map(|ln_rest| ln_rest - ln).collect();
-        if let Some((shift, rest_scatter)) = weekdays(&off, samples, day) {
+        let deviations: Vec<f64> = residuals.iter().map(|residual| residual - ln).collect();
+        if let Some((shift, weekday_scatter)) = weekday_effect(&deviations, samples, day) {
             ln += shift;
-            scatter = scatter.min(rest_scatter);
+            scatter = scatter.min(weekday_scatter);
         }
         let weights: f64 = samples.iter().map(|s| s.weight).sum();
         let squares: f64 = samples.iter().map(|s| s.weight * s.weight).sum();
         let runs = weights * weights / squares;
-        // Less is known of the scatter the fewer runs there were.
-        let known = (SCATTER_WEIGHT * SCATTER * SCATTER
+        // The fewer runs there are, the more the assumed scatter counts.
+        let run_variance = (PRIOR_RUN_SD_WEIGHT * PRIOR_RUN_SD * PRIOR_RUN_SD
             + (runs - 1.0).max(0.0) * scatter * scatter)
-            / (SCATTER_WEIGHT + (runs - 1.0).max(0.0));
-        let variance = known * (1.0 + 1.0 / runs) + SCATTER_LEAST * SCATTER_LEAST;
-        let seen: f64 = self.runs.iter().map(|run| f64::from(run.tasks)).sum();
+            / (PRIOR_RUN_SD_WEIGHT + (runs - 1.0).max(0.0));
+        let variance = run_variance * (1.0 + 1.0 / runs) + MIN_RUN_SD * MIN_RUN_SD;
+        let tasks: f64 = self.runs.iter().map(|run| f64::from(run.tasks)).sum();
         let within = self.runs.iter().map(|run| run.within().powi(2) * f64::from(run.tasks));
-        let within = (within.sum::<f64>() / seen).sqrt().max(WITHIN_LEAST);
-        ln += owner.map_or(0.0, |ln| slope * (ln - middle));
+        let within = (within.sum::<f64>() / tasks).sqrt().max(MIN_TASK_SD);
+        ln += owner.map_or(0.0, |ln| slope * (ln - owner_mean));
         Some(Believed { ln, sd: variance.sqrt(), within, runs: samples.len() as f64 })
     }
 }
 
-/// By how much runs are longer where their owner expected them to be. Estimates that vary by chance
-/// alone, or not at all, count for nothing.
-fn slope(samples: &[Sample]) -> f64 {
+/// Returns the slope of a weighted ridge regression of run times on the owner's estimates, between 0 and 1. Estimates
+/// that vary only by chance, or not at all, have a slope near 0.
+fn owner_slope(samples: &[Sample]) -> f64 {
     let total: f64 = samples.iter().map(|s| s.weight).sum();
     let mean = |f: fn(&Sample) -> f64| samples.iter().map(|s| s.weight * f(s)).sum::<f64>() / total;
     let (ln, owner) = (mean(|s| s.ln), mean(|s| s.owner));
     let sum = |f: &dyn Fn(&Sample) -> f64| samples.iter().map(f).sum::<f64>();
-    let both = sum(&|s| s.weight * (s.ln - ln) * (s.owner - owner));
-    let own = sum(&|s| s.weight * (s.owner - owner).powi(2));
-    (both / (own + OWNER_RIDGE)).clamp(0.0, 1.0)
+    let covariance = sum(&|s| s.weight * (s.ln - ln) * (s.owner - owner));
+    let owner_variance = sum(&|s| s.weight * (s.owner - owner).powi(2));
+    (covariance / (owner_variance + OWNER_RIDGE)).clamp(0.0, 1.0)
 }
 
-/// From which run on things are as they are now: the first after a lasting change, if there was one.
-fn change(rest: &[f64]) -> usize {
-    let mut best = (CHANGE_ERRORS, 0);
-    for at in CHANGE_RUNS..rest.len().saturating_sub(CHANGE_RUNS - 1) {
-        let (old, new) = rest.split_at(at);
+/// Returns the index of the first run after the most significant lasting change, or 0 if there was none.
+fn last_change(residuals: &[f64]) -> usize {
+    let mut best = (CHANGE_STANDARD_ERRORS, 0);
+    for index in CHANGE_RUNS..residuals.len().saturating_sub(CHANGE_RUNS - 1) {
+        let (old, new) = residuals.split_at(index);
         let mean = |part: &[f64]| part.iter().sum::<f64>() / part.len() as f64;
-        let (before, now) = (mean(old), mean(new));
-        let step = now - before;
-        // All of them, so that one bad night among the last is no change.
-        let lasts = new.iter().all(|ln| (ln - before) / step > 0.5);
-        if step.abs() < CHANGE_LEAST || !lasts {
+        let (old_mean, new_mean) = (mean(old), mean(new));
+        let step = new_mean - old_mean;
+        // Every later run must lie on the new side, so that a single outlier among the last runs is not a change.
+        let is_lasting = new.iter().all(|ln| (ln - old_mean) / step > 0.5);
+        if step.abs() < CHANGE_MIN_STEP || !is_lasting {
             continue;
         }
         let squares =
             |part: &[f64], mean: f64| part.iter().map(|x| (x - mean).powi(2)).sum::<f64>();
-        let freedom = (rest.len() - 2) as f64;
-        let scatter = ((squares(old, before) + squares(new, now)) / freedom).sqrt();
+        let degrees_of_freedom = (residuals.len() - 2) as f64;
+        let scatter =
+            ((squares(old, old_mean) + squares(new, new_mean)) / degrees_of_freedom).sqrt();
         let error =
-            scatter.max(SCATTER_LEAST) * (1.0 / old.len() as f64 + 1.0 / new.len() as f64).sqrt();
+            scatter.max(MIN_RUN_SD) * (1.0 / old.len() as f64 + 1.0 / new.len() as f64).sqrt();
         let errors = step.abs() / error;
         if errors > best.0 {
-            best = (errors, at);
+            best = (errors, index);
         }
     }
     best.1
 }
 
-/// Centre and scatter, in which single bad nights count for little.
-fn centre(rest: &[f64], samples: &[Sample]) -> (f64, f64) {
-    let weighed = |f: &dyn Fn(f64) -> f64| -> Vec<(f64, f64)> {
-        rest.iter().zip(samples).map(|(ln, s)| (f(*ln), s.weight)).collect()
+/// Returns a robust weighted center and scatter, on which single outliers have little influence.
+fn robust_center(residuals: &[f64], samples: &[Sample]) -> (f64, f64) {
+    let weighted = |f: &dyn Fn(f64) -> f64| -> Vec<(f64, f64)> {
+        residuals.iter().zip(samples).map(|(ln, s)| (f(*ln), s.weight)).collect()
     };
-    let mut ln = shape::median(&mut weighed(&|ln| ln));
-    let off = shape::median(&mut weighed(&|x| (x - ln).abs())) / shape::point(0.75);
-    let robust = off.max(SCATTER_LEAST);
+    let mut ln = shape::median(&mut weighted(&|ln| ln));
+    let median_deviation = shape::median(&mut weighted(&|x| (x - ln).abs())) / shape::point(0.75);
+    let robust_sd = median_deviation.max(MIN_RUN_SD);
     for _ in 0..2 {
         let (mut sum, mut total) = (0.0, 0.0);
-        for (x, weight) in weighed(&|x| x) {
-            let far = (x - ln).abs() / (robust * OUTLIER);
-            let weight = weight / far.max(1.0);
+        for (x, weight) in weighted(&|x| x) {
+            let distance = (x - ln).abs() / (robust_sd * OUTLIER_LIMIT);
+            let weight = weight / distance.max(1.0);
             sum += x * weight;
             total += weight;
         }
         ln = sum / total;
     }
-    let most = robust * OUTLIER_SCATTER;
+    let max_deviation = robust_sd * SCATTER_CLIP;
     let weights: f64 = samples.iter().map(|s| s.weight).sum();
-    let squares = weighed(&|x| (x - ln).abs().min(most).powi(2));
+    let squares = weighted(&|x| (x - ln).abs().min(max_deviation).powi(2));
     let scatter = (squares.iter().map(|(x, weight)| x * weight).sum::<f64>() / weights).sqrt();
     (ln, scatter)
 }
 
-/// How much this weekday differs and what scatter is left, if weekdays differ at all.
-fn weekdays(off: &[f64], samples: &[Sample], day: u32) -> Option<(f64, f64)> {
-    if off.len() < WEEKDAY_RUNS {
+/// Returns the shift of weekday `day` and the scatter left within weekdays, or `None` if weekdays don't differ
+/// significantly.
+fn weekday_effect(deviations: &[f64], samples: &[Sample], day: u32) -> Option<(f64, f64)> {
+    if deviations.len() < WEEKDAY_RUNS {
         return None;
     }
     let mut days = [(0.0f64, 0.0f64); 7];
-    for (off, sample) in off.iter().zip(samples) {
+    for (deviation, sample) in deviations.iter().zip(samples) {
         let (sum, count) = &mut days[sample.weekday as usize];
-        *sum += off;
+        *sum += deviation;
         *count += 1.0;
     }
-    // Each day's own mean, pulled to none by one run's worth.
+    // Mean of each weekday, shrunk toward 0 by the weight of one run.
     let shift = |day: usize| days[day].0 / (days[day].1 + 1.0);
-    let present = days.iter().filter(|(_, count)| *count > 0.0).count() as f64;
-    if present < 2.0 {
+    let present_days = days.iter().filter(|(_, count)| *count > 0.0).count() as f64;
+    if present_days < 2.0 {
         return None;
     }
     let between: f64 = days.iter().filter(|(_, n)| *n > 0.0).map(|(sum, n)| sum * sum / n).sum();
@@ -275,9 +286,10 @@
         let (sum, count) = days[sample.weekday as usize];
         sum / count
     };
-    let within: f64 = off.iter().zip(samples).map(|(off, s)| (off - mean(s)).powi(2)).sum();
-    let within = within / (off.len() as f64 - present).max(1.0);
-    let ratio = between / (present - 1.0) / within.max(SCATTER_LEAST * SCATTER_LEAST);
+    let within: f64 =
+        deviations.iter().zip(samples).map(|(deviation, s)| (deviation - mean(s)).powi(2)).sum();
+    let within = within / (deviations.len() as f64 - present_days).max(1.0);
+    let ratio = between / (present_days - 1.0) / within.max(MIN_RUN_SD * MIN_RUN_SD);
     (ratio > WEEKDAY_RATIO).then(|| (shift(day as usize), within.sqrt()))
 }
 
--- a/crates/runtime-estimates/src/keeper.rs
+++ b/crates/runtime-estimates/src/keeper.rs
@@ -172,11 +172,11 @@
 
     /// The next write, if one is due: that which waits for longest. `most`: bytes of a value.
     pub fn poll(&mut self, token: u64, most: usize, now_ms: u64) -> Option<Write> {
-        if self.written_ms.is_some_and(|at| now_ms < at + WRITE_EVERY_MS) {
+        if self.written_ms.is_some_and(|at| now_ms < at + WRITE_INTERVAL_MS) {
             return None;
         }
         let due = |slot: &Slot| {
-            let rested = slot.written_ms.is_none_or(|at| now_ms >= at + REWRITE_AFTER_MS);
+            let rested = slot.written_ms.is_none_or(|at| now_ms >= at + REWRITE_INTERVAL_MS);
             let wants = match &slot.flight {
                 Some(flight) => flight.again,
                 None => !slot.delta.is_empty() && !slot.later,
--- a/crates/runtime-estimates/src/keeper/tests.rs
+++ b/crates/runtime-estimates/src/keeper/tests.rs
@@ -46,7 +46,7 @@
         let mut all: BTreeMap<u16, u32> = BTreeMap::new();
         let mut now_ms = 0;
         for (step, id) in steps {
-            now_ms += REWRITE_AFTER_MS;
+            now_ms += REWRITE_INTERVAL_MS;
             match step {
                 0 | 1 => {
                     keeper.add(KEY, Run::new(1, id, 1, 3.0, 0.1, None));
@@ -97,7 +97,7 @@
         // Left alone, this leader brings all that it knows to the store.
         let knows = seen(&keeper);
         for _ in 0..4 {
-            now_ms += REWRITE_AFTER_MS;
+            now_ms += REWRITE_INTERVAL_MS;
             keeper.on_kept(bucket_of(KEY), store.value.as_deref(), store.rev).unwrap();
             if let Some(write) = keeper.poll(token, 16_000, now_ms) {
                 store.commit(token, &write);
--- a/crates/runtime-estimates/src/learner.rs
+++ b/crates/runtime-estimates/src/learner.rs
@@ -111,7 +111,9 @@
         let bias = self.keeper.look(profile.key(Level::Owner), |known| known.believe(hour, None));
         Some(match bias.flatten() {
             Some(bias) => Believed { ln: owner + bias.ln, ..bias },
-            None => Believed { ln: owner, sd: SCATTER * 2.0, within: WITHIN, runs: 0.0 },
+            None => {
+                Believed { ln: owner, sd: PRIOR_RUN_SD * 2.0, within: PRIOR_TASK_SD, runs: 0.0 }
+            }
         })
     }
 
--- a/crates/runtime-estimates/src/lib.rs
+++ b/crates/runtime-estimates/src/lib.rs
@@ -1,10 +1,9 @@
-//! How long tasks will run, learned from those that ran, and how sure that is.
+//! Predicts run times of tasks from earlier runs, with the uncertainty of each prediction.
 //!
-//! Pure: no I/O, no clock. Run times are taken as log-normal: a job's run has a centre and its tasks
-//! scatter around it. [`History`] remembers the last runs of jobs that are alike, [`Current`] what a
-//! run shows of itself, [`Learner`] finds the right history for a job, [`Keeper`] decides what is
-//! written to the state service and when, so that nothing counts twice. `docs/estimates/design.md`
-//! tells what was weighed.
+//! Pure: no I/O, no clock. Run times are modelled as log-normal: a run of a job has a median, and its tasks scatter
+//! around it. [`History`] remembers the last runs of similar jobs, [`Current`] the observations of the current run.
+//! [`Learner`] selects the history for a job. [`Keeper`] decides what is written to the store and when, so that no
+//! observation counts twice. The design decisions are explained in `docs/estimates/design.md`.
 #![forbid(unsafe_code)]
 
 pub mod constants;
--- a/crates/runtime-estimates/src/play.rs
+++ b/crates/runtime-estimates/src/play.rs
@@ -31,9 +31,9 @@
 /// that wait for one of `width` places. The same question has the same answer.
 pub fn remaining(centre: &Centre, running: &[f64], waiting: u64, width: u64) -> Rest {
     let mut random = StdRng::seed_from_u64(waiting);
-    let ways = (0..WAYS).map(|way| {
+    let ways = (0..SIMULATED_OUTCOMES).map(|way| {
         // Where the centre is comes evenly spread, what each task takes by chance.
-        let share = (way as f64 + 0.5) / WAYS as f64;
+        let share = (way as f64 + 0.5) / SIMULATED_OUTCOMES as f64;
         let at = Centre { ln: centre.ln + centre.sd * shape::point(share), ..*centre };
         played(&at, running, waiting, width, &mut random)
     });
@@ -49,7 +49,7 @@
     let mut ends: BinaryHeap<Reverse<OrderedFloat<f64>>> = running
         .iter()
         .map(|ran| {
-            let ran = ran.max(SHORTEST_S);
+            let ran = ran.max(MIN_RUN_S);
             let longer = shape::above((ran.ln() - centre.ln) / within);
             let rest = (run_s(1.0 - longer * random.random::<f64>()) - ran).max(0.0);
             Reverse(OrderedFloat(rest))
@@ -57,7 +57,7 @@
         .collect();
     let width = usize::try_from(width).unwrap_or(usize::MAX).max(1);
     // Only the last few are played one by one: before them each place is simply busy.
-    let played = waiting.min(PLAYED.max(width.min(PLAYED * 4)) as u64);
+    let played = waiting.min(SIMULATED_TASKS.max(width.min(SIMULATED_TASKS * 4)) as u64);
     let all = running.len().saturating_add(usize::try_from(waiting).unwrap_or(usize::MAX));
     let places = width.max(running.len()).min(all);
     let busy = (waiting - played) as f64 * centre.mean_s() / places.max(1) as f64;
--- a/crates/runtime-estimates/src/shape.rs
+++ b/crates/runtime-estimates/src/shape.rs
@@ -1,62 +1,63 @@
-//! The normal distribution, as far as it is needed here, on logarithms of run times.
+//! Functions of the standard normal distribution and of logarithms of run times.
 
 use crate::constants::*;
 use statrs::function::erf::{erfc, erfc_inv};
 use std::f64::consts::{FRAC_1_SQRT_2, PI};
 use std::sync::LazyLock;
 
-/// Share of the standard normal distribution above z.
+/// Returns the probability that a standard normal variable exceeds `z`.
 pub fn above(z: f64) -> f64 {
     0.5 * erfc(z * FRAC_1_SQRT_2)
 }
 
-/// Share of the standard normal distribution below z.
+/// Returns the probability that a standard normal variable is below `z`.
 pub fn below(z: f64) -> f64 {
     above(-z)
 }
 
-/// The point below which a share of the standard normal distribution lies.
+/// Returns the quantile of the standard normal distribution at probability `share`.
 pub fn point(share: f64) -> f64 {
     -erfc_inv(2.0 * share.clamp(1e-9, 1.0 - 1e-9)) / FRAC_1_SQRT_2
 }
 
-/// Points of the normal distribution at even shares: playing a job asks for thousands of them.
-static POINTS: LazyLock<Vec<f64>> =
-    LazyLock::new(|| (0..=POINTS_COUNT).map(|n| point(n as f64 / POINTS_COUNT as f64)).collect());
+/// Normal quantiles at evenly spaced probabilities. Simulating one job needs thousands of them.
+static NORMAL_QUANTILES: LazyLock<Vec<f64>> = LazyLock::new(|| {
+    (0..=QUANTILE_STEPS).map(|n| point(n as f64 / QUANTILE_STEPS as f64)).collect()
+});
 
-/// The same as [`point`] to within a hundredth, at a fraction of its cost; exact in the outermost parts.
+/// Returns [`normal_quantile`] to within a hundredth at a fraction of its cost; exact in the outermost steps.
 pub fn quick_point(share: f64) -> f64 {
-    let at = share * POINTS_COUNT as f64;
-    let below = at as usize;
-    if !(2..POINTS_COUNT - 2).contains(&below) {
+    let position = share * QUANTILE_STEPS as f64;
+    let step = position as usize;
+    if !(2..QUANTILE_STEPS - 2).contains(&step) {
         return point(share);
     }
-    let part = at - below as f64;
-    POINTS[below] * (1.0 - part) + POINTS[below + 1] * part
+    let fraction = position - step as f64;
+    NORMAL_QUANTILES[step] * (1.0 - fraction) + NORMAL_QUANTILES[step + 1] * fraction
 }
 
-/// Mean of the standard normal distribution above z (the inverse Mills ratio).
+/// Returns the mean of a standard normal variable given that it exceeds `z` (the inverse Mills ratio).
 pub fn mean_above(z: f64) -> f64 {
     if z > 8.0 {
-        // Its asymptote: both the density and the share vanish.
+        // Asymptote: both the density and the tail probability vanish.
         return z + 1.0 / z;
     }
     (-0.5 * z * z).exp() / (2.0 * PI).sqrt() / above(z)
 }
 
-/// A run time as a logarithm; none if it is no run time.
+/// Returns the logarithm of a run time, or `None` if the run time is invalid.
 pub fn ln(run_s: f64) -> Option<f64> {
-    (run_s.is_finite() && (0.0..=LONGEST_S).contains(&run_s)).then(|| run_s.max(SHORTEST_S).ln())
+    (run_s.is_finite() && (0.0..=MAX_RUN_S).contains(&run_s)).then(|| run_s.max(MIN_RUN_S).ln())
 }
 
-/// Of values with weights, that in the middle of the weights.
+/// Returns the weighted median of (value, weight) pairs.
 pub fn median(values: &mut [(f64, f64)]) -> f64 {
     values.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let half = values.iter().map(|(_, w)| w).sum::<f64>() / 2.0;
-    let mut sum = 0.0;
+    let half_weight = values.iter().map(|(_, w)| w).sum::<f64>() / 2.0;
+    let mut cumulative = 0.0;
     for (value, weight) in values.iter() {
-        sum += weight;
-        if sum >= half {
+        cumulative += weight;
+        if cumulative >= half_weight {
             return *value;
         }
     }
--- a/crates/runtime-estimates/src/shape/tests.rs
+++ b/crates/runtime-estimates/src/shape/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_point_looked_up_is_the_point_itself() {
+fn fast_quantiles_match_exact_quantiles() {
     for n in 1..10_000 {
         let share = f64::from(n) / 10_000.0;
         assert!((quick_point(share) - point(share)).abs() < 0.01, "{share}");
--- a/crates/runtime-estimates/src/value.rs
+++ b/crates/runtime-estimates/src/value.rs
@@ -33,7 +33,7 @@
     pub fn add(&mut self, z: f64) {
         self.0.resize(ERROR_BINS, 0);
         let middle = (ERROR_BINS / 2) as f64;
-        let bin = (z / ERROR_BIN + middle).round().clamp(0.0, middle * 2.0);
+        let bin = (z / ERROR_BIN_WIDTH + middle).round().clamp(0.0, middle * 2.0);
         self.0[bin as usize] += 1;
         self.fade();
     }
@@ -47,7 +47,7 @@
     }
 
     fn fade(&mut self) {
-        if self.0.iter().fold(0u32, |sum, n| sum.saturating_add(*n)) > ERRORS_MAX {
+        if self.0.iter().fold(0u32, |sum, n| sum.saturating_add(*n)) > MAX_ERRORS {
             self.0.iter_mut().for_each(|n| *n /= 2);
         }
     }
@@ -56,15 +56,15 @@
     /// assumption of normal errors.
     pub fn point(&self, share: f64) -> f64 {
         let middle = (ERROR_BINS / 2) as f64;
-        let edge = |bin: usize| (bin as f64 - 0.5 - middle) * ERROR_BIN;
-        let total = ERROR_PRIOR + self.0.iter().map(|n| f64::from(*n)).sum::<f64>();
+        let edge = |bin: usize| (bin as f64 - 0.5 - middle) * ERROR_BIN_WIDTH;
+        let total = ERROR_PRIOR_WEIGHT + self.0.iter().map(|n| f64::from(*n)).sum::<f64>();
         let mut sum = 0.0;
         for bin in 0..ERROR_BINS {
             let normal = crate::shape::above(edge(bin)) - crate::shape::above(edge(bin + 1));
             let seen = self.0.get(bin).map_or(0.0, |n| f64::from(*n));
-            let here = (seen + ERROR_PRIOR * normal) / total;
+            let here = (seen + ERROR_PRIOR_WEIGHT * normal) / total;
             if sum + here >= share && here > 0.0 {
-                return edge(bin) + (share - sum) / here * ERROR_BIN;
+                return edge(bin) + (share - sum) / here * ERROR_BIN_WIDTH;
             }
             sum += here;
         }
@@ -108,7 +108,7 @@
 
     pub(crate) fn add(&mut self, key: u64, run: Run) {
         self.histories.entry(key).or_default().add(run);
-        self.trim(HISTORIES_MAX);
+        self.trim(MAX_HISTORIES_PER_BUCKET);
     }
 
     /// Takes in all that another one knows, each observation of which is new.
@@ -117,7 +117,7 @@
             self.histories.entry(*key).or_default().merge(history);
         }
         self.errors.iter_mut().zip(&other.errors).for_each(|(mine, more)| mine.merge(more));
-        self.trim(HISTORIES_MAX);
+        self.trim(MAX_HISTORIES_PER_BUCKET);
     }
 
     /// Forgets those that were not used for longest.
@@ -189,7 +189,7 @@
             }
             errors.fade();
         }
-        bucket.trim(HISTORIES_MAX);
+        bucket.trim(MAX_HISTORIES_PER_BUCKET);
         Ok(bucket)
     }
 }
--- a/crates/runtime-estimates/src/value/tests.rs
+++ b/crates/runtime-estimates/src/value/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn no_number_of_classes_takes_more_than_a_bounded_memory() {
     let many = bucket(100_000 / u64::from(BUCKETS), 1);
-    assert_eq!(many.len(), HISTORIES_MAX);
+    assert_eq!(many.len(), MAX_HISTORIES_PER_BUCKET);
 }
 
 proptest! {
@@ -45,7 +45,7 @@
         body.extend(sum);
         if let Ok(bucket) = Bucket::decode(&BASE64.encode(&body)) {
             for history in bucket.histories.values() {
-                prop_assert!(history.is_sane());
+                prop_assert!(history.is_valid());
                 history.believe(1, Some(3.0));
             }
         }
