--- a/crates/runtime-estimates/benches/estimates.rs
+++ b/crates/runtime-estimates/benches/estimates.rs
@@ -1,4 +1,4 @@
-//! What learning and estimating cost.
+//! Benchmarks of learning, estimation and simulation of a job's end.
 
 use criterion::{BatchSize, Criterion, Throughput, criterion_group, criterion_main};
 use std::hint::black_box;
@@ -15,11 +15,11 @@
     let mut learner = Learner::default();
     for run in 0..30u32 {
         for (n, class) in names.iter().enumerate() {
-            let mut shown = Current::default();
+            let mut observed = Current::default();
             for task in 0..50u32 {
-                shown.ended(60.0 + f64::from((task * 7 + run + n as u32) % 20));
+                observed.ended(60.0 + f64::from((task * 7 + run + n as u32) % 20));
             }
-            learner.learn(&profile(&format!("wk-{run}-{n}"), class), &shown, run * 24);
+            learner.learn(&profile(&format!("wk-{run}-{n}"), class), &observed, run * 24);
         }
     }
     learner
@@ -28,12 +28,12 @@
 fn estimates(c: &mut Criterion) {
     let names: Vec<String> = (0..CLASSES).map(|n| format!("class-{n}")).collect();
     let learner = learned(&names);
-    let fresh = Current::default();
-    let mut at = 0;
+    let no_observations = Current::default();
+    let mut index = 0;
     c.bench_function("an estimate of one job of 300 classes", |b| {
         b.iter(|| {
-            at = (at + 1) % names.len();
-            learner.estimate(black_box(&profile("wk-x", &names[at])), &fresh, 720)
+            index = (index + 1) % names.len();
+            learner.estimate(black_box(&profile("wk-x", &names[index])), &no_observations, 720)
         })
     });
     let mut group = c.benchmark_group("observations");
@@ -41,17 +41,19 @@
     group.bench_function("1000 tasks that ended", |b| {
         b.iter_batched_ref(
             Current::default,
-            |shown| (0..1000u32).for_each(|n| shown.ended(black_box(40.0 + f64::from(n % 50)))),
+            |observed| {
+                (0..1000u32).for_each(|n| observed.ended(black_box(40.0 + f64::from(n % 50))))
+            },
             BatchSize::SmallInput,
         )
     });
     group.finish();
-    let mut shown = Current::default();
-    (0..30u32).for_each(|n| shown.ended(60.0 + f64::from(n % 9)));
+    let mut observed = Current::default();
+    (0..30u32).for_each(|n| observed.ended(60.0 + f64::from(n % 9)));
     let running: Vec<f64> = (0..100u32).map(f64::from).collect();
     c.bench_function("the end of a job of 1000 tasks, 100 of which run", |b| {
         b.iter(|| {
-            let all = shown.with_running(&running);
+            let all = observed.with_running(&running);
             let estimate = learner.estimate(&profile("wk-x", &names[0]), &all, 720);
             estimate.map(|e| remaining(&e.centre, &running, 870, 100).point(0.5))
         })
--- a/crates/runtime-estimates/src/keeper.rs
+++ b/crates/runtime-estimates/src/keeper.rs
@@ -1,213 +1,229 @@
-//! What is written to the state service and when, so that no observation counts twice and none that was
-//! written is lost.
+//! Schedules writes of histories to the store, so that no observation counts twice and no written one is lost.
 //!
-//! A value is written whole: what was kept there, and on top of it what this leader saw since. The write is
-//! guarded by the revision that it builds on and by the leader's key, and bears a stamp that no other write
-//! bears. As long as it is not known whether it was done, what it added is neither added anew nor dropped:
-//! the same write is sent again, and the stamp of what is found in the end tells which it was.
+//! A write replaces the whole value of a bucket: the stored value merged with this leader's observations since. Its
+//! preconditions are the revision that it builds on and the leader's key, and it carries a unique stamp. While the
+//! result of a write is unknown, its observations are neither added again nor dropped: the same write is sent again,
+//! and the stamp of the value that is read later shows whether it was executed.
 
 use crate::constants::*;
 use crate::history::{History, Run};
-use crate::value::{Bucket, Errors, Stamp, Unreadable, bucket_of};
+use crate::value::{Bucket, ErrorHistogram, Stamp, Unreadable, bucket_of};
 use std::borrow::Cow;
 
-/// A write that is to be done, guarded by the revision of its key.
+/// Write of one bucket, to be executed only if its key still has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
+    /// Bucket to write.
     pub bucket: u8,
+    /// Encoded value.
     pub value: String,
+    /// Expected revision of the key, 0 if the key must not exist.
     pub rev: u64,
 }
 
-/// What came of a write.
+/// Result of a write as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
-    /// Done, or refused by a guard: the value that is there now tells which.
+    /// The write was executed or failed a precondition. The value that is read next shows which.
     Settled,
-    /// Perhaps done, perhaps yet to be, or surely not.
+    /// The write may have been executed, may still be executed, or was certainly not executed. It is sent again.
     Unsure,
-    /// Not to be done ever: too large, or malformed.
+    /// The write can never be executed, since it is too large or malformed.
     Invalid,
 }
 
+/// Write whose result has not been confirmed by a value read from the store.
 #[derive(Debug)]
-struct Flight {
+struct InFlightWrite {
     write: Write,
     stamp: Stamp,
-    /// What it adds to what was kept.
-    adds: Bucket,
-    /// It is to be sent again.
-    again: bool,
+    /// Observations that it adds to the stored value.
+    added: Bucket,
+    /// Whether it is due to be sent again.
+    resend: bool,
 }
 
+/// State of one bucket.
 #[derive(Debug, Default)]
-struct Slot {
-    kept: Bucket,
-    /// Revision of the key, 0 if there is none.
+struct BucketState {
+    /// Value last read from the store.
+    stored: Bucket,
+    /// Revision of the key, 0 if it does not exist.
     rev: u64,
-    /// Seen since and not written yet.
-    delta: Bucket,
-    flight: Option<Flight>,
-    /// A later version's: not to be touched.
-    later: bool,
+    /// Observations since that no write contains yet.
+    unwritten: Bucket,
+    in_flight: Option<InFlightWrite>,
+    /// Whether the stored value has a later layout and must not be overwritten.
+    has_later_layout: bool,
     written_ms: Option<u64>,
-    /// Bytes that a value may have here, once one was too large.
-    most: Option<usize>,
+    /// Maximum size of a value in bytes, set once a write was rejected as invalid.
+    max_bytes: Option<usize>,
 }
 
-/// What is kept at the state service, as far as it is known here, and what is to be written there.
+/// Write-back cache of the stored histories. Contains the values last read and the observations not written yet.
 #[derive(Debug)]
 pub struct Keeper {
-    slots: Vec<Slot>,
-    all: [Errors; 2],
-    /// The 10% and 90% points of these, reckoned when they change.
-    points: [(f64, f64); 2],
+    buckets: Vec<BucketState>,
+    /// Errors of all buckets; indexed as [`Bucket::errors`].
+    errors: [ErrorHistogram; 2],
+    /// 10% and 90% quantiles of `errors`, recomputed on every change.
+    error_quantiles: [(f64, f64); 2],
+    /// Number of writes so far, for their stamps.
     count: u64,
     written_ms: Option<u64>,
 }
 
 impl Default for Keeper {
     fn default() -> Keeper {
-        let slots = std::iter::repeat_with(Slot::default).take(BUCKETS.into()).collect();
-        let all = <[Errors; 2]>::default();
-        let points = points(&all);
-        Keeper { slots, all, points, count: 0, written_ms: None }
+        let buckets = std::iter::repeat_with(BucketState::default).take(BUCKETS.into()).collect();
+        let errors = <[ErrorHistogram; 2]>::default();
+        let error_quantiles = error_quantiles(&errors);
+        Keeper { buckets, errors, error_quantiles, count: 0, written_ms: None }
     }
 }
 
 impl Keeper {
-    fn slot(&mut self, key: u64) -> &mut Slot {
-        &mut self.slots[usize::from(bucket_of(key))]
+    fn bucket_state(&mut self, key: u64) -> &mut BucketState {
+        &mut self.buckets[usize::from(bucket_of(key))]
     }
 
-    fn delta(&mut self, key: u64) -> &mut Bucket {
-        &mut self.slot(key).delta
+    fn unwritten(&mut self, key: u64) -> &mut Bucket {
+        &mut self.bucket_state(key).unwritten
     }
 
+    /// Adds an observed run to the history of `key`.
     pub(crate) fn add(&mut self, key: u64, run: Run) {
-        self.delta(key).add(key, run);
+        self.unwritten(key).add(key, run);
     }
 
-    /// An estimate was off by so many of its standard deviations; kinds as in [`Keeper::points`].
+    /// Records that an estimate was off by `z` standard deviations. `kind`: as in [`Keeper::error_quantiles`].
     pub(crate) fn add_error(&mut self, key: u64, kind: usize, z: f64) {
-        self.delta(key).errors[kind].add(z);
-        self.all[kind].add(z);
-        self.points = points(&self.all);
+        self.unwritten(key).errors[kind].add(z);
+        self.errors[kind].add(z);
+        self.error_quantiles = error_quantiles(&self.errors);
     }
 
-    /// Standard deviations by which estimates were off: the 10% and 90% points, of those that rest on
-    /// enough runs (0) and of others (1).
-    pub(crate) fn points(&self, kind: usize) -> (f64, f64) {
-        self.points[kind]
+    /// Returns the 10% and 90% quantiles of the errors of well-founded estimates (`kind` 0) or of others (1), in
+    /// standard deviations.
+    pub(crate) fn error_quantiles(&self, kind: usize) -> (f64, f64) {
+        self.error_quantiles[kind]
     }
 
-    /// Looks at all that is known under a key.
-    pub(crate) fn look<T>(&self, key: u64, look: impl Fn(&History) -> T) -> Option<T> {
-        let slot = &self.slots[usize::from(bucket_of(key))];
-        let flying = slot.flight.as_ref().map(|flight| &flight.adds);
-        let parts = [Some(&slot.kept), flying, Some(&slot.delta)];
-        let mut all: Option<Cow<History>> = None;
+    /// Calls `read` with the complete history of `key`: stored, in flight and unwritten. Returns `None` if there is none.
+    pub(crate) fn with_history<T>(&self, key: u64, read: impl Fn(&History) -> T) -> Option<T> {
+        let state = &self.buckets[usize::from(bucket_of(key))];
+        let in_flight = state.in_flight.as_ref().map(|write| &write.added);
+        let parts = [Some(&state.stored), in_flight, Some(&state.unwritten)];
+        let mut merged: Option<Cow<History>> = None;
         for part in parts.into_iter().flatten().filter_map(|part| part.histories.get(&key)) {
-            match &mut all {
-                None => all = Some(Cow::Borrowed(part)),
-                Some(known) => known.to_mut().merge(part),
+            match &mut merged {
+                None => merged = Some(Cow::Borrowed(part)),
+                Some(history) => history.to_mut().merge(part),
             }
         }
-        all.map(|known| look(&known))
+        merged.map(|history| read(&history))
     }
 
-    /// How many histories are known.
+    /// Returns the approximate number of histories: per bucket the larger of stored and unwritten ones.
     pub fn len(&self) -> usize {
-        self.slots.iter().map(|slot| slot.kept.len().max(slot.delta.len())).sum()
+        self.buckets.iter().map(|state| state.stored.len().max(state.unwritten.len())).sum()
     }
+    /// Returns whether no history is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What stands at the state service now, or that nothing does. An unreadable value costs what was
-    /// learned there and nothing else.
+    /// Takes over the current stored value of a bucket, or its absence. An undecodable value is treated as empty, so that
+    /// only the histories in it are lost.
     pub fn on_kept(&mut self, bucket: u8, value: Option<&str>, rev: u64) -> Result<(), Unreadable> {
-        let Some(slot) = self.slots.get_mut(usize::from(bucket)) else { return Ok(()) };
-        if rev == slot.rev {
+        let Some(state) = self.buckets.get_mut(usize::from(bucket)) else { return Ok(()) };
+        if rev == state.rev {
             return Ok(());
         }
-        let found = value.map_or(Ok(Bucket::default()), Bucket::decode);
-        slot.rev = rev;
-        slot.later = matches!(found, Err(Unreadable::Later(_)));
-        slot.kept = found.as_ref().cloned().unwrap_or_default();
-        if let Some(flight) = slot.flight.take() {
-            // Its guard names a revision that is past, so it will not be done any more.
-            if slot.kept.stamp != flight.stamp {
-                slot.delta.merge(&flight.adds);
+        let decoded = value.map_or(Ok(Bucket::default()), Bucket::decode);
+        state.rev = rev;
+        state.has_later_layout = matches!(decoded, Err(Unreadable::Later(_)));
+        state.stored = decoded.as_ref().cloned().unwrap_or_default();
+        if let Some(write) = state.in_flight.take() {
+            // Its precondition names an outdated revision, so it can no longer be executed.
+            if state.stored.stamp != write.stamp {
+                state.unwritten.merge(&write.added);
             }
         }
-        self.all = <[Errors; 2]>::default();
-        for part in self.slots.iter().flat_map(|slot| {
-            [Some(&slot.kept), slot.flight.as_ref().map(|f| &f.adds), Some(&slot.delta)]
+        self.errors = <[ErrorHistogram; 2]>::default();
+        for part in self.buckets.iter().flat_map(|state| {
+            [
+                Some(&state.stored),
+                state.in_flight.as_ref().map(|write| &write.added),
+                Some(&state.unwritten),
+            ]
         }) {
             let errors = part.into_iter().flat_map(|bucket| &bucket.errors);
-            self.all.iter_mut().zip(errors).for_each(|(all, errors)| all.merge(errors));
+            self.errors.iter_mut().zip(errors).for_each(|(total, errors)| total.merge(errors));
         }
-        self.points = points(&self.all);
-        found.map(|_| ())
+        self.error_quantiles = error_quantiles(&self.errors);
+        decoded.map(|_| ())
     }
 
+    /// Handles the result of the bucket's write.
     pub fn on_told(&mut self, bucket: u8, told: Told) {
-        let Some(slot) = self.slots.get_mut(usize::from(bucket)) else { return };
+        let Some(state) = self.buckets.get_mut(usize::from(bucket)) else { return };
         match told {
             Told::Settled => {}
             Told::Unsure => {
-                if let Some(flight) = &mut slot.flight {
-                    flight.again = true;
+                if let Some(write) = &mut state.in_flight {
+                    write.resend = true;
                 }
             }
             Told::Invalid => {
-                if let Some(flight) = slot.flight.take() {
-                    slot.most = Some(flight.write.value.len() / 2);
-                    slot.delta.merge(&flight.adds);
+                if let Some(write) = state.in_flight.take() {
+                    state.max_bytes = Some(write.write.value.len() / 2);
+                    state.unwritten.merge(&write.added);
                 }
             }
         }
     }
 
-    /// The next write, if one is due: that which waits for longest. `most`: bytes of a value.
-    pub fn poll(&mut self, token: u64, most: usize, now_ms: u64) -> Option<Write> {
+    /// Returns the next write if one is due, of the bucket that was written least recently. `token`: fencing token of
+    /// this leader; `max_bytes`: maximum size of a value.
+    pub fn poll(&mut self, token: u64, max_bytes: usize, now_ms: u64) -> Option<Write> {
         if self.written_ms.is_some_and(|at| now_ms < at + WRITE_INTERVAL_MS) {
             return None;
         }
-        let due = |slot: &Slot| {
-            let rested = slot.written_ms.is_none_or(|at| now_ms >= at + REWRITE_INTERVAL_MS);
-            let wants = match &slot.flight {
-                Some(flight) => flight.again,
-                None => !slot.delta.is_empty() && !slot.later,
+        let is_due = |state: &BucketState| {
+            let interval_elapsed =
+                state.written_ms.is_none_or(|at| now_ms >= at + REWRITE_INTERVAL_MS);
+            let has_write = match &state.in_flight {
+                Some(write) => write.resend,
+                None => !state.unwritten.is_empty() && !state.has_later_layout,
             };
-            rested && wants
+            interval_elapsed && has_write
         };
-        let (bucket, slot) = (0u8..)
-            .zip(&mut self.slots)
-            .filter(|(_, slot)| due(slot))
-            .min_by_key(|(bucket, slot)| (slot.written_ms, *bucket))?;
-        slot.written_ms = Some(now_ms);
+        let (bucket, state) = (0u8..)
+            .zip(&mut self.buckets)
+            .filter(|(_, state)| is_due(state))
+            .min_by_key(|(bucket, state)| (state.written_ms, *bucket))?;
+        state.written_ms = Some(now_ms);
         self.written_ms = Some(now_ms);
-        if let Some(flight) = &mut slot.flight {
-            flight.again = false;
-            return Some(flight.write.clone());
+        if let Some(in_flight) = &mut state.in_flight {
+            in_flight.resend = false;
+            return Some(in_flight.write.clone());
         }
         self.count += 1;
         let stamp = Stamp { token, count: self.count };
-        let adds = std::mem::take(&mut slot.delta);
-        let mut whole = slot.kept.clone();
-        whole.merge(&adds);
-        whole.stamp = stamp;
-        let value = whole.encode(most.min(slot.most.unwrap_or(most)));
-        let write = Write { bucket, value, rev: slot.rev };
-        slot.flight = Some(Flight { write: write.clone(), stamp, adds, again: false });
+        let added = std::mem::take(&mut state.unwritten);
+        let mut merged = state.stored.clone();
+        merged.merge(&added);
+        merged.stamp = stamp;
+        let value = merged.encode(max_bytes.min(state.max_bytes.unwrap_or(max_bytes)));
+        let write = Write { bucket, value, rev: state.rev };
+        state.in_flight = Some(InFlightWrite { write: write.clone(), stamp, added, resend: false });
         Some(write)
     }
 }
 
-fn points(all: &[Errors; 2]) -> [(f64, f64); 2] {
-    all.each_ref().map(|errors| (errors.point(0.1), errors.point(0.9)))
+fn error_quantiles(errors: &[ErrorHistogram; 2]) -> [(f64, f64); 2] {
+    errors.each_ref().map(|errors| (errors.quantile(0.1), errors.quantile(0.9)))
 }
 
 #[cfg(test)]
--- a/crates/runtime-estimates/src/learner.rs
+++ b/crates/runtime-estimates/src/learner.rs
@@ -1,4 +1,4 @@
-//! Which history is like a job, what it says, and how sure that is.
+//! Selects the history that resembles a job and derives a graded run time estimate from it.
 
 use crate::constants::*;
 use crate::current::{Centre, Current};
@@ -7,66 +7,79 @@
 use crate::shape;
 use crate::value::hash;
 
-/// What is known of a job before it runs.
+/// Properties of a job that are known before it runs.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile<'a> {
+    /// Name of the job, which identifies its run.
     pub job: &'a str,
+    /// Class of recurring jobs that the owner assigned the job to.
     pub class: &'a str,
+    /// Team that owns the job.
     pub team: &'a str,
+    /// Image that the tasks run.
     pub image: &'a str,
-    /// Of one task, in any units that stay the same: CPUs, GPUs, memory.
+    /// Resource request of one task: CPUs, GPUs and memory, in any units that stay the same.
     pub size: [u64; 3],
     /// The owner's estimate of a task's run time, in seconds; 0 for none.
     pub expect_s: f64,
+    /// Number of tasks of the job.
     pub tasks: u64,
 }
 
-/// Which jobs an estimate rests on.
+/// Set of earlier jobs that an estimate is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Of the same class, team, image and size.
+    /// Jobs of the same class, team, image and size.
     Exact,
+    /// Jobs of the same class and team.
     Team,
+    /// Jobs of the same class.
     Class,
-    /// None like it: the owner's estimate, with what is known of its team's.
+    /// No similar job: the owner's estimate, corrected by the bias of the team's estimates.
     Owner,
 }
 
-/// How far an estimate can be trusted.
+/// Reliability of an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Grade {
-    /// No job like it has ended.
+    /// No similar job has finished.
     Unknown,
-    /// Too few ended, or they differ too much.
+    /// Too few similar jobs have finished, or their run times differ too much.
     Thin,
+    /// Enough jobs of the same class, team, image and size have finished with similar run times.
     Sure,
 }
 
-/// What a job's tasks take, in the mean over its tasks.
+/// Estimate of the mean run time of a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
+    /// Reliability of the estimate.
     pub grade: Grade,
+    /// Set of jobs that the estimate is based on.
     pub level: Level,
-    /// Seconds.
+    /// 10% quantile in seconds.
     pub p10_s: f64,
+    /// Median in seconds.
     pub p50_s: f64,
+    /// 90% quantile in seconds.
     pub p90_s: f64,
-    /// For what is derived from it: where run times lie.
+    /// Distribution of the run times of single tasks.
     pub centre: Centre,
 }
 
 impl Profile<'_> {
+    /// Returns the key of the history at a level.
     fn key(&self, level: Level) -> u64 {
-        let [a, b, c] = self.size.map(u64::to_le_bytes);
+        let [cpus, gpus, memory] = self.size.map(u64::to_le_bytes);
         match level {
             Level::Exact => hash(&[
                 b"exact",
                 self.class.as_bytes(),
                 self.team.as_bytes(),
                 self.image.as_bytes(),
-                &a,
-                &b,
-                &c,
+                &cpus,
+                &gpus,
+                &memory,
             ]),
             Level::Team => hash(&[b"team", self.class.as_bytes(), self.team.as_bytes()]),
             Level::Class => hash(&[b"class", self.class.as_bytes()]),
@@ -74,41 +87,48 @@
         }
     }
 
+    /// Returns the logarithm of the owner's estimate.
     fn owner(&self) -> Option<f64> {
         (self.expect_s > 0.0).then(|| shape::ln(self.expect_s)).flatten()
     }
 }
 
-/// All that was learned.
+/// Learns run times from finished jobs and estimates those of other jobs.
 #[derive(Debug, Default)]
 pub struct Learner {
+    /// Histories, and their writes to the store.
     pub keeper: Keeper,
 }
 
 impl Learner {
+    /// Returns the prediction with the smallest standard deviation among the levels from the most specific one to the
+    /// first with at least [`CHANGE_RUNS`] runs.
     fn believe(&self, profile: &Profile, hour: u32) -> Option<(Level, Believed)> {
         let owner = profile.owner();
         let mut best: Option<(Level, Believed)> = None;
         for level in [Level::Exact, Level::Team, Level::Class] {
             let key = profile.key(level);
-            let Some(found) = self.keeper.look(key, |known| known.believe(hour, owner)).flatten()
+            let Some(predicted) =
+                self.keeper.with_history(key, |history| history.believe(hour, owner)).flatten()
             else {
                 continue;
             };
-            if best.is_none_or(|(_, other)| found.sd < other.sd) {
-                best = Some((level, found));
+            if best.is_none_or(|(_, other)| predicted.sd < other.sd) {
+                best = Some((level, predicted));
             }
-            if found.runs >= CHANGE_RUNS as f64 {
+            if predicted.runs >= CHANGE_RUNS as f64 {
                 break;
             }
         }
         best
     }
 
-    /// The owner's own estimate, made right by how far those of its team were off.
-    fn owners(&self, profile: &Profile, hour: u32) -> Option<Believed> {
+    /// Returns a prediction from the owner's estimate, corrected by the bias of the team's estimates.
+    fn from_owner_estimate(&self, profile: &Profile, hour: u32) -> Option<Believed> {
         let owner = profile.owner()?;
-        let bias = self.keeper.look(profile.key(Level::Owner), |known| known.believe(hour, None));
+        let bias = self
+            .keeper
+            .with_history(profile.key(Level::Owner), |history| history.believe(hour, None));
         Some(match bias.flatten() {
             Some(bias) => Believed { ln: owner + bias.ln, ..bias },
             None => {
@@ -117,47 +137,48 @@
         })
     }
 
-    /// What a job will take, before it shows anything or with what it has shown. None if there is nothing
-    /// to go by.
+    /// Estimates the mean run time of a job's tasks from its history and the observations of its current run. Returns
+    /// `None` if there is neither a history nor an owner's estimate.
     pub fn estimate(&self, profile: &Profile, shown: &Current, hour: u32) -> Option<Estimate> {
         let (level, believed) = match self.believe(profile, hour) {
             Some(found) => found,
-            None => (Level::Owner, self.owners(profile, hour)?),
+            None => (Level::Owner, self.from_owner_estimate(profile, hour)?),
         };
-        Some(self.graded(level, &believed, shown, profile.tasks))
+        Some(self.grade(level, &believed, shown, profile.tasks))
     }
 
-    fn graded(&self, level: Level, believed: &Believed, shown: &Current, tasks: u64) -> Estimate {
+    /// Combines a prediction with the observations and grades the result.
+    fn grade(&self, level: Level, believed: &Believed, shown: &Current, tasks: u64) -> Estimate {
         let centre = shown.centre(believed);
         let (ln, sd) = mean_of_tasks(&centre, tasks);
-        let settled = is_settled(level, believed, sd);
-        // Once the run shows itself, how far off beliefs were before says little.
+        let well_founded = is_well_founded(level, believed, sd);
+        // Once tasks of the run completed, errors of past predictions carry little information.
         let (p10, p90) = match shown.count() {
-            0 => self.keeper.points(usize::from(!settled)),
+            0 => self.keeper.error_quantiles(usize::from(!well_founded)),
             _ => (shape::point(0.1), shape::point(0.9)),
         };
         let (low, high) = (ln + p10 * sd, ln + p90 * sd);
         let grade = match level {
             Level::Owner => Grade::Unknown,
-            Level::Exact if settled && high - low <= SURE_WIDTH => Grade::Sure,
+            Level::Exact if well_founded && high - low <= SURE_WIDTH => Grade::Sure,
             _ => Grade::Thin,
         };
         Estimate { grade, level, p10_s: low.exp(), p50_s: ln.exp(), p90_s: high.exp(), centre }
     }
 
-    /// A job's run, or what was seen of it, is over.
+    /// Adds the observations of a job's run, complete or partial, to the histories after they have ended.
     pub fn learn(&mut self, profile: &Profile, shown: &Current, hour: u32) {
         let believed = self.believe(profile, hour);
-        let Some((ln, within, tasks)) = shown.summary(believed.as_ref().map(|(_, known)| known))
+        let Some((ln, within, tasks)) = shown.summary(believed.as_ref().map(|(_, prior)| prior))
         else {
             return;
         };
-        if let Some((level, known)) = &believed {
-            let before = Current::default().centre(known);
-            let (expected, sd) = mean_of_tasks(&before, u64::from(tasks));
-            let settled = is_settled(*level, known, sd);
+        if let Some((level, prior)) = &believed {
+            let predicted = Current::default().centre(prior);
+            let (expected, sd) = mean_of_tasks(&predicted, u64::from(tasks));
+            let well_founded = is_well_founded(*level, prior, sd);
             let z = (ln + within * within / 2.0 - expected) / sd;
-            self.keeper.add_error(profile.key(Level::Exact), usize::from(!settled), z);
+            self.keeper.add_error(profile.key(Level::Exact), usize::from(!well_founded), z);
         }
         let id = hash(&[profile.job.as_bytes()]) as u16;
         let owner = profile.owner();
@@ -172,19 +193,19 @@
     }
 }
 
-/// Whether a belief rests on enough runs that differ little. How far off such beliefs were is counted
-/// apart from others.
-fn is_settled(level: Level, believed: &Believed, sd: f64) -> bool {
+/// Returns whether a prediction is based on enough runs that differ little. Errors of such predictions are counted
+/// separately from others.
+fn is_well_founded(level: Level, believed: &Believed, sd: f64) -> bool {
     level == Level::Exact
         && believed.runs >= SURE_RUNS
         && sd * 2.0 * shape::point(0.9) <= SURE_WIDTH
 }
 
-/// Logarithm of the mean run time of so many tasks, and its standard deviation.
+/// Returns the logarithm of the mean run time of `tasks` tasks, and its standard deviation.
 fn mean_of_tasks(centre: &Centre, tasks: u64) -> (f64, f64) {
-    let own = centre.within * centre.within;
-    let chance = own.exp_m1() / tasks.max(1) as f64;
-    (centre.ln + own / 2.0, (centre.sd * centre.sd + chance).sqrt())
+    let task_variance = centre.within * centre.within;
+    let sampling_variance = task_variance.exp_m1() / tasks.max(1) as f64;
+    (centre.ln + task_variance / 2.0, (centre.sd * centre.sd + sampling_variance).sqrt())
 }
 
 #[cfg(test)]
--- a/crates/runtime-estimates/src/learner/tests.rs
+++ b/crates/runtime-estimates/src/learner/tests.rs
@@ -5,16 +5,16 @@
     Profile { job, class, team: "bank", image, size, expect_s: 60.0, tasks: 20 }
 }
 
-fn run(learner: &mut Learner, profile: &Profile, run_s: f64, hour: u32) {
-    let mut shown = Current::default();
+fn learn_run(learner: &mut Learner, profile: &Profile, run_s: f64, hour: u32) {
+    let mut observed = Current::default();
     for n in 0..20 {
-        shown.ended(run_s * (1.0 + 0.1 * f64::from(n % 5 - 2)));
+        observed.ended(run_s * (1.0 + 0.1 * f64::from(n % 5 - 2)));
     }
-    learner.learn(profile, &shown, hour);
+    learner.learn(profile, &observed, hour);
 }
 
 #[test]
-fn what_is_new_is_unknown_and_what_is_steady_is_sure() {
+fn grade_follows_the_similarity_and_number_of_earlier_runs() {
     let mut learner = Learner::default();
     let new = Current::default();
     let known = profile("wk-0", "rebuild", "img-1");
@@ -22,35 +22,40 @@
     for day in 0..12u32 {
         let name = format!("wk-{day}");
         let job = profile(&name, "rebuild", "img-1");
-        run(&mut learner, &job, 120.0 + f64::from(day * 7 % 5), day * 24);
+        learn_run(&mut learner, &job, 120.0 + f64::from(day * 7 % 5), day * 24);
     }
-    let sure = learner.estimate(&known, &new, 300).unwrap();
-    assert_eq!((sure.grade, sure.level), (Grade::Sure, Level::Exact));
-    assert!((sure.p50_s - 122.0).abs() < 5.0, "{sure:?}");
-    // The same class name for other work: nothing is sure of it.
+    let steady = learner.estimate(&known, &new, 300).unwrap();
+    assert_eq!((steady.grade, steady.level), (Grade::Sure, Level::Exact));
+    assert!((steady.p50_s - 122.0).abs() < 5.0, "{steady:?}");
+    // The same class with another image: the estimate is not sure.
     let reused = learner.estimate(&profile("wk-x", "rebuild", "img-9"), &new, 300).unwrap();
     assert_eq!((reused.grade, reused.level), (Grade::Thin, Level::Team));
-    // A class without history is unknown, but its owner's habit is known.
+    // A class without history is graded unknown, but the bias of the team's estimates is known.
     let other = learner.estimate(&profile("wk-y", "report", "img-1"), &new, 300).unwrap();
     assert_eq!((other.grade, other.level), (Grade::Unknown, Level::Owner));
     assert!((other.p50_s - 122.0).abs() < 8.0, "{other:?}");
-    let silent = Profile { expect_s: 0.0, ..profile("wk-z", "report", "img-1") };
-    assert_eq!(learner.estimate(&silent, &new, 300), None);
+    let without_owner_estimate = Profile { expect_s: 0.0, ..profile("wk-z", "report", "img-1") };
+    assert_eq!(learner.estimate(&without_owner_estimate, &new, 300), None);
 }
 
 #[test]
-fn a_doubled_night_is_seen_by_the_first_tasks_and_does_not_spoil_the_next() {
+fn doubled_run_is_detected_by_its_first_tasks_and_hardly_affects_the_next() {
     let mut learner = Learner::default();
     for day in 0..12u32 {
         let name = format!("wk-{day}");
-        run(&mut learner, &profile(&name, "rebuild", "i"), 100.0 + f64::from(day % 3), day * 24);
+        learn_run(
+            &mut learner,
+            &profile(&name, "rebuild", "i"),
+            100.0 + f64::from(day % 3),
+            day * 24,
+        );
     }
     let tonight = profile("wk-20", "rebuild", "i");
-    let mut shown = Current::default();
-    [190.0, 205.0, 198.0].into_iter().for_each(|run_s| shown.ended(run_s));
-    let seen = learner.estimate(&tonight, &shown, 288).unwrap();
+    let mut observed = Current::default();
+    [190.0, 205.0, 198.0].into_iter().for_each(|run_s| observed.ended(run_s));
+    let seen = learner.estimate(&tonight, &observed, 288).unwrap();
     assert!((seen.p50_s / 200.0 - 1.0).abs() < 0.12, "{seen:?}");
-    run(&mut learner, &tonight, 200.0, 288);
+    learn_run(&mut learner, &tonight, 200.0, 288);
     let next = learner.estimate(&profile("wk-21", "rebuild", "i"), &Current::default(), 312);
     assert!((next.unwrap().p50_s - 102.0).abs() < 6.0, "{next:?}");
 }
--- a/crates/runtime-estimates/src/play/tests.rs
+++ b/crates/runtime-estimates/src/play/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn equal_tasks_end_in_rounds() {
+fn equal_tasks_complete_in_rounds_of_the_width() {
     let half =
         |running: &[f64], waiting: u64| remaining(&centre(0.02), running, waiting, 4).point(0.5);
     assert!((half(&[], 8) / 120.0 - 1.0).abs() < 0.08);
@@ -16,14 +16,14 @@
     assert_eq!((rest.later_than(0.0), rest.later_than(100.0)), (1.0, 0.0));
 }
 
-/// What is reckoned as a stream ends when the same tasks played one by one do.
+/// The approximation of the earlier tasks as a stream must match a simulation of every task.
 #[test]
-fn a_large_array_ends_when_its_tasks_played_one_by_one_do() {
+fn approximated_large_array_ends_within_3_percent_of_full_simulation() {
     let mut random = StdRng::seed_from_u64(1);
     let mut ends = vec![0.0f64; 40];
     for _ in 0..20_000 {
-        let free = ends.iter().enumerate().min_by(|a, b| a.1.total_cmp(b.1)).unwrap().0;
-        ends[free] += (60f64.ln() + 0.5 * shape::point(random.random())).exp();
+        let first_free = ends.iter().enumerate().min_by(|a, b| a.1.total_cmp(b.1)).unwrap().0;
+        ends[first_free] += (60f64.ln() + 0.5 * shape::point(random.random())).exp();
     }
     let last = ends.iter().copied().fold(0.0, f64::max);
     let half = remaining(&centre(0.5), &[], 20_000, 40).point(0.5);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_job_of_any_size_is_reckoned_at_once() {
+fn extreme_job_sizes_and_widths_are_simulated_in_bounded_time() {
     let half = remaining(&centre(0.5), &[1.0; 50], u64::MAX / 2, 64).point(0.5);
     assert!(half.is_finite() && half > 1e15);
     assert_eq!(remaining(&centre(0.5), &[], 0, 0).point(0.9), 0.0);
--- a/crates/runtime-estimates/src/value.rs
+++ b/crates/runtime-estimates/src/value.rs
@@ -1,4 +1,4 @@
-//! What is kept at the state service: many histories to a value, in a bounded number of values.
+//! Format of the stored values: many histories per value, in a bounded number of values.
 
 use crate::constants::*;
 use crate::history::{History, Run};
@@ -8,28 +8,32 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Which write a value is of: the leader's token and its own count. No two writes share one.
+/// Unique identity of a write: the leader's fencing token and its count of writes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
+    /// Fencing token of the leader that wrote the value.
     pub token: u64,
+    /// Number of this write among those of that leader.
     pub count: u64,
 }
 
-/// Why a value says nothing.
+/// Error that prevents a stored value from being decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
-    /// It belongs to a later version, which will want it back.
-    #[error("of layout {0}, which this version does not read")]
+    /// The value has a later layout. It must be left untouched for the version that wrote it.
+    #[error("unsupported layout version {0}")]
     Later(u8),
-    #[error("cut short or damaged")]
+    /// The value is truncated, corrupted or contains invalid histories.
+    #[error("value is truncated or corrupted")]
     Damaged,
 }
 
-/// How far off estimates were, in their own standard deviations: how often in each bin.
+/// Histogram of the errors of past estimates, each in units of the estimate's standard deviation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Errors(Vec<u32>);
+pub(crate) struct ErrorHistogram(Vec<u32>);
 
-impl Errors {
+impl ErrorHistogram {
+    /// Counts an error of `z` standard deviations.
     pub fn add(&mut self, z: f64) {
         self.0.resize(ERROR_BINS, 0);
         let middle = (ERROR_BINS / 2) as f64;
@@ -38,49 +42,53 @@
         self.fade();
     }
 
-    pub fn merge(&mut self, other: &Errors) {
+    /// Adds the counts of `other`.
+    pub fn merge(&mut self, other: &ErrorHistogram) {
         if !other.0.is_empty() {
             self.0.resize(ERROR_BINS, 0);
         }
-        self.0.iter_mut().zip(&other.0).for_each(|(mine, more)| *mine = mine.saturating_add(*more));
+        self.0.iter_mut().zip(&other.0).for_each(|(own, added)| *own = own.saturating_add(*added));
         self.fade();
     }
 
+    /// Halves all counts beyond [`MAX_ERRORS`].
     fn fade(&mut self) {
         if self.0.iter().fold(0u32, |sum, n| sum.saturating_add(*n)) > MAX_ERRORS {
             self.0.iter_mut().for_each(|n| *n /= 2);
         }
     }
 
-    /// The standard deviations below which a share of outcomes lies, by what came together with an
-    /// assumption of normal errors.
-    pub fn point(&self, share: f64) -> f64 {
+    /// Returns the quantile of errors at probability `share`, in standard deviations. Counted errors are combined with a
+    /// normal distribution that weighs [`ERROR_PRIOR_WEIGHT`].
+    pub fn quantile(&self, share: f64) -> f64 {
         let middle = (ERROR_BINS / 2) as f64;
         let edge = |bin: usize| (bin as f64 - 0.5 - middle) * ERROR_BIN_WIDTH;
         let total = ERROR_PRIOR_WEIGHT + self.0.iter().map(|n| f64::from(*n)).sum::<f64>();
-        let mut sum = 0.0;
+        let mut cumulative = 0.0;
         for bin in 0..ERROR_BINS {
             let normal = crate::shape::above(edge(bin)) - crate::shape::above(edge(bin + 1));
-            let seen = self.0.get(bin).map_or(0.0, |n| f64::from(*n));
-            let here = (seen + ERROR_PRIOR_WEIGHT * normal) / total;
-            if sum + here >= share && here > 0.0 {
-                return edge(bin) + (share - sum) / here * ERROR_BIN_WIDTH;
+            let counted = self.0.get(bin).map_or(0.0, |n| f64::from(*n));
+            let probability = (counted + ERROR_PRIOR_WEIGHT * normal) / total;
+            if cumulative + probability >= share && probability > 0.0 {
+                return edge(bin) + (share - cumulative) / probability * ERROR_BIN_WIDTH;
             }
-            sum += here;
+            cumulative += probability;
         }
         edge(ERROR_BINS)
     }
 }
 
-/// The histories of one value.
+/// Histories of one stored value, by hash of the profile.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Bucket {
+    /// Identity of the write that stored the value.
     pub stamp: Stamp,
     pub(crate) histories: HashMap<u64, History>,
-    /// Of estimates that rest on enough runs, and of all others.
-    pub(crate) errors: [Errors; 2],
+    /// Errors of well-founded estimates (index 0) and of all others (index 1); see `is_well_founded` in the learner.
+    pub(crate) errors: [ErrorHistogram; 2],
 }
 
+/// Stored form of a bucket. Histories are sorted by key and packed; only non-empty error bins are stored.
 #[derive(Serialize, Deserialize)]
 struct Layout {
     stamp: Stamp,
@@ -88,69 +96,72 @@
     errors: [Vec<(u8, u32)>; 2],
 }
 
-/// The value that a key's histories are in.
+/// Returns the bucket that contains the history of `key`.
 pub(crate) fn bucket_of(key: u64) -> u8 {
     (key % u64::from(BUCKETS)) as u8
 }
 
 impl Bucket {
+    /// Returns whether it contains neither histories nor errors.
     pub fn is_empty(&self) -> bool {
         self.histories.is_empty() && self.errors.iter().all(|errors| errors.0.is_empty())
     }
-    /// All runs that it remembers.
+    /// Returns the runs of all histories, in no particular order.
     pub fn runs(&self) -> impl Iterator<Item = &Run> {
         self.histories.values().flat_map(|known| known.runs())
     }
-    /// How many histories it holds.
+    /// Returns the number of histories.
     pub fn len(&self) -> usize {
         self.histories.len()
     }
 
+    /// Adds a run to the history of `key`.
     pub(crate) fn add(&mut self, key: u64, run: Run) {
         self.histories.entry(key).or_default().add(run);
         self.trim(MAX_HISTORIES_PER_BUCKET);
     }
 
-    /// Takes in all that another one knows, each observation of which is new.
+    /// Adds all histories and errors of `other`, whose observations must not be included here yet.
     pub fn merge(&mut self, other: &Bucket) {
         for (key, history) in &other.histories {
             self.histories.entry(*key).or_default().merge(history);
         }
-        self.errors.iter_mut().zip(&other.errors).for_each(|(mine, more)| mine.merge(more));
+        self.errors.iter_mut().zip(&other.errors).for_each(|(own, added)| own.merge(added));
         self.trim(MAX_HISTORIES_PER_BUCKET);
     }
 
-    /// Forgets those that were not used for longest.
-    fn trim(&mut self, most: usize) {
-        let over = self.histories.len().saturating_sub(most);
-        if over == 0 {
+    /// Removes the least recently used histories beyond `max`.
+    fn trim(&mut self, max: usize) {
+        let excess = self.histories.len().saturating_sub(max);
+        if excess == 0 {
             return;
         }
         let mut oldest: Vec<(u32, u64)> =
             self.histories.iter().map(|(key, known)| (known.newest(), *key)).collect();
         oldest.sort_unstable();
-        for (_, key) in oldest.into_iter().take(over) {
+        for (_, key) in oldest.into_iter().take(excess) {
             self.histories.remove(&key);
         }
     }
 
-    /// The value, of at most so many bytes; what was not used for longest is forgotten to make it fit.
-    pub fn encode(&mut self, most: usize) -> String {
+    /// Encodes the value in at most `max_bytes`, removing the least recently used histories until it fits.
+    pub fn encode(&mut self, max_bytes: usize) -> String {
         loop {
-            let text = self.spell();
-            if text.len() <= most || self.histories.is_empty() {
+            let text = self.encode_all();
+            if text.len() <= max_bytes || self.histories.is_empty() {
                 return text;
             }
-            let keep = self.histories.len() * most / text.len();
+            let keep = self.histories.len() * max_bytes / text.len();
             self.trim(keep.min(self.histories.len() - 1));
         }
     }
 
-    fn spell(&self) -> String {
+    /// Encodes the complete bucket: format version, layout, checksum; as Base64.
+    fn encode_all(&self) -> String {
         let mut histories: Vec<(u64, History)> =
             self.histories.iter().map(|(key, known)| (*key, known.packed())).collect();
         histories.sort_by_key(|(key, _)| *key);
-        let sparse = |errors: &Errors| {
+        let sparse = |errors: &ErrorHistogram| {
             let bins = (0u8..).zip(errors.0.iter().copied());
             bins.filter(|(_, n)| *n > 0).collect()
         };
@@ -158,16 +169,16 @@
         let layout = Layout { stamp: self.stamp, histories, errors };
         let mut bytes = vec![FORMAT];
         bytes.extend(postcard::to_stdvec(&layout).unwrap_or_default());
-        let sum = check(&bytes);
+        let sum = checksum(&bytes);
         bytes.extend(sum);
         BASE64.encode(bytes)
     }
 
-    /// Reads a value, whoever wrote it.
+    /// Decodes a value. Never panics, also for arbitrary text.
     pub fn decode(text: &str) -> Result<Bucket, Unreadable> {
         let bytes = BASE64.decode(text).map_err(|_| Unreadable::Damaged)?;
         let (body, sum) = bytes.split_last_chunk::<4>().ok_or(Unreadable::Damaged)?;
-        if check(body) != *sum {
+        if checksum(body) != *sum {
             return Err(Unreadable::Damaged);
         }
         let (format, body) = body.split_first().ok_or(Unreadable::Damaged)?;
@@ -194,12 +205,13 @@
     }
 }
 
-fn check(bytes: &[u8]) -> [u8; 4] {
+/// Returns the checksum of a value's bytes.
+fn checksum(bytes: &[u8]) -> [u8; 4] {
     let [a, b, c, d, ..] = xxh3_64_with_seed(bytes, u64::from(FORMAT)).to_le_bytes();
     [a, b, c, d]
 }
 
-/// A hash that is the same in every process and version.
+/// Returns a hash that is stable across processes and versions. Every part is preceded by its length.
 pub(crate) fn hash(parts: &[&[u8]]) -> u64 {
     let mut bytes = Vec::with_capacity(96);
     for part in parts {
--- a/crates/runtime-estimates/src/value/tests.rs
+++ b/crates/runtime-estimates/src/value/tests.rs
@@ -15,33 +15,33 @@
 }
 
 #[test]
-fn a_value_is_read_as_it_was_written_and_a_full_history_takes_less_than_600_bytes() {
+fn values_round_trip_and_a_full_history_takes_less_than_600_bytes() {
     let mut full = bucket(20, 60);
     let text = full.encode(usize::MAX);
     assert_eq!(Bucket::decode(&text).unwrap(), full);
     assert!(text.len() / 20 < 600, "{}", text.len() / 20);
-    // Where values are small the least used are forgotten.
+    // A smaller limit removes the least recently used histories.
     let text = full.encode(1800);
     assert!(text.len() <= 1800);
-    let left = Bucket::decode(&text).unwrap();
-    assert!(left.len() >= 3, "{}", left.len());
-    assert!(left.histories.values().all(|known| known.newest() > 490_000 + 59 * 24 + 10));
+    let trimmed = Bucket::decode(&text).unwrap();
+    assert!(trimmed.len() >= 3, "{}", trimmed.len());
+    assert!(trimmed.histories.values().all(|known| known.newest() > 490_000 + 59 * 24 + 10));
 }
 
 #[test]
-fn no_number_of_classes_takes_more_than_a_bounded_memory() {
+fn histories_per_bucket_are_bounded_for_any_number_of_classes() {
     let many = bucket(100_000 / u64::from(BUCKETS), 1);
     assert_eq!(many.len(), MAX_HISTORIES_PER_BUCKET);
 }
 
 proptest! {
     #[test]
-    fn no_value_does_harm(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<usize>(), flip in 1u8.., cut in 0usize..400) {
+    fn decoding_never_panics_and_rejects_corruption(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<usize>(), flip in 1u8.., cut in 0usize..400) {
         let _ = Bucket::decode(&BASE64.encode(&bytes));
-        // With a right sum over hostile bytes.
+        // Arbitrary bytes with a valid checksum.
         let mut body = vec![FORMAT];
         body.extend(&bytes);
-        let sum = check(&body);
+        let sum = checksum(&body);
         body.extend(sum);
         if let Ok(bucket) = Bucket::decode(&BASE64.encode(&body)) {
             for history in bucket.histories.values() {
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn a_later_layout_is_told_from_damage() {
+fn later_layout_and_corruption_give_different_errors() {
     let mut bytes = BASE64.decode(bucket(1, 1).encode(usize::MAX)).unwrap();
     bytes.truncate(bytes.len() - 4);
     bytes[0] = FORMAT + 1;
-    let sum = check(&bytes);
+    let sum = checksum(&bytes);
     bytes.extend(sum);
     assert_eq!(Bucket::decode(&BASE64.encode(bytes)), Err(Unreadable::Later(FORMAT + 1)));
     assert_eq!(Bucket::decode("%%%"), Err(Unreadable::Damaged));
