--- a/crates/runtime-estimates/src/history.rs
+++ b/crates/runtime-estimates/src/history.rs
@@ -60,7 +60,7 @@
 
 /// Prediction for a future run from its history alone.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Believed {
+pub struct Prediction {
     /// Logarithm of the median run time of its tasks.
     pub ln: f64,
     /// Standard deviation of `ln`.
@@ -156,7 +156,7 @@
     }
 
     /// Predicts a run at `hour`. `owner`: logarithm of the owner's estimate. Returns `None` without history.
-    pub fn believe(&self, hour: u32, owner: Option<f64>) -> Option<Believed> {
+    pub fn predict(&self, hour: u32, owner: Option<f64>) -> Option<Prediction> {
         let newest = self.runs.len().checked_sub(1)?;
         let owner_lns = self.runs.iter().filter_map(Run::owner);
         let (sum, count) = owner_lns.fold((0.0, 0), |(sum, n), ln| (sum + ln, n + 1));
@@ -194,7 +194,7 @@
         let within = self.runs.iter().map(|run| run.within().powi(2) * f64::from(run.tasks));
         let within = (within.sum::<f64>() / tasks).sqrt().max(MIN_TASK_SD);
         ln += owner.map_or(0.0, |ln| slope * (ln - owner_mean));
-        Some(Believed { ln, sd: variance.sqrt(), within, runs: samples.len() as f64 })
+        Some(Prediction { ln, sd: variance.sqrt(), within, runs: samples.len() as f64 })
     }
 }
 
@@ -244,7 +244,8 @@
         residuals.iter().zip(samples).map(|(ln, s)| (f(*ln), s.weight)).collect()
     };
     let mut ln = shape::median(&mut weighted(&|ln| ln));
-    let median_deviation = shape::median(&mut weighted(&|x| (x - ln).abs())) / shape::point(0.75);
+    let median_deviation =
+        shape::median(&mut weighted(&|x| (x - ln).abs())) / shape::normal_quantile(0.75);
     let robust_sd = median_deviation.max(MIN_RUN_SD);
     for _ in 0..2 {
         let (mut sum, mut total) = (0.0, 0.0);
--- a/crates/runtime-estimates/src/history/tests.rs
+++ b/crates/runtime-estimates/src/history/tests.rs
@@ -10,8 +10,8 @@
 }
 
 fn predicted(levels: &[f64]) -> (f64, f64) {
-    let believed = nightly(levels).believe(levels.len() as u32 * 24, None).unwrap();
-    (believed.ln.exp(), believed.sd)
+    let prior = nightly(levels).predict(levels.len() as u32 * 24, None).unwrap();
+    (prior.ln.exp(), prior.sd)
 }
 
 #[test]
@@ -39,10 +39,10 @@
         history.add(Run::new(n, n as u16, 9, run_s.ln(), 0.2, Some(owner.ln())));
         constant.add(Run::new(n, n as u16, 9, run_s.ln(), 0.2, Some(60f64.ln())));
     }
-    let corrected = history.believe(20, Some(100f64.ln())).unwrap();
+    let corrected = history.predict(20, Some(100f64.ln())).unwrap();
     assert!((corrected.ln.exp() / 200.0 - 1.0).abs() < 0.15, "{}", corrected.ln.exp());
     assert!(corrected.sd < 0.25, "{corrected:?}");
-    let same = constant.believe(20, Some(60f64.ln())).unwrap();
+    let same = constant.predict(20, Some(60f64.ln())).unwrap();
     assert!(same.sd > 0.5, "{same:?}");
 }
 
@@ -52,7 +52,7 @@
         .map(|day| if weekday(day * 24) == 1 { 90.0 } else { 60.0 + f64::from(day % 3) })
         .collect();
     let history = nightly(&levels);
-    let on = |day: u32| history.believe(day * 24, None).unwrap().ln.exp();
+    let on = |day: u32| history.predict(day * 24, None).unwrap().ln.exp();
     let monday = (21..28).find(|day| weekday(day * 24) == 1).unwrap();
     assert!(on(monday) > 78.0, "{}", on(monday));
     assert!((on(monday + 1) - 61.0).abs() < 4.0, "{}", on(monday + 1));
@@ -106,7 +106,7 @@
             history.add(Run { hour, id, tasks, ln, within, owner });
         }
         prop_assert!(history.is_valid());
-        let believed = history.believe(hour, owner).unwrap();
-        prop_assert!([believed.ln, believed.sd, believed.within].iter().all(|x| x.is_finite()));
+        let prior = history.predict(hour, owner).unwrap();
+        prop_assert!([prior.ln, prior.sd, prior.within].iter().all(|x| x.is_finite()));
     }
 }
--- a/crates/runtime-estimates/src/keeper.rs
+++ b/crates/runtime-estimates/src/keeper.rs
@@ -7,12 +7,12 @@
 
 use crate::constants::*;
 use crate::history::{History, Run};
-use crate::value::{Bucket, ErrorHistogram, Stamp, Unreadable, bucket_of};
+use crate::value::{Bucket, DecodeError, ErrorHistogram, Stamp, bucket_of};
 use std::borrow::Cow;
 
-/// Write of one bucket, to be executed only if its key still has the given revision.
+/// BucketWrite of one bucket, to be executed only if its key still has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct BucketWrite {
     /// Bucket to write.
     pub bucket: u8,
     /// Encoded value.
@@ -23,19 +23,19 @@
 
 /// Result of a write as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum WriteResult {
     /// The write was executed or failed a precondition. The value that is read next shows which.
     Settled,
     /// The write may have been executed, may still be executed, or was certainly not executed. It is sent again.
-    Unsure,
+    Unknown,
     /// The write can never be executed, since it is too large or malformed.
     Invalid,
 }
 
-/// Write whose result has not been confirmed by a value read from the store.
+/// BucketWrite whose result has not been confirmed by a value read from the store.
 #[derive(Debug)]
 struct InFlightWrite {
-    write: Write,
+    write: BucketWrite,
     stamp: Stamp,
     /// Observations that it adds to the stored value.
     added: Bucket,
@@ -60,9 +60,9 @@
     max_bytes: Option<usize>,
 }
 
-/// Write-back cache of the stored histories. Contains the values last read and the observations not written yet.
+/// BucketWrite-back cache of the stored histories. Contains the values last read and the observations not written yet.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct HistoryCache {
     buckets: Vec<BucketState>,
     /// Errors of all buckets; indexed as [`Bucket::errors`].
     errors: [ErrorHistogram; 2],
@@ -73,16 +73,16 @@
     written_ms: Option<u64>,
 }
 
-impl Default for Keeper {
-    fn default() -> Keeper {
+impl Default for HistoryCache {
+    fn default() -> HistoryCache {
         let buckets = std::iter::repeat_with(BucketState::default).take(BUCKETS.into()).collect();
         let errors = <[ErrorHistogram; 2]>::default();
         let error_quantiles = error_quantiles(&errors);
-        Keeper { buckets, errors, error_quantiles, count: 0, written_ms: None }
+        HistoryCache { buckets, errors, error_quantiles, count: 0, written_ms: None }
     }
 }
 
-impl Keeper {
+impl HistoryCache {
     fn bucket_state(&mut self, key: u64) -> &mut BucketState {
         &mut self.buckets[usize::from(bucket_of(key))]
     }
@@ -96,7 +96,7 @@
         self.unwritten(key).add(key, run);
     }
 
-    /// Records that an estimate was off by `z` standard deviations. `kind`: as in [`Keeper::error_quantiles`].
+    /// Records that an estimate was off by `z` standard deviations. `kind`: as in [`HistoryCache::error_quantiles`].
     pub(crate) fn add_error(&mut self, key: u64, kind: usize, z: f64) {
         self.unwritten(key).errors[kind].add(z);
         self.errors[kind].add(z);
@@ -135,14 +135,19 @@
 
     /// Takes over the current stored value of a bucket, or its absence. An undecodable value is treated as empty, so that
     /// only the histories in it are lost.
-    pub fn on_kept(&mut self, bucket: u8, value: Option<&str>, rev: u64) -> Result<(), Unreadable> {
+    pub fn on_stored_value(
+        &mut self,
+        bucket: u8,
+        value: Option<&str>,
+        rev: u64,
+    ) -> Result<(), DecodeError> {
         let Some(state) = self.buckets.get_mut(usize::from(bucket)) else { return Ok(()) };
         if rev == state.rev {
             return Ok(());
         }
         let decoded = value.map_or(Ok(Bucket::default()), Bucket::decode);
         state.rev = rev;
-        state.has_later_layout = matches!(decoded, Err(Unreadable::Later(_)));
+        state.has_later_layout = matches!(decoded, Err(DecodeError::LaterLayout(_)));
         state.stored = decoded.as_ref().cloned().unwrap_or_default();
         if let Some(write) = state.in_flight.take() {
             // Its precondition names an outdated revision, so it can no longer be executed.
@@ -166,16 +171,16 @@
     }
 
     /// Handles the result of the bucket's write.
-    pub fn on_told(&mut self, bucket: u8, told: Told) {
+    pub fn on_write_result(&mut self, bucket: u8, result: WriteResult) {
         let Some(state) = self.buckets.get_mut(usize::from(bucket)) else { return };
-        match told {
-            Told::Settled => {}
-            Told::Unsure => {
+        match result {
+            WriteResult::Settled => {}
+            WriteResult::Unknown => {
                 if let Some(write) = &mut state.in_flight {
                     write.resend = true;
                 }
             }
-            Told::Invalid => {
+            WriteResult::Invalid => {
                 if let Some(write) = state.in_flight.take() {
                     state.max_bytes = Some(write.write.value.len() / 2);
                     state.unwritten.merge(&write.added);
@@ -186,7 +191,7 @@
 
     /// Returns the next write if one is due, of the bucket that was written least recently. `token`: fencing token of
     /// this leader; `max_bytes`: maximum size of a value.
-    pub fn poll(&mut self, token: u64, max_bytes: usize, now_ms: u64) -> Option<Write> {
+    pub fn poll(&mut self, token: u64, max_bytes: usize, now_ms: u64) -> Option<BucketWrite> {
         if self.written_ms.is_some_and(|at| now_ms < at + WRITE_INTERVAL_MS) {
             return None;
         }
@@ -216,7 +221,7 @@
         merged.merge(&added);
         merged.stamp = stamp;
         let value = merged.encode(max_bytes.min(state.max_bytes.unwrap_or(max_bytes)));
-        let write = Write { bucket, value, rev: state.rev };
+        let write = BucketWrite { bucket, value, rev: state.rev };
         state.in_flight = Some(InFlightWrite { write: write.clone(), stamp, added, resend: false });
         Some(write)
     }
--- a/crates/runtime-estimates/src/learner.rs
+++ b/crates/runtime-estimates/src/learner.rs
@@ -1,9 +1,9 @@
 //! Selects the history that resembles a job and derives a graded run time estimate from it.
 
 use crate::constants::*;
-use crate::current::{Centre, Current};
-use crate::history::{Believed, Run};
-use crate::keeper::Keeper;
+use crate::current::{RunObservations, RunTimeDistribution};
+use crate::history::{Prediction, Run};
+use crate::keeper::HistoryCache;
 use crate::shape;
 use crate::value::hash;
 
@@ -64,7 +64,7 @@
     /// 90% quantile in seconds.
     pub p90_s: f64,
     /// Distribution of the run times of single tasks.
-    pub centre: Centre,
+    pub distribution: RunTimeDistribution,
 }
 
 impl Profile<'_> {
@@ -97,19 +97,19 @@
 #[derive(Debug, Default)]
 pub struct Learner {
     /// Histories, and their writes to the store.
-    pub keeper: Keeper,
+    pub cache: HistoryCache,
 }
 
 impl Learner {
     /// Returns the prediction with the smallest standard deviation among the levels from the most specific one to the
     /// first with at least [`CHANGE_RUNS`] runs.
-    fn believe(&self, profile: &Profile, hour: u32) -> Option<(Level, Believed)> {
+    fn predict(&self, profile: &Profile, hour: u32) -> Option<(Level, Prediction)> {
         let owner = profile.owner();
-        let mut best: Option<(Level, Believed)> = None;
+        let mut best: Option<(Level, Prediction)> = None;
         for level in [Level::Exact, Level::Team, Level::Class] {
             let key = profile.key(level);
             let Some(predicted) =
-                self.keeper.with_history(key, |history| history.believe(hour, owner)).flatten()
+                self.cache.with_history(key, |history| history.predict(hour, owner)).flatten()
             else {
                 continue;
             };
@@ -124,38 +124,49 @@
     }
 
     /// Returns a prediction from the owner's estimate, corrected by the bias of the team's estimates.
-    fn from_owner_estimate(&self, profile: &Profile, hour: u32) -> Option<Believed> {
+    fn from_owner_estimate(&self, profile: &Profile, hour: u32) -> Option<Prediction> {
         let owner = profile.owner()?;
         let bias = self
-            .keeper
-            .with_history(profile.key(Level::Owner), |history| history.believe(hour, None));
+            .cache
+            .with_history(profile.key(Level::Owner), |history| history.predict(hour, None));
         Some(match bias.flatten() {
-            Some(bias) => Believed { ln: owner + bias.ln, ..bias },
+            Some(bias) => Prediction { ln: owner + bias.ln, ..bias },
             None => {
-                Believed { ln: owner, sd: PRIOR_RUN_SD * 2.0, within: PRIOR_TASK_SD, runs: 0.0 }
+                Prediction { ln: owner, sd: PRIOR_RUN_SD * 2.0, within: PRIOR_TASK_SD, runs: 0.0 }
             }
         })
     }
 
     /// Estimates the mean run time of a job's tasks from its history and the observations of its current run. Returns
     /// `None` if there is neither a history nor an owner's estimate.
-    pub fn estimate(&self, profile: &Profile, shown: &Current, hour: u32) -> Option<Estimate> {
-        let (level, believed) = match self.believe(profile, hour) {
+    pub fn estimate(
+        &self,
+        profile: &Profile,
+        shown: &RunObservations,
+        hour: u32,
+    ) -> Option<Estimate> {
+        let (level, prior) = match self.predict(profile, hour) {
             Some(found) => found,
             None => (Level::Owner, self.from_owner_estimate(profile, hour)?),
         };
-        Some(self.grade(level, &believed, shown, profile.tasks))
+        Some(self.grade(level, &prior, shown, profile.tasks))
     }
 
     /// Combines a prediction with the observations and grades the result.
-    fn grade(&self, level: Level, believed: &Believed, shown: &Current, tasks: u64) -> Estimate {
-        let centre = shown.centre(believed);
-        let (ln, sd) = mean_of_tasks(&centre, tasks);
-        let well_founded = is_well_founded(level, believed, sd);
+    fn grade(
+        &self,
+        level: Level,
+        prior: &Prediction,
+        shown: &RunObservations,
+        tasks: u64,
+    ) -> Estimate {
+        let distribution = shown.distribution(prior);
+        let (ln, sd) = mean_of_tasks(&distribution, tasks);
+        let well_founded = is_well_founded(level, prior, sd);
         // Once tasks of the run completed, errors of past predictions carry little information.
-        let (p10, p90) = match shown.count() {
-            0 => self.keeper.error_quantiles(usize::from(!well_founded)),
-            _ => (shape::point(0.1), shape::point(0.9)),
+        let (p10, p90) = match shown.completed_count() {
+            0 => self.cache.error_quantiles(usize::from(!well_founded)),
+            _ => (shape::normal_quantile(0.1), shape::normal_quantile(0.9)),
         };
         let (low, high) = (ln + p10 * sd, ln + p90 * sd);
         let grade = match level {
@@ -163,49 +174,59 @@
             Level::Exact if well_founded && high - low <= SURE_WIDTH => Grade::Sure,
             _ => Grade::Thin,
         };
-        Estimate { grade, level, p10_s: low.exp(), p50_s: ln.exp(), p90_s: high.exp(), centre }
+        Estimate {
+            grade,
+            level,
+            p10_s: low.exp(),
+            p50_s: ln.exp(),
+            p90_s: high.exp(),
+            distribution,
+        }
     }
 
     /// Adds the observations of a job's run, complete or partial, to the histories after they have ended.
-    pub fn learn(&mut self, profile: &Profile, shown: &Current, hour: u32) {
-        let believed = self.believe(profile, hour);
-        let Some((ln, within, tasks)) = shown.summary(believed.as_ref().map(|(_, prior)| prior))
+    pub fn learn(&mut self, profile: &Profile, shown: &RunObservations, hour: u32) {
+        let prior = self.predict(profile, hour);
+        let Some((ln, within, tasks)) = shown.summary(prior.as_ref().map(|(_, prior)| prior))
         else {
             return;
         };
-        if let Some((level, prior)) = &believed {
-            let predicted = Current::default().centre(prior);
+        if let Some((level, prior)) = &prior {
+            let predicted = RunObservations::default().distribution(prior);
             let (expected, sd) = mean_of_tasks(&predicted, u64::from(tasks));
             let well_founded = is_well_founded(*level, prior, sd);
             let z = (ln + within * within / 2.0 - expected) / sd;
-            self.keeper.add_error(profile.key(Level::Exact), usize::from(!well_founded), z);
+            self.cache.add_error(profile.key(Level::Exact), usize::from(!well_founded), z);
         }
         let id = hash(&[profile.job.as_bytes()]) as u16;
         let owner = profile.owner();
         let run = Run::new(hour, id, tasks, ln, within, owner);
         for level in [Level::Exact, Level::Team, Level::Class] {
-            self.keeper.add(profile.key(level), run);
+            self.cache.add(profile.key(level), run);
         }
         if let Some(owner) = owner {
             let bias = Run::new(hour, id, tasks, ln - owner, within, None);
-            self.keeper.add(profile.key(Level::Owner), bias);
+            self.cache.add(profile.key(Level::Owner), bias);
         }
     }
 }
 
 /// Returns whether a prediction is based on enough runs that differ little. Errors of such predictions are counted
 /// separately from others.
-fn is_well_founded(level: Level, believed: &Believed, sd: f64) -> bool {
+fn is_well_founded(level: Level, prior: &Prediction, sd: f64) -> bool {
     level == Level::Exact
-        && believed.runs >= SURE_RUNS
-        && sd * 2.0 * shape::point(0.9) <= SURE_WIDTH
+        && prior.runs >= SURE_RUNS
+        && sd * 2.0 * shape::normal_quantile(0.9) <= SURE_WIDTH
 }
 
 /// Returns the logarithm of the mean run time of `tasks` tasks, and its standard deviation.
-fn mean_of_tasks(centre: &Centre, tasks: u64) -> (f64, f64) {
-    let task_variance = centre.within * centre.within;
+fn mean_of_tasks(distribution: &RunTimeDistribution, tasks: u64) -> (f64, f64) {
+    let task_variance = distribution.within * distribution.within;
     let sampling_variance = task_variance.exp_m1() / tasks.max(1) as f64;
-    (centre.ln + task_variance / 2.0, (centre.sd * centre.sd + sampling_variance).sqrt())
+    (
+        distribution.ln + task_variance / 2.0,
+        (distribution.sd * distribution.sd + sampling_variance).sqrt(),
+    )
 }
 
 #[cfg(test)]
--- a/crates/runtime-estimates/src/learner/tests.rs
+++ b/crates/runtime-estimates/src/learner/tests.rs
@@ -6,9 +6,9 @@
 }
 
 fn learn_run(learner: &mut Learner, profile: &Profile, run_s: f64, hour: u32) {
-    let mut observed = Current::default();
+    let mut observed = RunObservations::default();
     for n in 0..20 {
-        observed.ended(run_s * (1.0 + 0.1 * f64::from(n % 5 - 2)));
+        observed.record_completed(run_s * (1.0 + 0.1 * f64::from(n % 5 - 2)));
     }
     learner.learn(profile, &observed, hour);
 }
@@ -16,7 +16,7 @@
 #[test]
 fn grade_follows_the_similarity_and_number_of_earlier_runs() {
     let mut learner = Learner::default();
-    let new = Current::default();
+    let new = RunObservations::default();
     let known = profile("wk-0", "rebuild", "img-1");
     assert_eq!(learner.estimate(&known, &new, 0).unwrap().grade, Grade::Unknown);
     for day in 0..12u32 {
@@ -51,11 +51,12 @@
         );
     }
     let tonight = profile("wk-20", "rebuild", "i");
-    let mut observed = Current::default();
-    [190.0, 205.0, 198.0].into_iter().for_each(|run_s| observed.ended(run_s));
+    let mut observed = RunObservations::default();
+    [190.0, 205.0, 198.0].into_iter().for_each(|run_s| observed.record_completed(run_s));
     let seen = learner.estimate(&tonight, &observed, 288).unwrap();
     assert!((seen.p50_s / 200.0 - 1.0).abs() < 0.12, "{seen:?}");
     learn_run(&mut learner, &tonight, 200.0, 288);
-    let next = learner.estimate(&profile("wk-21", "rebuild", "i"), &Current::default(), 312);
+    let next =
+        learner.estimate(&profile("wk-21", "rebuild", "i"), &RunObservations::default(), 312);
     assert!((next.unwrap().p50_s - 102.0).abs() < 6.0, "{next:?}");
 }
--- a/crates/runtime-estimates/src/shape.rs
+++ b/crates/runtime-estimates/src/shape.rs
@@ -6,43 +6,43 @@
 use std::sync::LazyLock;
 
 /// Returns the probability that a standard normal variable exceeds `z`.
-pub fn above(z: f64) -> f64 {
+pub fn normal_tail(z: f64) -> f64 {
     0.5 * erfc(z * FRAC_1_SQRT_2)
 }
 
 /// Returns the probability that a standard normal variable is below `z`.
-pub fn below(z: f64) -> f64 {
-    above(-z)
+pub fn normal_cdf(z: f64) -> f64 {
+    normal_tail(-z)
 }
 
 /// Returns the quantile of the standard normal distribution at probability `share`.
-pub fn point(share: f64) -> f64 {
+pub fn normal_quantile(share: f64) -> f64 {
     -erfc_inv(2.0 * share.clamp(1e-9, 1.0 - 1e-9)) / FRAC_1_SQRT_2
 }
 
 /// Normal quantiles at evenly spaced probabilities. Simulating one job needs thousands of them.
 static NORMAL_QUANTILES: LazyLock<Vec<f64>> = LazyLock::new(|| {
-    (0..=QUANTILE_STEPS).map(|n| point(n as f64 / QUANTILE_STEPS as f64)).collect()
+    (0..=QUANTILE_STEPS).map(|n| normal_quantile(n as f64 / QUANTILE_STEPS as f64)).collect()
 });
 
 /// Returns [`normal_quantile`] to within a hundredth at a fraction of its cost; exact in the outermost steps.
-pub fn quick_point(share: f64) -> f64 {
+pub fn fast_normal_quantile(share: f64) -> f64 {
     let position = share * QUANTILE_STEPS as f64;
     let step = position as usize;
     if !(2..QUANTILE_STEPS - 2).contains(&step) {
-        return point(share);
+        return normal_quantile(share);
     }
     let fraction = position - step as f64;
     NORMAL_QUANTILES[step] * (1.0 - fraction) + NORMAL_QUANTILES[step + 1] * fraction
 }
 
 /// Returns the mean of a standard normal variable given that it exceeds `z` (the inverse Mills ratio).
-pub fn mean_above(z: f64) -> f64 {
+pub fn normal_tail_mean(z: f64) -> f64 {
     if z > 8.0 {
         // Asymptote: both the density and the tail probability vanish.
         return z + 1.0 / z;
     }
-    (-0.5 * z * z).exp() / (2.0 * PI).sqrt() / above(z)
+    (-0.5 * z * z).exp() / (2.0 * PI).sqrt() / normal_tail(z)
 }
 
 /// Returns the logarithm of a run time, or `None` if the run time is invalid.
--- a/crates/runtime-estimates/src/value.rs
+++ b/crates/runtime-estimates/src/value.rs
@@ -19,13 +19,13 @@
 
 /// Error that prevents a stored value from being decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// The value has a later layout. It must be left untouched for the version that wrote it.
     #[error("unsupported layout version {0}")]
-    Later(u8),
+    LaterLayout(u8),
     /// The value is truncated, corrupted or contains invalid histories.
     #[error("value is truncated or corrupted")]
-    Damaged,
+    Corrupted,
 }
 
 /// Histogram of the errors of past estimates, each in units of the estimate's standard deviation.
@@ -66,7 +66,8 @@
         let total = ERROR_PRIOR_WEIGHT + self.0.iter().map(|n| f64::from(*n)).sum::<f64>();
         let mut cumulative = 0.0;
         for bin in 0..ERROR_BINS {
-            let normal = crate::shape::above(edge(bin)) - crate::shape::above(edge(bin + 1));
+            let normal =
+                crate::shape::normal_tail(edge(bin)) - crate::shape::normal_tail(edge(bin + 1));
             let counted = self.0.get(bin).map_or(0.0, |n| f64::from(*n));
             let probability = (counted + ERROR_PRIOR_WEIGHT * normal) / total;
             if cumulative + probability >= share && probability > 0.0 {
@@ -175,20 +176,20 @@
     }
 
     /// Decodes a value. Never panics, also for arbitrary text.
-    pub fn decode(text: &str) -> Result<Bucket, Unreadable> {
-        let bytes = BASE64.decode(text).map_err(|_| Unreadable::Damaged)?;
-        let (body, sum) = bytes.split_last_chunk::<4>().ok_or(Unreadable::Damaged)?;
+    pub fn decode(text: &str) -> Result<Bucket, DecodeError> {
+        let bytes = BASE64.decode(text).map_err(|_| DecodeError::Corrupted)?;
+        let (body, sum) = bytes.split_last_chunk::<4>().ok_or(DecodeError::Corrupted)?;
         if checksum(body) != *sum {
-            return Err(Unreadable::Damaged);
+            return Err(DecodeError::Corrupted);
         }
-        let (format, body) = body.split_first().ok_or(Unreadable::Damaged)?;
+        let (format, body) = body.split_first().ok_or(DecodeError::Corrupted)?;
         if *format != FORMAT {
-            return Err(Unreadable::Later(*format));
+            return Err(DecodeError::LaterLayout(*format));
         }
-        let layout: Layout = postcard::from_bytes(body).map_err(|_| Unreadable::Damaged)?;
+        let layout: Layout = postcard::from_bytes(body).map_err(|_| DecodeError::Corrupted)?;
         let mut bucket = Bucket { stamp: layout.stamp, ..Bucket::default() };
         for (key, history) in layout.histories {
-            let history = history.unpacked().ok_or(Unreadable::Damaged)?;
+            let history = history.unpacked().ok_or(DecodeError::Corrupted)?;
             bucket.histories.insert(key, history);
         }
         for (errors, bins) in bucket.errors.iter_mut().zip(layout.errors) {
@@ -196,7 +197,7 @@
                 errors.0 = vec![0; ERROR_BINS];
             }
             for (bin, n) in bins {
-                *errors.0.get_mut(usize::from(bin)).ok_or(Unreadable::Damaged)? = n;
+                *errors.0.get_mut(usize::from(bin)).ok_or(DecodeError::Corrupted)? = n;
             }
             errors.fade();
         }
--- a/crates/runtime-estimates/src/value/tests.rs
+++ b/crates/runtime-estimates/src/value/tests.rs
@@ -46,7 +46,7 @@
         if let Ok(bucket) = Bucket::decode(&BASE64.encode(&body)) {
             for history in bucket.histories.values() {
                 prop_assert!(history.is_valid());
-                history.believe(1, Some(3.0));
+                history.predict(1, Some(3.0));
             }
         }
         let text = bucket(3, 5).encode(usize::MAX);
@@ -65,7 +65,7 @@
     bytes[0] = FORMAT + 1;
     let sum = checksum(&bytes);
     bytes.extend(sum);
-    assert_eq!(Bucket::decode(&BASE64.encode(bytes)), Err(Unreadable::Later(FORMAT + 1)));
-    assert_eq!(Bucket::decode("%%%"), Err(Unreadable::Damaged));
-    assert_eq!(Bucket::decode(""), Err(Unreadable::Damaged));
+    assert_eq!(Bucket::decode(&BASE64.encode(bytes)), Err(DecodeError::LaterLayout(FORMAT + 1)));
+    assert_eq!(Bucket::decode("%%%"), Err(DecodeError::Corrupted));
+    assert_eq!(Bucket::decode(""), Err(DecodeError::Corrupted));
 }
--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
-use troutspindle_runtime_estimates::{Current, Grade, Learner, hour_of, remaining};
+use troutspindle_runtime_estimates::{Grade, Learner, RunObservations, hour_of, remaining};
 
 /// How estimates of one grade did.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -137,8 +137,8 @@
     }
 
     /// What is known at a time: run times seen, how long each running task has run, and how many wait.
-    fn look(&self, job: &PastJob, at_s: f64) -> (Current, Vec<f64>, u64) {
-        let (mut shown, mut running, mut waiting) = (Current::default(), Vec::new(), 0);
+    fn look(&self, job: &PastJob, at_s: f64) -> (RunObservations, Vec<f64>, u64) {
+        let (mut shown, mut running, mut waiting) = (RunObservations::default(), Vec::new(), 0);
         for (task, run_s) in job.run_s.iter().enumerate() {
             let (begin, last, end) = (self.begin_s[task], self.last_s[task], self.end_s[task]);
             if begin > at_s {
@@ -146,10 +146,10 @@
                 continue;
             }
             if last > begin && last <= at_s {
-                shown.cut(last - begin);
+                shown.record_censored(last - begin);
             }
             if end <= at_s {
-                shown.ended(*run_s);
+                shown.record_completed(*run_s);
             } else {
                 running.push(at_s - if last <= at_s { last } else { begin });
             }
@@ -199,7 +199,7 @@
                     let shown = shown.with_running(&running);
                     figures.observations += (job.run_s.len() + job.stopped.len()) as u64;
                     learner.learn(&job.profile(), &shown, hour);
-                    if shown.count() > 0 {
+                    if shown.completed_count() > 0 {
                         ended.insert(&job.class);
                     }
                     if job.cancelled.is_none() {
@@ -219,7 +219,7 @@
         let hour = hour_of(job.at_s as u64);
         figures.jobs += 1;
         told();
-        let estimate = learner.estimate(&job.profile(), &Current::default(), hour);
+        let estimate = learner.estimate(&job.profile(), &RunObservations::default(), hour);
         let grade = estimate.map_or(Grade::Unknown, |estimate| estimate.grade);
         if job.cancelled.is_some() {
             figures.cancelled += 1;
@@ -268,7 +268,7 @@
             (day, sure as f64 / jobs.max(1) as f64, middle)
         })
         .collect();
-    figures.histories = learner.keeper.len();
+    figures.histories = learner.cache.len();
     figures
 }
 
@@ -287,7 +287,7 @@
 fn place([p10, p50, p90]: &[f64; 3], truth: f64) -> f64 {
     let off = truth.ln() - p50.ln();
     let side = if off < 0.0 { p50.ln() - p10.ln() } else { p90.ln() - p50.ln() };
-    troutspindle_runtime_estimates::below(off / (side / 1.2816).max(1e-6))
+    troutspindle_runtime_estimates::normal_cdf(off / (side / 1.2816).max(1e-6))
 }
 
 fn evaluate_at(
@@ -308,7 +308,7 @@
     let (shown, running, waiting) = run.course.look(job, at_s);
     let all = shown.with_running(&running);
     let Some(estimate) = learner.estimate(&job.profile(), &all, hour) else { return };
-    let left = remaining(&estimate.centre, &running, waiting, job.width);
+    let left = remaining(&estimate.distribution, &running, waiting, job.width);
     if is_early {
         let truth_s = run.course.over_s - at_s;
         // Seconds of work: what waits, and the rest of what runs.
@@ -316,7 +316,7 @@
         let rest =
             |task: usize| (run.course.end_s[task] - run.course.begin_s[task].max(at_s)).max(0.0);
         let truth_work: f64 = open.map(rest).sum();
-        let centre = &estimate.centre;
+        let centre = &estimate.distribution;
         let running_s: f64 = running.iter().map(|ran| centre.rest_s(*ran)).sum();
         let work = waiting as f64 * centre.mean_s() + running_s;
         let right = |told: f64, truth: f64| u64::from((told / truth - 1.0).abs() <= RIGHT);
@@ -330,14 +330,14 @@
         };
         early.jobs += 1;
         early.work_right += right(work, truth_work);
-        early.end_right += right(at_s + left.point(0.5), run.course.over_s);
-        early.left_right += right(left.point(0.5), truth_s);
+        early.end_right += right(at_s + left.quantile(0.5), run.course.over_s);
+        early.left_right += right(left.quantile(0.5), truth_s);
     }
     // What nothing is known of is not warned of before it shows itself.
-    let known = estimate.grade > Grade::Unknown || shown.count() as usize >= EARLY_LEAST;
+    let known = estimate.grade > Grade::Unknown || shown.completed_count() as usize >= EARLY_LEAST;
     if let Some(due_s) = due_s
         && known
-        && left.later_than(due_s - at_s) >= WARN_FROM
+        && left.probability_longer_than(due_s - at_s) >= WARN_FROM
     {
         run.warned_s = Some(at_s);
     }
--- a/crates/troutspindlectl/src/replay/tests.rs
+++ b/crates/troutspindlectl/src/replay/tests.rs
@@ -22,5 +22,5 @@
     let course = course(&job);
     assert_eq!(course.end_s, [10.0, 14.0, 20.0]);
     let (shown, running, waiting) = course.look(&job, 11.0);
-    assert_eq!((shown.count(), running, waiting), (1, vec![7.0, 1.0], 0));
+    assert_eq!((shown.completed_count(), running, waiting), (1, vec![7.0, 1.0], 0));
 }
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use troutspindle_protocol::operator_api::{JobAtRisk, JobsAtRisk};
 use troutspindle_runtime_estimates::{
-    Current, Estimate, Grade, Learner, Profile, Told, hour_of, remaining,
+    Estimate, Grade, Learner, Profile, RunObservations, WriteResult, hour_of, remaining,
 };
 
 /// Maximum number of estimates refreshed before a planning pass. Each takes about ten microseconds, so eight passes a
@@ -59,7 +59,7 @@
     request: Amount,
     accepted_ms: u64,
     /// Run times of the job's tasks so far.
-    run_times: Current,
+    run_times: RunObservations,
     /// Seconds of work that earlier attempts have saved, by task index.
     saved_s: HashMap<u32, f64>,
     /// Latest estimate and the time at which it was made.
@@ -112,7 +112,7 @@
     fn read_stored(&mut self, cache: &Cache) {
         for (bucket, known) in &cache.estimates {
             let (value, revision) = (known.value.as_deref(), known.revision);
-            if let Err(error) = self.learner.keeper.on_kept(*bucket, value, revision.0) {
+            if let Err(error) = self.learner.cache.on_stored_value(*bucket, value, revision.0) {
                 // Only the estimates of this bucket are lost.
                 tracing::info!(key = %key(*bucket), %error, "runtime estimates unreadable");
             }
@@ -123,7 +123,7 @@
     /// is based on history.
     pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
         let (estimate, _) = self.observations.get(id)?.estimate?;
-        (estimate.grade > Grade::Unknown).then(|| estimate.centre.rest_s(ran_s))
+        (estimate.grade > Grade::Unknown).then(|| estimate.distribution.rest_s(ran_s))
     }
 
     fn observations_of(&mut self, id: &JobId, live: &LiveJob) -> &mut JobObservations {
@@ -131,7 +131,7 @@
             spec: live.spec.clone(),
             request: live.request,
             accepted_ms: live.accepted_ms,
-            run_times: Current::default(),
+            run_times: RunObservations::default(),
             saved_s: HashMap::new(),
             estimate: None,
             late_probability: 0.0,
@@ -173,10 +173,10 @@
         match (run.completed, saved_s) {
             // An earlier attempt had completed, and the machine returned its result without running the task again.
             (true, None) if !is_first && run_s < RESULT_REPLAY_MAX_S => {}
-            (true, saved_s) => job.run_times.ended(run_s + saved_s.unwrap_or(0.0)),
+            (true, saved_s) => job.run_times.record_completed(run_s + saved_s.unwrap_or(0.0)),
             (false, saved_s) => {
                 let total_s = run_s + saved_s.unwrap_or(0.0);
-                job.run_times.cut(total_s);
+                job.run_times.record_censored(total_s);
                 // The next attempt repeats everything but the saved work.
                 let checkpoint_s = live.spec.checkpoint_s;
                 if run.saved {
@@ -215,7 +215,7 @@
     /// Returns the estimate for jobs with this profile.
     #[cfg(test)]
     pub(super) fn estimate_of(&self, profile: &Profile<'_>) -> Option<Estimate> {
-        self.runtime_predictor.learner.estimate(profile, &Current::default(), 0)
+        self.runtime_predictor.learner.estimate(profile, &RunObservations::default(), 0)
     }
 
     fn hour(&self, now: Instant) -> u32 {
@@ -340,15 +340,15 @@
             self.settings.platform.params.teams.iter().find(|team| team.name == live.spec.team);
         let width =
             team.map_or(u64::MAX, |team| placement::max_copies(&team.limit(), &live.request));
-        let remaining_run = remaining(&estimate.centre, &running, waiting, width);
-        let late = remaining_run.later_than(left_s);
-        let done_in_s = remaining_run.point(0.5);
+        let remaining_run = remaining(&estimate.distribution, &running, waiting, width);
+        let late = remaining_run.probability_longer_than(left_s);
+        let done_in_s = remaining_run.quantile(0.5);
         let ended = live.completed_count();
         let job = self.runtime_predictor.observations_of(id, live);
         job.late_probability = late;
         job.done_in_s = done_in_s;
         let has_evidence =
-            estimate.grade > Grade::Unknown || job.run_times.count() >= WARNING_MIN_TASKS;
+            estimate.grade > Grade::Unknown || job.run_times.completed_count() >= WARNING_MIN_TASKS;
         if has_evidence && left_s > 0.0 && late >= WARNING_PROBABILITY && !job.warned {
             job.warned = true;
             self.runtime_predictor.warned += 1;
@@ -370,7 +370,7 @@
         let max_bytes = store.layout().value_max.saturating_sub(2);
         let now_ms = now.saturating_duration_since(self.term.started_at).as_millis() as u64;
         let Some(write) =
-            self.runtime_predictor.learner.keeper.poll(self.term.token.0, max_bytes, now_ms)
+            self.runtime_predictor.learner.cache.poll(self.term.token.0, max_bytes, now_ms)
         else {
             return;
         };
@@ -391,11 +391,11 @@
     /// Applies the outcome of a write of estimates.
     pub(super) fn on_estimates_written(&mut self, bucket: u8, outcome: WriteOutcome) {
         let write_outcome = match outcome {
-            WriteOutcome::Committed | WriteOutcome::Conflict => Told::Settled,
-            WriteOutcome::NotExecuted | WriteOutcome::Unknown => Told::Unsure,
-            WriteOutcome::Invalid => Told::Invalid,
+            WriteOutcome::Committed | WriteOutcome::Conflict => WriteResult::Settled,
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => WriteResult::Unknown,
+            WriteOutcome::Invalid => WriteResult::Invalid,
         };
-        self.runtime_predictor.learner.keeper.on_told(bucket, write_outcome);
+        self.runtime_predictor.learner.cache.on_write_result(bucket, write_outcome);
     }
 
     /// Returns the jobs that may miss their deadline, the most probable first, and the counts of warnings.
--- a/tests/wire_format/stored.rs
+++ b/tests/wire_format/stored.rs
@@ -29,7 +29,7 @@
     self, JobSpec, JobStatus, KeyValue, RangeResponse, StoreValue, Transaction, Write,
 };
 use troutspindle_protocol::operator_api::DrainKind;
-use troutspindle_runtime_estimates::{Bucket, Current, Learner, Profile};
+use troutspindle_runtime_estimates::{Bucket, Learner, Profile, RunObservations};
 
 const ACCEPTED_MS: u64 = 1_700_000_000_000;
 const ENDED_MS: u64 = 1_700_000_300_000;
@@ -345,16 +345,16 @@
         expect_s: 40.0,
         tasks: 20,
     };
-    let mut shown = Current::default();
-    [30.0, 40.0, 50.0].into_iter().for_each(|run_s| shown.ended(run_s));
+    let mut shown = RunObservations::default();
+    [30.0, 40.0, 50.0].into_iter().for_each(|run_s| shown.record_completed(run_s));
     let mut learner = Learner::default();
     learner.learn(&profile, &shown, 490_000);
     learner.learn(&profile, &shown, 490_024);
     let names = ["estimates-1", "estimates-2", "estimates-3", "estimates-4"];
-    let writes = (0..).step_by(60_000).map_while(|ms| learner.keeper.poll(41, 14_000, ms));
+    let writes = (0..).step_by(60_000).map_while(|ms| learner.cache.poll(41, 14_000, ms));
     let writes: Vec<_> = writes.collect();
     assert_eq!(writes.len(), names.len());
-    let value = |(name, write): (&'static str, troutspindle_runtime_estimates::Write)| {
+    let value = |(name, write): (&'static str, troutspindle_runtime_estimates::BucketWrite)| {
         let bucket = Bucket::decode(&write.value).expect("readable estimates");
         let line = format!("{:02x}:{}", write.bucket, write.value);
         let stamp_and_runs = |bucket: &Bucket| {
