--- a/crates/runtime-estimates/src/current.rs
+++ b/crates/runtime-estimates/src/current.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the mean remaining run time in seconds of a task that has run for `ran_s`.
-    pub fn rest_s(&self, ran_s: f64) -> f64 {
+    pub fn mean_remaining_s(&self, ran_s: f64) -> f64 {
         let ran_s = ran_s.max(MIN_RUN_S);
         let z = (ran_s.ln() - self.ln) / self.within;
         let survival = shape::normal_tail(z);
--- a/crates/runtime-estimates/src/history.rs
+++ b/crates/runtime-estimates/src/history.rs
@@ -47,11 +47,13 @@
     fn join(&self, other: &Run) -> Run {
         let (own_tasks, other_tasks) =
             (f64::from(self.tasks.max(1)), f64::from(other.tasks.max(1)));
-        let share = other_tasks / (own_tasks + other_tasks);
+        let other_share = other_tasks / (own_tasks + other_tasks);
         let difference = other.ln() - self.ln();
-        let ln = self.ln() + difference * share;
-        let squares = self.within().powi(2) * (1.0 - share) + other.within().powi(2) * share;
-        let within = (squares + difference * difference * share * (1.0 - share)).sqrt();
+        let ln = self.ln() + difference * other_share;
+        let mean_square =
+            self.within().powi(2) * (1.0 - other_share) + other.within().powi(2) * other_share;
+        let within =
+            (mean_square + difference * difference * other_share * (1.0 - other_share)).sqrt();
         let owner = self.owner.max(other.owner).map(|ln| f64::from(ln) / LN_UNITS);
         let tasks = self.tasks.saturating_add(other.tasks);
         Run::new(self.hour.max(other.hour), self.id, tasks, ln, within, owner)
@@ -161,18 +163,18 @@
         let owner_lns = self.runs.iter().filter_map(Run::owner);
         let (sum, count) = owner_lns.fold((0.0, 0), |(sum, n), ln| (sum + ln, n + 1));
         let owner_mean = if count > 0 { sum / f64::from(count) } else { owner.unwrap_or(0.0) };
-        let fade = 0.5f64.powf(1.0 / HALF_LIFE_RUNS);
-        let mut weight = fade.powi(newest as i32);
+        let weight_ratio = 0.5f64.powf(1.0 / HALF_LIFE_RUNS);
+        let mut weight = weight_ratio.powi(newest as i32);
         let mut samples = Vec::with_capacity(MAX_RUNS);
         for run in &self.runs {
             let owner = run.owner().map_or(0.0, |ln| ln - owner_mean);
             samples.push(Sample { ln: run.ln(), owner, weight, weekday: weekday(run.hour) });
-            weight /= fade;
+            weight /= weight_ratio;
         }
         // Regression on the owner's estimates, and the residuals that they don't explain.
         let slope = owner_slope(&samples);
         let mut residuals: Vec<f64> = samples.iter().map(|s| s.ln - slope * s.owner).collect();
-        let first = last_change(&residuals);
+        let first = lasting_change(&residuals);
         let samples = &samples[first..];
         residuals.drain(..first);
         let (mut ln, mut scatter) = robust_center(&residuals, samples);
@@ -211,7 +213,7 @@
 }
 
 /// Returns the index of the first run after the most significant lasting change, or 0 if there was none.
-fn last_change(residuals: &[f64]) -> usize {
+fn lasting_change(residuals: &[f64]) -> usize {
     let mut best = (CHANGE_STANDARD_ERRORS, 0);
     for index in CHANGE_RUNS..residuals.len().saturating_sub(CHANGE_RUNS - 1) {
         let (old, new) = residuals.split_at(index);
--- a/crates/runtime-estimates/src/history/tests.rs
+++ b/crates/runtime-estimates/src/history/tests.rs
@@ -10,8 +10,8 @@
 }
 
 fn predicted(levels: &[f64]) -> (f64, f64) {
-    let prior = nightly(levels).predict(levels.len() as u32 * 24, None).unwrap();
-    (prior.ln.exp(), prior.sd)
+    let prediction = nightly(levels).predict(levels.len() as u32 * 24, None).unwrap();
+    (prediction.ln.exp(), prediction.sd)
 }
 
 #[test]
@@ -42,8 +42,8 @@
     let corrected = history.predict(20, Some(100f64.ln())).unwrap();
     assert!((corrected.ln.exp() / 200.0 - 1.0).abs() < 0.15, "{}", corrected.ln.exp());
     assert!(corrected.sd < 0.25, "{corrected:?}");
-    let same = constant.predict(20, Some(60f64.ln())).unwrap();
-    assert!(same.sd > 0.5, "{same:?}");
+    let uninformed = constant.predict(20, Some(60f64.ln())).unwrap();
+    assert!(uninformed.sd > 0.5, "{uninformed:?}");
 }
 
 #[test]
@@ -106,7 +106,7 @@
             history.add(Run { hour, id, tasks, ln, within, owner });
         }
         prop_assert!(history.is_valid());
-        let prior = history.predict(hour, owner).unwrap();
-        prop_assert!([prior.ln, prior.sd, prior.within].iter().all(|x| x.is_finite()));
+        let prediction = history.predict(hour, owner).unwrap();
+        prop_assert!([prediction.ln, prediction.sd, prediction.within].iter().all(|x| x.is_finite()));
     }
 }
--- a/crates/runtime-estimates/src/keeper.rs
+++ b/crates/runtime-estimates/src/keeper.rs
@@ -10,7 +10,7 @@
 use crate::value::{Bucket, DecodeError, ErrorHistogram, Stamp, bucket_of};
 use std::borrow::Cow;
 
-/// BucketWrite of one bucket, to be executed only if its key still has the given revision.
+/// Write of one bucket, to be executed only if its key still has the given revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BucketWrite {
     /// Bucket to write.
@@ -32,7 +32,7 @@
     Invalid,
 }
 
-/// BucketWrite whose result has not been confirmed by a value read from the store.
+/// Write whose result has not been confirmed by a value read from the store.
 #[derive(Debug)]
 struct InFlightWrite {
     write: BucketWrite,
@@ -55,12 +55,13 @@
     in_flight: Option<InFlightWrite>,
     /// Whether the stored value has a later layout and must not be overwritten.
     has_later_layout: bool,
+    /// Time of the last write of this bucket.
     written_ms: Option<u64>,
-    /// Maximum size of a value in bytes, set once a write was rejected as invalid.
+    /// Maximum size of a value in bytes: half the size of the last write that was rejected as invalid, if any.
     max_bytes: Option<usize>,
 }
 
-/// BucketWrite-back cache of the stored histories. Contains the values last read and the observations not written yet.
+/// Write-back cache of the stored histories. Contains the values last read and the observations not written yet.
 #[derive(Debug)]
 pub struct HistoryCache {
     buckets: Vec<BucketState>,
@@ -69,7 +70,8 @@
     /// 10% and 90% quantiles of `errors`, recomputed on every change.
     error_quantiles: [(f64, f64); 2],
     /// Number of writes so far, for their stamps.
-    count: u64,
+    write_count: u64,
+    /// Time of the last write of any bucket.
     written_ms: Option<u64>,
 }
 
@@ -78,7 +80,7 @@
         let buckets = std::iter::repeat_with(BucketState::default).take(BUCKETS.into()).collect();
         let errors = <[ErrorHistogram; 2]>::default();
         let error_quantiles = error_quantiles(&errors);
-        HistoryCache { buckets, errors, error_quantiles, count: 0, written_ms: None }
+        HistoryCache { buckets, errors, error_quantiles, write_count: 0, written_ms: None }
     }
 }
 
@@ -109,10 +111,11 @@
         self.error_quantiles[kind]
     }
 
-    /// Calls `read` with the complete history of `key`: stored, in flight and unwritten. Returns `None` if there is none.
+    /// Calls `read` with the complete history of `key`: stored, in flight and unwritten. Returns `None` if there is no
+    /// history.
     pub(crate) fn with_history<T>(&self, key: u64, read: impl Fn(&History) -> T) -> Option<T> {
         let state = &self.buckets[usize::from(bucket_of(key))];
-        let in_flight = state.in_flight.as_ref().map(|write| &write.added);
+        let in_flight = state.in_flight.as_ref().map(|in_flight| &in_flight.added);
         let parts = [Some(&state.stored), in_flight, Some(&state.unwritten)];
         let mut merged: Option<Cow<History>> = None;
         for part in parts.into_iter().flatten().filter_map(|part| part.histories.get(&key)) {
@@ -133,7 +136,7 @@
         self.len() == 0
     }
 
-    /// Takes over the current stored value of a bucket, or its absence. An undecodable value is treated as empty, so that
+    /// Applies the current stored value of a bucket, or its absence. An undecodable value is treated as empty, so that
     /// only the histories in it are lost.
     pub fn on_stored_value(
         &mut self,
@@ -149,17 +152,17 @@
         state.rev = rev;
         state.has_later_layout = matches!(decoded, Err(DecodeError::LaterLayout(_)));
         state.stored = decoded.as_ref().cloned().unwrap_or_default();
-        if let Some(write) = state.in_flight.take() {
+        if let Some(in_flight) = state.in_flight.take() {
             // Its precondition names an outdated revision, so it can no longer be executed.
-            if state.stored.stamp != write.stamp {
-                state.unwritten.merge(&write.added);
+            if state.stored.stamp != in_flight.stamp {
+                state.unwritten.merge(&in_flight.added);
             }
         }
         self.errors = <[ErrorHistogram; 2]>::default();
         for part in self.buckets.iter().flat_map(|state| {
             [
                 Some(&state.stored),
-                state.in_flight.as_ref().map(|write| &write.added),
+                state.in_flight.as_ref().map(|in_flight| &in_flight.added),
                 Some(&state.unwritten),
             ]
         }) {
@@ -176,14 +179,14 @@
         match result {
             WriteResult::Settled => {}
             WriteResult::Unknown => {
-                if let Some(write) = &mut state.in_flight {
-                    write.resend = true;
+                if let Some(in_flight) = &mut state.in_flight {
+                    in_flight.resend = true;
                 }
             }
             WriteResult::Invalid => {
-                if let Some(write) = state.in_flight.take() {
-                    state.max_bytes = Some(write.write.value.len() / 2);
-                    state.unwritten.merge(&write.added);
+                if let Some(in_flight) = state.in_flight.take() {
+                    state.max_bytes = Some(in_flight.write.value.len() / 2);
+                    state.unwritten.merge(&in_flight.added);
                 }
             }
         }
@@ -199,7 +202,7 @@
             let interval_elapsed =
                 state.written_ms.is_none_or(|at| now_ms >= at + REWRITE_INTERVAL_MS);
             let has_write = match &state.in_flight {
-                Some(write) => write.resend,
+                Some(in_flight) => in_flight.resend,
                 None => !state.unwritten.is_empty() && !state.has_later_layout,
             };
             interval_elapsed && has_write
@@ -214,8 +217,8 @@
             in_flight.resend = false;
             return Some(in_flight.write.clone());
         }
-        self.count += 1;
-        let stamp = Stamp { token, count: self.count };
+        self.write_count += 1;
+        let stamp = Stamp { token, count: self.write_count };
         let added = std::mem::take(&mut state.unwritten);
         let mut merged = state.stored.clone();
         merged.merge(&added);
@@ -227,6 +230,7 @@
     }
 }
 
+/// Returns the 10% and 90% quantiles of each histogram.
 fn error_quantiles(errors: &[ErrorHistogram; 2]) -> [(f64, f64); 2] {
     errors.each_ref().map(|errors| (errors.quantile(0.1), errors.quantile(0.9)))
 }
--- a/crates/runtime-estimates/src/keeper/tests.rs
+++ b/crates/runtime-estimates/src/keeper/tests.rs
@@ -127,7 +127,7 @@
     assert_eq!(
         known_tasks(&cache).get(&1),
         Some(&5),
-        "observations must still be used by this leader"
+        "observations must be used for as long as this leader's term lasts"
     );
 }
 
--- a/crates/runtime-estimates/src/learner.rs
+++ b/crates/runtime-estimates/src/learner.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns a prediction from the owner's estimate, corrected by the bias of the team's estimates.
-    fn from_owner_estimate(&self, profile: &Profile, hour: u32) -> Option<Prediction> {
+    fn predict_from_owner(&self, profile: &Profile, hour: u32) -> Option<Prediction> {
         let owner = profile.owner()?;
         let bias = self
             .cache
@@ -142,14 +142,14 @@
     pub fn estimate(
         &self,
         profile: &Profile,
-        shown: &RunObservations,
+        observations: &RunObservations,
         hour: u32,
     ) -> Option<Estimate> {
         let (level, prior) = match self.predict(profile, hour) {
-            Some(found) => found,
-            None => (Level::Owner, self.from_owner_estimate(profile, hour)?),
+            Some(prediction) => prediction,
+            None => (Level::Owner, self.predict_from_owner(profile, hour)?),
         };
-        Some(self.grade(level, &prior, shown, profile.tasks))
+        Some(self.grade(level, &prior, observations, profile.tasks))
     }
 
     /// Combines a prediction with the observations and grades the result.
@@ -157,14 +157,14 @@
         &self,
         level: Level,
         prior: &Prediction,
-        shown: &RunObservations,
+        observations: &RunObservations,
         tasks: u64,
     ) -> Estimate {
-        let distribution = shown.distribution(prior);
+        let distribution = observations.distribution(prior);
         let (ln, sd) = mean_of_tasks(&distribution, tasks);
         let well_founded = is_well_founded(level, prior, sd);
         // Once tasks of the run completed, errors of past predictions carry little information.
-        let (p10, p90) = match shown.completed_count() {
+        let (p10, p90) = match observations.completed_count() {
             0 => self.cache.error_quantiles(usize::from(!well_founded)),
             _ => (shape::normal_quantile(0.1), shape::normal_quantile(0.9)),
         };
@@ -185,9 +185,10 @@
     }
 
     /// Adds the observations of a job's run, complete or partial, to the histories after they have ended.
-    pub fn learn(&mut self, profile: &Profile, shown: &RunObservations, hour: u32) {
+    pub fn learn(&mut self, profile: &Profile, observations: &RunObservations, hour: u32) {
         let prior = self.predict(profile, hour);
-        let Some((ln, within, tasks)) = shown.summary(prior.as_ref().map(|(_, prior)| prior))
+        let Some((ln, within, tasks)) =
+            observations.summary(prior.as_ref().map(|(_, prior)| prior))
         else {
             return;
         };
--- a/crates/runtime-estimates/src/lib.rs
+++ b/crates/runtime-estimates/src/lib.rs
@@ -1,9 +1,9 @@
 //! Predicts run times of tasks from earlier runs, with the uncertainty of each prediction.
 //!
 //! Pure: no I/O, no clock. Run times are modelled as log-normal: a run of a job has a median, and its tasks scatter
-//! around it. [`History`] remembers the last runs of similar jobs, [`RunObservations`] the observations of the current run.
-//! [`Learner`] selects the history for a job. [`HistoryCache`] decides what is written to the store and when, so that no
-//! observation counts twice. The design decisions are explained in `docs/estimates/design.md`.
+//! around it. [`History`] contains the last runs of similar jobs, [`RunObservations`] the run times seen so far in the
+//! current run. [`Learner`] selects the history for a job. [`HistoryCache`] decides what is written to the store and
+//! when, so that no observation counts twice. The design decisions are explained in `docs/estimates/design.md`.
 #![forbid(unsafe_code)]
 
 pub mod constants;
--- a/crates/runtime-estimates/src/play.rs
+++ b/crates/runtime-estimates/src/play.rs
@@ -14,9 +14,9 @@
 pub struct RemainingTime(Vec<f64>);
 
 impl RemainingTime {
-    /// Returns the quantile at probability `share`, in seconds.
-    pub fn quantile(&self, share: f64) -> f64 {
-        let index = (self.0.len() as f64 * share) as usize;
+    /// Returns the quantile at `probability`, in seconds.
+    pub fn quantile(&self, probability: f64) -> f64 {
+        let index = (self.0.len() as f64 * probability) as usize;
         self.0.get(index.min(self.0.len().saturating_sub(1))).copied().unwrap_or(0.0)
     }
 
@@ -38,9 +38,9 @@
     let mut random = StdRng::seed_from_u64(waiting);
     let outcomes = (0..SIMULATED_OUTCOMES).map(|outcome| {
         // The medians are evenly spaced quantiles; the run times of the tasks are drawn at random.
-        let share = (outcome as f64 + 0.5) / SIMULATED_OUTCOMES as f64;
+        let probability = (outcome as f64 + 0.5) / SIMULATED_OUTCOMES as f64;
         let distribution = RunTimeDistribution {
-            ln: distribution.ln + distribution.sd * shape::normal_quantile(share),
+            ln: distribution.ln + distribution.sd * shape::normal_quantile(probability),
             ..*distribution
         };
         simulate(&distribution, running, waiting, width, &mut random)
@@ -59,7 +59,9 @@
     random: &mut StdRng,
 ) -> f64 {
     let within = distribution.within;
-    let run_s = |share: f64| (distribution.ln + within * shape::fast_normal_quantile(share)).exp();
+    let run_s = |probability: f64| {
+        (distribution.ln + within * shape::fast_normal_quantile(probability)).exp()
+    };
     // The run time of a running task is drawn from the part of the distribution above its elapsed time.
     let mut ends: BinaryHeap<Reverse<OrderedFloat<f64>>> = running
         .iter()
--- a/crates/runtime-estimates/src/shape.rs
+++ b/crates/runtime-estimates/src/shape.rs
@@ -15,9 +15,9 @@
     normal_tail(-z)
 }
 
-/// Returns the quantile of the standard normal distribution at probability `share`.
-pub fn normal_quantile(share: f64) -> f64 {
-    -erfc_inv(2.0 * share.clamp(1e-9, 1.0 - 1e-9)) / FRAC_1_SQRT_2
+/// Returns the quantile of the standard normal distribution at `probability`.
+pub fn normal_quantile(probability: f64) -> f64 {
+    -erfc_inv(2.0 * probability.clamp(1e-9, 1.0 - 1e-9)) / FRAC_1_SQRT_2
 }
 
 /// Normal quantiles at evenly spaced probabilities. Simulating one job needs thousands of them.
@@ -26,11 +26,11 @@
 });
 
 /// Returns [`normal_quantile`] to within a hundredth at a fraction of its cost; exact in the outermost steps.
-pub fn fast_normal_quantile(share: f64) -> f64 {
-    let position = share * QUANTILE_STEPS as f64;
+pub fn fast_normal_quantile(probability: f64) -> f64 {
+    let position = probability * QUANTILE_STEPS as f64;
     let step = position as usize;
     if !(2..QUANTILE_STEPS - 2).contains(&step) {
-        return normal_quantile(share);
+        return normal_quantile(probability);
     }
     let fraction = position - step as f64;
     NORMAL_QUANTILES[step] * (1.0 - fraction) + NORMAL_QUANTILES[step + 1] * fraction
--- a/crates/runtime-estimates/src/value.rs
+++ b/crates/runtime-estimates/src/value.rs
@@ -51,16 +51,16 @@
         self.fade();
     }
 
-    /// Halves all counts beyond [`MAX_ERRORS`].
+    /// Halves all counts if their sum exceeds [`MAX_ERRORS`].
     fn fade(&mut self) {
         if self.0.iter().fold(0u32, |sum, n| sum.saturating_add(*n)) > MAX_ERRORS {
             self.0.iter_mut().for_each(|n| *n /= 2);
         }
     }
 
-    /// Returns the quantile of errors at probability `share`, in standard deviations. Counted errors are combined with a
+    /// Returns the quantile of errors at `probability`, in standard deviations. Counted errors are combined with a
     /// normal distribution that weighs [`ERROR_PRIOR_WEIGHT`].
-    pub fn quantile(&self, share: f64) -> f64 {
+    pub fn quantile(&self, probability: f64) -> f64 {
         let middle = (ERROR_BINS / 2) as f64;
         let edge = |bin: usize| (bin as f64 - 0.5 - middle) * ERROR_BIN_WIDTH;
         let total = ERROR_PRIOR_WEIGHT + self.0.iter().map(|n| f64::from(*n)).sum::<f64>();
@@ -69,11 +69,11 @@
             let normal =
                 crate::shape::normal_tail(edge(bin)) - crate::shape::normal_tail(edge(bin + 1));
             let counted = self.0.get(bin).map_or(0.0, |n| f64::from(*n));
-            let probability = (counted + ERROR_PRIOR_WEIGHT * normal) / total;
-            if cumulative + probability >= share && probability > 0.0 {
-                return edge(bin) + (share - cumulative) / probability * ERROR_BIN_WIDTH;
+            let bin_probability = (counted + ERROR_PRIOR_WEIGHT * normal) / total;
+            if cumulative + bin_probability >= probability && bin_probability > 0.0 {
+                return edge(bin) + (probability - cumulative) / bin_probability * ERROR_BIN_WIDTH;
             }
-            cumulative += probability;
+            cumulative += bin_probability;
         }
         edge(ERROR_BINS)
     }
@@ -109,7 +109,7 @@
     }
     /// Returns the runs of all histories, in no particular order.
     pub fn runs(&self) -> impl Iterator<Item = &Run> {
-        self.histories.values().flat_map(|known| known.runs())
+        self.histories.values().flat_map(|history| history.runs())
     }
     /// Returns the number of histories.
     pub fn len(&self) -> usize {
@@ -138,7 +138,7 @@
             return;
         }
         let mut oldest: Vec<(u32, u64)> =
-            self.histories.iter().map(|(key, known)| (known.newest(), *key)).collect();
+            self.histories.iter().map(|(key, history)| (history.newest(), *key)).collect();
         oldest.sort_unstable();
         for (_, key) in oldest.into_iter().take(excess) {
             self.histories.remove(&key);
@@ -160,7 +160,7 @@
     /// Encodes the complete bucket: format version, layout, checksum; as Base64.
     fn encode_all(&self) -> String {
         let mut histories: Vec<(u64, History)> =
-            self.histories.iter().map(|(key, known)| (*key, known.packed())).collect();
+            self.histories.iter().map(|(key, history)| (*key, history.packed())).collect();
         histories.sort_by_key(|(key, _)| *key);
         let sparse = |errors: &ErrorHistogram| {
             let bins = (0u8..).zip(errors.0.iter().copied());
--- a/crates/runtime-estimates/src/value/tests.rs
+++ b/crates/runtime-estimates/src/value/tests.rs
@@ -25,7 +25,7 @@
     assert!(text.len() <= 1800);
     let trimmed = Bucket::decode(&text).unwrap();
     assert!(trimmed.len() >= 3, "{}", trimmed.len());
-    assert!(trimmed.histories.values().all(|known| known.newest() > 490_000 + 59 * 24 + 10));
+    assert!(trimmed.histories.values().all(|history| history.newest() > 490_000 + 59 * 24 + 10));
 }
 
 #[test]
--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -317,7 +317,7 @@
             |task: usize| (run.course.end_s[task] - run.course.begin_s[task].max(at_s)).max(0.0);
         let truth_work: f64 = open.map(rest).sum();
         let centre = &estimate.distribution;
-        let running_s: f64 = running.iter().map(|ran| centre.rest_s(*ran)).sum();
+        let running_s: f64 = running.iter().map(|ran| centre.mean_remaining_s(*ran)).sum();
         let work = waiting as f64 * centre.mean_s() + running_s;
         let right = |told: f64, truth: f64| u64::from((told / truth - 1.0).abs() <= RIGHT);
         // Where a tenth is less than three tasks, what is left is one or two tasks and their chance.
--- a/src/scheduler/runtime_prediction.rs
+++ b/src/scheduler/runtime_prediction.rs
@@ -123,7 +123,7 @@
     /// is based on history.
     pub(super) fn remaining_s(&self, id: &JobId, ran_s: f64) -> Option<f64> {
         let (estimate, _) = self.observations.get(id)?.estimate?;
-        (estimate.grade > Grade::Unknown).then(|| estimate.distribution.rest_s(ran_s))
+        (estimate.grade > Grade::Unknown).then(|| estimate.distribution.mean_remaining_s(ran_s))
     }
 
     fn observations_of(&mut self, id: &JobId, live: &LiveJob) -> &mut JobObservations {
