--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -85,12 +85,12 @@
                 0..HEARTBEAT_MS => TaskState::Fetching,
                 _ => TaskState::Running,
             };
-            let why = ended.then(|| if *stopped { "halted" } else { "done" }.to_owned());
+            let exit_cause = ended.then(|| if *stopped { "halted" } else { "done" }.to_owned());
             TaskStatus {
                 task: task.clone(),
                 attempt: *attempt,
                 state,
-                exit_cause: why,
+                exit_cause,
                 saved: None,
             }
         };
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -81,7 +81,7 @@
                 let target = format!("{machine} {address}");
                 let body = match direct {
                     DirectCall::Status => Vec::new(),
-                    DirectCall::Do(orders) => wire::encode(orders),
+                    DirectCall::Do(batch) => wire::encode(batch),
                 };
                 trace.add("direct", at_ms, &[controller, target.as_bytes(), &body]);
             }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -49,11 +49,11 @@
         store.poll(now);
         let id = store.next_request().unwrap().id;
         let row = |key: String, data| wire::KeyValue { key, data, rev: Revision(1) };
-        let flavors = encoding::to_value(&vec![crate::settings::fixtures::machine_type()]);
+        let machine_types = encoding::to_value(&vec![crate::settings::fixtures::machine_type()]);
         let version = VersionRecord { format: FORMAT, legacy_chunk_tasks: 16_384 };
         let versions = names.iter().take(upgraded);
         let versions = versions.map(|n| row(keys::version_key(n), encoding::to_value(&version)));
-        let mut rows = vec![row(MACHINE_TYPES_KEY.into(), flavors)];
+        let mut rows = vec![row(MACHINE_TYPES_KEY.into(), machine_types)];
         rows.extend(versions);
         let page = wire::RangeResponse { rows, truncated: false, rev: Revision(1) };
         store.on_response(id, StoreResponse::Range(page), now);
@@ -103,9 +103,9 @@
         }
     }
 
-    fn submit(&mut self, id: &str, shape: JobKind, depends_on: &[&str]) -> u16 {
+    fn submit(&mut self, id: &str, kind: JobKind, depends_on: &[&str]) -> u16 {
         let depends_on = Some(depends_on.iter().map(|id| JobId::new(id)).collect());
-        let spec = JobSpec { kind: shape, depends_on, ..jobs::fixtures::job_spec(id, 2) };
+        let spec = JobSpec { kind, depends_on, ..jobs::fixtures::job_spec(id, 2) };
         self.submit_body(&wire::encode(&spec)).status
     }
 }
@@ -184,8 +184,8 @@
     let settings = crate::settings::fixtures::settings(teams);
     let machine_types = [crate::settings::fixtures::machine_type()];
     let rejection = |team: &str, cpus: f64, tasks: u64| {
-        let (team, shape) = (team.to_owned(), JobKind::Service);
-        let spec = JobSpec { team, cpus, kind: shape, ..jobs::fixtures::job_spec("wk-1", tasks) };
+        let (team, kind) = (team.to_owned(), JobKind::Service);
+        let spec = JobSpec { team, cpus, kind, ..jobs::fixtures::job_spec("wk-1", tasks) };
         check_runnable(&spec, &settings, &machine_types).err()
     };
     assert_eq!(rejection("guest", 4.0, 100_000), None);
--- a/src/peers/heartbeat_relay/messages.rs
+++ b/src/peers/heartbeat_relay/messages.rs
@@ -77,21 +77,21 @@
     task: TaskId,
     attempt: Attempt,
     state: TaskState,
-    why: Option<String>,
+    exit_cause: Option<String>,
     saved: Option<bool>,
 }
 
 impl From<TaskStatus> for RelayedTaskStatus {
     fn from(status: TaskStatus) -> RelayedTaskStatus {
-        let TaskStatus { task, attempt, state, exit_cause: why, saved } = status;
-        RelayedTaskStatus { task, attempt, state, why, saved }
+        let TaskStatus { task, attempt, state, exit_cause, saved } = status;
+        RelayedTaskStatus { task, attempt, state, exit_cause, saved }
     }
 }
 
 impl From<RelayedTaskStatus> for TaskStatus {
     fn from(status: RelayedTaskStatus) -> TaskStatus {
-        let RelayedTaskStatus { task, attempt, state, why, saved } = status;
-        TaskStatus { task, attempt, state, exit_cause: why, saved }
+        let RelayedTaskStatus { task, attempt, state, exit_cause, saved } = status;
+        TaskStatus { task, attempt, state, exit_cause, saved }
     }
 }
 
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -207,12 +207,12 @@
 
 fn request(count: u32, cpus: f64) -> PlacementRequest {
     let size = Amount::capacity(16.0, 0.0, 64.0);
-    let need = Amount::request(cpus, 0.0, 1.0);
+    let resources = Amount::request(cpus, 0.0, 1.0);
     PlacementRequest {
         team: TeamId::new(0),
         priority: Priority::High,
-        resources: need,
-        basket: Basket::classify(&need, &[size], 0.5),
+        resources,
+        basket: Basket::classify(&resources, &[size], 0.5),
         count,
         zone: None,
         machine_types: None,
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -146,8 +146,8 @@
                 for spot in [true, false] {
                     let pool = MachinePool { flavor, zone, spot };
                     let Some(available) = self.available(&pool, fleet, now) else { continue };
-                    let held = *machine_counts[zone].by_pricing(spot);
-                    let offer = offer(&pool, machine_type, fleet, available, held);
+                    let machines_in_zone = *machine_counts[zone].by_pricing(spot);
+                    let offer = offer(&pool, machine_type, fleet, available, machines_in_zone);
                     offers.push(PoolOffer { pool, offer });
                 }
             }
@@ -171,7 +171,7 @@
     machine_type: &MachineType,
     fleet: &FleetView,
     available: u32,
-    held: u32,
+    machines_in_zone: u32,
 ) -> MachineTypeOffer {
     MachineTypeOffer {
         machine_type: MachineTypeId::new(pool.flavor),
@@ -180,6 +180,6 @@
         price: if pool.spot { machine_type.spot_price } else { machine_type.price },
         capacity: fleet.capacities[pool.flavor],
         available,
-        machines_in_zone: held,
+        machines_in_zone,
     }
 }
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -162,7 +162,7 @@
         let threshold = self.settings.operator.heavy_threshold;
         let mut used = vec![Amount::default(); self.teams.len()];
         for machine in self.fleet.machines.values_mut() {
-            let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
+            let usage = machine.usage(|request| Basket::classify(request, capacities, threshold));
             for of_team in &usage.teams {
                 if let Some(sum) = used.get_mut(of_team.team) {
                     *sum = sum.plus(&of_team.used);
@@ -202,7 +202,7 @@
                 continue;
             }
             intern_images(machine, &mut self.fleet.image_ids);
-            let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
+            let usage = machine.usage(|request| Basket::classify(request, capacities, threshold));
             let (used, basket) = (usage.used, usage.basket);
             let retains_basket = machine.idle_since.is_some_and(|at| now < at + basket_retention);
             if basket.is_some() || !retains_basket {
--- a/src/scheduler/tests/fixture.rs
+++ b/src/scheduler/tests/fixture.rs
@@ -39,12 +39,12 @@
     }
 
     /// Adds an accepted job to the cache and to the scheduler.
-    pub(super) fn job(&mut self, id: &str, shape: JobKind, tasks: u64) -> JobId {
+    pub(super) fn job(&mut self, id: &str, kind: JobKind, tasks: u64) -> JobId {
         let spec = JobSpec {
-            kind: shape,
+            kind,
             cpus: 4.0,
             ram_gb: 4.0,
-            spot: shape == JobKind::Array,
+            spot: kind == JobKind::Array,
             ..jobs::fixtures::job_spec(id, tasks)
         };
         let layout = self.store.layout();
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -59,11 +59,11 @@
         match self.agent_epoch {
             None => DirectCall::Status,
             Some(agent_epoch) => {
-                let orders = self.commands.into_iter().map(WorkerCommand::from).collect();
+                let commands = self.commands.into_iter().map(WorkerCommand::from).collect();
                 DirectCall::Do(CommandBatch {
                     token,
                     agent_epoch: Some(agent_epoch),
-                    commands: orders,
+                    commands,
                 })
             }
         }
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -134,8 +134,8 @@
         world.schedule(90_000, SimEvent::Fault(Fault::PartitionZones(false)));
         world.run(89_000);
         let is_start = |due: &&SimEvent| {
-            matches!(due, SimEvent::DirectCall(_, _, _, DirectCall::Do(orders))
-            if orders.commands.iter().any(|order| matches!(order, WorkerCommand::Start { .. })))
+            matches!(due, SimEvent::DirectCall(_, _, _, DirectCall::Do(batch))
+            if batch.commands.iter().any(|command| matches!(command, WorkerCommand::Start { .. })))
         };
         delayed_starts += world.blocked_messages.iter().filter(is_start).count();
         world.run(110_000);
--- a/tests/previous_version.rs
+++ b/tests/previous_version.rs
@@ -109,8 +109,8 @@
         LeaderRecord { controller: ControllerId::new("n-1"), token: FencingToken(41) }
     );
     assert_eq!(value(find(TOKEN_KEY)[2]).deserialized::<FencingToken>().unwrap(), FencingToken(41));
-    let flavors: Vec<MachineType> = value(find(MACHINE_TYPES_KEY)[2]).deserialized().unwrap();
-    assert_eq!((flavors.len(), flavors[0].spot_price), (1, 4.5));
+    let machine_types: Vec<MachineType> = value(find(MACHINE_TYPES_KEY)[2]).deserialized().unwrap();
+    assert_eq!((machine_types.len(), machine_types[0].spot_price), (1, 4.5));
 }
 
 /// Before the cluster version is raised, records have exactly production's bytes.
