--- a/benches/footprint.rs
+++ b/benches/footprint.rs
@@ -86,13 +86,7 @@
                 _ => TaskState::Running,
             };
             let exit_cause = ended.then(|| if *stopped { "halted" } else { "done" }.to_owned());
-            TaskStatus {
-                task: task.clone(),
-                attempt: *attempt,
-                state,
-                exit_cause,
-                saved: None,
-            }
+            TaskStatus { task: task.clone(), attempt: *attempt, state, exit_cause, saved: None }
         };
         Heartbeat {
             machine: machine_id(n),
--- a/benches/planning.rs
+++ b/benches/planning.rs
@@ -232,7 +232,8 @@
 fn submit_beyond_capacity(leader: &mut Leader) {
     for zone in 0..ZONES.len() {
         for spot in [true, false] {
-            let exhausted = CloudEvent::CapacityExhausted(MachinePool { flavor: 0, zone, spot });
+            let exhausted =
+                CloudEvent::CapacityExhausted(MachinePool { machine_type: 0, zone, spot });
             leader.scheduler.on_cloud(exhausted, &leader.state.cache, leader.now);
         }
     }
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachinePool {
     /// Index of the machine type in the list of machine types.
-    pub flavor: usize,
+    pub machine_type: usize,
     /// Index of the zone in the settings.
     pub zone: usize,
     /// True for spot machines, false for ordinary ones.
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -5,7 +5,7 @@
 use crate::wire;
 use tokio::time::Instant;
 
-const POOL: MachinePool = MachinePool { flavor: 0, zone: 0, spot: true };
+const POOL: MachinePool = MachinePool { machine_type: 0, zone: 0, spot: true };
 
 fn unavailable(error: &str) -> Result<Response, CallError> {
     let body = wire::encode(&wire::CloudError { error: error.into() });
--- a/src/peers/heartbeat_relay/tests.rs
+++ b/src/peers/heartbeat_relay/tests.rs
@@ -198,7 +198,7 @@
         let random = &mut StdRng::seed_from_u64(seed);
         let start = Instant::now();
         let mut relay = relay(start);
-        let pool = MachinePool { flavor: 0, zone: 0, spot: false };
+        let pool = MachinePool { machine_type: 0, zone: 0, spot: false };
         let new_machine = || Machine::new(MachineId::new("i-1"), pool, 0, start);
         let (mut from_full, mut from_relayed) = (new_machine(), new_machine());
         let mut tasks: Vec<(String, TaskState)> = Vec::new();
--- a/src/scheduler/autoscaling.rs
+++ b/src/scheduler/autoscaling.rs
@@ -140,11 +140,11 @@
             *machine_counts[machine.zone].by_pricing(machine.spot) += 1;
         }
         let mut offers = Vec::new();
-        for (flavor, machine_type) in self.fleet.machine_types.iter().enumerate() {
+        for (index, machine_type) in self.fleet.machine_types.iter().enumerate() {
             let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
             for zone in zones.filter(|zone| !fleet.closed_zones[*zone]) {
                 for spot in [true, false] {
-                    let pool = MachinePool { flavor, zone, spot };
+                    let pool = MachinePool { machine_type: index, zone, spot };
                     let Some(available) = self.available(&pool, fleet, now) else { continue };
                     let machines_in_zone = *machine_counts[zone].by_pricing(spot);
                     let offer = offer(&pool, machine_type, fleet, available, machines_in_zone);
@@ -174,11 +174,11 @@
     machines_in_zone: u32,
 ) -> MachineTypeOffer {
     MachineTypeOffer {
-        machine_type: MachineTypeId::new(pool.flavor),
+        machine_type: MachineTypeId::new(pool.machine_type),
         zone: ZoneId::new(pool.zone),
         spot: pool.spot,
         price: if pool.spot { machine_type.spot_price } else { machine_type.price },
-        capacity: fleet.capacities[pool.flavor],
+        capacity: fleet.capacities[pool.machine_type],
         available,
         machines_in_zone,
     }
--- a/src/scheduler/fair_share/priority.rs
+++ b/src/scheduler/fair_share/priority.rs
@@ -25,9 +25,10 @@
 
 /// Shortfall of a group below its floor.
 struct FloorDeficit {
-    capacity: Capacity,
+    /// Capacity that the group is below its floor, less what the requests moved to the front so far cover.
+    deficit: Capacity,
     /// Fraction of its floor that the group holds.
-    reached: OrderedFloat<f64>,
+    floor_fraction: OrderedFloat<f64>,
 }
 
 impl Scheduler {
@@ -73,25 +74,25 @@
             deficits.insert(
                 *group,
                 FloorDeficit {
-                    capacity: group_share.deficit,
-                    reached: group_share.floor_fraction(),
+                    deficit: group_share.deficit,
+                    floor_fraction: group_share.floor_fraction(),
                 },
             );
         }
         let mut prioritized: Vec<JobRequest> = Vec::new();
         for n in deficit_order(requests, &deficits) {
             let JobRequest { request, rank: Some(rank), .. } = &requests[n] else { continue };
-            let Some(deficit) =
-                deficits.get_mut(&rank.group).filter(|deficit| deficit.capacity > 0)
+            let Some(shortfall) =
+                deficits.get_mut(&rank.group).filter(|shortfall| shortfall.deficit > 0)
             else {
                 continue;
             };
             let task_capacity = machine_share(&request.resources, &largest).max(1);
             let missing_tasks =
-                u32::try_from(deficit.capacity.div_ceil(task_capacity)).unwrap_or(u32::MAX);
+                u32::try_from(shortfall.deficit.div_ceil(task_capacity)).unwrap_or(u32::MAX);
             let count =
                 if rank.indivisible { request.count } else { missing_tasks.min(request.count) };
-            deficit.capacity = deficit.capacity.saturating_sub(task_capacity * u64::from(count));
+            shortfall.deficit = shortfall.deficit.saturating_sub(task_capacity * u64::from(count));
             prioritized.push(requests[n].take(count));
         }
         requests.retain(|request| request.request.count > 0);
@@ -132,11 +133,11 @@
 ) -> Vec<usize> {
     let deficit_of = |n: usize| {
         let rank = requests[n].rank?;
-        Some((rank, deficits.get(&rank.group).filter(|deficit| deficit.capacity > 0)?))
+        Some((rank, deficits.get(&rank.group).filter(|shortfall| shortfall.deficit > 0)?))
     };
     let mut order: Vec<usize> = (0..requests.len()).filter(|n| deficit_of(*n).is_some()).collect();
     order.sort_by_key(|n| {
-        deficit_of(*n).map(|(rank, deficit)| (deficit.reached, rank.remaining_work, *n))
+        deficit_of(*n).map(|(rank, shortfall)| (shortfall.floor_fraction, rank.remaining_work, *n))
     });
     order
 }
--- a/src/scheduler/fair_share/scarcity.rs
+++ b/src/scheduler/fair_share/scarcity.rs
@@ -227,9 +227,11 @@
             fleet.closed_zones[pool.zone] || self.autoscaler.capacity_backoff.contains_key(&pool)
         };
         let types = self.fleet.machine_types.iter().enumerate();
-        let mut pools = types.flat_map(|(flavor, machine_type)| {
+        let mut pools = types.flat_map(|(index, machine_type)| {
             let zones = machine_type.zones.iter().filter_map(|name| self.fleet.zone(name));
-            zones.flat_map(move |zone| [true, false].map(|spot| MachinePool { flavor, zone, spot }))
+            zones.flat_map(move |zone| {
+                [true, false].map(|spot| MachinePool { machine_type: index, zone, spot })
+            })
         });
         cloud.is_unavailable() || pools.all(refuses)
     }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -70,7 +70,7 @@
     pub(super) fn pool(&self, machine_type: &str, zone: &str, spot: bool) -> Option<MachinePool> {
         let machine_type =
             self.machine_types.iter().position(|known| known.name == machine_type)?;
-        Some(MachinePool { flavor: machine_type, zone: self.zone(zone)?, spot })
+        Some(MachinePool { machine_type, zone: self.zone(zone)?, spot })
     }
 
     /// Returns the capacity of a machine of this type; zero for an unknown type.
--- a/src/scheduler/placement_requests.rs
+++ b/src/scheduler/placement_requests.rs
@@ -271,6 +271,6 @@
 /// shown yet.
 fn may_run_on_unconfirmed(request: &PlacementRequest, fleet: &FleetView) -> bool {
     fleet.unconfirmed.pools.iter().any(|pool| {
-        request.allows(ZoneId::new(pool.zone), MachineTypeId::new(pool.flavor), pool.spot)
+        request.allows(ZoneId::new(pool.zone), MachineTypeId::new(pool.machine_type), pool.spot)
     })
 }
--- a/src/scheduler/planning.rs
+++ b/src/scheduler/planning.rs
@@ -149,7 +149,7 @@
 
     fn rent(&self, decision: &PlanningDecision, cloud: &mut CloudClient, now: Instant) {
         for PendingRental { pool, count } in &decision.rentals {
-            let machine_type = &self.fleet.machine_types[pool.flavor].name;
+            let machine_type = &self.fleet.machine_types[pool.machine_type].name;
             cloud.scale_out(*pool, machine_type, self.fleet.zone_name(pool.zone), *count, now);
         }
     }
--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -84,9 +84,9 @@
             for _ in 0..*count {
                 self.machines.bins.push(Bin::booting(
                     ZoneId::new(pool.zone),
-                    MachineTypeId::new(pool.flavor),
+                    MachineTypeId::new(pool.machine_type),
                     pool.spot,
-                    self.capacities[pool.flavor],
+                    self.capacities[pool.machine_type],
                 ));
                 self.machines.ids.push(None);
             }
@@ -99,9 +99,9 @@
     pub(super) fn unconfirmed_machines(&self) -> UnconfirmedMachines {
         let mut unconfirmed = UnconfirmedMachines { pools: Vec::new(), free: Amount::default() };
         for machine in self.fleet.machines.values().filter(|machine| !machine.confirmed) {
-            let (flavor, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
-            unconfirmed.pools.push(MachinePool { flavor, zone, spot });
-            let free = self.fleet.capacity(flavor).minus(&machine.used());
+            let (machine_type, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
+            unconfirmed.pools.push(MachinePool { machine_type, zone, spot });
+            let free = self.fleet.capacity(machine_type).minus(&machine.used());
             unconfirmed.free = unconfirmed.free.plus(&free);
         }
         unconfirmed
--- a/src/scheduler/tests/fair_share.rs
+++ b/src/scheduler/tests/fair_share.rs
@@ -31,7 +31,7 @@
         leader.now += RENTAL_SETTLE_TIME * 2;
         names.iter().for_each(|name| drop(leader.heartbeat(name, vec![])));
         for (zone, spot) in [(0, true), (0, false), (1, true), (1, false)] {
-            let pool = MachinePool { flavor: 0, zone, spot };
+            let pool = MachinePool { machine_type: 0, zone, spot };
             let backoff = CapacityBackoff { not_before: leader.now, max_request: PROBE_REQUEST };
             leader.scheduler.autoscaler.capacity_backoff.insert(pool, backoff);
         }
--- a/src/scheduler/tests/machines.rs
+++ b/src/scheduler/tests/machines.rs
@@ -24,7 +24,7 @@
     leader.job("wk-1", JobKind::Array, 4);
     let names: Vec<String> = (1..6).map(|n| format!("i-{n}")).collect();
     let machine_ids = names.iter().map(|name| MachineId::new(name)).collect();
-    let pool = MachinePool { flavor: 0, zone: 1, spot: true };
+    let pool = MachinePool { machine_type: 0, zone: 1, spot: true };
     leader.pass(MIN_PASS_INTERVAL);
     let rented_event = CloudEvent::MachinesRented(pool, machine_ids);
     leader.scheduler.on_cloud(rented_event, &leader.store.cache, leader.now);
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -60,11 +60,7 @@
             None => DirectCall::Status,
             Some(agent_epoch) => {
                 let commands = self.commands.into_iter().map(WorkerCommand::from).collect();
-                DirectCall::Do(CommandBatch {
-                    token,
-                    agent_epoch: Some(agent_epoch),
-                    commands,
-                })
+                DirectCall::Do(CommandBatch { token, agent_epoch: Some(agent_epoch), commands })
             }
         }
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -137,7 +137,7 @@
         Machine {
             id,
             address: None,
-            machine_type: pool.flavor,
+            machine_type: pool.machine_type,
             zone: pool.zone,
             spot: pool.spot,
             state: MachineState::Booting,
--- a/src/workers/machine/tests.rs
+++ b/src/workers/machine/tests.rs
@@ -14,7 +14,7 @@
 const OUR_TOKEN: FencingToken = FencingToken(4);
 
 fn machine() -> Machine {
-    let pool = MachinePool { flavor: 0, zone: 0, spot: false };
+    let pool = MachinePool { machine_type: 0, zone: 0, spot: false };
     let mut machine = Machine::new(MachineId::new("i-1"), pool, 0, Instant::now());
     machine.recorded = true;
     machine
--- a/tests/wire_format/requests.rs
+++ b/tests/wire_format/requests.rs
@@ -31,7 +31,7 @@
 
 pub(crate) fn samples() -> Vec<Sample> {
     let watch = StoreRequest::Watch { after: Revision(70_000), wait: Duration::from_millis(2500) };
-    let pool = MachinePool { flavor: 1, zone: 2, spot: true };
+    let pool = MachinePool { machine_type: 1, zone: 2, spot: true };
     vec![
         store("state-commit", &StoreRequest::Commit(transaction())),
         store("state-follow", &watch),
