--- a/crates/fair-share/src/lib.rs
+++ b/crates/fair-share/src/lib.rs
@@ -29,9 +29,9 @@
     pub waiting: Capacity,
     /// Average capacity needed to serve the group's work as fast as it arrives.
     pub offered_load: Capacity,
-    /// Whether the group may not use spot machines.
+    /// True if the group may not use spot machines.
     pub ordinary: bool,
-    /// Whether the group's team has no guarantee. Its floor comes from the capacity that the floors of the other
+    /// True if the group's team has no guarantee. Its floor comes from the capacity that the floors of the other
     /// groups leave.
     pub unguaranteed: bool,
 }
@@ -56,10 +56,10 @@
     pub ordinary: Capacity,
     /// Capacity of spot machines.
     pub spot: Capacity,
-    /// Whether nothing more can be rented now: the cloud refuses every combination of machine type and zone, the cloud
+    /// True if nothing more can be rented now: the cloud refuses every combination of machine type and zone, the cloud
     /// is unavailable, or the controllers cannot manage more machines.
     pub exhausted: bool,
-    /// Whether the supply is assumed to be exhausted although that is not confirmed: a new leader has not requested
+    /// True if the supply is assumed to be exhausted although that is not confirmed: a new leader has not requested
     /// a machine yet, and by the time of the first response it would have given away the capacity that its
     /// predecessor reserved for groups below their floors.
     pub presumed_exhausted: bool,
--- a/crates/protocol/src/http/message.rs
+++ b/crates/protocol/src/http/message.rs
@@ -35,7 +35,7 @@
     pub body: Vec<u8>,
     /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u64>,
-    /// Whether the connection is closed after the response even if the client did not ask for that.
+    /// True if the connection is closed after the response even if the client did not ask for that.
     pub close: bool,
 }
 
--- a/crates/protocol/src/operator_api.rs
+++ b/crates/protocol/src/operator_api.rs
@@ -163,7 +163,7 @@
     pub scarce_for_s: Option<f64>,
     /// Machines that are up or booting, in machines of the largest type.
     pub machines: f64,
-    /// Whether no more machines can be rented.
+    /// True if no more machines can be rented.
     #[serde(rename = "nothing_to_rent")]
     pub exhausted: bool,
     /// The groups below their floors.
@@ -177,9 +177,9 @@
     pub class: String,
     /// Team that owns the jobs.
     pub team: String,
-    /// Whether the group's tasks belong to services, which run until they are cancelled.
+    /// True if the group's tasks belong to services, which run until they are cancelled.
     pub service: bool,
-    /// Whether the group may not use spot machines.
+    /// True if the group may not use spot machines.
     pub ordinary: bool,
     /// Capacity allocated to the group's tasks.
     #[serde(rename = "held")]
@@ -204,9 +204,9 @@
     pub ordinary: f64,
     /// Spot machines that are up or booting, in machines of the largest type.
     pub spot: f64,
-    /// Whether no more machines can be rented.
+    /// True if no more machines can be rented.
     pub exhausted: bool,
-    /// Whether capacity is scarce.
+    /// True if capacity is scarce.
     pub scarce: bool,
     /// Demand by class and team.
     pub groups: Vec<GroupDemand>,
--- a/crates/protocol/src/wire/cloud.rs
+++ b/crates/protocol/src/wire/cloud.rs
@@ -69,7 +69,7 @@
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether to rent spot machines.
+    /// True to rent spot machines.
     #[serde(rename = "lendable")]
     pub spot: bool,
     /// Number of machines.
@@ -118,7 +118,7 @@
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether the machine is a spot machine.
+    /// True if the machine is a spot machine.
     #[serde(rename = "lendable")]
     pub spot: bool,
     /// State of the machine.
@@ -134,7 +134,7 @@
     /// Machines in order of their names.
     #[serde(rename = "spindles")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more machines follow on later pages.
+    /// True if more machines follow on later pages.
     #[serde(default)]
     pub truncated: bool,
 }
--- a/crates/protocol/src/wire/job.rs
+++ b/crates/protocol/src/wire/job.rs
@@ -78,12 +78,12 @@
     /// Name of the only allowed zone; `None` allows all.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Whether all tasks must be in the same zone.
+    /// True if all tasks must be in the same zone.
     #[serde(rename = "samePlace")]
     pub one_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may be in one zone.
+    /// True if at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// Whether tasks may use spot machines.
+    /// True if tasks may use spot machines.
     #[serde(rename = "lendable")]
     pub spot: bool,
     /// User's estimate of a task's run time, in seconds.
--- a/crates/protocol/src/wire/store.rs
+++ b/crates/protocol/src/wire/store.rs
@@ -87,7 +87,7 @@
 pub struct RangeResponse {
     /// Keys in ascending order, with their values.
     pub rows: Vec<KeyValue>,
-    /// Whether more keys follow on later pages.
+    /// True if more keys follow on later pages.
     #[serde(default)]
     pub truncated: bool,
     /// Revision of the store that the page reflects.
--- a/crates/protocol/src/wire/worker.rs
+++ b/crates/protocol/src/wire/worker.rs
@@ -53,7 +53,7 @@
     /// Exit cause, once the attempt finished.
     #[serde(rename = "exitCause", default, skip_serializing_if = "Option::is_none")]
     pub exit_cause: Option<String>,
-    /// Whether a stopped attempt saved its progress.
+    /// True if a stopped attempt saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -73,7 +73,7 @@
     /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether the machine is a spot machine.
+    /// True if the machine is a spot machine.
     #[serde(rename = "lendable")]
     pub spot: bool,
     /// Agent epoch, which starts at 1 and rises whenever the worker's lease expires. All attempts of earlier epochs
