--- a/src/leadership/cancellation_acks/tests.rs
+++ b/src/leadership/cancellation_acks/tests.rs
@@ -337,7 +337,7 @@
     cache.loaded = true;
     cache.versions.insert(peer.clone(), Versioned::new(VERSION, Revision(5)));
     let mut acks = CancellationAcks::new(vec![peer.clone()], LEASE_S, CANCEL_S);
-    acks.set_own_lease(&held_lease(&me, Revision(7), now));
+    acks.set_own_lease(&controller_lease(&me, Revision(7), now));
     acks.observe(&cache, now);
     let later = now + Duration::from_secs(60);
     let preconditions = acks.preconditions(&id, &cache, |_| None, later).unwrap();
@@ -356,7 +356,7 @@
 }
 
 /// Returns a controller's lease whose key was written at `revision`.
-fn held_lease(name: &ControllerId, revision: Revision, now: Instant) -> ControllerLease {
+fn controller_lease(name: &ControllerId, revision: Revision, now: Instant) -> ControllerLease {
     let mut cache = Cache::new(16);
     cache.versions.insert(name.clone(), Versioned::new(VERSION, Revision(1)));
     let mut lease = ControllerLease::new(name, now);
--- a/src/scheduler/drains.rs
+++ b/src/scheduler/drains.rs
@@ -241,7 +241,7 @@
     pub fn drains(&self, cache: &Cache, now: Instant) -> Drains {
         let mut drains = list(cache, self.wall_clock, now);
         for drain in &mut drains.drains {
-            let (mut left, mut stuck) = (0, 0);
+            let (mut remaining, mut stuck) = (0, 0);
             for machine in self.fleet.machines.values() {
                 let covered = match drain.kind {
                     DrainKind::Zone => self.fleet.zone_name(machine.zone) == drain.name,
@@ -250,11 +250,11 @@
                 };
                 let tasks = machine.attempts.iter().filter(|(_, e)| e.state != TaskState::Exited);
                 for ((task, _), entry) in tasks.filter(|_| covered) {
-                    left += 1;
+                    remaining += 1;
                     stuck += u64::from(self.is_stuck(task, entry, drain.by_in_s, cache, now));
                 }
             }
-            (drain.remaining, drain.stuck) = (Some(left), Some(stuck));
+            (drain.remaining, drain.stuck) = (Some(remaining), Some(stuck));
         }
         drains
     }
--- a/src/scheduler/reconciliation.rs
+++ b/src/scheduler/reconciliation.rs
@@ -172,9 +172,9 @@
                 self.on_running(machine, &task, attempt, cache, now)
             }
             TaskEvent::Found(task, attempt) => self.adopt_attempt(machine, task, attempt, cache),
-            TaskEvent::Vanished(task, attempt, ran) => {
+            TaskEvent::Vanished(task, attempt, duration) => {
                 let live = cache.jobs.get(&task.job).and_then(Job::live);
-                let run = ObservedRun { duration: ran, completed: false, saved: false };
+                let run = ObservedRun { duration, completed: false, saved: false };
                 self.record_task_run(&task, machine, live, &run);
                 tracing::info!(%machine, %task, %attempt, "task lost with its agent epoch");
                 self.release(&task, attempt, now);
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -161,7 +161,8 @@
     cache.apply("t/a/f/x", Some(&one("b", 2.0)), Revision(5));
     cache.apply("t/a/f/y", Some(&one("c", 3.0)), Revision(6));
     cache.apply("t/a/f/x", Some(&one("b", 9.0)), Revision(4));
-    let known: Vec<_> = cache.machine_types.value.iter().map(|f| (&*f.name, f.price)).collect();
+    let known: Vec<_> =
+        cache.machine_types.value.iter().map(|offered| (&*offered.name, offered.price)).collect();
     assert_eq!(known, [("a", 1.0), ("b", 2.0), ("c", 3.0)]);
 }
 
