--- a/src/scheduler/planning/fleet_view.rs
+++ b/src/scheduler/planning/fleet_view.rs
@@ -84,9 +84,9 @@
             for _ in 0..*count {
                 self.machines.bins.push(Bin::booting(
                     ZoneId::new(pool.zone),
-                    MachineTypeId::new(pool.flavor),
+                    MachineTypeId::new(pool.machine_type),
                     pool.spot,
-                    self.capacities[pool.flavor],
+                    self.capacities[pool.machine_type],
                 ));
                 self.machines.ids.push(None);
             }
@@ -99,9 +99,9 @@
     pub(super) fn unconfirmed_machines(&self) -> UnconfirmedMachines {
         let mut unconfirmed = UnconfirmedMachines { pools: Vec::new(), free: Amount::default() };
         for machine in self.fleet.machines.values().filter(|machine| !machine.confirmed) {
-            let (flavor, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
-            unconfirmed.pools.push(MachinePool { flavor, zone, spot });
-            let free = self.fleet.capacity(flavor).minus(&machine.used());
+            let (machine_type, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
+            unconfirmed.pools.push(MachinePool { machine_type, zone, spot });
+            let free = self.fleet.capacity(machine_type).minus(&machine.used());
             unconfirmed.free = unconfirmed.free.plus(&free);
         }
         unconfirmed
@@ -162,7 +162,7 @@
         let threshold = self.settings.operator.heavy_threshold;
         let mut used = vec![Amount::default(); self.teams.len()];
         for machine in self.fleet.machines.values_mut() {
-            let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
+            let usage = machine.usage(|request| Basket::classify(request, capacities, threshold));
             for of_team in &usage.teams {
                 if let Some(sum) = used.get_mut(of_team.team) {
                     *sum = sum.plus(&of_team.used);
@@ -202,7 +202,7 @@
                 continue;
             }
             intern_images(machine, &mut self.fleet.image_ids);
-            let usage = machine.usage(|need| Basket::classify(need, capacities, threshold));
+            let usage = machine.usage(|request| Basket::classify(request, capacities, threshold));
             let (used, basket) = (usage.used, usage.basket);
             let retains_basket = machine.idle_since.is_some_and(|at| now < at + basket_retention);
             if basket.is_some() || !retains_basket {
--- a/src/workers/command_delivery.rs
+++ b/src/workers/command_delivery.rs
@@ -59,12 +59,8 @@
         match self.agent_epoch {
             None => DirectCall::Status,
             Some(agent_epoch) => {
-                let orders = self.commands.into_iter().map(WorkerCommand::from).collect();
-                DirectCall::Do(CommandBatch {
-                    token,
-                    agent_epoch: Some(agent_epoch),
-                    commands: orders,
-                })
+                let commands = self.commands.into_iter().map(WorkerCommand::from).collect();
+                DirectCall::Do(CommandBatch { token, agent_epoch: Some(agent_epoch), commands })
             }
         }
     }
