--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: `run` makes a scale run, `capacity` works the capacity page out of stored reports.
+//! Command line: `run` executes a scale run, `capacity` computes the tables of the capacity page from stored reports.
 
 use crate::error::RunError;
 use crate::run::{self, Options};
@@ -8,10 +8,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status where a rule was broken, or the page differs from the reports.
-const FOUND: u8 = 1;
-/// Exit status where the run could not be made.
-const FAILED: u8 = 2;
+/// Exit status when a rule was broken or the page differs from the reports.
+const CHECK_FAILED: u8 = 1;
+/// Exit status when the command could not be executed.
+const ERROR: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about = "Scale runs of troutspindle on one machine")]
@@ -77,7 +77,7 @@
     page: Option<PathBuf>,
 }
 
-/// Runs the command.
+/// Parses the arguments, executes the command and returns its exit status.
 pub fn main() -> ExitCode {
     let result = match Cli::parse().command {
         Command::Run(args) => scale_run(args),
@@ -86,10 +86,10 @@
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FOUND),
+        Ok(false) => ExitCode::from(CHECK_FAILED),
         Err(error) => {
             eprintln!("troutspindle-scale-test: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(ERROR)
         }
     }
 }
@@ -112,8 +112,8 @@
         return Err(RunError::Invalid(found));
     }
     let options = Options {
-        controller: args.controller,
-        this: std::env::current_exe()?,
+        controller_binary: args.controller,
+        test_binary: std::env::current_exe()?,
         operator: args.operator,
         dir: args.dir,
         label: args.label,
@@ -150,7 +150,7 @@
 fn workers() -> Result<bool, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(worker_process::serve())?;
-    // Reading standard input holds a thread that cannot be ended otherwise.
+    // A blocking read of standard input occupies a thread; an ordinary shutdown would wait for it.
     runtime.shutdown_background();
     Ok(true)
 }
--- a/crates/scale-test/src/judge.rs
+++ b/crates/scale-test/src/judge.rs
@@ -1,8 +1,8 @@
-//! An independent judge of PROTOCOL's rules: it knows what workers did and what users were told, and nothing of
-//! the controllers.
+//! Independent check of PROTOCOL's rules. The judge knows the actions of workers and the answers to users, and
+//! nothing of the controllers.
 //!
-//! Events of several processes come late and out of order; they wait for [`JUDGE_DELAY`] and are judged in order
-//! of their time.
+//! Events of several processes arrive late and out of order. They are queued for [`JUDGE_DELAY`] and judged in
+//! order of their time.
 
 use crate::constants::JUDGE_DELAY;
 use crate::link::{Happening, WorkerEvent};
@@ -11,17 +11,17 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use troutspindle_protocol::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
 
-/// What users were told of a job.
+/// State of a job in an answer to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
     Accepted,
     Done,
     Cancelled,
-    /// 404, or 400 or 422 for a job that had been accepted.
+    /// Status 404, or 400 or 422 for a job that had been accepted.
     Unknown,
 }
 
-/// What the judge knows of a job from its submission.
+/// Properties of a submitted job that the rules depend on.
 #[derive(Debug, Clone)]
 pub struct JobRules {
     pub id: JobId,
@@ -34,19 +34,19 @@
     pub submitted_us: u64,
 }
 
-/// Something that is judged.
+/// Input of the judge.
 #[derive(Debug, Clone)]
 pub enum JudgeEvent {
     Submitted(JobRules),
-    /// A machine that is up, with whether it is a spot machine.
+    /// A machine that is up; the flag is true for a spot machine.
     Machine(MachineId, bool),
     Worker(WorkerEvent),
-    /// Everything on the machine ended at that time.
+    /// End of a machine and of every task on it, with the time in microseconds.
     MachineEnded(MachineId, u64),
     Told(JobId, Told, u64),
 }
 
-/// A broken rule.
+/// One violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
@@ -64,41 +64,42 @@
     cancelled_checked: bool,
 }
 
-/// One order of events, by time and arrival.
+/// Sort key of queued events: time, then order of arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     at_us: u64,
     arrival: u64,
 }
 
-/// The state of all that was judged so far.
+/// State that results from the events judged so far, with the violations found.
 pub struct Judge {
     cancel_us: u64,
-    /// CPUs that each team may use.
+    /// Maximum CPUs of each team; 0 means no limit.
     limits: Vec<f64>,
     used: Vec<f64>,
     jobs: HashMap<JobId, Job>,
     spot: HashMap<MachineId, bool>,
-    /// Where each task is.
+    /// Machine and attempt of each running task.
     placed: HashMap<TaskId, (MachineId, Attempt)>,
     on_machine: HashMap<MachineId, BTreeMap<TaskId, Attempt>>,
-    waiting: BinaryHeap<Reverse<(Position, usize)>>,
+    queue: BinaryHeap<Reverse<(Position, usize)>>,
     events: HashMap<usize, JudgeEvent>,
     arrivals: u64,
     judged_us: u64,
-    /// The newest token that any worker saw, and the first start under it.
-    pub tokens: Vec<(FencingToken, u64, Option<u64>)>,
+    /// Each fencing token that was the highest when a worker first saw it: the time at which that happened and the
+    /// time of the first start under the token, in microseconds.
+    pub fencing_tokens: Vec<(FencingToken, u64, Option<u64>)>,
     pub violations: Vec<Violation>,
-    /// Events that came too late to be put in order.
+    /// Number of events that arrived after a later event had been judged.
     pub late: u64,
-    /// Times of starts, for rates in a window.
+    /// Times of all starts, from which the rate of a period is computed.
     pub starts_us: Vec<u64>,
     /// Milliseconds from submission to the first start, by class.
     pub first_start_ms: BTreeMap<usize, Histogram<u64>>,
 }
 
 impl Judge {
-    /// A judge for teams with these limits, where cancelled tasks have to be gone within `cancel_s`.
+    /// Creates a judge for teams with these limits. Tasks of a cancelled job must end within `cancel_s` seconds.
     pub fn new(limits: Vec<f64>, cancel_s: f64) -> Judge {
         Judge {
             cancel_us: (cancel_s * 1e6) as u64,
@@ -108,11 +109,11 @@
             spot: HashMap::new(),
             placed: HashMap::new(),
             on_machine: HashMap::new(),
-            waiting: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: HashMap::new(),
             arrivals: 0,
             judged_us: 0,
-            tokens: Vec::new(),
+            fencing_tokens: Vec::new(),
             violations: Vec::new(),
             late: 0,
             starts_us: Vec::new(),
@@ -120,39 +121,39 @@
         }
     }
 
-    /// How many tasks are on machines.
+    /// Returns the number of tasks on machines.
     pub fn running(&self) -> usize {
         self.placed.len()
     }
 
-    /// Takes an event in; it is judged later.
+    /// Accepts an event. Submissions and machines take effect at once, all other events are queued by time.
     pub fn take(&mut self, event: JudgeEvent) {
         let at_us = match &event {
-            // Known from the beginning, whenever it is read.
+            // A submission applies from the start, whenever its event arrives.
             JudgeEvent::Submitted(rules) => rules.submitted_us.min(self.judged_us),
             JudgeEvent::Machine(..) => self.judged_us,
             JudgeEvent::Worker(event) => event.at_us,
             JudgeEvent::MachineEnded(_, at_us) | JudgeEvent::Told(_, _, at_us) => *at_us,
         };
-        let early = matches!(event, JudgeEvent::Submitted(_) | JudgeEvent::Machine(..));
-        if early {
+        let immediate = matches!(event, JudgeEvent::Submitted(_) | JudgeEvent::Machine(..));
+        if immediate {
             return self.judge(event);
         }
         self.late += u64::from(at_us < self.judged_us);
         self.arrivals += 1;
         let index = self.arrivals as usize;
         let position = Position { at_us, arrival: self.arrivals };
-        self.waiting.push(Reverse((position, index)));
+        self.queue.push(Reverse((position, index)));
         self.events.insert(index, event);
     }
 
-    /// Judges what is old enough.
+    /// Judges all queued events that are at least [`JUDGE_DELAY`] old.
     pub fn advance(&mut self, now_us: u64) {
         let until = now_us.saturating_sub(JUDGE_DELAY.as_micros() as u64);
-        while let Some(Reverse((position, _))) = self.waiting.peek()
+        while let Some(Reverse((position, _))) = self.queue.peek()
             && position.at_us <= until
         {
-            let Some(Reverse((position, index))) = self.waiting.pop() else { return };
+            let Some(Reverse((position, index))) = self.queue.pop() else { return };
             self.judged_us = self.judged_us.max(position.at_us);
             if let Some(event) = self.events.remove(&index) {
                 self.judge(event);
@@ -161,7 +162,7 @@
         self.check_cancelled(until);
     }
 
-    fn broken(&mut self, rule: &'static str, text: String) {
+    fn record_violation(&mut self, rule: &'static str, text: String) {
         self.violations.push(Violation { rule, text });
     }
 
@@ -189,24 +190,24 @@
                     self.on_ended(&event.machine, &task, attempt, completed);
                 }
                 Happening::FencingToken(token) => {
-                    if self.tokens.last().is_none_or(|(last, ..)| *last < token) {
-                        self.tokens.push((token, event.at_us, None));
+                    if self.fencing_tokens.last().is_none_or(|(last, ..)| *last < token) {
+                        self.fencing_tokens.push((token, event.at_us, None));
                     }
                 }
             },
             JudgeEvent::MachineEnded(machine, _) => {
                 let tasks = self.on_machine.remove(&machine).unwrap_or_default();
                 for (task, attempt) in tasks {
-                    self.leave(&machine, &task, attempt);
+                    self.remove_task(&machine, &task, attempt);
                 }
             }
-            JudgeEvent::Told(job, told, at_us) => self.on_told(&job, told, at_us),
+            JudgeEvent::Told(job, told, at_us) => self.on_answer(&job, told, at_us),
         }
     }
 
     fn on_ready(&mut self, at_us: u64, machine: MachineId, task: TaskId, attempt: Attempt) {
         self.starts_us.push(at_us);
-        if let Some((token, _, first)) = self.tokens.last_mut()
+        if let Some((token, _, first)) = self.fencing_tokens.last_mut()
             && first.is_none()
             && attempt >= Attempt::new(*token, 0)
         {
@@ -216,10 +217,10 @@
             && *other != machine
         {
             let text = format!("{task} starts on {machine} and is on {other}");
-            self.broken("ran_twice", text);
+            self.record_violation("ran_twice", text);
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.broken("invented", format!("{task} is of no job"));
+            return self.record_violation("invented", format!("{task} is of no job"));
         };
         job.ready += 1;
         let rules = job.rules.clone();
@@ -230,16 +231,16 @@
             let new = || Histogram::new(3).unwrap_or_else(|_| unreachable!());
             let _ = histogram.or_insert_with(new).record(waited_ms);
         }
-        let late = job.cancelled_us.is_some_and(|told| at_us > told + self.cancel_us);
+        let late = job.cancelled_us.is_some_and(|cancelled| at_us > cancelled + self.cancel_us);
         if late {
-            self.broken("ran_cancelled", format!("{task} starts after its cancellation"));
+            self.record_violation("ran_cancelled", format!("{task} starts after its cancellation"));
         }
         if !rules.spot && self.spot.get(&machine).copied().unwrap_or(false) {
-            self.broken("wrong_place", format!("{task} on the spot machine {machine}"));
+            self.record_violation("wrong_place", format!("{task} on the spot machine {machine}"));
         }
-        if let Some((old, old_attempt)) = self.placed.remove(&task) {
-            self.placed.insert(task.clone(), (old.clone(), old_attempt));
-            self.leave(&old, &task, old_attempt);
+        if let Some((previous, previous_attempt)) = self.placed.remove(&task) {
+            self.placed.insert(task.clone(), (previous.clone(), previous_attempt));
+            self.remove_task(&previous, &task, previous_attempt);
         }
         self.placed.insert(task.clone(), (machine.clone(), attempt));
         self.on_machine.entry(machine).or_default().insert(task.clone(), attempt);
@@ -247,18 +248,18 @@
         let limit = self.limits[rules.team];
         if limit > 0.0 && self.used[rules.team] > limit + 1e-6 {
             let text = format!("team {} uses {} of {limit}", rules.team, self.used[rules.team]);
-            self.broken("quota", text);
+            self.record_violation("quota", text);
         }
     }
 
     fn on_ended(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt, completed: bool) {
-        self.leave(machine, task, attempt);
+        self.remove_task(machine, task, attempt);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.completed += u64::from(completed);
         }
     }
 
-    fn leave(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    fn remove_task(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
         if let Some(tasks) = self.on_machine.get_mut(machine) {
             tasks.remove(task);
         }
@@ -270,61 +271,62 @@
         }
     }
 
-    fn on_told(&mut self, id: &JobId, told: Told, at_us: u64) {
+    fn on_answer(&mut self, id: &JobId, answer: Told, at_us: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let mut broken = Vec::new();
-        match told {
+        let mut violations = Vec::new();
+        match answer {
             Told::Accepted => {
                 if job.done || job.cancelled_us.is_some() {
-                    broken.push(("went_back", format!("{id} is open again")));
+                    violations.push(("went_back", format!("{id} is open again")));
                 }
                 job.accepted = true;
             }
             Told::Done => {
                 if job.completed < job.rules.tasks || job.rules.service {
                     let text = format!("{id}: {} of {} completed", job.completed, job.rules.tasks);
-                    broken.push(("not_done", text));
+                    violations.push(("not_done", text));
                 }
                 if job.cancelled_us.is_some() {
-                    broken.push(("went_back", format!("{id} was cancelled and is done")));
+                    violations.push(("went_back", format!("{id} was cancelled and is done")));
                 }
                 job.done = true;
             }
             Told::Cancelled => {
                 if job.done {
-                    broken.push(("went_back", format!("{id} was done and is cancelled")));
+                    violations.push(("went_back", format!("{id} was done and is cancelled")));
                 }
                 job.cancelled_us.get_or_insert(at_us);
             }
             Told::Unknown => {
                 if job.accepted {
-                    broken.push(("forgotten", format!("{id} is not known")));
+                    violations.push(("forgotten", format!("{id} is not known")));
                 }
             }
         }
-        for (rule, text) in broken {
-            self.broken(rule, text);
+        for (rule, text) in violations {
+            self.record_violation(rule, text);
         }
     }
 
-    /// Cancelled jobs whose time is over must have no task left.
+    /// Records a violation for each task that is still on a machine after its job's deadline for cancellation.
     fn check_cancelled(&mut self, until_us: u64) {
         let cancel_us = self.cancel_us;
-        let mut due = Vec::new();
+        let mut expired_jobs = Vec::new();
         for (id, job) in &mut self.jobs {
-            let over = job.cancelled_us.is_some_and(|told| until_us > told + cancel_us);
-            if over && !job.cancelled_checked {
+            let expired =
+                job.cancelled_us.is_some_and(|cancelled| until_us > cancelled + cancel_us);
+            if expired && !job.cancelled_checked {
                 job.cancelled_checked = true;
-                due.push(id.clone());
+                expired_jobs.push(id.clone());
             }
         }
-        if due.is_empty() {
+        if expired_jobs.is_empty() {
             return;
         }
         let left: Vec<TaskId> =
-            self.placed.keys().filter(|task| due.contains(&task.job)).cloned().collect();
+            self.placed.keys().filter(|task| expired_jobs.contains(&task.job)).cloned().collect();
         for task in left {
-            self.broken("ran_cancelled", format!("{task} is still on a machine"));
+            self.record_violation("ran_cancelled", format!("{task} is still on a machine"));
         }
     }
 }
--- a/crates/scale-test/src/judge_tests.rs
+++ b/crates/scale-test/src/judge_tests.rs
@@ -1,4 +1,4 @@
-//! Each rule is seen to be broken when it is, and only then.
+//! Tests that the judge reports each kind of violation, and none in a correct run.
 
 use super::*;
 use crate::link::WorkerEvent;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_ordinary_run_breaks_nothing_in_whatever_order_it_is_read() {
+fn correct_run_has_no_violations_when_events_arrive_out_of_order() {
     let told = JudgeEvent::Told(JobId::new("wk-1"), Told::Done, 9 * SECOND);
     let events = vec![
         told,
@@ -60,25 +60,25 @@
 }
 
 #[test]
-fn each_broken_rule_is_named() {
+fn each_violation_is_reported_under_its_rule() {
     assert_eq!(rules(vec![ready(2, "i-1", "wk-1/0"), ready(3, "i-2", "wk-1/0")]), ["ran_twice"]);
-    let three = ["wk-1/0", "wk-1/1", "wk-2/0"];
-    let three = three.iter().zip(2..).map(|(task, at)| ready(at, "i-1", task)).collect();
-    assert_eq!(rules(three), ["quota"]);
+    let tasks = ["wk-1/0", "wk-1/1", "wk-2/0"];
+    let starts = tasks.iter().zip(2..).map(|(task, at)| ready(at, "i-1", task)).collect();
+    assert_eq!(rules(starts), ["quota"]);
     assert_eq!(rules(vec![ready(2, "i-3", "wk-1/0")]), ["wrong_place"]);
     let told = |told, at| JudgeEvent::Told(JobId::new("wk-1"), told, at * SECOND);
     assert_eq!(rules(vec![told(Told::Done, 3)]), ["not_done"]);
     let cancelled = vec![ready(2, "i-1", "wk-1/0"), told(Told::Cancelled, 3)];
     assert_eq!(rules(cancelled), ["ran_cancelled"]);
-    let back = vec![told(Told::Cancelled, 3), told(Told::Accepted, 4)];
-    assert_eq!(rules(back), ["went_back"]);
+    let reopened = vec![told(Told::Cancelled, 3), told(Told::Accepted, 4)];
+    assert_eq!(rules(reopened), ["went_back"]);
     assert_eq!(rules(vec![told(Told::Accepted, 3), told(Told::Unknown, 4)]), ["forgotten"]);
     assert_eq!(rules(vec![ready(2, "i-1", "wk-9/0")]), ["invented"]);
 }
 
 #[test]
-fn tasks_of_a_machine_that_ended_may_start_elsewhere() {
-    let gone = JudgeEvent::MachineEnded(MachineId::new("i-1"), 3 * SECOND);
-    let events = vec![ready(2, "i-1", "wk-1/0"), gone, ready(4, "i-2", "wk-1/0")];
+fn tasks_of_ended_machine_may_start_elsewhere() {
+    let machine_ended = JudgeEvent::MachineEnded(MachineId::new("i-1"), 3 * SECOND);
+    let events = vec![ready(2, "i-1", "wk-1/0"), machine_ended, ready(4, "i-2", "wk-1/0")];
     assert_eq!(rules(events), Vec::<&str>::new());
 }
--- a/crates/scale-test/src/measure.rs
+++ b/crates/scale-test/src/measure.rs
@@ -1,23 +1,23 @@
-//! Processor time, memory and descriptors of processes, as the operating system tells them.
+//! Processor time, memory and descriptors of processes, read from `/proc`.
 
 use crate::constants::CLOCK_TICKS;
 use serde::{Deserialize, Serialize};
 
-/// One look at a process.
+/// Resource usage of a process at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sample {
-    /// Seconds of processor time since its start.
+    /// Seconds of processor time since the start of the process.
     pub cpu_s: f64,
-    /// Megabytes at the peak so far.
+    /// Peak of the resident memory so far, in megabytes.
     pub memory_mb: f64,
-    /// Open descriptors, nearly all of which are sockets.
+    /// Number of open descriptors, nearly all of which are sockets.
     pub descriptors: u64,
 }
 
-/// Looks at a process; None: it is gone.
+/// Samples a process; returns `None` if it does not exist.
 pub fn sample(process: u32) -> Option<Sample> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The name in brackets may hold spaces.
+    // The process name in brackets may contain spaces.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = |index: usize| fields.get(index)?.parse::<f64>().ok();
     let cpu_s = (ticks(11)? + ticks(12)?) / CLOCK_TICKS;
@@ -28,7 +28,7 @@
     Some(Sample { cpu_s, memory_mb: peak_kb.unwrap_or(0.0) / 1024.0, descriptors })
 }
 
-/// How many files a process may open.
+/// Returns the soft limit of open files of this process; 1024 if it cannot be read.
 pub fn descriptor_limit() -> u64 {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits.lines().find(|line| line.starts_with("Max open files"));
@@ -36,7 +36,7 @@
     soft.unwrap_or(1024)
 }
 
-/// Megabytes of memory of the machine.
+/// Returns the machine's memory in megabytes; 0 if it cannot be read.
 pub fn memory_mb() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
@@ -44,53 +44,57 @@
     kb.unwrap_or(0) / 1024
 }
 
-/// What a process used while it was measured.
+/// Resource usage of a process over the measured period.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Share of a core: in the mean, and in the busiest second.
+    /// Mean share of a core.
     pub cpu_mean: f64,
+    /// Share of a core between the two samples with the highest use.
     pub cpu_peak: f64,
+    /// Peak of the resident memory, in megabytes.
     pub memory_mb: f64,
-    /// Descriptors: in the mean, and at the most.
+    /// Mean number of open descriptors.
     pub descriptors_mean: f64,
+    /// Maximum number of open descriptors.
     pub descriptors_peak: u64,
 }
 
-/// Adds up looks at one process; one that was restarted goes on with its next life.
+/// Accumulates samples of one process. After a restart it continues with the new process.
 #[derive(Debug, Default)]
 pub struct Meter {
+    /// Process id, processor seconds and time in seconds of the last sample.
     last: Option<(u32, f64, f64)>,
     cpu_s: f64,
     seconds: f64,
     usage: Usage,
     descriptors: f64,
-    looks: f64,
+    samples: f64,
 }
 
 impl Meter {
-    /// One look, at that second of the run.
-    pub fn look(&mut self, process: u32, sample: &Sample, at_s: f64) {
-        if let Some((same, cpu_s, then_s)) = self.last
-            && same == process
+    /// Records a sample that was taken at `at_s` seconds of the run.
+    pub fn record(&mut self, process: u32, sample: &Sample, at_s: f64) {
+        if let Some((last_process, cpu_s, last_at_s)) = self.last
+            && last_process == process
         {
-            let passed = (at_s - then_s).max(1e-3);
+            let passed = (at_s - last_at_s).max(1e-3);
             let used = sample.cpu_s - cpu_s;
             self.cpu_s += used;
             self.seconds += passed;
             self.usage.cpu_peak = self.usage.cpu_peak.max(used / passed);
         }
         self.last = Some((process, sample.cpu_s, at_s));
-        self.looks += 1.0;
+        self.samples += 1.0;
         self.descriptors += sample.descriptors as f64;
         self.usage.memory_mb = self.usage.memory_mb.max(sample.memory_mb);
         self.usage.descriptors_peak = self.usage.descriptors_peak.max(sample.descriptors);
     }
 
-    /// What it came to.
+    /// Returns the usage over all samples.
     pub fn usage(&self) -> Usage {
         Usage {
             cpu_mean: self.cpu_s / self.seconds.max(1e-3),
-            descriptors_mean: self.descriptors / f64::max(self.looks, 1.0),
+            descriptors_mean: self.descriptors / f64::max(self.samples, 1.0),
             ..self.usage
         }
     }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole run: starts everything, lets it go wrong as the scenario says, measures, and ends everything.
+//! Executes one scale run: starts all processes, injects the scenario's faults, measures, and stops all processes.
 
 use crate::cloud::{self, CloudCounters, CloudInput};
 use crate::constants::*;
@@ -26,14 +26,15 @@
 use tokio::time::Instant;
 use troutspindle_protocol::ids::MachineId;
 
-/// What a run is started with beside its scenario.
+/// Settings of a run that are not part of its scenario.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The controllers' program and this one, which also serves workers.
-    pub controller: PathBuf,
-    pub this: PathBuf,
+    /// Program of the controllers.
+    pub controller_binary: PathBuf,
+    /// Program of the scale test, which also runs the worker processes.
+    pub test_binary: PathBuf,
     pub operator: Option<PathBuf>,
-    /// Where settings and logs go.
+    /// Directory for the settings and logs of the controllers.
     pub dir: PathBuf,
     pub label: String,
     pub progress: bool,
@@ -46,10 +47,10 @@
     ended: bool,
 }
 
-/// A message of a worker process; None: it ended.
+/// Index of a worker process with its message; `None` when the process has ended.
 type FromProcess = (usize, Option<FromWorkers>);
 
-/// What is there at one moment of what is counted.
+/// Values of all counters at one moment.
 #[derive(Clone)]
 struct Snapshot {
     at: Instant,
@@ -71,43 +72,45 @@
     cloud: watch::Receiver<CloudCounters>,
     state_faults: mpsc::UnboundedSender<StateFault>,
     cloud_inputs: mpsc::UnboundedSender<CloudInput>,
-    began: Instant,
+    started_at: Instant,
     meters: Vec<Meter>,
     process_meters: Vec<Meter>,
     surroundings: Meter,
-    /// Who led in most of the looks while it was measured.
-    led: Vec<u32>,
-    running: (f64, f64, f64),
+    /// Number of samples of the measured period in which each controller was the leader.
+    leader_samples: Vec<u32>,
+    /// Number of samples, and the sums of the workers that were up and of the running tasks over them.
+    sample_sums: (f64, f64, f64),
     tasks_most: usize,
     memory_mb: f64,
     restarts: Vec<(Instant, usize)>,
-    /// When leaders were ended.
-    ended_us: Vec<u64>,
+    /// Times at which a fault killed the leader, in microseconds.
+    leader_killed_us: Vec<u64>,
 }
 
-/// Processes of workers: how many workers each of them holds.
-fn shares(scenario: &Scenario) -> Vec<u32> {
-    let hollow = scenario.workers - scenario.real_workers;
-    let count = hollow.div_ceil(WORKERS_PER_PROCESS).max(1);
-    let even = |n: u32| hollow / count + u32::from(n < hollow % count);
+/// Returns the number of workers of each worker process; real workers have a process each, at the end.
+fn workers_by_process(scenario: &Scenario) -> Vec<u32> {
+    let emulated = scenario.workers - scenario.real_workers;
+    let count = emulated.div_ceil(WORKERS_PER_PROCESS).max(1);
+    let even = |n: u32| emulated / count + u32::from(n < emulated % count);
     let real = (0..scenario.real_workers).map(|_| 1);
     (0..count).map(even).chain(real).collect()
 }
 
-/// Checks that the machine can hold the run.
-fn check_room(scenario: &Scenario, options: &Options) -> Result<(), RunError> {
-    for binary in [&options.controller, &options.this] {
+/// Checks that the programs exist and that processes, descriptors and memory suffice for the run.
+fn check_machine_limits(scenario: &Scenario, options: &Options) -> Result<(), RunError> {
+    for binary in [&options.controller_binary, &options.test_binary] {
         if !binary.is_file() {
             return Err(RunError::NoBinary(binary.clone()));
         }
     }
-    let processes = shares(scenario).len() + scenario.controllers as usize + 1;
+    let processes = workers_by_process(scenario).len() + scenario.controllers as usize + 1;
     if processes > PROCESSES_MAX {
         return Err(RunError::Processes(processes, PROCESSES_MAX));
     }
     let workers = scenario.workers + scenario.spare_workers;
-    let each = workers.div_ceil(shares(scenario).len() as u32).min(workers);
-    let needed = (u64::from(each) * DESCRIPTORS_PER_WORKER).max(u64::from(workers) * 2 + 500);
+    let per_process = workers.div_ceil(workers_by_process(scenario).len() as u32).min(workers);
+    let needed =
+        (u64::from(per_process) * DESCRIPTORS_PER_WORKER).max(u64::from(workers) * 2 + 500);
     let limit = measure::descriptor_limit();
     if needed > limit {
         return Err(RunError::Descriptors { needed, limit });
@@ -125,16 +128,16 @@
     bound.map_err(|error| RunError::PortInUse { address: address.to_string(), error })
 }
 
-/// Makes a run; everything that it started has ended when it returns.
+/// Executes a run. Every process that it started has ended when it returns.
 pub async fn run(scenario: Scenario, options: Options) -> Result<Report, RunError> {
-    check_room(&scenario, &options)?;
+    check_machine_limits(&scenario, &options)?;
     std::fs::create_dir_all(&options.dir)
         .map_err(|error| RunError::Write(options.dir.clone(), error))?;
     let planned = Duration::from_secs_f64(scenario.warm_up_s + scenario.measure_s);
-    let limit = planned + RUN_SLACK + START_WITHIN;
-    // Children end when their handles are dropped, whichever way this is left.
+    let time_limit = planned + RUN_SLACK + START_WITHIN;
+    // Child processes are killed when their handles are dropped, on every path out of this function.
     tokio::select! {
-        result = tokio::time::timeout(limit, play(scenario, options)) => {
+        result = tokio::time::timeout(time_limit, execute(scenario, options)) => {
             result.unwrap_or(Err(RunError::TookTooLong))
         }
         _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
@@ -148,7 +151,7 @@
     options: &Options,
     from: &mpsc::UnboundedSender<FromProcess>,
 ) -> Result<WorkerProcess, RunError> {
-    let mut child = Command::new(&options.this)
+    let mut child = Command::new(&options.test_binary)
         .arg("workers")
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -176,7 +179,7 @@
     Ok(WorkerProcess { child, to, workers, ended: false })
 }
 
-async fn play(scenario: Scenario, options: Options) -> Result<Report, RunError> {
+async fn execute(scenario: Scenario, options: Options) -> Result<Report, RunError> {
     let scenario = Arc::new(scenario);
     let (state_address, cloud_address) = external();
     let state_listener = bind(state_address).await?;
@@ -188,7 +191,7 @@
     }
     let operator = options.operator.as_deref();
     let mut controllers =
-        Controllers::prepare(&scenario, &options.controller, operator, &options.dir)?;
+        Controllers::prepare(&scenario, &options.controller_binary, operator, &options.dir)?;
     let (from, mut from_workers) = mpsc::unbounded_channel();
     let settings = WorkerSettings {
         controllers: controllers.list().iter().map(|c| (c.name.clone(), c.public)).collect(),
@@ -202,7 +205,7 @@
         seed: scenario.seed,
     };
     let mut processes = Vec::new();
-    for (index, workers) in shares(&scenario).into_iter().enumerate() {
+    for (index, workers) in workers_by_process(&scenario).into_iter().enumerate() {
         let settings = WorkerSettings { seed: scenario.seed + index as u64, ..settings.clone() };
         processes.push(start_workers(index, workers, settings, &options, &from)?);
     }
@@ -219,8 +222,11 @@
     let senders: Vec<_> = processes.iter().map(|process| process.to.clone()).collect();
     let (cloud_inputs, inputs) = mpsc::unbounded_channel();
     let (shown, cloud) = watch::channel(CloudCounters::default());
-    let setup =
-        cloud::Setup::new(&scenario, (senders.clone(), shares(&scenario)), judge_to.clone());
+    let setup = cloud::Setup::new(
+        &scenario,
+        (senders.clone(), workers_by_process(&scenario)),
+        judge_to.clone(),
+    );
     tokio::spawn(cloud::serve(cloud_listener, setup, scenario.workers, inputs, shown));
     for number in 0..controllers.list().len() {
         controllers.start(number)?;
@@ -230,8 +236,8 @@
     tokio::spawn(users::balance(addresses, healthy_to));
     wait_for_controllers(&healthy, &options.dir).await?;
 
-    let began = Instant::now();
-    let measure_at = began + Duration::from_secs_f64(scenario.warm_up_s);
+    let started_at = Instant::now();
+    let measure_at = started_at + Duration::from_secs_f64(scenario.warm_up_s);
     let end_at = measure_at + Duration::from_secs_f64(scenario.measure_s);
     let (notes, mut noted) = mpsc::unbounded_channel::<UserNote>();
     tokio::spawn(users::submit_all(users::Setup {
@@ -248,7 +254,7 @@
         worker_counters: vec![WorkerCounters::default(); processes.len()],
         meters: controllers.list().iter().map(|_| Meter::default()).collect(),
         process_meters: processes.iter().map(|_| Meter::default()).collect(),
-        led: vec![0; controllers.list().len()],
+        leader_samples: vec![0; controllers.list().len()],
         scenario,
         options,
         controllers,
@@ -259,17 +265,17 @@
         cloud,
         state_faults,
         cloud_inputs,
-        began,
+        started_at,
         surroundings: Meter::default(),
-        running: (0.0, 0.0, 0.0),
+        sample_sums: (0.0, 0.0, 0.0),
         tasks_most: 0,
         memory_mb: 0.0,
         restarts: Vec::new(),
-        ended_us: Vec::new(),
+        leader_killed_us: Vec::new(),
     };
     let mut faults: Vec<Fault> = run.scenario.faults.clone();
     faults.sort_by(|a, b| b.at_s.total_cmp(&a.at_s));
-    let mut sample_at = began;
+    let mut sample_at = started_at;
     let mut first: Option<Snapshot> = None;
     let mut planted = run.scenario.planted_fault;
     loop {
@@ -279,7 +285,7 @@
         }
         if first.is_none() && now >= measure_at {
             first = Some(run.snapshot());
-            // Only what is submitted from here on is timed.
+            // Times that were recorded during the warm-up are not reported.
             run.judge.first_start_ms.clear();
             run.users.submission_ms.reset();
         }
@@ -287,17 +293,17 @@
         if fault_at.is_some_and(|at| now >= at)
             && let Some(fault) = faults.pop()
         {
-            run.bring_about(fault.what).await;
+            run.inject_fault(fault.what).await;
         }
         run.restart_due(now)?;
         if now >= sample_at {
             sample_at = now + SAMPLE_EVERY;
-            run.look(first.is_some());
+            run.take_sample(first.is_some());
         }
         let wake = end_at.min(sample_at).min(fault_at.unwrap_or(end_at));
         tokio::select! {
             Some((index, message)) = from_workers.recv() => {
-                run.on_worker_message(index, message, &mut planted)?;
+                run.handle_worker_message(index, message, &mut planted)?;
             }
             Some(event) = judged.recv() => run.judge.take(event),
             Some(note) = noted.recv() => run.users.take(note),
@@ -305,12 +311,12 @@
         }
     }
     let last = run.snapshot();
-    // What had happened by the end is judged, too.
+    // Events from before the end of the run may arrive and be judged up to `JUDGE_DELAY` later.
     let until = Instant::now() + JUDGE_DELAY;
     while Instant::now() < until {
         tokio::select! {
             Some((index, message)) = from_workers.recv() => {
-                run.on_worker_message(index, message, &mut planted)?;
+                run.handle_worker_message(index, message, &mut planted)?;
             }
             Some(event) = judged.recv() => run.judge.take(event),
             _ = tokio::time::sleep_until(until) => {}
@@ -338,7 +344,7 @@
 }
 
 impl Run {
-    fn on_worker_message(
+    fn handle_worker_message(
         &mut self,
         index: usize,
         message: Option<FromWorkers>,
@@ -348,7 +354,7 @@
             Some(FromWorkers::Events(events)) => {
                 for event in events {
                     if *planted && matches!(event.what, Happening::Ready(..)) {
-                        // A check of the judge: one start is shown once more, on another machine.
+                        // Checks the judge: reports one start a second time, on another machine.
                         *planted = false;
                         let machine = MachineId::new("i-planted");
                         let at_us = event.at_us + 1;
@@ -376,16 +382,16 @@
         self.controllers.number_of(&leader)
     }
 
-    async fn bring_about(&mut self, what: FaultKind) {
+    async fn inject_fault(&mut self, what: FaultKind) {
         if self.options.progress {
-            eprintln!("{:5.0} s  {what:?}", self.began.elapsed().as_secs_f64());
+            eprintln!("{:5.0} s  {what:?}", self.started_at.elapsed().as_secs_f64());
         }
         let leader = self.leader();
         let seconds = Duration::from_secs_f64;
         match what {
             FaultKind::EndLeader { back_after_s } => {
                 if let Some(number) = leader {
-                    self.ended_us.push(now_us());
+                    self.leader_killed_us.push(now_us());
                     self.end_controller(number, back_after_s).await;
                 }
             }
@@ -427,10 +433,10 @@
         Ok(())
     }
 
-    /// One look at all processes, and a line of progress.
-    fn look(&mut self, measuring: bool) {
+    /// Samples the resource usage of all processes, advances the judge and prints a line of progress.
+    fn take_sample(&mut self, measuring: bool) {
         self.judge.advance(now_us());
-        let at_s = self.began.elapsed().as_secs_f64();
+        let at_s = self.started_at.elapsed().as_secs_f64();
         let leader = self.leader();
         let mut memory_mb = 0.0;
         for (number, controller) in self.controllers.list().iter().enumerate() {
@@ -438,8 +444,8 @@
             let Some(sample) = measure::sample(process) else { continue };
             memory_mb += sample.memory_mb;
             if measuring {
-                self.meters[number].look(process, &sample, at_s);
-                self.led[number] += u32::from(leader == Some(number));
+                self.meters[number].record(process, &sample, at_s);
+                self.leader_samples[number] += u32::from(leader == Some(number));
             }
         }
         for (index, process) in self.processes.iter().enumerate() {
@@ -447,21 +453,21 @@
             let Some(sample) = measure::sample(id) else { continue };
             memory_mb += sample.memory_mb;
             if measuring {
-                self.process_meters[index].look(id, &sample, at_s);
+                self.process_meters[index].record(id, &sample, at_s);
             }
         }
         if let Some(sample) = measure::sample(std::process::id()) {
             memory_mb += sample.memory_mb;
             if measuring {
-                self.surroundings.look(std::process::id(), &sample, at_s);
+                self.surroundings.record(std::process::id(), &sample, at_s);
             }
         }
         self.memory_mb = self.memory_mb.max(memory_mb);
         let up = self.worker_counters.iter().map(|counters| counters.workers).sum::<u64>() as f64;
         let tasks = self.judge.running() as f64;
         if measuring {
-            let (looks, workers, running) = self.running;
-            self.running = (looks + 1.0, workers + up, running + tasks);
+            let (samples, workers, running) = self.sample_sums;
+            self.sample_sums = (samples + 1.0, workers + up, running + tasks);
             self.tasks_most = self.tasks_most.max(self.judge.running());
         }
         if self.options.progress && (at_s as u64).is_multiple_of(5) {
@@ -495,7 +501,9 @@
             rates.collect::<Rates>()
         };
         let workers = last.workers.combine(&first.workers, u64::saturating_sub);
-        let leader = (0..self.led.len()).max_by_key(|number| self.led[*number]).unwrap_or(0);
+        let leader = (0..self.leader_samples.len())
+            .max_by_key(|number| self.leader_samples[*number])
+            .unwrap_or(0);
         let others = (0..self.meters.len()).filter(|number| *number != leader);
         let others: Vec<Usage> = others.map(|number| self.meters[number].usage()).collect();
         let fullest = others.iter().max_by_key(|usage| usage.descriptors_peak);
@@ -507,14 +515,14 @@
             written.iter().map(|(frames, _)| frames).sum::<f64>() / count,
             written.iter().map(|(_, bytes)| bytes).sum::<f64>() / count,
         );
-        let hollow = self.processes.iter().zip(&self.process_meters);
-        let real: Vec<Usage> = hollow
+        let metered = self.processes.iter().zip(&self.process_meters);
+        let real: Vec<Usage> = metered
             .clone()
             .filter(|(process, _)| self.scenario.real_workers > 0 && process.workers == 1)
             .map(|(_, meter)| meter.usage())
             .collect();
-        let (looks, up, running) = self.running;
-        let looks = looks.max(1.0);
+        let (samples, up, running) = self.sample_sums;
+        let samples = samples.max(1.0);
         let classes = &self.scenario.classes;
         let first_start = self.judge.first_start_ms.iter();
         let mut broken: BTreeMap<String, u64> = BTreeMap::new();
@@ -540,8 +548,8 @@
             teams: self.scenario.teams.count,
             starts_asked_per_s: self.scenario.starts_per_s(),
             measured_s: seconds,
-            workers_up: up / looks,
-            tasks_running: running / looks,
+            workers_up: up / samples,
+            tasks_running: running / samples,
             tasks_most: self.tasks_most as u64,
             starts_per_s: self.judge.starts_us.iter().filter(in_window).count() as f64 / seconds,
             leader: self.meters[leader].usage(),
@@ -590,13 +598,13 @@
         }
     }
 
-    /// For each leader that was ended: how long until a task started under the next.
+    /// Returns the milliseconds from the end of each killed leader to the first start of a task under its successor.
     fn recoveries(&self) -> Vec<u64> {
         let after = |ended: &u64| {
-            let next = self.judge.tokens.iter().find(|(_, seen, _)| seen > ended)?;
+            let next = self.judge.fencing_tokens.iter().find(|(_, seen, _)| seen > ended)?;
             Some((next.2?.saturating_sub(*ended)) / 1000)
         };
-        self.ended_us.iter().filter_map(after).collect()
+        self.leader_killed_us.iter().filter_map(after).collect()
     }
 }
 
