--- a/crates/scale-test/src/capacity.rs
+++ b/crates/scale-test/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Slopes fitted to stored reports: what the capacity page is worked out from.
+//! Fits lines to stored reports, from which the capacity page is computed.
 //!
-//! Reports are grouped by their label. In a group whose label contains `size` figures are fitted against the
-//! number of workers, in all others against starts of tasks in a second.
+//! Reports are grouped by their label. In a group whose label contains `size`, figures are fitted against the
+//! number of workers; in all other groups, against starts of tasks per second.
 
 use crate::error::RunError;
 use crate::report::Report;
@@ -9,11 +9,12 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Workers and starts a second that are planned for.
+/// Number of workers for which the capacity is planned.
 const PLANNED_WORKERS: f64 = 5600.0;
+/// Starts of tasks per second for which the capacity is planned.
 const PLANNED_STARTS: f64 = 2400.0;
 
-/// A straight line through points by least squares.
+/// Straight line fitted to points by least squares.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
     pub base: f64,
@@ -22,35 +23,35 @@
     pub residual: f64,
 }
 
-/// Fits a line; None for fewer than two different places.
+/// Fits a line to points `(x, y)`; returns `None` for fewer than two different values of x.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
-    if points.len() < 2 || spread <= 0.0 {
+    let variance = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+    if points.len() < 2 || variance <= 0.0 {
         return None;
     }
-    let shared = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
-    let slope = shared / spread;
+    let covariance = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
+    let slope = covariance / variance;
     let base = mean_y - slope * mean_x;
     let squares = points.iter().map(|(x, y)| (y - base - slope * x).powi(2)).sum::<f64>();
     Some(Fit { base, slope, residual: (squares / count).sqrt() })
 }
 
-/// Reads reports.
+/// Reads reports from JSON files.
 pub fn read(paths: &[PathBuf]) -> Result<Vec<Report>, RunError> {
-    let one = |path: &PathBuf| {
-        let wrong = |why: String| RunError::Scenario(path.clone(), why);
-        let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
-        serde_json::from_str(&text).map_err(|error| wrong(error.to_string()))
+    let read_one = |path: &PathBuf| {
+        let invalid = |why: String| RunError::Scenario(path.clone(), why);
+        let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+        serde_json::from_str(&text).map_err(|error| invalid(error.to_string()))
     };
-    paths.iter().map(one).collect()
+    paths.iter().map(read_one).collect()
 }
 
 type Figure = (&'static str, fn(&Report) -> f64);
 
-/// What is fitted.
+/// Figures that are fitted, with the names that the tables print.
 const FIGURES: [Figure; 14] = [
     ("leader, share of a core", |r| r.leader.cpu_mean),
     ("leader, descriptors", |r| r.leader.descriptors_mean),
@@ -72,7 +73,7 @@
     rates.get(kind).copied().unwrap_or(0.0)
 }
 
-/// All tables, in Markdown, the same each time for the same reports.
+/// Returns all tables in Markdown. The same reports always give the same text.
 pub fn tables(reports: &[Report]) -> String {
     let mut groups: BTreeMap<&str, Vec<&Report>> = BTreeMap::new();
     for report in reports {
@@ -82,11 +83,11 @@
     out.push('\n');
     for (label, mut group) in groups {
         let by_size = label.contains("size");
-        let place = move |report: &Report| {
+        let x_of = move |report: &Report| {
             if by_size { f64::from(report.workers) } else { report.starts_per_s }
         };
-        group.sort_by(|a, b| place(a).total_cmp(&place(b)));
-        let _ = write_group(&mut out, label, &group, by_size, &place);
+        group.sort_by(|a, b| x_of(a).total_cmp(&x_of(b)));
+        let _ = write_group(&mut out, label, &group, by_size, &x_of);
     }
     out
 }
@@ -96,7 +97,7 @@
     label: &str,
     group: &[&Report],
     by_size: bool,
-    place: &dyn Fn(&Report) -> f64,
+    x_of: &dyn Fn(&Report) -> f64,
 ) -> std::fmt::Result {
     writeln!(out, "**{label}**\n")?;
     writeln!(
@@ -134,22 +135,22 @@
     writeln!(out, "| figure | at none | for {unit} | residual | at {planned} |")?;
     writeln!(out, "|---|---|---|---|---|")?;
     for (name, figure) in FIGURES {
-        let points: Vec<(f64, f64)> = group.iter().map(|r| (place(r), figure(r))).collect();
+        let points: Vec<(f64, f64)> = group.iter().map(|r| (x_of(r), figure(r))).collect();
         let Some(line) = fit(&points) else { continue };
         writeln!(
             out,
             "| {name} | {} | {} | {} | {} |",
-            short(line.base),
-            short(line.slope),
-            short(line.residual),
-            short(line.base + line.slope * planned)
+            format_number(line.base),
+            format_number(line.slope),
+            format_number(line.residual),
+            format_number(line.base + line.slope * planned)
         )?;
     }
     writeln!(out)
 }
 
-/// A number with three digits that count.
-fn short(value: f64) -> String {
+/// Formats a number with three significant digits, or all digits of its integer part.
+fn format_number(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
         "0".into()
--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -97,10 +97,10 @@
 fn scale_run(args: RunArgs) -> Result<bool, RunError> {
     let mut scenario = Scenario::read(&args.scenario)?;
     if let Some(workers) = args.workers {
-        scenario.scaled(workers);
+        scenario.scale_to_workers(workers);
     }
     if let Some(starts) = args.starts {
-        scenario.with_starts_per_s(starts);
+        scenario.scale_to_starts_per_s(starts);
     }
     if let Some(path) = &args.faults {
         scenario.faults = scenario::read_faults(path)?;
--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Real controllers as processes: their settings, start, end and restart.
+//! Controller processes: their settings, start, termination and restart.
 
 use crate::constants::*;
 use crate::error::RunError;
@@ -20,7 +20,7 @@
     list: Vec<Controller>,
 }
 
-/// One controller and its process, if it runs.
+/// A controller and, while it is running, its process.
 pub struct Controller {
     pub name: ControllerId,
     pub public: SocketAddr,
@@ -28,13 +28,13 @@
 }
 
 impl Controller {
-    /// Its process number, while it runs.
+    /// Returns the process id, or `None` if the controller is not running.
     pub fn process(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 }
 
-/// Name of a controller by its number.
+/// Returns the name of the controller with this number.
 fn name_of(number: u32) -> ControllerId {
     ControllerId::new(&format!("spindle-{number}"))
 }
@@ -43,25 +43,25 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// Where a controller listens: for the public and for the others.
+/// Returns the addresses on which a controller listens: for users and workers, and for its peers.
 pub fn addresses(number: u32) -> (SocketAddr, SocketAddr) {
     let number = number as u16;
     (loopback(CONTROLLER_PORT + number), loopback(MESH_PORT + number))
 }
 
-/// Where the state service and the cloud listen.
+/// Returns the addresses on which the store and the cloud listen.
 pub fn external() -> (SocketAddr, SocketAddr) {
     (loopback(STATE_PORT), loopback(CLOUD_PORT))
 }
 
-/// CPUs that a team is guaranteed and may use at the most, by an even share of all machines.
+/// Returns the guarantee and the limit of a team, in CPUs, computed from an even share of all machines.
 pub fn team_limits(scenario: &Scenario) -> (f64, f64) {
     let all = f64::from(scenario.workers) * scenario.machine.cpus;
     let even = all / f64::from(scenario.teams.count);
     ((even * 0.5).floor(), (even * scenario.teams.limit).ceil())
 }
 
-/// The settings of one controller, in the form that the platform hands them over.
+/// Returns the settings of one controller, in the format of the platform's settings file.
 fn settings(scenario: &Scenario, number: u32) -> serde_json::Value {
     let zones = scenario.zones();
     let zone = |n: u32| zones[n as usize % zones.len()].clone();
@@ -71,15 +71,15 @@
         .filter(|n| *n != number)
         .map(|n| json!({"host_name": name_of(n), "location": zone(n), "peer_addr": addresses(n).1}))
         .collect();
-    let (guaranteed, most) = team_limits(scenario);
+    let (guarantee, limit) = team_limits(scenario);
     let teams: Vec<_> = (0..scenario.teams.count as usize)
-        .map(|n| json!({"name": team_name(n), "cpus": guaranteed, "cpus_max": most}))
+        .map(|n| json!({"name": team_name(n), "cpus": guarantee, "cpus_max": limit}))
         .collect();
-    let aims = scenario.classes.iter().filter_map(|class| {
+    let objectives = scenario.classes.iter().filter_map(|class| {
         let within = class.start_within_s?;
         Some(json!({"kind": "wait", "class": class.name, "within_s": within, "share": 0.99}))
     });
-    let aims: Vec<_> = aims.collect();
+    let objectives: Vec<_> = objectives.collect();
     json!({
         "host_name": name_of(number),
         "location": zone(number),
@@ -91,7 +91,7 @@
             "initial_size": scenario.workers,
             "zones": zones,
             "teams": teams,
-            "objectives": aims,
+            "objectives": objectives,
             "workers": {"report_s": scenario.report_s, "lease_s": scenario.lease_s,
                         "gang_wait_s": 50.0, "gang_peer_s": 5.0, "cancel_s": scenario.cancel_s},
             "state": {"rps": scenario.state.rps, "write_rps": scenario.state.write_rps,
@@ -105,7 +105,7 @@
 }
 
 impl Controllers {
-    /// Writes the settings of all; starts none yet.
+    /// Writes the settings of all controllers without starting them.
     pub fn prepare(
         scenario: &Scenario,
         binary: &Path,
@@ -116,7 +116,7 @@
         for number in 0..scenario.controllers {
             let name = name_of(number);
             let path = dir.join(format!("{name}.json"));
-            // What an earlier run logged tells nothing of this one.
+            // `mesh_rates` reads the log, which must not contain lines of an earlier run.
             let _ = std::fs::remove_file(dir.join(format!("{name}.log")));
             let text = settings(scenario, number).to_string();
             std::fs::write(&path, text).map_err(|error| RunError::Write(path.clone(), error))?;
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Frames and bytes a second that a controller last logged to have written to the others.
+    /// Returns the frames and bytes per second written to peers, from the controller's last log line on them.
     pub fn mesh_rates(&self, number: usize) -> Option<(f64, f64)> {
         let log = self.dir.join(format!("{}.log", self.list[number].name));
         let text = std::fs::read_to_string(log).ok()?;
@@ -142,12 +142,12 @@
         Some((value("frames_per_s=")?, value("bytes_per_s=")?))
     }
 
-    /// All, in order of their numbers.
+    /// Returns all controllers, ordered by number.
     pub fn list(&self) -> &[Controller] {
         &self.list
     }
 
-    /// Starts one that does not run. It ends with the run, however that ends in order.
+    /// Starts a controller that is not running. It is killed when the run ends, also on an error.
     pub fn start(&mut self, number: usize) -> Result<(), RunError> {
         let name = self.list[number].name.clone();
         let log = self.dir.join(format!("{name}.log"));
@@ -164,21 +164,21 @@
         Ok(())
     }
 
-    /// Ends one without warning.
+    /// Kills a controller without warning.
     pub async fn end(&mut self, number: usize) {
         if let Some(mut child) = self.list[number].child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Ends all.
+    /// Kills all controllers.
     pub async fn end_all(&mut self) {
         for number in 0..self.list.len() {
             self.end(number).await;
         }
     }
 
-    /// The number of a controller.
+    /// Returns the number of the controller with this name.
     pub fn number_of(&self, name: &ControllerId) -> Option<usize> {
         self.list.iter().position(|controller| controller.name == *name)
     }
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -1,8 +1,8 @@
-//! What can keep a scale run from starting or ending well; each text says what to do.
+//! Errors that prevent a scale run from starting or completing. Texts say what to do where the user can act.
 
 use std::path::PathBuf;
 
-/// Why a run could not be made.
+/// Error that prevented a command from completing.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error("{0}: {1}")]
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scale runs: real controller processes against emulated workers, cloud, state service and users, all on
+//! Scale runs: real controller processes against an emulated store and cloud, emulated workers and users, all on
 //! loopback addresses of one machine.
 //!
 //! Thousands of workers share a few processes ([`worker_process`]); each has its own address, session, lease,
-//! image cache and tasks ([`worker`]). An independent judge ([`judge`]) watches the rules.
+//! image cache and tasks ([`worker`]). An independent judge ([`judge`]) checks PROTOCOL's
+//! rules.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run gave: a table for people and JSON for the capacity page.
+//! Results of a run: a table for people, and JSON from which the capacity page is computed.
 
 use crate::measure::Usage;
 use hdrhistogram::Histogram;
@@ -17,7 +17,7 @@
 }
 
 impl Times {
-    /// Of a histogram of milliseconds.
+    /// Returns the quantiles of a histogram of milliseconds.
     pub fn of(histogram: &Histogram<u64>) -> Times {
         Times {
             count: histogram.len(),
@@ -29,46 +29,51 @@
     }
 }
 
-/// Requests, answers and bytes in a second, by kind, while it was measured.
+/// Requests, answers and bytes per second in the measured period, by kind.
 pub type Rates = BTreeMap<String, f64>;
 
-/// One run.
+/// Results of one run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub scenario: String,
-    /// `git` revision or a name given to the run.
+    /// Git revision, or a name given to the run.
     pub label: String,
     pub workers: u32,
     pub controllers: u32,
     pub teams: u32,
     pub starts_asked_per_s: f64,
     pub measured_s: f64,
-    /// Measured means: workers that were up, tasks on machines, starts in a second.
+    /// Mean number of workers that were up.
     pub workers_up: f64,
+    /// Mean number of tasks on machines.
     pub tasks_running: f64,
-    /// The most tasks on machines in any look.
+    /// Maximum number of tasks on machines in any sample.
     #[serde(default)]
     pub tasks_most: u64,
+    /// Mean number of starts per second.
     pub starts_per_s: f64,
     pub leader: Usage,
-    /// All other controllers: the mean of each, and the one with the most descriptors.
+    /// Mean over all followers.
     pub follower_mean: Usage,
+    /// The follower with the most descriptors.
     pub follower_peak: Usage,
-    /// All processes of workers together.
+    /// Share of a core that all worker processes used together.
     pub workers_cpu: f64,
+    /// Peak memory of all worker processes together, in megabytes.
     pub workers_memory_mb: f64,
-    /// Processes with one worker each: the mean of one.
+    /// Mean over the processes that run one worker each.
     pub real_worker: Option<Usage>,
-    /// Frames and bytes a second that the leader, and each of the others in the mean, wrote to other controllers.
+    /// Frames and bytes per second that the leader wrote to its peers.
     #[serde(default)]
     pub leader_mesh: (f64, f64),
+    /// Frames and bytes per second that a follower wrote to its peers, as the mean over all followers.
     #[serde(default)]
     pub follower_mesh: (f64, f64),
-    /// State service, cloud, users and judge: one process.
+    /// The process that runs the store, the cloud, the users and the judge.
     pub surroundings: Usage,
     pub processes: usize,
     pub memory_total_mb: f64,
-    /// A second, of all workers together.
+    /// Rates of all workers together.
     pub worker_rates: Rates,
     pub worker_bytes_per_s: f64,
     pub leases_lost: u64,
@@ -78,23 +83,25 @@
     pub cloud_rates: Rates,
     pub user_rates: Rates,
     pub submission: Times,
-    /// From submission to the first start of a task with its image, by class.
+    /// Time from submission to the first start of a task, whose image is then present, by class.
     pub first_start: BTreeMap<String, Times>,
-    /// From a leader's end to the first start under the next, in milliseconds.
+    /// Times from the end of a killed leader to the first start under its successor, in milliseconds.
     pub recovery_ms: Vec<u64>,
-    /// Broken rules with how often, and the first texts.
+    /// Number of violations of each broken rule.
     pub broken: BTreeMap<String, u64>,
+    /// Texts of the first five violations.
     pub broken_first: Vec<String>,
+    /// Number of events that arrived at the judge after a later event had been judged.
     pub judged_late: u64,
 }
 
 impl Report {
-    /// Whether the judge found nothing.
+    /// Returns whether the judge found no violations.
     pub fn is_clean(&self) -> bool {
         self.broken.is_empty()
     }
 
-    /// The table for people.
+    /// Returns the results as a table for people.
     pub fn table(&self) -> String {
         let mut out = String::new();
         let _ = self.write_table(&mut out);
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -1,35 +1,43 @@
-//! Scenario files: how many of everything, what is asked for, and what goes wrong when.
+//! Scenario files: the sizes of the cluster, the submitted work, and the faults with their times.
 
 use crate::error::RunError;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// A whole run.
+/// Description of a run, as read from a scenario file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
+    /// Seed of all random choices of the emulated workers, users and cloud.
     pub seed: u64,
-    /// Seconds before measuring starts, and of measuring.
+    /// Seconds before the measured period.
     pub warm_up_s: f64,
+    /// Length of the measured period, in seconds.
     pub measure_s: f64,
     pub controllers: u32,
-    /// What each controller is allowed: share of a core, megabytes and sockets.
+    /// Limit of each controller's processor time, as a share of a core.
     pub cpu: f64,
+    /// Limit of each controller's memory, in megabytes.
     pub memory_mb: f64,
+    /// Limit of each controller's open sockets.
     pub max_sockets: usize,
-    /// Workers that are there from the start, and how many more the cloud has.
+    /// Number of workers at the start.
     pub workers: u32,
+    /// Number of further machines that the cloud can rent out.
     #[serde(default)]
     pub spare_workers: u32,
-    /// How many of them have a process of their own.
+    /// Number of workers that have a process of their own.
     #[serde(default)]
     pub real_workers: u32,
-    /// Names of regions with their zones.
+    /// Regions with their zones.
     pub regions: Vec<Region>,
     pub machine: Machine,
+    /// Interval between the heartbeats of a worker, in seconds.
     pub report_s: f64,
+    /// Length of a worker's lease, in seconds; more than two heartbeat intervals.
     pub lease_s: f64,
+    /// Deadline for ending the tasks of a cancelled job, in seconds after the cancellation; more than `lease_s`.
     pub cancel_s: f64,
     pub state: StateLimits,
     pub cloud: CloudLimits,
@@ -37,7 +45,7 @@
     pub classes: Vec<Class>,
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The judge is shown one start on two machines on purpose: a check of the judge itself.
+    /// Whether the judge is given one start on two machines, as a check of the judge itself.
     #[serde(default)]
     pub planted_fault: bool,
 }
@@ -49,7 +57,7 @@
     pub zones: u32,
 }
 
-/// The one machine type.
+/// The only machine type of a scenario.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
@@ -58,9 +66,10 @@
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub boot_s: f64,
-    /// Share of boots that take three times as long, and of those that never end.
+    /// Share of boots that take three times as long.
     #[serde(default)]
     pub late_boots: f64,
+    /// Share of boots that never complete.
     #[serde(default)]
     pub failed_boots: f64,
 }
@@ -81,7 +90,7 @@
     pub list_lag_s: f64,
 }
 
-/// Teams share the classes round-robin; each has a limit of so many times its even share of the work.
+/// Teams, which submit the jobs of all classes round-robin. Each may use `limit` times an even share of the CPUs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Teams {
@@ -105,35 +114,37 @@
     Low,
 }
 
-/// Work of one kind.
+/// Class of jobs with the same shape and rate.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
     pub kind: Kind,
     pub priority: Priority,
-    /// Tasks of a job.
+    /// Number of tasks of a job.
     pub tasks: u32,
     pub cpus: f64,
     pub ram_gb: f64,
-    /// Mean run time of a task in seconds; services run until the end.
+    /// Mean run time of a task in seconds; services run until the end of the run.
     #[serde(default)]
     pub run_s: f64,
-    /// Jobs submitted at the start, and each second from then on.
+    /// Number of jobs submitted at the start.
     #[serde(default)]
     pub initial: u32,
+    /// Number of jobs submitted in each later second.
     #[serde(default)]
     pub per_s: f64,
-    /// How many times that rate comes in the peak.
+    /// Factor by which `per_s` is multiplied in the peak.
     #[serde(default = "one")]
     pub peak: f64,
-    /// Share of jobs that their users cancel while they run.
+    /// Share of jobs that their users cancel while they are running.
     #[serde(default)]
     pub cancelled: f64,
-    /// Images that jobs of the class share, and the size of each.
+    /// Number of images that the jobs of the class share.
     pub images: u32,
+    /// Size of each image, in gigabytes.
     pub image_gb: f64,
-    /// Aim at start in seconds, told to the controllers.
+    /// Objective for the wait until the start, in seconds, which is part of the controllers' settings.
     #[serde(default)]
     pub start_within_s: Option<f64>,
 }
@@ -142,7 +153,7 @@
     1.0
 }
 
-/// Something that goes wrong, so many seconds after measuring began.
+/// Fault that is injected `at_s` seconds after the start of the measured period.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -153,39 +164,39 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The leader ends without warning and is back later.
+    /// Kills the leader without warning and restarts it later.
     EndLeader { back_after_s: f64 },
-    /// A controller that does not lead ends without warning and is back later.
+    /// Kills a follower without warning and restarts it later.
     EndFollower { back_after_s: f64 },
-    /// A process of workers ends, and its machines with it.
+    /// Kills a worker process, which ends its machines.
     EndWorkers,
-    /// All machines of a zone end.
+    /// Ends all machines of a zone; zones are counted from 0.
     EndZone { zone: u32 },
-    /// The state service refuses everybody.
+    /// Makes the store reject all requests.
     StateOut { for_s: f64 },
-    /// The cloud refuses everybody.
+    /// Makes the cloud reject all requests.
     CloudOut { for_s: f64 },
 }
 
-/// Reads a file of faults.
+/// Reads a file with a list of faults.
 pub fn read_faults(path: &Path) -> Result<Vec<Fault>, RunError> {
-    let wrong = |why: String| RunError::Scenario(path.to_owned(), why);
-    let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
-    serde_yaml_ng::from_str(&text).map_err(|error| wrong(error.to_string()))
+    let invalid = |why: String| RunError::Scenario(path.to_owned(), why);
+    let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+    serde_yaml_ng::from_str(&text).map_err(|error| invalid(error.to_string()))
 }
 
 impl Scenario {
-    /// Reads a file and checks it.
+    /// Reads and validates a scenario file.
     pub fn read(path: &Path) -> Result<Scenario, RunError> {
-        let wrong = |why: String| RunError::Scenario(path.to_owned(), why);
-        let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
+        let invalid = |why: String| RunError::Scenario(path.to_owned(), why);
+        let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
         let scenario: Scenario =
-            serde_yaml_ng::from_str(&text).map_err(|error| wrong(error.to_string()))?;
+            serde_yaml_ng::from_str(&text).map_err(|error| invalid(error.to_string()))?;
         let faults = scenario.faults_found();
         if faults.is_empty() { Ok(scenario) } else { Err(RunError::Invalid(faults)) }
     }
 
-    /// Everything that is wrong with it, each with the field and what it may be.
+    /// Returns a text for each invalid value, with the field and the values allowed.
     pub fn faults_found(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut check = |holds: bool, text: &str| {
@@ -211,8 +222,8 @@
             check((1..=10_000).contains(&class.tasks), &format!("class {name}: tasks: 1 to 10000"));
             check(class.cpus <= self.machine.cpus, &format!("class {name}: cpus: fits a machine"));
             check(class.images > 0, &format!("class {name}: images: at least 1"));
-            let runs = class.kind == Kind::Service || class.run_s > 0.0;
-            check(runs, &format!("class {name}: run_s: more than 0"));
+            let has_run_time = class.kind == Kind::Service || class.run_s > 0.0;
+            check(has_run_time, &format!("class {name}: run_s: more than 0"));
         }
         for fault in &self.faults {
             let within = (0.0..=self.measure_s).contains(&fault.at_s);
@@ -224,39 +235,39 @@
         found
     }
 
-    /// All zones by name, in order of their regions.
+    /// Returns the names of all zones, in order of their regions.
     pub fn zones(&self) -> Vec<String> {
-        let of = |region: &Region| {
+        let region_zones = |region: &Region| {
             let name = region.name.clone();
             (0..region.zones).map(move |n| format!("{name}-{n}"))
         };
-        self.regions.iter().flat_map(of).collect()
+        self.regions.iter().flat_map(region_zones).collect()
     }
 
-    /// Starts of tasks in a second that its arrays ask for in the peak, which is while it is measured.
+    /// Returns the starts of tasks per second that the classes request in the peak, which is the measured period.
     pub fn starts_per_s(&self) -> f64 {
-        let of = |class: &Class| class.per_s * class.peak * f64::from(class.tasks);
-        self.classes.iter().map(of).sum()
+        let class_rate = |class: &Class| class.per_s * class.peak * f64::from(class.tasks);
+        self.classes.iter().map(class_rate).sum()
     }
 
-    /// Multiplies workers and work, for runs of other sizes.
-    pub fn scaled(&mut self, workers: u32) {
-        let by = f64::from(workers) / f64::from(self.workers);
+    /// Sets the number of workers, and scales spare workers and submitted work in proportion.
+    pub fn scale_to_workers(&mut self, workers: u32) {
+        let factor = f64::from(workers) / f64::from(self.workers);
         self.workers = workers;
-        self.spare_workers = (f64::from(self.spare_workers) * by).ceil() as u32;
+        self.spare_workers = (f64::from(self.spare_workers) * factor).ceil() as u32;
         for class in &mut self.classes {
-            class.initial = (f64::from(class.initial) * by).round() as u32;
-            class.per_s *= by;
+            class.initial = (f64::from(class.initial) * factor).round() as u32;
+            class.per_s *= factor;
         }
     }
 
-    /// Sets the arrays' rates so that they ask for so many starts a second together; those that were there at the
-    /// start change alike.
-    pub fn with_starts_per_s(&mut self, starts: f64) {
-        let by = starts / self.starts_per_s().max(f64::MIN_POSITIVE);
+    /// Scales the arrays' rates by the factor that brings [`Scenario::starts_per_s`] to `starts`; their initial jobs
+    /// are scaled by the same factor.
+    pub fn scale_to_starts_per_s(&mut self, starts: f64) {
+        let factor = starts / self.starts_per_s().max(f64::MIN_POSITIVE);
         for class in self.classes.iter_mut().filter(|class| class.kind == Kind::Array) {
-            class.per_s *= by;
-            class.initial = (f64::from(class.initial) * by).round() as u32;
+            class.per_s *= factor;
+            class.initial = (f64::from(class.initial) * factor).round() as u32;
         }
     }
 }
