--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -22,57 +22,57 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario with real controllers and emulated workers, and print what each role used.
+    /// Execute a scenario with real controllers and emulated workers, and print the resources used by each role.
     Run(RunArgs),
-    /// Fit slopes to stored reports and print the tables; with --page check that a page holds them.
+    /// Fit lines to stored reports and print the tables; with --page, check that a page contains them.
     Capacity(CapacityArgs),
-    /// Serve emulated workers; started by `run`.
+    /// Run emulated workers; started by `run`.
     #[command(hide = true)]
     Workers,
 }
 
 #[derive(Args)]
 struct RunArgs {
-    /// The scenario (YAML).
+    /// Scenario file (YAML).
     scenario: PathBuf,
-    /// Another number of workers; work is scaled with it.
+    /// Number of workers instead of the scenario's; the work is scaled in proportion.
     #[arg(long)]
     workers: Option<u32>,
-    /// Another number of controllers.
+    /// Number of controllers instead of the scenario's.
     #[arg(long)]
     controllers: Option<u32>,
-    /// Another rate of task starts a second that arrays ask for.
+    /// Task starts per second that arrays request, instead of the scenario's rate.
     #[arg(long)]
     starts: Option<f64>,
-    /// What goes wrong, as in a scenario's `faults` (YAML), instead of what the scenario says.
+    /// File with a list of faults (YAML, as in a scenario's `faults`) that replaces the scenario's list.
     #[arg(long)]
     faults: Option<PathBuf>,
-    /// The controllers' program.
+    /// Program of the controllers.
     #[arg(long, default_value = "target/release/troutspindle")]
     controller: PathBuf,
-    /// The operators' settings of the controllers.
+    /// File with the operators' settings of the controllers.
     #[arg(long)]
     operator: Option<PathBuf>,
-    /// Where settings and logs of the run go.
+    /// Directory for the settings and logs of the run.
     #[arg(long, default_value = "target/scale")]
     dir: PathBuf,
-    /// Where the JSON report goes.
+    /// File to which the JSON report is written.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// A name for the run, kept in its report.
+    /// Name of the run, stored in its report.
     #[arg(long, default_value = "")]
     label: String,
-    /// Show the judge a fault that did not happen: the run must fail.
+    /// Give the judge one start that did not happen; the run must then fail.
     #[arg(long)]
     planted_fault: bool,
 }
 
 #[derive(Args)]
 struct CapacityArgs {
-    /// Reports of runs.
+    /// JSON reports of runs.
     #[arg(required = true)]
     reports: Vec<PathBuf>,
-    /// The page that must hold the tables.
+    /// Page that must contain the tables.
     #[arg(long)]
     page: Option<PathBuf>,
 }
--- a/crates/scale-test/src/constants.rs
+++ b/crates/scale-test/src/constants.rs
@@ -1,60 +1,66 @@
-//! Every constant of the package, each with its unit and reason.
+//! Constants of the package, each with its unit and reason.
 
 use std::time::Duration;
 
-/// Count. Workers in one process: its descriptors stay far below the usual limit of 20,000.
+/// Number of workers in one process. Its descriptors stay far below the usual limit of 20,000.
 pub const WORKERS_PER_PROCESS: u32 = 700;
-/// Count. Descriptors that a worker may take up: its listener, its report connection, direct connections.
+/// Number of descriptors that a worker may use: its listener, its heartbeat connection and direct connections.
 pub const DESCRIPTORS_PER_WORKER: u64 = 5;
-/// Count. Processes of all kinds that a run may start.
+/// Maximum number of processes of a run, of all kinds together.
 pub const PROCESSES_MAX: usize = 100;
-/// Share of the machine's memory that a run may take up.
+/// Share of the machine's memory that a run may use.
 pub const MEMORY_SHARE: f64 = 0.5;
-/// Port of every emulated worker; they differ by their loopback address.
+/// Port of every emulated worker; workers differ by their loopback address.
 pub const WORKER_PORT: u16 = 9000;
-/// Ports of the first controller: public and mesh; the next ones follow.
+/// Public port of the first controller; further controllers use the ports after it.
 pub const CONTROLLER_PORT: u16 = 18_080;
+/// Port for the peers of the first controller; further controllers use the ports after it.
 pub const MESH_PORT: u16 = 18_180;
+/// Port of the emulated store.
 pub const STATE_PORT: u16 = 18_400;
+/// Port of the emulated cloud.
 pub const CLOUD_PORT: u16 = 18_401;
 
-/// PROTOCOL's pause between reports that are sent since something changed.
+/// Minimum pause between heartbeats that are sent because of a change, from PROTOCOL.
 pub const REPORT_LEAST: Duration = Duration::from_millis(500);
-/// PROTOCOL: a worker waits so long for the answer to a report.
+/// Time that a worker waits for the answer to a heartbeat, from PROTOCOL.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// PROTOCOL: and so long before it tries the next controller.
+/// Pause before a worker tries the next controller, from PROTOCOL.
 pub const NEXT_NODE_AFTER: Duration = Duration::from_secs(1);
-/// PROTOCOL: a redirected worker reports elsewhere within this time.
+/// Maximum time until a redirected worker sends its heartbeat to the other controller, from PROTOCOL.
 pub const REDIRECT_MOST: Duration = Duration::from_millis(500);
-/// Share by which the interval between reports varies.
+/// Share by which the interval between heartbeats varies in both directions.
 pub const REPORT_JITTER: f64 = 0.25;
-/// Bytes. Head of a request or a response as this project writes it, counted on the wire once.
+/// Size in bytes of the head of a request or response as this project writes it, from one count on the wire.
 pub const HEAD_BYTES: u64 = 100;
 
-/// PROTOCOL: what users wait for a submission and a poll, and their pauses.
+/// Time that a user waits for the answer to a submission or cancellation, from PROTOCOL.
 pub const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a user waits for the answer to a poll, from PROTOCOL.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two polls of a user, from PROTOCOL.
 pub const POLL_EVERY: Duration = Duration::from_secs(5);
+/// Minimum pause before a user retries a submission, from PROTOCOL.
 pub const USER_RETRY: Duration = Duration::from_secs(1);
-/// PROTOCOL: a submission is given up after a minute of retries.
+/// Time for which a user retries a submission before giving up, from PROTOCOL.
 pub const SUBMIT_FOR: Duration = Duration::from_secs(60);
-/// Pause between two health checks of a controller, and their timeout.
+/// Pause between two health checks of a controller, and timeout of a check.
 pub const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// PROTOCOL: final states may lag by this much.
+/// Maximum delay of final states in answers to users, from PROTOCOL.
 pub const DONE_LAG: Duration = Duration::from_secs(3);
 
-/// Count. Changes that the state service keeps for follows.
+/// Number of changes that the emulated store keeps for watches.
 pub const CHANGES_KEPT: usize = 10_000;
-/// Count. Rows of one page of the machine list.
+/// Number of rows in one page of the machine list.
 pub const LIST_ROWS: usize = 500;
 
-/// How long events wait to be put in order before they are judged: longer than any process is late.
+/// Time for which the judge queues events to put them in order; longer than the delay of any process.
 pub const JUDGE_DELAY: Duration = Duration::from_millis(1500);
-/// Pause between two looks at processor time, memory and descriptors.
+/// Interval between samples of processor time, memory and descriptors.
 pub const SAMPLE_EVERY: Duration = Duration::from_secs(1);
-/// Count. Ticks of processor time in a second in the kernel's statistics.
+/// Number of ticks per second of processor time in the kernel's statistics.
 pub const CLOCK_TICKS: f64 = 100.0;
-/// How long controllers may take to answer after they were started.
+/// Maximum time from the start of the controllers to their first answer.
 pub const START_WITHIN: Duration = Duration::from_secs(30);
-/// Added to a run's planned time before it is ended by force.
+/// Time beyond the planned time of a run after which it is ended by force.
 pub const RUN_SLACK: Duration = Duration::from_secs(60);
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -13,7 +13,7 @@
         "{0}: no such program; build it first with `cargo build --release --locked --workspace`"
     )]
     NoBinary(PathBuf),
-    #[error("{address} is in use ({error}); end the run or program that holds it")]
+    #[error("{address} is in use ({error}); end the run or program that uses it")]
     PortInUse { address: String, error: std::io::Error },
     #[error(
         "{needed} open files are needed in a process and {limit} allowed; raise it with `ulimit -n {needed}`"
@@ -31,7 +31,7 @@
     WorkerProcess(String),
     #[error("{0}: {1}; give a path that can be written with --out or --dir")]
     Write(PathBuf, std::io::Error),
-    #[error("the run took longer than its time and was ended")]
+    #[error("the run exceeded its planned time and was ended")]
     TookTooLong,
     #[error("interrupted")]
     Interrupted,
--- a/crates/scale-test/src/judge.rs
+++ b/crates/scale-test/src/judge.rs
@@ -31,6 +31,7 @@
     pub cpus: f64,
     pub service: bool,
     pub spot: bool,
+    /// Time of the submission, in microseconds.
     pub submitted_us: u64,
 }
 
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -59,7 +59,7 @@
     pub follower_peak: Usage,
     /// Share of a core that all worker processes used together.
     pub workers_cpu: f64,
-    /// Peak memory of all worker processes together, in megabytes.
+    /// Sum of the peak memory of all worker processes, in megabytes.
     pub workers_memory_mb: f64,
     /// Mean over the processes that run one worker each.
     pub real_worker: Option<Usage>,
@@ -83,7 +83,7 @@
     pub cloud_rates: Rates,
     pub user_rates: Rates,
     pub submission: Times,
-    /// Time from submission to the first start of a task, whose image is then present, by class.
+    /// Time from submission until the first task of a job has started with its image present, by class.
     pub first_start: BTreeMap<String, Times>,
     /// Times from the end of a killed leader to the first start under its successor, in milliseconds.
     pub recovery_ms: Vec<u64>,
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -33,10 +33,12 @@
     pub controller_binary: PathBuf,
     /// Program of the scale test, which also runs the worker processes.
     pub test_binary: PathBuf,
+    /// File with the operators' settings, if any.
     pub operator: Option<PathBuf>,
     /// Directory for the settings and logs of the controllers.
     pub dir: PathBuf,
     pub label: String,
+    /// Whether progress is printed to standard error.
     pub progress: bool,
 }
 
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -50,6 +50,7 @@
     pub planted_fault: bool,
 }
 
+/// Region with `zones` zones, which are named after it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
@@ -74,6 +75,7 @@
     pub failed_boots: f64,
 }
 
+/// Limits of the emulated store: requests and writes per second, size of a value, operations of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateLimits {
@@ -83,6 +85,7 @@
     pub txn_ops: usize,
 }
 
+/// Limits of the emulated cloud: requests per second, and delay of the machine list in seconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudLimits {
@@ -90,7 +93,7 @@
     pub list_lag_s: f64,
 }
 
-/// Teams, which submit the jobs of all classes round-robin. Each may use `limit` times an even share of the CPUs.
+/// Teams, to which jobs are assigned round-robin. Each may use `limit` times an even share of the CPUs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Teams {
