--- a/crates/scale-test/src/controllers.rs
+++ b/crates/scale-test/src/controllers.rs
@@ -57,8 +57,8 @@
 /// Returns the guarantee and the limit of a team, in CPUs, computed from an even share of all machines.
 pub fn team_limits(scenario: &Scenario) -> (f64, f64) {
     let all = f64::from(scenario.workers) * scenario.machine.cpus;
-    let even = all / f64::from(scenario.teams.count);
-    ((even * 0.5).floor(), (even * scenario.teams.limit).ceil())
+    let even_share = all / f64::from(scenario.teams.count);
+    ((even_share * 0.5).floor(), (even_share * scenario.teams.limit).ceil())
 }
 
 /// Returns the settings of one controller, in the format of the platform's settings file.
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -46,6 +46,7 @@
     child: Child,
     to: mpsc::UnboundedSender<ToWorkers>,
     workers: u32,
+    /// Whether a fault killed the process, so that its end is expected.
     ended: bool,
 }
 
@@ -83,7 +84,9 @@
     /// Number of samples, and the sums of the workers that were up and of the running tasks over them.
     sample_sums: (f64, f64, f64),
     tasks_most: usize,
+    /// Maximum of the memory of all processes together, in megabytes.
     memory_mb: f64,
+    /// Times at which killed controllers are restarted, with their numbers.
     restarts: Vec<(Instant, usize)>,
     /// Times at which a fault killed the leader, in microseconds.
     leader_killed_us: Vec<u64>,
@@ -93,9 +96,9 @@
 fn workers_by_process(scenario: &Scenario) -> Vec<u32> {
     let emulated = scenario.workers - scenario.real_workers;
     let count = emulated.div_ceil(WORKERS_PER_PROCESS).max(1);
-    let even = |n: u32| emulated / count + u32::from(n < emulated % count);
+    let emulated_share = |n: u32| emulated / count + u32::from(n < emulated % count);
     let real = (0..scenario.real_workers).map(|_| 1);
-    (0..count).map(even).chain(real).collect()
+    (0..count).map(emulated_share).chain(real).collect()
 }
 
 /// Checks that the programs exist and that processes, descriptors and memory suffice for the run.
@@ -212,24 +215,24 @@
         processes.push(start_workers(index, workers, settings, &options, &from)?);
     }
     let (state_faults, faults) = mpsc::unbounded_channel();
-    let (shown, state) = watch::channel(StateCounters::default());
+    let (state_counters, state) = watch::channel(StateCounters::default());
     let limits = Limits {
         rps: scenario.state.rps,
         write_rps: scenario.state.write_rps,
         value_bytes: (scenario.state.value_kb * 1024.0) as usize,
         txn_ops: scenario.state.txn_ops,
     };
-    tokio::spawn(state_service::serve(state_listener, limits, faults, shown));
-    let (judge_to, mut judged) = mpsc::unbounded_channel();
+    tokio::spawn(state_service::serve(state_listener, limits, faults, state_counters));
+    let (judge_sender, mut judge_events) = mpsc::unbounded_channel();
     let senders: Vec<_> = processes.iter().map(|process| process.to.clone()).collect();
     let (cloud_inputs, inputs) = mpsc::unbounded_channel();
-    let (shown, cloud) = watch::channel(CloudCounters::default());
+    let (cloud_counters, cloud) = watch::channel(CloudCounters::default());
     let setup = cloud::Setup::new(
         &scenario,
         (senders.clone(), workers_by_process(&scenario)),
-        judge_to.clone(),
+        judge_sender.clone(),
     );
-    tokio::spawn(cloud::serve(cloud_listener, setup, scenario.workers, inputs, shown));
+    tokio::spawn(cloud::serve(cloud_listener, setup, scenario.workers, inputs, cloud_counters));
     for number in 0..controllers.list().len() {
         controllers.start(number)?;
     }
@@ -241,17 +244,17 @@
     let started_at = Instant::now();
     let measure_at = started_at + Duration::from_secs_f64(scenario.warm_up_s);
     let end_at = measure_at + Duration::from_secs_f64(scenario.measure_s);
-    let (notes, mut noted) = mpsc::unbounded_channel::<UserNote>();
+    let (notes, mut user_notes) = mpsc::unbounded_channel::<UserNote>();
     tokio::spawn(users::submit_all(users::Setup {
         scenario: scenario.clone(),
         healthy,
         processes: senders,
-        judge: judge_to.clone(),
+        judge: judge_sender.clone(),
         notes,
         peak_at: measure_at,
     }));
-    let (_, most) = team_limits(&scenario);
-    let judge = Judge::new(vec![most; scenario.teams.count as usize], scenario.cancel_s);
+    let (_, team_limit) = team_limits(&scenario);
+    let judge = Judge::new(vec![team_limit; scenario.teams.count as usize], scenario.cancel_s);
     let mut run = Run {
         worker_counters: vec![WorkerCounters::default(); processes.len()],
         meters: controllers.list().iter().map(|_| Meter::default()).collect(),
@@ -307,21 +310,21 @@
             Some((index, message)) = from_workers.recv() => {
                 run.handle_worker_message(index, message, &mut planted)?;
             }
-            Some(event) = judged.recv() => run.judge.take(event),
-            Some(note) = noted.recv() => run.users.take(note),
+            Some(event) = judge_events.recv() => run.judge.take(event),
+            Some(note) = user_notes.recv() => run.users.take(note),
             _ = tokio::time::sleep_until(wake) => {}
         }
     }
     let last = run.snapshot();
     // Events from before the end of the run may arrive and be judged up to `JUDGE_DELAY` later.
-    let until = Instant::now() + JUDGE_DELAY;
-    while Instant::now() < until {
+    let judge_until = Instant::now() + JUDGE_DELAY;
+    while Instant::now() < judge_until {
         tokio::select! {
             Some((index, message)) = from_workers.recv() => {
                 run.handle_worker_message(index, message, &mut planted)?;
             }
-            Some(event) = judged.recv() => run.judge.take(event),
-            _ = tokio::time::sleep_until(until) => {}
+            Some(event) = judge_events.recv() => run.judge.take(event),
+            _ = tokio::time::sleep_until(judge_until) => {}
         }
     }
     run.judge.advance(now_us());
