--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: `run` makes a scale run, `capacity` works the capacity page out of stored reports.
+//! Command line: `run` executes a scale run, `capacity` computes the tables of the capacity page from stored reports.
 
 use crate::error::RunError;
 use crate::run::{self, Options};
@@ -8,10 +8,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status where a rule was broken, or the page differs from the reports.
-const FOUND: u8 = 1;
-/// Exit status where the run could not be made.
-const FAILED: u8 = 2;
+/// Exit status when a rule was broken or the page differs from the reports.
+const CHECK_FAILED: u8 = 1;
+/// Exit status when the command could not be executed.
+const ERROR: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about = "Scale runs of troutspindle on one machine")]
@@ -22,62 +22,62 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario with real controllers and emulated workers, and print what each role used.
+    /// Execute a scenario with real controllers and emulated workers, and print the resources used by each role.
     Run(RunArgs),
-    /// Fit slopes to stored reports and print the tables; with --page check that a page holds them.
+    /// Fit lines to stored reports and print the tables; with --page, check that a page contains them.
     Capacity(CapacityArgs),
-    /// Serve emulated workers; started by `run`.
+    /// Run emulated workers; started by `run`.
     #[command(hide = true)]
     Workers,
 }
 
 #[derive(Args)]
 struct RunArgs {
-    /// The scenario (YAML).
+    /// Scenario file (YAML).
     scenario: PathBuf,
-    /// Another number of workers; work is scaled with it.
+    /// Number of workers instead of the scenario's; the work is scaled in proportion.
     #[arg(long)]
     workers: Option<u32>,
-    /// Another number of controllers.
+    /// Number of controllers instead of the scenario's.
     #[arg(long)]
     controllers: Option<u32>,
-    /// Another rate of task starts a second that arrays ask for.
+    /// Task starts per second that arrays request, instead of the scenario's rate.
     #[arg(long)]
     starts: Option<f64>,
-    /// What goes wrong, as in a scenario's `faults` (YAML), instead of what the scenario says.
+    /// File with a list of faults (YAML, as in a scenario's `faults`) that replaces the scenario's list.
     #[arg(long)]
     faults: Option<PathBuf>,
-    /// The controllers' program.
+    /// Program of the controllers.
     #[arg(long, default_value = "target/release/troutspindle")]
     controller: PathBuf,
-    /// The operators' settings of the controllers.
+    /// File with the operators' settings of the controllers.
     #[arg(long)]
     operator: Option<PathBuf>,
-    /// Where settings and logs of the run go.
+    /// Directory for the settings and logs of the run.
     #[arg(long, default_value = "target/scale")]
     dir: PathBuf,
-    /// Where the JSON report goes.
+    /// File to which the JSON report is written.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// A name for the run, kept in its report.
+    /// Name of the run, stored in its report.
     #[arg(long, default_value = "")]
     label: String,
-    /// Show the judge a fault that did not happen: the run must fail.
+    /// Give the judge one start that did not happen; the run must then fail.
     #[arg(long)]
     planted_fault: bool,
 }
 
 #[derive(Args)]
 struct CapacityArgs {
-    /// Reports of runs.
+    /// JSON reports of runs.
     #[arg(required = true)]
     reports: Vec<PathBuf>,
-    /// The page that must hold the tables.
+    /// Page that must contain the tables.
     #[arg(long)]
     page: Option<PathBuf>,
 }
 
-/// Runs the command.
+/// Parses the arguments, executes the command and returns its exit status.
 pub fn main() -> ExitCode {
     let result = match Cli::parse().command {
         Command::Run(args) => scale_run(args),
@@ -86,10 +86,10 @@
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FOUND),
+        Ok(false) => ExitCode::from(CHECK_FAILED),
         Err(error) => {
             eprintln!("troutspindle-scale-test: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(ERROR)
         }
     }
 }
@@ -97,10 +97,10 @@
 fn scale_run(args: RunArgs) -> Result<bool, RunError> {
     let mut scenario = Scenario::read(&args.scenario)?;
     if let Some(workers) = args.workers {
-        scenario.scaled(workers);
+        scenario.scale_to_workers(workers);
     }
     if let Some(starts) = args.starts {
-        scenario.with_starts_per_s(starts);
+        scenario.scale_to_starts_per_s(starts);
     }
     if let Some(path) = &args.faults {
         scenario.faults = scenario::read_faults(path)?;
@@ -112,8 +112,8 @@
         return Err(RunError::Invalid(found));
     }
     let options = Options {
-        controller: args.controller,
-        this: std::env::current_exe()?,
+        controller_binary: args.controller,
+        test_binary: std::env::current_exe()?,
         operator: args.operator,
         dir: args.dir,
         label: args.label,
@@ -150,7 +150,7 @@
 fn workers() -> Result<bool, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(worker_process::serve())?;
-    // Reading standard input holds a thread that cannot be ended otherwise.
+    // A blocking read of standard input occupies a thread; an ordinary shutdown would wait for it.
     runtime.shutdown_background();
     Ok(true)
 }
