--- a/crates/troutspindlectl/src/ask.rs
+++ b/crates/troutspindlectl/src/ask.rs
@@ -49,7 +49,7 @@
     ) -> Result<Response, AskError> {
         let body = serde_json::to_vec(body).unwrap_or_default();
         let request = Request { method: Method::Post, target: path.into(), body };
-        let answer = client.call(at, request, Instant::now() + ASK_TIMEOUT).await;
+        let answer = client.call(at, request, Instant::now() + REQUEST_TIMEOUT).await;
         let response = answer.map_err(|_| AskError::Silent(at))?;
         match response.status {
             200 => Ok(response),
--- a/crates/troutspindlectl/src/generate.rs
+++ b/crates/troutspindlectl/src/generate.rs
@@ -114,7 +114,7 @@
                 } else {
                     600.0 * random.random::<f64>()
                 };
-                let at_s = BEGIN_S
+                let at_s = HISTORY_START_S
                     + day_f * DAY_S
                     + class.hour * 3600.0 * f64::from(u8::from(runs == 1))
                     + spread;
@@ -169,7 +169,7 @@
     // Due times come from experience: the longest of the nights that its owner remembers, and some more.
     let due_s = class.due.map(|more| {
         let times = LogNormal::new(usual, class.within);
-        let mut spans: Vec<f64> = (0..DUE_TRIES)
+        let mut spans: Vec<f64> = (0..DUE_TIME_SAMPLES)
             .map(|_| {
                 let run_s: Vec<f64> =
                     (0..tasks).map(|_| task(&times, class.heavy, random)).collect();
@@ -177,7 +177,7 @@
             })
             .collect();
         spans.sort_by(f64::total_cmp);
-        (spans[DUE_TRIES - 1] * more).round()
+        (spans[DUE_TIME_SAMPLES - 1] * more).round()
     });
     PastJob {
         job: format!("wk-{n:03}-{day:02}-{run}"),
--- a/crates/troutspindlectl/src/report.rs
+++ b/crates/troutspindlectl/src/report.rs
@@ -20,11 +20,11 @@
         [
             name.clone(),
             grade.jobs.to_string(),
-            percent(grade.inside, grade.jobs),
-            percent(grade.right, grade.jobs),
-            percent(grade.owner_right, grade.jobs),
-            percent(grade.mean_right, grade.jobs),
-            format!("{:.0}% / {:.0}%", grade.off_percent[0], grade.off_percent[1]),
+            percent(grade.within_interval, grade.jobs),
+            percent(grade.accurate, grade.jobs),
+            percent(grade.owner_accurate, grade.jobs),
+            percent(grade.mean_accurate, grade.jobs),
+            format!("{:.0}% / {:.0}%", grade.error_percent[0], grade.error_percent[1]),
         ]
     });
     rows.collect()
@@ -45,9 +45,9 @@
         [
             name.to_owned(),
             early.jobs.to_string(),
-            percent(early.work_right, early.jobs),
-            percent(early.end_right, early.jobs),
-            percent(early.left_right, early.jobs),
+            percent(early.work_accurate, early.jobs),
+            percent(early.end_accurate, early.jobs),
+            percent(early.remaining_accurate, early.jobs),
         ]
     };
     vec![
@@ -81,8 +81,8 @@
             percent(w.late_warned_by_half, w.late),
             w.much_late,
             percent(w.much_late_warned_by_half, w.much_late),
-            w.late_warned + w.wrong,
-            percent(w.wrong, w.late_warned + w.wrong)
+            w.late_warned + w.false_alarms,
+            percent(w.false_alarms, w.late_warned + w.false_alarms)
         ),
     ]
 }
@@ -123,7 +123,7 @@
 fn plot(draw: impl Fn(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> Drawn) -> Markup {
     let mut svg = String::new();
     let drawn = {
-        let area = SVGBackend::with_string(&mut svg, PLOT).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         draw(&area).and_then(|()| area.present().map_err(Into::into))
     };
     match drawn {
@@ -146,7 +146,7 @@
         let colours = [&BLUE, &RED, &GREEN];
         for ((name, grade), colour) in figures.grades.iter().zip(colours) {
             let mut sum = 0;
-            let points = grade.places.iter().enumerate().map(|(n, count)| {
+            let points = grade.outcomes_by_quantile.iter().enumerate().map(|(n, count)| {
                 sum += count;
                 ((n + 1) as f64 / 20.0, share(sum, grade.jobs))
             });
