--- a/crates/troutspindlectl/src/past.rs
+++ b/crates/troutspindlectl/src/past.rs
@@ -1,4 +1,4 @@
-//! A recorded history of jobs: one JSON object to a line, in order of submission.
+//! Reads and writes recorded histories of jobs: one JSON object per line, in order of submission.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -8,39 +8,40 @@
 use std::path::Path;
 use troutspindle_runtime_estimates::Profile;
 
-/// One job as it went.
+/// Recorded outcome of one job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PastJob {
     pub job: String,
     pub class: String,
     pub team: String,
     pub image: String,
-    /// CPUs, GPUs and memory of a task, in any units that stay the same.
+    /// CPUs, GPUs and memory of a task, in any units that are the same throughout the history.
     pub size: [u64; 3],
-    /// Seconds since the epoch.
+    /// Time of submission, in seconds since the epoch.
     pub at_s: f64,
-    /// The owner's estimate of a task's run time; 0 for none.
+    /// Owner's estimate of a task's run time in seconds; 0 if there is none.
     #[serde(default)]
     pub expect_s: f64,
-    /// Seconds after its submission by which it should be done.
+    /// Due time, in seconds after submission.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
-    /// How many of its tasks ran at once.
+    /// Number of tasks that ran at once.
     pub width: u64,
-    /// Seconds that each task ran to its end. Those that were stopped first ran again.
+    /// Run time in seconds of each task's completed attempt. Tasks listed in `stopped` were started again.
     pub run_s: Vec<f64>,
-    /// Tasks that were stopped, killed or lost before they ran to their end: which, and after how long.
+    /// Attempts that were stopped, killed or lost before they completed: index of the task and elapsed seconds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stopped: Vec<(usize, f64)>,
-    /// It was cancelled when this share of its tasks had ended.
+    /// Share of its tasks that had ended when the job was cancelled; `None` if it was not cancelled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cancelled: Option<f64>,
-    /// Its inputs were unlike those of other days: told for counting only, never looked at before.
+    /// Whether the job ran on a night of doubled inputs. Used only to sort the results; estimates never see it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub doubled: bool,
 }
 
 impl PastJob {
+    /// Returns the attributes of the job that estimates are based on.
     pub fn profile(&self) -> Profile<'_> {
         Profile {
             job: &self.job,
@@ -54,54 +55,67 @@
     }
 }
 
+/// Failure to read or write a history file.
 #[derive(Debug, thiserror::Error)]
 pub enum PastError {
-    #[error("{0}: {1}; name a file that `troutspindlectl estimates generate` wrote")]
+    #[error("{0}: {1}; give a history file such as `troutspindlectl estimates generate` writes")]
     File(String, std::io::Error),
-    #[error("{0}, line {1}: {2}; each line is one job as JSON, see docs/estimates/operations.md")]
+    #[error(
+        "{0}, line {1}: {2}; each line must be one job as JSON, see docs/estimates/operations.md"
+    )]
     Line(String, usize, serde_json::Error),
     #[error("{0}, line {1}: `{2}` {3}")]
     Field(String, usize, &'static str, &'static str),
 }
 
-/// Begin and end of tasks of these lengths on so many places, each of which takes the next task as it
-/// becomes free.
-pub fn on_places<T: Ord + Copy + Default + Add<Output = T>>(
+/// Returns the start and end of tasks of the given lengths that run in order on a number of slots. Each slot takes the
+/// next task as soon as it is free.
+pub fn schedule_on_slots<T: Ord + Copy + Default + Add<Output = T>>(
     lengths: impl IntoIterator<Item = T>,
-    places: usize,
+    slots: usize,
 ) -> impl Iterator<Item = (T, T)> {
-    let mut free: BinaryHeap<Reverse<T>> =
-        std::iter::repeat_with(|| Reverse(T::default())).take(places).collect();
+    let mut free_at: BinaryHeap<Reverse<T>> =
+        std::iter::repeat_with(|| Reverse(T::default())).take(slots).collect();
     lengths.into_iter().map(move |length| {
-        let begin = free.pop().map(|Reverse(begin)| begin).unwrap_or_default();
-        let end = begin + length;
-        free.push(Reverse(end));
-        (begin, end)
+        let start = free_at.pop().map(|Reverse(start)| start).unwrap_or_default();
+        let end = start + length;
+        free_at.push(Reverse(end));
+        (start, end)
     })
 }
 
-/// What a line can't mean, by field.
-fn fault(job: &PastJob, last_s: f64) -> Option<(&'static str, &'static str)> {
-    let time = |s: &f64| s.is_finite() && *s >= 0.0;
+/// Returns the first invalid field of a job and the reason, or `None` if the job is valid.
+fn find_invalid_field(job: &PastJob, last_s: f64) -> Option<(&'static str, &'static str)> {
+    let is_valid_time = |s: &f64| s.is_finite() && *s >= 0.0;
     let tasks = job.run_s.len();
-    if !time(&job.at_s) || job.at_s < last_s {
-        return Some(("at_s", "goes back; sort the file by it"));
+    if !is_valid_time(&job.at_s) || job.at_s < last_s {
+        return Some((
+            "at_s",
+            "is earlier than in the line before, or not a time of 0 or more; sort the file by it",
+        ));
     }
-    if tasks == 0 || !job.run_s.iter().all(time) {
-        return Some(("run_s", "needs one time of 0 or more for each task"));
+    if tasks == 0 || !job.run_s.iter().all(is_valid_time) {
+        return Some((
+            "run_s",
+            "must hold one time of 0 or more for each task, and at least one task",
+        ));
     }
     if job.width == 0 {
-        return Some(("width", "has to be 1 or more"));
+        return Some(("width", "must be 1 or more"));
     }
-    if !job.stopped.iter().all(|(task, s)| *task < tasks && time(s)) {
-        return Some(("stopped", "names a task that there is not, or a time below 0"));
+    if !job.stopped.iter().all(|(task, s)| *task < tasks && is_valid_time(s)) {
+        return Some(("stopped", "names a task that does not exist, or a time below 0"));
     }
-    if !time(&job.expect_s) || !job.due_s.iter().all(time) {
-        return Some(("due_s", "and `expect_s` have to be 0 or more"));
+    if !is_valid_time(&job.expect_s) || !job.due_s.iter().all(is_valid_time) {
+        return Some(("due_s", "and `expect_s` must be 0 or more"));
     }
     None
 }
 
+/// Reads a history and checks each line.
+///
+/// # Errors
+/// The file cannot be read, or a line is not a valid job.
 pub fn read(path: &Path) -> Result<Vec<PastJob>, PastError> {
     let name = path.display().to_string();
     let file = std::fs::File::open(path).map_err(|error| PastError::File(name.clone(), error))?;
@@ -114,14 +128,18 @@
         let job: PastJob = serde_json::from_str(&line)
             .map_err(|error| PastError::Line(name.clone(), n + 1, error))?;
         let last_s = jobs.last().map_or(0.0, |last| last.at_s);
-        if let Some((field, what)) = fault(&job, last_s) {
-            return Err(PastError::Field(name, n + 1, field, what));
+        if let Some((field, reason)) = find_invalid_field(&job, last_s) {
+            return Err(PastError::Field(name, n + 1, field, reason));
         }
         jobs.push(job);
     }
     Ok(jobs)
 }
 
+/// Writes a history, one job per line.
+///
+/// # Errors
+/// The file cannot be written.
 pub fn write(path: &Path, jobs: &[PastJob]) -> Result<(), PastError> {
     let name = path.display().to_string();
     let failed = |error| PastError::File(name.clone(), error);
--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -1,7 +1,7 @@
 //! Replays a recorded history in order of time. Each estimate uses only runs that had ended before it.
 
 use crate::constants::*;
-use crate::past::{PastJob, on_places};
+use crate::past::{PastJob, schedule_on_slots};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::cmp::Reverse;
@@ -148,7 +148,7 @@
     let stopped_ms = |task: usize| ms(stopped.get(&task).copied().unwrap_or(0.0));
     let lengths = job.run_s.iter().enumerate().map(|(task, run_s)| stopped_ms(task) + ms(*run_s));
     let (mut start_s, mut last_start_s, mut end_s) = (Vec::new(), Vec::new(), Vec::new());
-    for (task, (begin, end)) in on_places(lengths, slots).enumerate() {
+    for (task, (begin, end)) in schedule_on_slots(lengths, slots).enumerate() {
         start_s.push(s(begin));
         last_start_s.push(s(begin + stopped_ms(task)));
         end_s.push(s(end));
