--- a/crates/troutspindlectl/src/bound/tests.rs
+++ b/crates/troutspindlectl/src/bound/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
 
-/// A line each five seconds; `came` is what came in all by then.
-fn line(n: u32, service: f64, came: f64) -> DemandLog {
-    let group = |class: &str, held: f64, came: f64| GroupDemand {
+/// Returns log line `n`, one every five seconds; `arrived` is the total array work that has arrived by then.
+fn line(n: u32, service: f64, arrived: f64) -> DemandLog {
+    let group = |class: &str, allocated: f64, arrived: f64| GroupDemand {
         class: class.into(),
         team: "t".into(),
         service: class == "s",
         ordinary: class == "s",
-        allocated: held,
+        allocated: allocated,
         waiting: 10.0,
-        arrived: came,
+        arrived: arrived,
         floor: 0.0,
     };
-    let groups = vec![group("s", service, 0.0), group("a", 5.0, came)];
+    let groups = vec![group("s", service, 0.0), group("a", 5.0, arrived)];
     let at_s = f64::from(n) * 5.0;
     DemandLog { at_s, ordinary: 30.0, spot: 10.0, groups, ..DemandLog::default() }
 }
 
-/// Sixty asked of forty machines: two thirds each, of which the service's are ordinary ones. Alone the service
-/// could have all of its forty but for ten, the array all.
+/// Demand is 60 machines and capacity 40, so each group can be served two thirds. Alone, the service can use 30 of the
+/// 40 machines that it asks for, since 10 are spot machines; the array can be served in full.
 #[test]
-fn the_bound_divides_what_there_is_evenly_and_knows_the_kinds() {
+fn bound_divides_capacity_evenly_and_keeps_services_off_spot_machines() {
     let mut day = Day::default();
-    // A second leader counts from nothing.
-    let came = |n: u32| f64::from(n % 50 + 1) * 100.0;
-    let told = |n: u32| DemandLog { token: u64::from(n / 50), ..line(n, 30.0, came(n)) };
-    (0..100).for_each(|n| day.add(f64::from(n) * 5.0, &told(n)));
-    // The first has not noticed yet.
+    // The second leader counts array work from zero.
+    let arrived = |n: u32| f64::from(n % 50 + 1) * 100.0;
+    let demand = |n: u32| DemandLog { token: u64::from(n / 50), ..line(n, 30.0, arrived(n)) };
+    (0..100).for_each(|n| day.add(f64::from(n) * 5.0, &demand(n)));
+    // The first leader has not noticed yet that it lost the lead; its line must be ignored.
     day.add(300.0, &DemandLog { token: 0, ..line(60, 30.0, 1e6) });
     let bound = bound(&day).unwrap();
     assert!((bound.all - 2.0 / 3.0).abs() < 1e-6, "{bound:?}");
@@ -36,24 +36,24 @@
     assert_eq!(served, [25.0, 75.0]);
 }
 
-/// Work that comes in a burst waits for room; none is done before it came.
+/// Work that arrives in a burst waits for free capacity, and none is served before it arrives.
 #[test]
-fn an_array_is_served_later_but_never_sooner() {
+fn array_work_is_served_after_arrival_and_never_before() {
     let mut day = Day::default();
-    // 100 machines' worth in the last of ten slots, of which 40 fit.
-    let came = |n: u32| 500.0 * f64::from(n.saturating_sub(35));
-    (0..40).for_each(|n| day.add(f64::from(n) * 5.0, &line(n, 0.0, came(n))));
+    // Work for 100 machines arrives in the last of ten slots; only 40 machines exist.
+    let arrived = |n: u32| 500.0 * f64::from(n.saturating_sub(35));
+    (0..40).for_each(|n| day.add(f64::from(n) * 5.0, &line(n, 0.0, arrived(n))));
     let late = solve(&day, &[&("a".into(), "t".into())]).unwrap();
     assert!((late - 0.4).abs() < 1e-3, "{late}");
     let mut day = Day::default();
-    let came = |n: u32| 500.0 * f64::from((n + 1).min(4));
-    (0..40).for_each(|n| day.add(f64::from(n) * 5.0, &line(n, 0.0, came(n))));
+    let arrived = |n: u32| 500.0 * f64::from((n + 1).min(4));
+    (0..40).for_each(|n| day.add(f64::from(n) * 5.0, &line(n, 0.0, arrived(n))));
     let early = solve(&day, &[&("a".into(), "t".into())]).unwrap();
     assert!((early - 1.0).abs() < 1e-3, "{early}");
 }
 
 #[test]
-fn a_log_line_is_read_as_the_controllers_write_it() {
+fn demand_line_is_parsed_from_a_controller_log() {
     let json = serde_json::to_string(&line(3, 30.0, 20.0)).unwrap();
     let text = format!(
         "12.01 n-0 2026-09-21T14:13:20.058006Z  INFO demand by class and team demand={json}\nnoise\n"
--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -140,6 +140,7 @@
     finished_s: f64,
 }
 
+/// Schedules a job's tasks, with their stopped attempts, on as many slots as ran at once.
 fn timeline(job: &PastJob) -> Timeline {
     let stopped: HashMap<usize, f64> = job.stopped.iter().copied().collect();
     let slots = usize::try_from(job.width).unwrap_or(usize::MAX).min(job.run_s.len());
@@ -148,9 +149,9 @@
     let stopped_ms = |task: usize| ms(stopped.get(&task).copied().unwrap_or(0.0));
     let lengths = job.run_s.iter().enumerate().map(|(task, run_s)| stopped_ms(task) + ms(*run_s));
     let (mut start_s, mut last_start_s, mut end_s) = (Vec::new(), Vec::new(), Vec::new());
-    for (task, (begin, end)) in schedule_on_slots(lengths, slots).enumerate() {
-        start_s.push(s(begin));
-        last_start_s.push(s(begin + stopped_ms(task)));
+    for (task, (start, end)) in schedule_on_slots(lengths, slots).enumerate() {
+        start_s.push(s(start));
+        last_start_s.push(s(start + stopped_ms(task)));
         end_s.push(s(end));
     }
     let mut sorted_end_s = end_s.clone();
@@ -176,25 +177,26 @@
     fn state_at(&self, job: &PastJob, at_s: f64) -> (Current, Vec<f64>, u64) {
         let (mut observed, mut running, mut waiting) = (Current::default(), Vec::new(), 0);
         for (task, run_s) in job.run_s.iter().enumerate() {
-            let (begin, last, end) =
+            let (start, last, end) =
                 (self.start_s[task], self.last_start_s[task], self.end_s[task]);
-            if begin > at_s {
+            if start > at_s {
                 waiting += 1;
                 continue;
             }
-            if last > begin && last <= at_s {
-                observed.cut(last - begin);
+            if last > start && last <= at_s {
+                observed.cut(last - start);
             }
             if end <= at_s {
                 observed.ended(*run_s);
             } else {
-                running.push(at_s - if last <= at_s { last } else { begin });
+                running.push(at_s - if last <= at_s { last } else { start });
             }
         }
         (observed, running, waiting)
     }
 }
 
+/// Event of a submitted job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// The job has finished. Sorts first, so that its run times are learned before any other event of that time.
