--- a/crates/troutspindlectl/src/ask.rs
+++ b/crates/troutspindlectl/src/ask.rs
@@ -1,5 +1,5 @@
-//! Asks controllers on their operators' paths. Any of them takes orders; what is at risk and what is left
-//! to leave only the leader knows.
+//! Client for the operators' HTTP API of the controllers. Every controller accepts changes; only the leader knows which
+//! jobs are at risk and how many tasks remain on drained machines.
 
 use crate::constants::*;
 use serde::Serialize;
@@ -9,143 +9,156 @@
 use troutspindle_protocol::http::{Client, Method, Request, Response};
 use troutspindle_protocol::operator_api::*;
 
+/// Failure of a request to the controllers.
 #[derive(Debug, thiserror::Error)]
 pub enum AskError {
-    #[error("no controller was named; give each with --controller")]
-    Nobody,
-    #[error("{0}: no controller listens there; give another with --controller")]
-    Silent(SocketAddr),
+    #[error("no controller given; give each with --controller")]
+    NoControllers,
+    #[error("{0}: no response from a controller at this address; give another with --controller")]
+    Unreachable(SocketAddr),
     #[error(
-        "{0}: operators' paths are off or the key is not its key; see `operator_key` in its settings"
+        "{0}: the operators' API is disabled or the key is wrong; see `operator_key` in the controller's settings"
+    )]
+    Forbidden(SocketAddr),
+    #[error("{0}: not the leader; give all controllers, each with --controller")]
+    NotLeader(SocketAddr),
+    #[error(
+        "{0}: another drain or undrain was accepted first; check `troutspindlectl drains` and repeat the command"
     )]
-    Shut(SocketAddr),
-    #[error("{0}: does not lead; give all controllers, each with --controller")]
-    NoLeader(SocketAddr),
-    #[error("{0}: another order came first; look at `troutspindlectl drains` and give yours again")]
     Conflict(SocketAddr),
     #[error(
-        "{0}: knows no such thing to drain, or nothing of it is drained; names are those of the settings"
+        "{0}: no such zone, machine or controller, or it is not drained; use the names from the settings"
     )]
     Unknown(SocketAddr),
-    #[error("{0}: answered {1}; its log says why")]
+    #[error("{0}: unexpected status {1}; see the controller's log")]
     Status(SocketAddr, u16),
-    #[error("{0}: answered what this command does not read; is it of another version?")]
-    Answer(SocketAddr),
+    #[error("{0}: cannot parse the response; the controller may have another version")]
+    InvalidResponse(SocketAddr),
 }
 
-/// Controllers, and the key that opens their operators' paths.
+/// Controllers of one cluster, and the key for their operators' API.
 pub struct Cluster {
     pub controllers: Vec<SocketAddr>,
     pub key: String,
 }
 
 impl Cluster {
+    /// Sends one request to one controller, and maps the status of its response to an error.
     async fn post<T: Serialize>(
         &self,
         client: &Client,
-        at: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: &T,
     ) -> Result<Response, AskError> {
         let body = serde_json::to_vec(body).unwrap_or_default();
         let request = Request { method: Method::Post, target: path.into(), body };
-        let answer = client.call(at, request, Instant::now() + REQUEST_TIMEOUT).await;
-        let response = answer.map_err(|_| AskError::Silent(at))?;
+        let result = client.call(address, request, Instant::now() + REQUEST_TIMEOUT).await;
+        let response = result.map_err(|_| AskError::Unreachable(address))?;
         match response.status {
             200 => Ok(response),
-            421 => Err(AskError::NoLeader(at)),
-            404 => Err(AskError::Shut(at)),
-            409 => Err(AskError::Conflict(at)),
-            422 => Err(AskError::Unknown(at)),
-            other => Err(AskError::Status(at, other)),
+            421 => Err(AskError::NotLeader(address)),
+            404 => Err(AskError::Forbidden(address)),
+            409 => Err(AskError::Conflict(address)),
+            422 => Err(AskError::Unknown(address)),
+            other => Err(AskError::Status(address, other)),
         }
     }
 
-    /// Answers of the controllers, one after another.
-    async fn all<T: Serialize, A: DeserializeOwned>(
+    /// Queries the controllers one after another, and returns all their responses.
+    async fn query_all<T: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         body: &T,
     ) -> Vec<Result<A, AskError>> {
         let client = Client::start(self.controllers.len(), Vec::new());
-        let mut answers = Vec::new();
-        for &at in &self.controllers {
-            let response = self.post(&client, at, path, body).await;
-            answers.push(response.and_then(|response| {
-                serde_json::from_slice(&response.body).map_err(|_| AskError::Answer(at))
+        let mut responses = Vec::new();
+        for &address in &self.controllers {
+            let response = self.post(&client, address, path, body).await;
+            responses.push(response.and_then(|response| {
+                serde_json::from_slice(&response.body)
+                    .map_err(|_| AskError::InvalidResponse(address))
             }));
         }
-        answers
+        responses
     }
 
-    /// Gives an order to the first controller that takes it.
-    async fn order<T: Serialize>(&self, path: &str, body: &T) -> Result<(), AskError> {
+    /// Sends a change to the controllers in turn until one accepts it.
+    async fn submit<T: Serialize>(&self, path: &str, body: &T) -> Result<(), AskError> {
         let client = Client::start(self.controllers.len(), Vec::new());
-        let mut last = AskError::Nobody;
-        for &at in &self.controllers {
-            match self.post(&client, at, path, body).await {
+        let mut last_error = AskError::NoControllers;
+        for &address in &self.controllers {
+            match self.post(&client, address, path, body).await {
                 Ok(_) => return Ok(()),
-                // It is the same everywhere.
+                // Every other controller would response the same.
                 Err(error @ (AskError::Conflict(_) | AskError::Unknown(_))) => return Err(error),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    fn question(&self) -> OperatorQuery {
+    fn query(&self) -> OperatorQuery {
         OperatorQuery { key: self.key.clone() }
     }
 
-    /// What the leader says is at risk.
+    /// Returns the jobs that the leader reports at risk of being late.
     ///
     /// # Errors
-    /// Which controller stood in the way, and what to do about it.
+    /// No controller gave a valid response; the error names a controller and a remedy.
     pub async fn at_risk(&self) -> Result<JobsAtRisk, AskError> {
-        first(self.all(AT_RISK_PATH, &self.question()).await, |_| true)
+        first_preferred(self.query_all(AT_RISK_PATH, &self.query()).await, |_| true)
     }
 
-    /// What the leader says is starving.
+    /// Returns the groups that the leader reports below their floor.
     ///
     /// # Errors
-    /// As above.
+    /// Same as for [`Cluster::at_risk`].
     pub async fn starving(&self) -> Result<FairShareReport, AskError> {
-        first(self.all(STARVING_PATH, &self.question()).await, |_| true)
+        first_preferred(self.query_all(STARVING_PATH, &self.query()).await, |_| true)
     }
 
-    /// What is drained, by the leader if it is among them: the others don't know what is left.
+    /// Returns the current drains. Prefers the leader's response, since only the leader knows how many tasks remain.
     ///
     /// # Errors
-    /// As above.
+    /// Same as for [`Cluster::at_risk`].
     pub async fn drains(&self) -> Result<Drains, AskError> {
-        let told = |drains: &Drains| drains.drains.iter().all(|drain| drain.remaining.is_some());
-        first(self.all(DRAINS_PATH, &self.question()).await, told)
+        let from_leader =
+            |drains: &Drains| drains.drains.iter().all(|drain| drain.remaining.is_some());
+        first_preferred(self.query_all(DRAINS_PATH, &self.query()).await, from_leader)
     }
 
+    /// Starts a drain.
+    ///
     /// # Errors
-    /// As above; an order that came in between is not overwritten.
-    pub async fn drain(&self, order: &DrainRequest) -> Result<(), AskError> {
-        self.order(DRAIN_PATH, order).await
+    /// Same as for [`Cluster::at_risk`]; also if another change was accepted in between, which is not overwritten.
+    pub async fn drain(&self, request: &DrainRequest) -> Result<(), AskError> {
+        self.submit(DRAIN_PATH, request).await
     }
 
+    /// Ends a drain.
+    ///
     /// # Errors
-    /// As above.
+    /// Same as for [`Cluster::drain`].
     pub async fn undrain(&self, kind: DrainKind, name: &str) -> Result<(), AskError> {
-        let order = UndrainRequest { key: self.key.clone(), kind, name: name.to_owned() };
-        self.order(UNDRAIN_PATH, &order).await
+        let request = UndrainRequest { key: self.key.clone(), kind, name: name.to_owned() };
+        self.submit(UNDRAIN_PATH, &request).await
     }
 }
 
-/// The first answer that is best, or any, or the last of what stood in the way.
-fn first<A>(answers: Vec<Result<A, AskError>>, best: impl Fn(&A) -> bool) -> Result<A, AskError> {
-    let mut kept = Err(AskError::Nobody);
-    for answer in answers {
-        match answer {
-            Ok(answer) if best(&answer) => return Ok(answer),
-            Ok(answer) => kept = Ok(answer),
-            Err(error) if kept.is_err() => kept = Err(error),
+/// Returns the first preferred response, or else the last other response, or else the last error.
+fn first_preferred<A>(
+    responses: Vec<Result<A, AskError>>,
+    is_preferred: impl Fn(&A) -> bool,
+) -> Result<A, AskError> {
+    let mut fallback = Err(AskError::NoControllers);
+    for response in responses {
+        match response {
+            Ok(response) if is_preferred(&response) => return Ok(response),
+            Ok(response) => fallback = Ok(response),
+            Err(error) if fallback.is_err() => fallback = Err(error),
             Err(_) => {}
         }
     }
-    kept
+    fallback
 }
--- a/crates/troutspindlectl/src/cli.rs
+++ b/crates/troutspindlectl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line: parses arguments, runs subcommands and formats their results.
 
 use crate::ask::Cluster;
 use crate::{bound, generate, past, replay, report};
@@ -16,7 +16,7 @@
 #[derive(Parser)]
 #[command(name = "troutspindlectl", version)]
 struct Cli {
-    /// How results are written.
+    /// Format of results.
     #[arg(long, value_enum, default_value_t = Output::Text, global = true)]
     output: Output,
     #[command(subcommand)]
@@ -31,94 +31,95 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Jobs of a running cluster.
+    /// Reports on the jobs of a running cluster.
     #[command(subcommand)]
     Jobs(Jobs),
-    /// Starts nothing new in a zone or on a machine and has what runs there leave, until `undrain`; a
-    /// controller hands leadership and users over.
+    /// Drains a zone, machine or controller until `undrain`: no new tasks start there and running tasks leave; a
+    /// controller hands over leadership and users.
     Drain {
         #[command(flatten)]
-        what: What,
-        /// How long arrays may run there at the most, such as 30m; without it each runs to its end.
+        target: DrainTarget,
+        /// Maximum time that array tasks may still run there, such as 30m; by default each runs to its end.
         #[arg(long, value_name = "TIME", value_parser = humantime::parse_duration)]
         by: Option<std::time::Duration>,
-        /// Why, for whoever looks at it later.
+        /// Reason, shown in the list of drains.
         #[arg(long, default_value = "")]
         reason: String,
-        /// Who orders it.
+        /// Name of the person who starts the drain.
         #[arg(long, env = "USER", default_value = "unknown")]
         author: String,
         #[command(flatten)]
         from: Controllers,
     },
-    /// Ends a drain: what was drained is used again.
+    /// Ends a drain, so that the zone, machine or controller is used again.
     Undrain {
         #[command(flatten)]
-        what: What,
+        target: DrainTarget,
         #[command(flatten)]
         from: Controllers,
     },
-    /// What is drained, and what is left there.
+    /// Lists drains and the number of tasks that remain.
     Drains(Controllers),
-    /// How much of what each class asked for was served on a day, beside what could have been at the most.
+    /// Compares the share of each class's demand that was served on a day with an upper bound.
     Bound {
-        /// The controllers' logs of that day, at level `info` and with a `floor` set.
+        /// Logs of all controllers for that day, written at level `info` and with `floor` set.
         #[arg(required = true, value_name = "LOG")]
         logs: Vec<PathBuf>,
     },
-    /// Learned run times, tried on histories of jobs.
+    /// Tests run-time estimates on histories of jobs.
     #[command(subcommand)]
     Estimates(Estimates),
-    /// Writes completions for a shell to standard output.
+    /// Writes shell completions to standard output.
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Subcommand)]
 enum Jobs {
-    /// Those that will probably be late, the likeliest first.
+    /// Lists jobs that will probably be late, most likely first.
     JobsAtRisk(Controllers),
-    /// Classes of teams that have less than their floor while room is scarce, and what they wait for.
+    /// Lists classes of teams that are below their floor while capacity is scarce, and what they wait for.
     FairShareReport(Controllers),
 }
 
 #[derive(Args)]
-struct What {
+struct DrainTarget {
     #[arg(value_enum)]
-    kind: Kind,
-    /// The zone, machine or controller, as the settings name it.
+    kind: TargetKind,
+    /// Name of the zone, machine or controller in the settings.
     name: String,
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
-enum Kind {
+enum TargetKind {
     Zone,
     Machine,
     Controller,
 }
 
-impl From<Kind> for DrainKind {
-    fn from(kind: Kind) -> DrainKind {
+impl From<TargetKind> for DrainKind {
+    fn from(kind: TargetKind) -> DrainKind {
         match kind {
-            Kind::Zone => DrainKind::Zone,
-            Kind::Machine => DrainKind::Machine,
-            Kind::Controller => DrainKind::Controller,
+            TargetKind::Zone => DrainKind::Zone,
+            TargetKind::Machine => DrainKind::Machine,
+            TargetKind::Controller => DrainKind::Controller,
         }
     }
 }
 
 #[derive(Args)]
 struct Controllers {
-    /// Where a controller listens; given for each of them, since only the leader knows.
+    /// Address of a controller; repeat for each controller, since only the leader can answer every query.
     #[arg(long = "controller", value_name = "ADDRESS", required = true)]
     controllers: Vec<SocketAddr>,
-    /// A file with the operators' key, `operator_key` of the controllers' settings.
+    /// File with the operators' key (`operator_key` in the controllers' settings).
     #[arg(long, value_name = "FILE")]
     key_file: PathBuf,
 }
 
 #[derive(Subcommand)]
 enum Estimates {
-    /// Makes a history of stand-in jobs: heavy tails, weekly rhythm, drift, doubled nights, new classes.
+    /// Generates a history of synthetic jobs with heavy tails, weekly variation, drift, nights of doubled inputs and
+    /// new classes.
     Generate {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -126,32 +127,33 @@
         days: u32,
         #[arg(long, default_value_t = 300)]
         classes: usize,
-        /// Where to write it, one job to a line.
+        /// Output file, one job per line.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Plays a history in order, never looking ahead, and says how good estimates and warnings were.
+    /// Replays a history in order, without using later jobs, and reports the accuracy of estimates and warnings.
     Replay {
-        /// What `estimates generate` wrote, or a recorded history of the same form.
+        /// History written by `estimates generate`, or a recorded history in the same format.
         file: PathBuf,
-        /// Where to write a page with tables and plots.
+        /// Output file for an HTML page with tables and plots.
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
     },
 }
 
-/// Progress on standard error; hidden where that is no terminal.
-fn progress(count: u64, what: &'static str) -> ProgressBar {
-    let bar = ProgressBar::new(count).with_message(what);
+/// Returns a progress bar on standard error, hidden where that is not a terminal.
+fn progress(count: u64, items: &'static str) -> ProgressBar {
+    let bar = ProgressBar::new(count).with_message(items);
     match ProgressStyle::with_template("{msg} [{bar:40}] {pos}/{len}, {eta} left") {
         Ok(style) => bar.with_style(style),
         Err(_) => bar,
     }
 }
 
-type Ran = Result<(), Box<dyn std::error::Error>>;
+type CliResult = Result<(), Box<dyn std::error::Error>>;
 
-fn write<T: Serialize>(output: Output, value: &T, text: impl Fn(&T) -> String) -> Ran {
+/// Writes a result to standard output in the requested format.
+fn write<T: Serialize>(output: Output, value: &T, text: impl Fn(&T) -> String) -> CliResult {
     match output {
         Output::Json => println!("{}", serde_json::to_string_pretty(value)?),
         Output::Text => print!("{}", text(value)),
@@ -160,21 +162,22 @@
 }
 
 impl Controllers {
+    /// Reads the key file, and returns the cluster to send requests to.
     fn cluster(&self) -> Result<Cluster, Box<dyn std::error::Error>> {
         let name = self.key_file.display();
         let key = std::fs::read_to_string(&self.key_file).map_err(|error| {
-            format!("{name}: {error}; --key-file names a file with `operator_key`")
+            format!("{name}: {error}; --key-file must be a file with the value of `operator_key`")
         })?;
         Ok(Cluster { controllers: self.controllers.clone(), key: key.trim().to_owned() })
     }
 }
 
-/// Runs one conversation with controllers.
-fn converse<T, E: std::error::Error + 'static>(
-    talk: impl Future<Output = Result<T, E>>,
+/// Runs requests to controllers to completion on a new runtime.
+fn block_on<T, E: std::error::Error + 'static>(
+    requests: impl Future<Output = Result<T, E>>,
 ) -> Result<T, Box<dyn std::error::Error>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    Ok(runtime.block_on(talk)?)
+    Ok(runtime.block_on(requests)?)
 }
 
 fn at_risk_text(found: &JobsAtRisk) -> String {
@@ -205,7 +208,7 @@
         return format!("leader {}: room is not scarce\n", found.leader);
     };
     let rent = if found.exhausted { "nothing to rent" } else { "more can be rented" };
-    let (leader, since, machines) = (&found.leader, seconds(scarce_s), found.machines);
+    let (leader, since, machines) = (&found.leader, duration_text(scarce_s), found.machines);
     let mut text = format!("leader {leader}: scarce for {since}, {machines:.0} machines, {rent}\n");
     if found.groups.is_empty() {
         text += "nobody is below the floor\n";
@@ -226,7 +229,8 @@
     text
 }
 
-fn seconds(s: f64) -> String {
+/// Formats seconds as a duration such as `1h 30m`, with a sign if negative.
+fn duration_text(s: f64) -> String {
     let whole = std::time::Duration::from_secs(s.abs() as u64);
     let sign = if s < 0.0 { "-" } else { "" };
     format!("{sign}{}", humantime::format_duration(whole))
@@ -234,8 +238,9 @@
 
 fn drain_text(drain: &Drain) -> String {
     let kind = format!("{:?}", drain.kind).to_lowercase();
-    let by =
-        drain.by_in_s.map_or("no time set".into(), |s| format!("to be done in {}", seconds(s)));
+    let by = drain
+        .by_in_s
+        .map_or("no time set".into(), |s| format!("to be done in {}", duration_text(s)));
     let left = match (drain.remaining, drain.stuck) {
         (Some(0), _) => "empty".into(),
         (Some(left), Some(0)) => format!("{left} tasks left"),
@@ -244,7 +249,7 @@
         }
         _ => "only the leader knows what is left".into(),
     };
-    let (since, author, reason) = (seconds(drain.since_s), &drain.author, &drain.reason);
+    let (since, author, reason) = (duration_text(drain.since_s), &drain.author, &drain.reason);
     format!("{kind} {}: {left}; {by}; since {since}, by {author}: {reason}\n", drain.name)
 }
 
@@ -255,43 +260,44 @@
     found.drains.iter().map(drain_text).collect()
 }
 
-fn carry_out(cli: Cli) -> Ran {
+/// Runs the parsed command.
+fn execute(cli: Cli) -> CliResult {
     match cli.command {
         Command::Jobs(Jobs::JobsAtRisk(from)) => {
-            let found = converse(from.cluster()?.at_risk())?;
+            let found = block_on(from.cluster()?.at_risk())?;
             write(cli.output, &found, at_risk_text)
         }
         Command::Jobs(Jobs::FairShareReport(from)) => {
-            let found = converse(from.cluster()?.starving())?;
+            let found = block_on(from.cluster()?.starving())?;
             write(cli.output, &found, starving_text)
         }
         Command::Bound { logs } => {
             let bound = bound::bound(&bound::read(&logs)?)?;
             write(cli.output, &bound, bound::text)
         }
-        Command::Drain { what, by, reason, author, from } => {
+        Command::Drain { target, by, reason, author, from } => {
             let cluster = from.cluster()?;
-            let order = DrainRequest {
+            let request = DrainRequest {
                 key: cluster.key.clone(),
-                kind: what.kind.into(),
-                name: what.name,
+                kind: target.kind.into(),
+                name: target.name,
                 by_s: by.map(|by| by.as_secs_f64()),
                 author,
                 reason,
             };
-            converse(cluster.drain(&order))?;
-            // What it will leave is told at once.
-            let found = converse(cluster.drains())?;
+            block_on(cluster.drain(&request))?;
+            // Shows at once how many tasks remain.
+            let found = block_on(cluster.drains())?;
             write(cli.output, &found, drains_text)
         }
-        Command::Undrain { what, from } => {
+        Command::Undrain { target, from } => {
             let cluster = from.cluster()?;
-            converse(cluster.undrain(what.kind.into(), &what.name))?;
-            let found = converse(cluster.drains())?;
+            block_on(cluster.undrain(target.kind.into(), &target.name))?;
+            let found = block_on(cluster.drains())?;
             write(cli.output, &found, drains_text)
         }
         Command::Drains(from) => {
-            let found = converse(from.cluster()?.drains())?;
+            let found = block_on(from.cluster()?.drains())?;
             write(cli.output, &found, drains_text)
         }
         Command::Estimates(Estimates::Generate { seed, days, classes, out }) => {
@@ -300,11 +306,11 @@
             bar.finish_and_clear();
             past::write(&out, &jobs)?;
             let tasks = jobs.iter().map(|job| job.run_s.len() as u64).sum::<u64>();
-            let told = [("jobs", jobs.len() as u64), ("tasks", tasks)];
-            let told: std::collections::BTreeMap<_, _> = told.into_iter().collect();
+            let totals = [("jobs", jobs.len() as u64), ("tasks", tasks)];
+            let totals: std::collections::BTreeMap<_, _> = totals.into_iter().collect();
             let name = out.display().to_string();
-            write(cli.output, &told, |told| {
-                format!("{name}: {} jobs, {} tasks\n", told["jobs"], told["tasks"])
+            write(cli.output, &totals, |totals| {
+                format!("{name}: {} jobs, {} tasks\n", totals["jobs"], totals["tasks"])
             })
         }
         Command::Estimates(Estimates::Replay { file, html }) => {
@@ -316,8 +322,9 @@
                 let name = html.display().to_string();
                 let source =
                     file.file_name().map_or_else(Default::default, |n| n.to_string_lossy());
-                std::fs::write(&html, report::page(&figures, &source))
-                    .map_err(|error| format!("{name}: {error}; --html names the page to write"))?;
+                std::fs::write(&html, report::page(&figures, &source)).map_err(|error| {
+                    format!("{name}: {error}; --html must be a file that can be written")
+                })?;
             }
             write(cli.output, &figures, report::text)
         }
@@ -333,8 +340,9 @@
     }
 }
 
+/// Parses the command line, runs the command, and prints a failure to standard error.
 pub fn run() -> ExitCode {
-    match carry_out(Cli::parse()) {
+    match execute(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("troutspindlectl: {error}");
--- a/crates/troutspindlectl/src/lib.rs
+++ b/crates/troutspindlectl/src/lib.rs
@@ -1,5 +1,5 @@
-//! `troutspindlectl`, the operators' own command: what heavy libraries are for (plots, reports, distributions)
-//! lives here and never in the service.
+//! `troutspindlectl`, the operators' command. Features that need heavy libraries (plots, reports, distributions) are
+//! in this crate, so that the service does not depend on them.
 #![forbid(unsafe_code)]
 
 pub mod ask;
--- a/crates/troutspindlectl/src/report.rs
+++ b/crates/troutspindlectl/src/report.rs
@@ -1,4 +1,4 @@
-//! What a replay gave, as text and as one HTML page with its plots inside.
+//! Formats the results of a replay as text and as one HTML page with embedded plots.
 
 use crate::constants::*;
 use crate::replay::{Early, Figures};
@@ -6,6 +6,7 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
+/// Returns `part / whole`, or 0 if `whole` is 0.
 fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
@@ -14,8 +15,8 @@
     if whole == 0 { "-".into() } else { format!("{:.1}%", share(part, whole) * 100.0) }
 }
 
-/// Lines of a table of estimates by grade.
-fn by_grade(figures: &Figures) -> Vec<[String; 7]> {
+/// Returns the table rows of the estimates at submission, one per grade.
+fn grade_rows(figures: &Figures) -> Vec<[String; 7]> {
     let rows = figures.grades.iter().map(|(name, grade)| {
         [
             name.clone(),
@@ -30,7 +31,7 @@
     rows.collect()
 }
 
-const GRADE_HEAD: [&str; 7] = [
+const GRADE_HEADER: [&str; 7] = [
     "grade",
     "jobs",
     "in the 80% interval",
@@ -40,7 +41,8 @@
     "off, half / nine in ten below",
 ];
 
-fn early(figures: &Figures) -> Vec<[String; 5]> {
+/// Returns the table rows of the estimates made after a tenth of the tasks.
+fn early_rows(figures: &Figures) -> Vec<[String; 5]> {
     let row = |name: &str, early: &Early| {
         [
             name.to_owned(),
@@ -58,11 +60,12 @@
     ]
 }
 
-const EARLY_HEAD: [&str; 5] =
+const EARLY_HEADER: [&str; 5] =
     ["a tenth ended", "jobs", "work left within 25%", "end within 25%", "time left within 25%"];
 
-fn sentences(figures: &Figures) -> Vec<String> {
-    let w = &figures.warnings;
+/// Returns the summary of jobs, histories and warnings.
+fn summary_sentences(figures: &Figures) -> Vec<String> {
+    let warnings = &figures.warnings;
     vec![
         format!(
             "{} jobs, {} of them cancelled, {} observations; {} histories at the end.",
@@ -75,18 +78,19 @@
         format!(
             "{} jobs had a due time, {} were late: {} of these were warned of before, {} by half of their run. \
              Of {} late by more than a quarter {} by half. Of {} warnings {} were wrong.",
-            w.with_due,
-            w.late,
-            percent(w.late_warned, w.late),
-            percent(w.late_warned_by_half, w.late),
-            w.much_late,
-            percent(w.much_late_warned_by_half, w.much_late),
-            w.late_warned + w.false_alarms,
-            percent(w.false_alarms, w.late_warned + w.false_alarms)
+            warnings.with_due,
+            warnings.late,
+            percent(warnings.late_warned, warnings.late),
+            percent(warnings.late_warned_by_half, warnings.late),
+            warnings.much_late,
+            percent(warnings.much_late_warned_by_half, warnings.much_late),
+            warnings.late_warned + warnings.false_alarms,
+            percent(warnings.false_alarms, warnings.late_warned + warnings.false_alarms)
         ),
     ]
 }
 
+/// Appends a table with aligned columns.
 fn table<const N: usize>(text: &mut String, head: [&str; N], rows: &[[String; N]]) {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].len());
@@ -104,23 +108,26 @@
     text.push('\n');
 }
 
+/// Formats the results as text.
 pub fn text(figures: &Figures) -> String {
     let mut text = String::new();
-    for sentence in sentences(figures) {
+    for sentence in summary_sentences(figures) {
         let _ = writeln!(text, "{sentence}");
     }
     text.push('\n');
-    table(&mut text, GRADE_HEAD, &by_grade(figures));
-    table(&mut text, EARLY_HEAD, &early(figures));
+    table(&mut text, GRADE_HEADER, &grade_rows(figures));
+    table(&mut text, EARLY_HEADER, &early_rows(figures));
     text.truncate(text.trim_end().len());
     text.push('\n');
     text
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// One plot as SVG; text where it can't be drawn.
-fn plot(draw: impl Fn(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> Drawn) -> Markup {
+/// Returns one plot as SVG, or a message if drawing fails.
+fn plot(
+    draw: impl Fn(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> DrawResult,
+) -> Markup {
     let mut svg = String::new();
     let drawn = {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -132,7 +139,7 @@
     }
 }
 
-/// Which share of outcomes lay below each point of the estimates' distribution.
+/// Plots the share of outcomes below each quantile of the estimates' distribution.
 fn calibration(figures: &Figures) -> Markup {
     plot(|area| {
         area.fill(&WHITE)?;
@@ -161,7 +168,7 @@
     })
 }
 
-/// Day by day: the share of sure estimates, and how far their medians were off.
+/// Plots the daily share of sure estimates and the daily median error of their medians.
 fn days(figures: &Figures) -> Markup {
     plot(|area| {
         area.fill(&WHITE)?;
@@ -177,10 +184,10 @@
             .draw_series(LineSeries::new(sure, &BLUE))?
             .label("sure")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 16, y)], BLUE));
-        let off = figures.days.iter().filter(|(_, sure, _)| *sure > 0.0);
-        let off = off.map(|(day, _, off)| (*day, off.min(100.0)));
+        let errors = figures.days.iter().filter(|(_, sure, _)| *sure > 0.0);
+        let errors = errors.map(|(day, _, error)| (*day, error.min(100.0)));
         chart
-            .draw_series(LineSeries::new(off, &RED))?
+            .draw_series(LineSeries::new(errors, &RED))?
             .label("median error of sure ones")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 16, y)], RED));
         chart.configure_series_labels().background_style(WHITE.mix(0.8)).draw()?;
@@ -200,7 +207,7 @@
 const STYLE: &str = "body{font:15px sans-serif;max-width:60em;margin:2em auto}\
     table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;padding:.3em .6em;text-align:left}";
 
-/// One page that needs no network.
+/// Formats the results as one HTML page that loads nothing from the network. `source` is the name of the history.
 pub fn page(figures: &Figures, source: &str) -> String {
     let page = html! {
         (DOCTYPE)
@@ -209,11 +216,11 @@
             body {
                 h1 { "Run-time estimates, replayed" }
                 p { "Source: " (source) ". Each estimate rests on what had ended before it." }
-                @for sentence in sentences(figures) { p { (sentence) } }
+                @for sentence in summary_sentences(figures) { p { (sentence) } }
                 h2 { "Estimates at submission" }
-                (html_table(GRADE_HEAD, &by_grade(figures)))
+                (html_table(GRADE_HEADER, &grade_rows(figures)))
                 h2 { "What remained after a tenth" }
-                (html_table(EARLY_HEAD, &early(figures)))
+                (html_table(EARLY_HEADER, &early_rows(figures)))
                 h2 { "Calibration" }
                 p { "Outcomes below each point of the estimates' distribution; the grey line is perfect." }
                 (calibration(figures))
