--- a/crates/troutspindlectl/src/bound.rs
+++ b/crates/troutspindlectl/src/bound.rs
@@ -54,8 +54,8 @@
 }
 
 impl Day {
-    /// Adds a leader's log line at a time of the day in seconds. Ignores lines of former leaders. Leaders count array work
-    /// from the start of their term, so the first line of a new leader counts in full.
+    /// Adds a leader's log line, `at_s` seconds after the first one. Ignores lines of former leaders. Leaders count
+    /// array work from the start of their term, so the first line of a new leader counts in full.
     pub fn add(&mut self, at_s: f64, line: &DemandLog) {
         if line.token < self.last.token {
             return;
--- a/crates/troutspindlectl/src/bound/tests.rs
+++ b/crates/troutspindlectl/src/bound/tests.rs
@@ -7,9 +7,9 @@
         team: "t".into(),
         service: class == "s",
         ordinary: class == "s",
-        allocated: allocated,
+        allocated,
         waiting: 10.0,
-        arrived: arrived,
+        arrived,
         floor: 0.0,
     };
     let groups = vec![group("s", service, 0.0), group("a", 5.0, arrived)];
