--- a/crates/troutspindlectl/src/generate.rs
+++ b/crates/troutspindlectl/src/generate.rs
@@ -192,7 +192,8 @@
             stopped.push((task, (run_s * random.random::<f64>() * 10.0).round() / 10.0));
         }
     }
-    // Owners know the usual run time up to a constant and a small random error, and round it up to a multiple of five seconds.
+    // Owners know the usual run time up to a constant and a small random error, and round it up to a multiple of
+    // five seconds.
     let estimate_s =
         (usual_ln + team_errors[class.team] + class.owner_error + normal(0.1, random)).exp();
     let expect_s = (estimate_s / 5.0).ceil() * 5.0;
