--- a/crates/troutspindlectl/src/replay.rs
+++ b/crates/troutspindlectl/src/replay.rs
@@ -86,7 +86,7 @@
 
 /// Accuracy of the estimates made once a tenth of a job's tasks, and at least three, had ended.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Early {
+pub struct EarlyEstimates {
     pub jobs: u64,
     /// Number of estimates of the remaining work that were within a quarter of it.
     #[serde(rename = "work_right")]
@@ -112,13 +112,13 @@
     /// Number of these jobs whose estimate was graded unknown.
     pub without_history_unknown: u64,
     /// Estimates for arrays of 30 tasks and more on nights of doubled inputs, once a tenth of the tasks had ended.
-    pub doubled: Early,
+    pub doubled: EarlyEstimates,
     /// The same estimates for arrays of 30 tasks and more on all other nights.
-    pub plain: Early,
+    pub plain: EarlyEstimates,
     /// Estimates for smaller arrays on nights of doubled inputs; there, three tasks are more than a tenth.
-    pub doubled_small: Early,
+    pub doubled_small: EarlyEstimates,
     /// The same estimates for smaller arrays on all other nights.
-    pub plain_small: Early,
+    pub plain_small: EarlyEstimates,
     pub warnings: Warnings,
     /// Day number, share of jobs with a sure estimate, and median error of the sure medians in percent.
     pub days: Vec<(u32, f64, f64)>,
@@ -235,9 +235,9 @@
             let hour = hour_of(job.at_s as u64);
             match event {
                 Event::Finished => {
-                    let Some(run) = active.remove(&n) else { continue };
+                    let Some(active_job) = active.remove(&n) else { continue };
                     let (observed, running, _) =
-                        run.timeline.state_at(job, run.timeline.finished_s);
+                        active_job.timeline.state_at(job, active_job.timeline.finished_s);
                     // Tasks stopped by a cancellation would have run at least as long as they did.
                     let observed = observed.with_running(&running);
                     figures.observations += (job.run_s.len() + job.stopped.len()) as u64;
@@ -248,12 +248,12 @@
                     if job.cancelled.is_none() {
                         let known = means.entry(similarity_key(job)).or_default();
                         *known = (known.0 + mean(job), known.1 + 1.0);
-                        count_warning(job, &run, &mut figures.warnings);
+                        count_warning(job, &active_job, &mut figures.warnings);
                     }
                 }
                 Event::Evaluate(evaluation) => {
-                    let Some(run) = active.get_mut(&n) else { continue };
-                    evaluate_at(job, run, evaluation, hour, &learner, &mut figures);
+                    let Some(active_job) = active.get_mut(&n) else { continue };
+                    evaluate_at(job, active_job, evaluation, hour, &learner, &mut figures);
                 }
             }
             continue;
@@ -274,14 +274,14 @@
             let day = days.entry(((job.at_s - jobs[0].at_s) / DAY_S) as u32).or_default();
             day.0 += 1;
             if let Some(estimate) = estimate {
-                let truth = mean(job);
-                let error = estimate.p50_s / truth - 1.0;
-                let owner_error = job.expect_s / truth - 1.0;
+                let actual = mean(job);
+                let error = estimate.p50_s / actual - 1.0;
+                let owner_error = job.expect_s / actual - 1.0;
                 let mean_error =
-                    means.get(&similarity_key(job)).map(|(sum, n)| sum / n / truth - 1.0);
-                let within_interval = (estimate.p10_s..=estimate.p90_s).contains(&truth);
+                    means.get(&similarity_key(job)).map(|(sum, n)| sum / n / actual - 1.0);
+                let within_interval = (estimate.p10_s..=estimate.p90_s).contains(&actual);
                 let quantile =
-                    quantile_of(&[estimate.p10_s, estimate.p50_s, estimate.p90_s], truth);
+                    quantile_of(&[estimate.p10_s, estimate.p50_s, estimate.p90_s], actual);
                 let name = format!("{grade:?}").to_lowercase();
                 figures.grades.entry(name).or_default().add(
                     quantile,
@@ -339,8 +339,8 @@
 
 /// Returns the share of an estimate's distribution that lies below an outcome. The logarithm of the run time is taken
 /// as normally distributed on each side of the median, with a deviation of its own.
-fn quantile_of([p10, p50, p90]: &[f64; 3], truth: f64) -> f64 {
-    let distance = truth.ln() - p50.ln();
+fn quantile_of([p10, p50, p90]: &[f64; 3], actual: f64) -> f64 {
+    let distance = actual.ln() - p50.ln();
     let side = if distance < 0.0 { p50.ln() - p10.ln() } else { p90.ln() - p50.ln() };
     troutspindle_runtime_estimates::below(distance / (side / 1.2816).max(1e-6))
 }
@@ -348,36 +348,36 @@
 /// Evaluates the estimate for a job at one of its evaluation times, and records a warning if it will probably be late.
 fn evaluate_at(
     job: &PastJob,
-    run: &mut ActiveJob,
+    active_job: &mut ActiveJob,
     evaluation: usize,
     hour: u32,
     learner: &Learner,
     figures: &mut Figures,
 ) {
-    let at_s = run.evaluations_s[evaluation];
+    let at_s = active_job.evaluations_s[evaluation];
     let tasks = job.run_s.len();
-    let is_early = job.cancelled.is_none() && run.timeline.early_s() == Some(at_s);
-    let due_s = job.due_s.filter(|due_s| run.warned_s.is_none() && at_s < *due_s);
+    let is_early = job.cancelled.is_none() && active_job.timeline.early_s() == Some(at_s);
+    let due_s = job.due_s.filter(|due_s| active_job.warned_s.is_none() && at_s < *due_s);
     if !is_early && due_s.is_none() {
         return;
     }
-    let (observed, running, waiting) = run.timeline.state_at(job, at_s);
+    let (observed, running, waiting) = active_job.timeline.state_at(job, at_s);
     let all = observed.with_running(&running);
     let Some(estimate) = learner.estimate(&job.profile(), &all, hour) else { return };
-    let left = remaining(&estimate.centre, &running, waiting, job.width);
+    let remaining_time = remaining(&estimate.centre, &running, waiting, job.width);
     if is_early {
-        let truth_s = run.timeline.finished_s - at_s;
+        let actual_s = active_job.timeline.finished_s - at_s;
         // Remaining work in seconds: the waiting tasks, and the rest of the running ones.
-        let unfinished = (0..tasks).filter(|task| run.timeline.end_s[*task] > at_s);
+        let unfinished = (0..tasks).filter(|task| active_job.timeline.end_s[*task] > at_s);
         let rest = |task: usize| {
-            (run.timeline.end_s[task] - run.timeline.start_s[task].max(at_s)).max(0.0)
+            (active_job.timeline.end_s[task] - active_job.timeline.start_s[task].max(at_s)).max(0.0)
         };
-        let truth_work: f64 = unfinished.map(rest).sum();
+        let actual_work_s: f64 = unfinished.map(rest).sum();
         let centre = &estimate.centre;
         let running_s: f64 = running.iter().map(|elapsed_s| centre.rest_s(*elapsed_s)).sum();
-        let work = waiting as f64 * centre.mean_s() + running_s;
-        let accurate = |estimated: f64, truth: f64| {
-            u64::from((estimated / truth - 1.0).abs() <= ACCURATE_WITHIN)
+        let work_s = waiting as f64 * centre.mean_s() + running_s;
+        let accurate = |estimated: f64, actual: f64| {
+            u64::from((estimated / actual - 1.0).abs() <= ACCURATE_WITHIN)
         };
         // Where a tenth is less than three tasks, few tasks remain (one or two), and chance dominates the result.
         let small = (tasks as f64) * EARLY_SHARE < EARLY_MIN_TASKS as f64;
@@ -388,31 +388,32 @@
             (false, true) => &mut figures.plain_small,
         };
         early.jobs += 1;
-        early.work_accurate += accurate(work, truth_work);
-        early.end_accurate += accurate(at_s + left.point(0.5), run.timeline.finished_s);
-        early.remaining_accurate += accurate(left.point(0.5), truth_s);
+        early.work_accurate += accurate(work_s, actual_work_s);
+        early.end_accurate +=
+            accurate(at_s + remaining_time.point(0.5), active_job.timeline.finished_s);
+        early.remaining_accurate += accurate(remaining_time.point(0.5), actual_s);
     }
     // A job without history gets no warning before enough of its own run times have been observed.
     let known = estimate.grade > Grade::Unknown || observed.count() as usize >= EARLY_MIN_TASKS;
     if let Some(due_s) = due_s
         && known
-        && left.later_than(due_s - at_s) >= WARNING_PROBABILITY
+        && remaining_time.later_than(due_s - at_s) >= WARNING_PROBABILITY
     {
-        run.warned_s = Some(at_s);
+        active_job.warned_s = Some(at_s);
     }
 }
 
 /// Counts a completed job, its lateness and its warning.
-fn count_warning(job: &PastJob, run: &ActiveJob, warnings: &mut Warnings) {
+fn count_warning(job: &PastJob, active_job: &ActiveJob, warnings: &mut Warnings) {
     let Some(due_s) = job.due_s else { return };
-    let is_late = run.timeline.finished_s > due_s;
+    let is_late = active_job.timeline.finished_s > due_s;
     warnings.with_due += 1;
     warnings.late += u64::from(is_late);
-    let is_much_late = run.timeline.finished_s > due_s * MUCH_LATE_FACTOR;
+    let is_much_late = active_job.timeline.finished_s > due_s * MUCH_LATE_FACTOR;
     warnings.much_late += u64::from(is_much_late);
-    match run.warned_s {
+    match active_job.warned_s {
         Some(at_s) if is_late => {
-            let by_half = u64::from(at_s <= run.timeline.finished_s * USEFUL_WARNING_SHARE);
+            let by_half = u64::from(at_s <= active_job.timeline.finished_s * USEFUL_WARNING_SHARE);
             warnings.late_warned += 1;
             warnings.late_warned_by_half += by_half;
             warnings.much_late_warned_by_half += by_half * u64::from(is_much_late);
--- a/crates/troutspindlectl/src/report.rs
+++ b/crates/troutspindlectl/src/report.rs
@@ -1,7 +1,7 @@
 //! Formats the results of a replay as text and as one HTML page with embedded plots.
 
 use crate::constants::*;
-use crate::replay::{Early, Figures};
+use crate::replay::{EarlyEstimates, Figures};
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -43,7 +43,7 @@
 
 /// Returns the table rows of the estimates made after a tenth of the tasks.
 fn early_rows(figures: &Figures) -> Vec<[String; 5]> {
-    let row = |name: &str, early: &Early| {
+    let row = |name: &str, early: &EarlyEstimates| {
         [
             name.to_owned(),
             early.jobs.to_string(),
