--- a/crates/troutspindlectl/src/past.rs
+++ b/crates/troutspindlectl/src/past.rs
@@ -35,7 +35,8 @@
     /// Share of its tasks that had ended when the job was cancelled; `None` if it was not cancelled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cancelled: Option<f64>,
-    /// Whether the job ran on a night of doubled inputs. Used only to sort the results; estimates never see it.
+    /// Whether the inputs were unlike those of other days (doubled, in generated histories). Used only to group the
+    /// results; estimates never see it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub doubled: bool,
 }
