--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -1,5 +1,5 @@
-//! The state service by PROTOCOL over HTTP: the store of `troutspindle-simulation` with real time, limits, follows
-//! and outages around it.
+//! The store of the protocol ("state service") over HTTP: the in-memory store of `troutspindle-simulation` with real
+//! time, rate limits, watches and planned outages.
 
 use crate::constants::*;
 use serde::Serialize;
@@ -16,44 +16,58 @@
 };
 use troutspindle_simulation::{CommitError, Store};
 
-/// Count. Connections to the service, and requests read ahead.
+/// Maximum number of connections to the service.
 const CONNECTIONS: usize = 2000;
+/// Maximum number of requests read ahead on all connections.
 const READ_AHEAD: usize = 512;
-/// Pause between two looks for leases that are over.
-const LEASES_EVERY: Duration = Duration::from_millis(50);
+/// Interval between two checks for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the run tells the service.
+/// Faults that the run injects into the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateFault {
-    /// Refuses everybody for that long.
+    /// Rejects all requests for this duration; watches stay open until it ends.
     Out(Duration),
 }
 
-/// Limits by PROTOCOL.
+/// Limits of the store, as the protocol and the scenario define them.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Requests per second.
     pub rps: f64,
+    /// Writes per second, over all transactions.
     pub write_rps: f64,
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
-/// Requests and bytes since the start, and who leads.
+/// Requests and bytes since the start, the number of keys, and the current leader.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct StateCounters {
+    /// Number of requests by kind.
     pub requests: BTreeMap<&'static str, u64>,
+    /// Number of answers with status 429 or 503.
     pub refused: u64,
+    /// Number of single writes in transactions within the rate limit.
     pub writes: u64,
+    /// Bytes of requests, with an estimate of their heads.
     pub bytes_in: u64,
+    /// Bytes of answers, with an estimate of their heads.
     pub bytes_out: u64,
+    /// Number of keys now.
     pub keys: u64,
+    /// Always 0; reports keep the field.
     pub key_bytes: u64,
+    /// Controller in the leader record, if there is one.
     #[serde(skip)]
     pub leader: Option<ControllerId>,
 }
 
-struct Follow {
-    starts: String,
+/// A watch that waits for changes after a revision of keys with a prefix.
+struct Watch {
+    prefix: String,
     after: u64,
     until: Instant,
     reply: oneshot::Sender<Response>,
@@ -64,19 +78,19 @@
     limits: Limits,
     requests: TokenBucket,
     writes: TokenBucket,
-    follows: Vec<Follow>,
-    began: Instant,
-    out_until: Option<Instant>,
+    watches: Vec<Watch>,
+    started: Instant,
+    outage_until: Option<Instant>,
     counters: StateCounters,
-    shown: watch::Sender<StateCounters>,
+    published: watch::Sender<StateCounters>,
 }
 
-/// Serves until its task is ended.
+/// Runs the service until its task is aborted, and publishes the counters after each request.
 pub async fn serve(
     listener: TcpListener,
     limits: Limits,
     mut faults: mpsc::UnboundedReceiver<StateFault>,
-    shown: watch::Sender<StateCounters>,
+    published: watch::Sender<StateCounters>,
 ) {
     let (to, mut requests) = mpsc::channel::<Incoming>(READ_AHEAD);
     let (count, _) = watch::channel(0usize);
@@ -87,22 +101,22 @@
         limits,
         requests: TokenBucket::new(limits.rps, 1.0, now),
         writes: TokenBucket::new(limits.write_rps, 1.0, now),
-        follows: Vec::new(),
-        began: now,
-        out_until: None,
+        watches: Vec::new(),
+        started: now,
+        outage_until: None,
         counters: StateCounters::default(),
-        shown,
+        published,
     };
-    let mut leases_at = now;
+    let mut lease_check_at = now;
     loop {
         tokio::select! {
-            Some(incoming) = requests.recv() => service.take(incoming),
+            Some(incoming) = requests.recv() => service.handle(incoming),
             Some(StateFault::Out(time)) = faults.recv() => {
-                service.out_until = Some(Instant::now() + time);
+                service.outage_until = Some(Instant::now() + time);
             }
-            _ = tokio::time::sleep_until(leases_at) => {
-                leases_at = Instant::now() + LEASES_EVERY;
-                service.on_time();
+            _ = tokio::time::sleep_until(lease_check_at) => {
+                lease_check_at = Instant::now() + LEASE_CHECK_INTERVAL;
+                service.on_timer();
             }
         }
     }
@@ -110,16 +124,16 @@
 
 impl Service {
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
-    fn take(&mut self, incoming: Incoming) {
+    fn handle(&mut self, incoming: Incoming) {
         let Incoming { request, reply, permit } = incoming;
         drop(permit);
         self.counters.bytes_in += request.body.len() as u64 + HEAD_BYTES;
         let now = Instant::now();
         if request.target.starts_with("/follow") {
-            return self.follow(&request, reply, now);
+            return self.watch(&request, reply, now);
         }
         let response = self.answer(&request, now);
         self.send(reply, response);
@@ -129,15 +143,15 @@
         self.counters.refused += u64::from(matches!(response.status, 429 | 503));
         self.counters.bytes_out += response.body.len() as u64 + HEAD_BYTES;
         let _ = reply.send(response);
-        self.show();
+        self.publish();
     }
 
-    fn show(&mut self) {
+    fn publish(&mut self) {
         let leader = self.store.keys.get(LEADER_KEY);
         let leader = leader.and_then(|(data, ..)| data.deserialized::<LeaderRecord>().ok());
         self.counters.leader = leader.map(|record| record.controller);
         self.counters.keys = self.store.keys.len() as u64;
-        self.shown.send_replace(self.counters.clone());
+        self.published.send_replace(self.counters.clone());
     }
 
     fn count(&mut self, kind: &'static str) {
@@ -145,7 +159,7 @@
     }
 
     fn answer(&mut self, request: &Request, now: Instant) -> Response {
-        if self.out_until.is_some() {
+        if self.outage_until.is_some() {
             return Response::empty(503);
         }
         if !self.requests.has(1.0, now) {
@@ -158,11 +172,11 @@
         match (request.method, path, lease) {
             (Method::Post, "/commit", _) => self.commit(&request.body, now),
             (Method::Post, "/leases", _) => self.new_lease(&request.body),
-            (Method::Post, _, Some(lease)) => self.touch(lease),
+            (Method::Post, _, Some(lease)) => self.renew_lease(lease),
             (Method::Delete, _, Some(lease)) => {
                 self.count("lease end");
                 self.store.end_lease(lease);
-                self.wake_follows(now);
+                self.answer_watches(now);
                 Response::empty(200)
             }
             (Method::Get, "/kv", _) => self.range(query),
@@ -187,7 +201,7 @@
         let rev = Revision(self.store.rev);
         match committed {
             Ok(rev) => {
-                self.wake_follows(now);
+                self.answer_watches(now);
                 Response::with(200, wire::encode(&CommitResponse { rev, failed: Vec::new() }))
             }
             Err(CommitError::Conflict(failed)) => {
@@ -199,19 +213,19 @@
 
     fn new_lease(&mut self, body: &[u8]) -> Response {
         self.count("lease");
-        let Ok(life) = wire::decode::<LeaseTtl>(body) else { return Response::empty(400) };
+        let Ok(ttl) = wire::decode::<LeaseTtl>(body) else { return Response::empty(400) };
         self.store.next_lease += 1;
         let lease = self.store.next_lease;
-        self.store.leases.insert(lease, (life.ttl_ms, self.now_ms() + life.ttl_ms));
+        self.store.leases.insert(lease, (ttl.ttl_ms, self.now_ms() + ttl.ttl_ms));
         Response::with(200, wire::encode(&LeaseCreated { lease: LeaseId(lease) }))
     }
 
-    fn touch(&mut self, lease: u64) -> Response {
+    fn renew_lease(&mut self, lease: u64) -> Response {
         self.count("lease renewal");
         let now_ms = self.now_ms();
         match self.store.leases.get_mut(&lease) {
-            Some((life, until)) => {
-                *until = now_ms + *life;
+            Some((ttl_ms, expires_ms)) => {
+                *expires_ms = now_ms + *ttl_ms;
                 Response::empty(200)
             }
             None => Response::empty(404),
@@ -222,11 +236,11 @@
         self.count("range");
         let prefix = parameter(query, "starts").unwrap_or_default();
         let after = parameter(query, "after").unwrap_or_default();
-        let most = parameter(query, "most").and_then(|text| text.parse().ok()).unwrap_or(1000);
+        let limit = parameter(query, "most").and_then(|text| text.parse().ok()).unwrap_or(1000);
         let from = if after.is_empty() { prefix.clone() } else { after.clone() };
         let found = self.store.keys.range(from..).filter(|(key, _)| **key > after);
         let mut found = found.take_while(|(key, _)| key.starts_with(&prefix));
-        let taken = found.by_ref().take(most).map(|(key, (data, rev, _))| KeyValue {
+        let taken = found.by_ref().take(limit).map(|(key, (data, rev, _))| KeyValue {
             key: key.clone(),
             data: data.clone(),
             rev: Revision(*rev),
@@ -239,69 +253,69 @@
         )
     }
 
-    fn follow(&mut self, request: &Request, reply: oneshot::Sender<Response>, now: Instant) {
+    fn watch(&mut self, request: &Request, reply: oneshot::Sender<Response>, now: Instant) {
         self.count("follow");
         let query = request.target.split_once('?').map_or("", |(_, query)| query);
         let number = |name: &str| parameter(query, name).and_then(|text| text.parse::<u64>().ok());
         let wait = Duration::from_millis(number("waitMs").unwrap_or(0));
         let after = number("after").unwrap_or(0);
-        let starts = parameter(query, "starts").unwrap_or_default();
-        if self.out_until.is_some() && wait.is_zero() {
+        let prefix = parameter(query, "starts").unwrap_or_default();
+        if self.outage_until.is_some() && wait.is_zero() {
             return self.send(reply, Response::empty(503));
         }
         if !self.requests.has(1.0, now) {
             return self.send(reply, Response::empty(429));
         }
         self.requests.take(1.0, now);
-        let follow = Follow { starts, after, until: now + wait, reply };
-        self.follows.push(follow);
-        self.wake_follows(now);
+        let watch = Watch { prefix, after, until: now + wait, reply };
+        self.watches.push(watch);
+        self.answer_watches(now);
     }
 
-    /// Answers the follows for which there is news, or whose time is up.
-    fn wake_follows(&mut self, now: Instant) {
-        if self.out_until.is_some() {
+    /// Answers the watches that have changes to return or whose wait time is over.
+    fn answer_watches(&mut self, now: Instant) {
+        if self.outage_until.is_some() {
             return;
         }
         let rev = self.store.rev;
-        let ready = self.follows.extract_if(.., |f| f.after < rev || f.until <= now);
-        for follow in ready.collect::<Vec<Follow>>() {
+        let ready = self.watches.extract_if(.., |watch| watch.after < rev || watch.until <= now);
+        for watch in ready.collect::<Vec<Watch>>() {
             let oldest = self.store.log.first().map_or(0, |(rev, ..)| *rev);
-            let response = if follow.after + 1 < oldest && self.store.log.len() > CHANGES_KEPT / 2 {
+            let response = if watch.after + 1 < oldest && self.store.log.len() > CHANGES_KEPT / 2 {
                 Response::empty(410)
             } else {
-                let mut news = self.store.news(follow.after);
-                news.events.retain(|change| {
+                let mut changes = self.store.news(watch.after);
+                changes.events.retain(|change| {
                     let key = change.put.as_ref().or(change.delete.as_ref());
-                    key.is_some_and(|key| key.starts_with(&follow.starts))
+                    key.is_some_and(|key| key.starts_with(&watch.prefix))
                 });
-                Response::with(200, wire::encode(&news))
+                Response::with(200, wire::encode(&changes))
             };
-            self.send(follow.reply, response);
+            self.send(watch.reply, response);
         }
     }
 
-    fn on_time(&mut self) {
+    fn on_timer(&mut self) {
         let now = Instant::now();
-        if let Some(until) = self.out_until {
+        if let Some(until) = self.outage_until {
             if now < until {
                 return;
             }
-            self.out_until = None;
-            // PROTOCOL: after an outage every lease has its full time again.
+            self.outage_until = None;
+            // PROTOCOL: after an outage every lease starts again with its full TTL.
             let now_ms = self.now_ms();
-            for (life, until) in self.store.leases.values_mut() {
-                *until = now_ms + *life;
+            for (ttl_ms, expires_ms) in self.store.leases.values_mut() {
+                *expires_ms = now_ms + *ttl_ms;
             }
         }
         let now_ms = self.now_ms();
         self.store.end_expired_leases(now_ms);
-        self.wake_follows(now);
-        self.show();
+        self.answer_watches(now);
+        self.publish();
     }
 }
 
-/// The value of a parameter in the query of a target.
+/// Returns the value of a parameter in the query part of a request target.
 fn parameter(query: &str, name: &str) -> Option<String> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -1,7 +1,7 @@
-//! One emulated worker by PROTOCOL: session, lease, tokens, image cache, tasks and reports.
+//! State machine of one emulated worker: agent epoch, lease, fencing token, image cache, tasks and heartbeats.
 //!
-//! A core without clock or I/O: it is told the time, and leaves events for the judge. The process around it
-//! carries its reports out ([`crate::worker_process`]).
+//! It has no clock and no I/O: callers pass the time in, and [`crate::worker_process`] sends its heartbeats and
+//! forwards its events to the judge.
 
 use crate::constants::*;
 use crate::link::{Happening, JobFacts, MachineFacts, WorkerSettings};
@@ -13,29 +13,30 @@
 use troutspindle_protocol::ids::{Attempt, FencingToken, JobId, TaskId};
 use troutspindle_protocol::wire::{CommandBatch, Heartbeat, TaskState, TaskStatus, WorkerCommand};
 
-/// The jobs that a process of workers knows.
+/// Jobs that a worker process can run, by id.
 pub type JobCatalog = HashMap<JobId, JobFacts>;
 
 struct Task {
     attempt: Attempt,
     state: TaskState,
-    why: Option<&'static str>,
+    exit_cause: Option<&'static str>,
     cpus: f64,
     ram_gb: f64,
     image: String,
-    /// When it ends by itself.
+    /// Time at which the task completes; None for services and for tasks that don't run yet.
     ends_at: Option<Instant>,
+    /// Run time of the attempt; None for services.
     run: Option<Duration>,
 }
 
 impl Task {
-    fn refused(attempt: Attempt, why: &'static str) -> Task {
+    fn rejected(attempt: Attempt, exit_cause: &'static str) -> Task {
         let state = TaskState::Exited;
         let image = String::new();
         Task {
             attempt,
             state,
-            why: Some(why),
+            exit_cause: Some(exit_cause),
             cpus: 0.0,
             ram_gb: 0.0,
             image,
@@ -44,28 +45,30 @@
         }
     }
 
-    fn holds_room(&self) -> bool {
+    /// Returns whether the task occupies part of the machine's capacity.
+    fn occupies_capacity(&self) -> bool {
         self.state != TaskState::Exited
     }
 }
 
-/// An image on the machine, or on its way.
+/// An image in the machine's cache, fetched or still being fetched.
 struct Image {
     gb: f64,
     ready_at: Instant,
+    /// Value of [`Worker::uses`] at the last use, for eviction of the least recently used image.
     used: u64,
 }
 
-/// What came of a report.
+/// Result of a heartbeat that was answered with status 200.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Answered; the worker stays with this controller.
+    /// The worker renewed its lease, executed the commands and stays with this controller.
     Accepted,
-    /// Dropped: it belongs to an earlier session or carries a lower token.
+    /// The answer was ignored: it belongs to an earlier agent epoch or carries a lower fencing token.
     Dropped,
 }
 
-/// A worker and all that runs on it.
+/// An emulated worker with its tasks and its image cache.
 pub struct Worker {
     facts: MachineFacts,
     settings: WorkerSettings,
@@ -73,25 +76,29 @@
     agent_epoch: u64,
     sequence: u64,
     token: FencingToken,
-    /// When the last answered report was sent, or the session began.
-    renewed: Instant,
-    /// When a change of the token was last reported as one.
-    token_told: Option<Instant>,
+    /// Start of the lease: sending time of the last answered heartbeat, or start of the agent epoch.
+    lease_start: Instant,
+    /// Last time at which a new fencing token triggered an early heartbeat; this happens at most once per half lease.
+    token_reported_at: Option<Instant>,
+    /// The state changed since the last heartbeat, so the next one is sent early.
     changed: bool,
-    report_due: Instant,
-    reported: Option<Instant>,
+    heartbeat_due: Instant,
+    last_heartbeat: Option<Instant>,
     in_flight: bool,
     tasks: BTreeMap<TaskId, Task>,
     images: HashMap<String, Image>,
+    /// Number of image uses so far.
     uses: u64,
+    /// Tasks started since the counter was last collected.
     pub starts: u64,
+    /// Leases that expired since the counter was last collected.
     pub leases_lost: u64,
-    /// For the judge.
+    /// Events for the judge that have not been collected yet.
     pub events: Vec<Happening>,
 }
 
 impl Worker {
-    /// A worker whose machine is up from now on.
+    /// Creates a worker whose machine comes up at `now`; `number` varies the random seed.
     pub fn new(facts: MachineFacts, settings: WorkerSettings, number: u64, now: Instant) -> Worker {
         let random = StdRng::seed_from_u64(settings.seed.wrapping_add(number));
         Worker {
@@ -101,11 +108,11 @@
             agent_epoch: 1,
             sequence: 0,
             token: FencingToken(0),
-            renewed: now,
-            token_told: None,
+            lease_start: now,
+            token_reported_at: None,
             changed: true,
-            report_due: now,
-            reported: None,
+            heartbeat_due: now,
+            last_heartbeat: None,
             in_flight: false,
             tasks: BTreeMap::new(),
             images: HashMap::new(),
@@ -116,14 +123,17 @@
         }
     }
 
+    /// Returns the description of the machine.
     pub fn facts(&self) -> &MachineFacts {
         &self.facts
     }
 
+    /// Returns the agent epoch, which rises with each lost lease.
     pub fn agent_epoch(&self) -> u64 {
         self.agent_epoch
     }
 
+    /// Returns the highest fencing token that the worker has seen.
     pub fn token(&self) -> FencingToken {
         self.token
     }
@@ -132,10 +142,10 @@
         Duration::from_secs_f64(self.settings.lease_s)
     }
 
-    /// Ends the session if the lease is over, and moves tasks on whose time has come.
+    /// Begins a new agent epoch if the lease has expired, and advances tasks whose fetch or run time is over.
     pub fn advance(&mut self, now: Instant) {
-        if now > self.renewed + self.lease() {
-            self.end_session(now);
+        if now > self.lease_start + self.lease() {
+            self.expire_lease(now);
         }
         for (id, task) in &mut self.tasks {
             if task.state == TaskState::Fetching
@@ -147,22 +157,22 @@
                 self.events.push(Happening::Ready(id.clone(), task.attempt));
             }
             if task.state == TaskState::Running && task.ends_at.is_some_and(|at| at <= now) {
-                (task.state, task.why) = (TaskState::Exited, Some("done"));
+                (task.state, task.exit_cause) = (TaskState::Exited, Some("done"));
                 self.changed = true;
                 self.events.push(Happening::Ended(id.clone(), task.attempt, true));
             }
         }
     }
 
-    fn end_session(&mut self, now: Instant) {
+    fn expire_lease(&mut self, now: Instant) {
         self.agent_epoch += 1;
         self.leases_lost += 1;
-        self.renewed = now;
+        self.lease_start = now;
         self.changed = true;
         self.end_all();
     }
 
-    /// The machine is gone, or its lease: everything on it ends.
+    /// Removes all tasks, because the machine was terminated or its lease expired.
     pub fn end_all(&mut self) {
         for (id, task) in std::mem::take(&mut self.tasks) {
             if matches!(task.state, TaskState::Running | TaskState::Saving) {
@@ -171,9 +181,9 @@
         }
     }
 
-    /// When something is due by itself: a report, the end of a task or fetch, the end of the lease.
+    /// Returns the time of the next heartbeat, end of a fetch or task, or expiry of the lease, whichever is first.
     pub fn next_due(&self) -> Instant {
-        let mut due = self.renewed + self.lease() + Duration::from_millis(1);
+        let mut due = self.lease_start + self.lease() + Duration::from_millis(1);
         for task in self.tasks.values() {
             let at = match task.state {
                 TaskState::Fetching => self.images.get(&task.image).map(|image| image.ready_at),
@@ -183,42 +193,42 @@
             due = at.map_or(due, |at| due.min(at));
         }
         if !self.in_flight {
-            due = due.min(self.report_at());
+            due = due.min(self.next_heartbeat_at());
         }
         due
     }
 
-    fn report_at(&self) -> Instant {
+    fn next_heartbeat_at(&self) -> Instant {
         if self.changed {
-            let least = self.reported.map(|at| at + REPORT_LEAST);
-            // A refusal's pause holds for changes as well.
-            least.map_or(self.report_due, |at| at.min(self.report_due))
+            let earliest = self.last_heartbeat.map(|at| at + REPORT_LEAST);
+            // The pause after a rejected heartbeat applies to changes as well.
+            earliest.map_or(self.heartbeat_due, |at| at.min(self.heartbeat_due))
         } else {
-            self.report_due
+            self.heartbeat_due
         }
     }
 
-    /// The next report, if one is due and none is on its way.
-    pub fn take_report(&mut self, now: Instant) -> Option<Heartbeat> {
-        if self.in_flight || now < self.report_at() {
+    /// Returns the next heartbeat if one is due and none is in flight.
+    pub fn take_heartbeat(&mut self, now: Instant) -> Option<Heartbeat> {
+        if self.in_flight || now < self.next_heartbeat_at() {
             return None;
         }
         let jitter = self.random.random_range(1.0 - REPORT_JITTER..1.0 + REPORT_JITTER);
-        self.report_due = now + Duration::from_secs_f64(self.settings.report_s * jitter);
-        self.reported = Some(now);
+        self.heartbeat_due = now + Duration::from_secs_f64(self.settings.report_s * jitter);
+        self.last_heartbeat = Some(now);
         self.in_flight = true;
         self.changed = false;
-        Some(self.report())
+        Some(self.heartbeat())
     }
 
-    /// The state of the worker, with the next sequence number.
-    pub fn report(&mut self) -> Heartbeat {
+    /// Builds a heartbeat from the worker's state and takes the next sequence number for it.
+    pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, task)| TaskStatus {
             task: id.clone(),
             attempt: task.attempt,
             state: task.state,
-            exit_cause: task.why.map(str::to_owned),
+            exit_cause: task.exit_cause.map(str::to_owned),
             saved: None,
         });
         Heartbeat {
@@ -235,63 +245,65 @@
         }
     }
 
-    /// The answer 200 to a report of that session, sent at `sent`.
+    /// Handles the answer with status 200 to a heartbeat that was sent at `sent` in the given agent epoch.
     pub fn on_answer(
         &mut self,
         (sent, agent_epoch): (Instant, u64),
-        orders: &CommandBatch,
-        book: &JobCatalog,
+        batch: &CommandBatch,
+        catalog: &JobCatalog,
         now: Instant,
     ) -> HeartbeatOutcome {
         self.in_flight = false;
-        if agent_epoch != self.agent_epoch || orders.token < self.token {
+        if agent_epoch != self.agent_epoch || batch.token < self.token {
             return HeartbeatOutcome::Dropped;
         }
-        self.see(orders.token, now);
-        self.renewed = self.renewed.max(sent);
-        self.execute(&orders.commands, book, now);
+        self.observe_token(batch.token, now);
+        self.lease_start = self.lease_start.max(sent);
+        self.execute(&batch.commands, catalog, now);
         HeartbeatOutcome::Accepted
     }
 
-    /// The report was refused or not answered: the next one goes elsewhere after this pause.
-    pub fn on_refusal(&mut self, pause: Duration, now: Instant) {
+    /// Handles a rejected, redirected or unanswered heartbeat: the next one is sent after `pause`.
+    pub fn on_rejection(&mut self, pause: Duration, now: Instant) {
         self.in_flight = false;
         self.changed = false;
-        self.report_due = now + pause;
+        self.heartbeat_due = now + pause;
     }
 
-    /// A random part of the pause within which a redirected worker reports elsewhere.
+    /// Returns a random pause up to [`REDIRECT_MOST`] before the heartbeat to the controller named by a redirect.
     pub fn redirect_pause(&mut self) -> Duration {
         REDIRECT_MOST.mul_f64(self.random.random())
     }
 
-    /// A direct command; false: refused, since the token is lower or the session another.
-    pub fn on_command(&mut self, orders: &CommandBatch, book: &JobCatalog, now: Instant) -> bool {
-        if orders.token < self.token || orders.agent_epoch != Some(self.agent_epoch) {
+    /// Executes a direct call. Returns false, without effect, if its fencing token is lower than the worker's
+    /// or its agent epoch differs.
+    pub fn on_command(&mut self, batch: &CommandBatch, catalog: &JobCatalog, now: Instant) -> bool {
+        if batch.token < self.token || batch.agent_epoch != Some(self.agent_epoch) {
             return false;
         }
-        self.see(orders.token, now);
-        self.execute(&orders.commands, book, now);
+        self.observe_token(batch.token, now);
+        self.execute(&batch.commands, catalog, now);
         true
     }
 
-    fn see(&mut self, token: FencingToken, now: Instant) {
+    /// Adopts a higher fencing token and reports it to the judge.
+    fn observe_token(&mut self, token: FencingToken, now: Instant) {
         if token <= self.token {
             return;
         }
         self.token = token;
         self.events.push(Happening::FencingToken(token));
-        let half = self.lease() / 2;
-        if self.token_told.is_none_or(|at| now > at + half) {
-            self.token_told = Some(now);
+        let half_lease = self.lease() / 2;
+        if self.token_reported_at.is_none_or(|at| now > at + half_lease) {
+            self.token_reported_at = Some(now);
             self.changed = true;
         }
     }
 
-    fn execute(&mut self, orders: &[WorkerCommand], book: &JobCatalog, now: Instant) {
-        for order in orders {
-            match order {
-                WorkerCommand::Start { task, attempt } => self.start(task, *attempt, book, now),
+    fn execute(&mut self, commands: &[WorkerCommand], catalog: &JobCatalog, now: Instant) {
+        for command in commands {
+            match command {
+                WorkerCommand::Start { task, attempt } => self.start(task, *attempt, catalog, now),
                 WorkerCommand::Stop { task, attempt, .. } => self.stop(task, *attempt),
                 WorkerCommand::Forget { task, attempt } => self.forget(task, *attempt),
             }
@@ -299,27 +311,27 @@
         self.advance(now);
     }
 
-    fn start(&mut self, id: &TaskId, attempt: Attempt, book: &JobCatalog, now: Instant) {
-        if let Some(known) = self.tasks.get(id) {
-            if known.attempt == attempt {
+    fn start(&mut self, id: &TaskId, attempt: Attempt, catalog: &JobCatalog, now: Instant) {
+        if let Some(current) = self.tasks.get(id) {
+            if current.attempt == attempt {
                 return;
             }
-            if known.holds_room() {
-                // PROTOCOL's `in_use` would need a second entry of the task; it is left out of the reports.
+            if current.occupies_capacity() {
+                // PROTOCOL's exit cause `in_use` would need a second entry for this task; heartbeats omit it.
                 return;
             }
         }
         self.changed = true;
-        let Some(job) = book.get(&id.job).filter(|job| u64::from(id.index) < job.tasks) else {
-            self.tasks.insert(id.clone(), Task::refused(attempt, "no_such"));
+        let Some(job) = catalog.get(&id.job).filter(|job| u64::from(id.index) < job.tasks) else {
+            self.tasks.insert(id.clone(), Task::rejected(attempt, "no_such"));
             return;
         };
-        let used = self.tasks.values().filter(|task| task.holds_room());
+        let used = self.tasks.values().filter(|task| task.occupies_capacity());
         let (cpus, ram) = used.fold((0.0, 0.0), |sum, t| (sum.0 + t.cpus, sum.1 + t.ram_gb));
         if cpus + job.cpus > self.settings.cpus + 1e-6
             || ram + job.ram_gb > self.settings.ram_gb + 1e-6
         {
-            self.tasks.insert(id.clone(), Task::refused(attempt, "no_room"));
+            self.tasks.insert(id.clone(), Task::rejected(attempt, "no_room"));
             return;
         }
         self.starts += 1;
@@ -329,7 +341,7 @@
         let task = Task {
             attempt,
             state: TaskState::Fetching,
-            why: None,
+            exit_cause: None,
             cpus: job.cpus,
             ram_gb: job.ram_gb,
             image: job.image.clone(),
@@ -339,7 +351,7 @@
         self.tasks.insert(id.clone(), task);
     }
 
-    /// Fetches an image unless it is there; the least recently used ones make room for it.
+    /// Starts to fetch an image unless it is cached, and evicts the least recently used images to make space.
     fn fetch(&mut self, name: &str, gb: f64, now: Instant) {
         self.uses += 1;
         let uses = self.uses;
@@ -353,9 +365,10 @@
             let Some(oldest) = oldest.map(|(name, _)| name.clone()) else { break };
             self.images.remove(&oldest);
         }
-        // Fetches share the rate: one begins where the one before ends.
-        let busy = self.images.values().map(|image| image.ready_at).max().unwrap_or(now).max(now);
-        let ready_at = busy + Duration::from_secs_f64(gb / self.settings.fetch_gb_per_s);
+        // Fetches run one after the other, since they share the machine's fetch rate.
+        let fetches_end =
+            self.images.values().map(|image| image.ready_at).max().unwrap_or(now).max(now);
+        let ready_at = fetches_end + Duration::from_secs_f64(gb / self.settings.fetch_gb_per_s);
         self.images.insert(name.to_owned(), Image { gb, ready_at, used: uses });
     }
 
@@ -369,13 +382,13 @@
         if task.state == TaskState::Running {
             self.events.push(Happening::Ended(id.clone(), attempt, false));
         }
-        (task.state, task.why) = (TaskState::Exited, Some("halted"));
+        (task.state, task.exit_cause) = (TaskState::Exited, Some("halted"));
         self.changed = true;
     }
 
     fn forget(&mut self, id: &TaskId, attempt: Attempt) {
-        let known = self.tasks.get(id);
-        if known.is_some_and(|task| task.attempt == attempt && task.state == TaskState::Exited) {
+        let current = self.tasks.get(id);
+        if current.is_some_and(|task| task.attempt == attempt && task.state == TaskState::Exited) {
             self.tasks.remove(id);
         }
     }
--- a/crates/scale-test/src/worker_process.rs
+++ b/crates/scale-test/src/worker_process.rs
@@ -1,4 +1,4 @@
-//! A process of emulated workers: one actor owns all of their cores; connections are tasks around it.
+//! A process of emulated workers: one actor owns the state of all of them, and connections are separate tasks.
 
 use crate::constants::*;
 use crate::link::{
@@ -17,40 +17,42 @@
 use troutspindle_protocol::ids::MachineId;
 use troutspindle_protocol::wire::{self, CommandBatch, Heartbeat, NotLeader};
 
-/// Pause between two frames of events to the run.
+/// Pause between two event frames to the run.
 const EVENTS_EVERY: Duration = Duration::from_millis(100);
-/// Pause between two frames of counters.
+/// Pause between two counter frames to the run.
 const COUNTERS_EVERY: Duration = Duration::from_millis(500);
-/// Count. Connections to one worker, and requests read ahead on them.
+/// Maximum number of connections to one worker.
 const CONNECTIONS: usize = 64;
+/// Maximum number of requests read ahead on the connections to one worker.
 const READ_AHEAD: usize = 16;
 
 type HeartbeatResult = Result<(Response, Option<TcpStream>), CallError>;
 
 enum Event {
     Run(ToWorkers),
-    /// A report of that worker, sent at that time in that session, came back.
+    /// Result of a heartbeat: index of the worker, sending time and agent epoch of the heartbeat, answer.
     Answer(usize, (Instant, u64), HeartbeatResult),
+    /// A request to the worker with this index.
     Command(usize, Incoming),
 }
 
-/// A worker with its connections.
-struct Place {
+/// A worker with its listener and its connection to a controller.
+struct HostedWorker {
     worker: Worker,
-    gone: bool,
-    /// The controller that it reports to, and the connection to it.
+    deleted: bool,
+    /// Index of the controller that receives the heartbeats, and the idle connection to it.
     target: usize,
     connection: Option<TcpStream>,
-    /// When it is to be woken next; other entries of the queue are out of date.
-    planned: Option<Instant>,
-    listener: Vec<JoinHandle<()>>,
+    /// Time of the next wake-up; entries of the queue with another time are out of date.
+    wake_at: Option<Instant>,
+    listener_tasks: Vec<JoinHandle<()>>,
 }
 
-/// All workers of the process.
+/// The actor that owns all workers of the process.
 struct Host {
     settings: WorkerSettings,
-    book: JobCatalog,
-    places: Vec<Place>,
+    catalog: JobCatalog,
+    workers: Vec<HostedWorker>,
     by_id: HashMap<MachineId, usize>,
     due: BinaryHeap<Reverse<(Instant, usize)>>,
     events: Vec<WorkerEvent>,
@@ -59,11 +61,11 @@
     out: mpsc::UnboundedSender<FromWorkers>,
 }
 
-/// Serves workers until standard input ends.
+/// Runs workers until standard input ends; the run starts, configures and deletes them through it.
 pub async fn serve() -> std::io::Result<()> {
     let mut input = tokio::io::stdin();
     let ToWorkers::Settings(settings) = read_frame(&mut input).await? else {
-        return Err(std::io::Error::other("settings come first"));
+        return Err(std::io::Error::other("the first message must be the settings"));
     };
     let (to, mut events) = mpsc::unbounded_channel();
     let (out, mut frames) = mpsc::unbounded_channel::<FromWorkers>();
@@ -84,8 +86,8 @@
     });
     let mut host = Host {
         settings,
-        book: JobCatalog::new(),
-        places: Vec::new(),
+        catalog: JobCatalog::new(),
+        workers: Vec::new(),
         by_id: HashMap::new(),
         due: BinaryHeap::new(),
         events: Vec::new(),
@@ -93,26 +95,26 @@
         to,
         out,
     };
-    let mut tell_at = Instant::now();
-    let mut count_at = tell_at;
+    let mut events_at = Instant::now();
+    let mut counters_at = events_at;
     loop {
         if reader.is_finished() {
             return Ok(());
         }
-        let wake = host.due.peek().map_or(tell_at, |Reverse((at, _))| (*at).min(tell_at));
+        let wake = host.due.peek().map_or(events_at, |Reverse((at, _))| (*at).min(events_at));
         tokio::select! {
             Some(event) = events.recv() => host.handle(event).await,
             _ = tokio::time::sleep_until(wake) => {}
         }
         let now = Instant::now();
         host.wake(now);
-        if now >= tell_at {
-            tell_at = now + EVENTS_EVERY;
-            host.tell_events();
+        if now >= events_at {
+            events_at = now + EVENTS_EVERY;
+            host.send_events();
         }
-        if now >= count_at {
-            count_at = now + COUNTERS_EVERY;
-            host.tell_counters();
+        if now >= counters_at {
+            counters_at = now + COUNTERS_EVERY;
+            host.send_counters();
         }
     }
 }
@@ -122,7 +124,7 @@
         let now = Instant::now();
         match event {
             Event::Run(ToWorkers::Settings(settings)) => self.settings = settings,
-            Event::Run(ToWorkers::Job(job)) => drop(self.book.insert(job.id.clone(), job)),
+            Event::Run(ToWorkers::Job(job)) => drop(self.catalog.insert(job.id.clone(), job)),
             Event::Run(ToWorkers::Boot(facts)) => self.boot(facts, now).await,
             Event::Run(ToWorkers::Delete(id)) => self.delete(&id),
             Event::Answer(index, sent, result) => self.on_answer(index, sent, result, now),
@@ -139,12 +141,12 @@
                 return;
             }
         };
-        let index = self.places.len();
+        let index = self.workers.len();
         let (requests, mut incoming) = mpsc::channel::<Incoming>(CONNECTIONS);
         let (count, _) = watch::channel(0usize);
         let serving = tokio::spawn(http::serve(listener, CONNECTIONS, READ_AHEAD, requests, count));
         let to = self.to.clone();
-        let passing = tokio::spawn(async move {
+        let forwarding = tokio::spawn(async move {
             while let Some(request) = incoming.recv().await {
                 let _ = to.send(Event::Command(index, request));
             }
@@ -153,77 +155,79 @@
         let number = self.settings.seed.wrapping_mul(31).wrapping_add(index as u64);
         self.by_id.insert(facts.id.clone(), index);
         let worker = Worker::new(facts, self.settings.clone(), number, now);
-        let listener = vec![serving, passing];
-        self.places.push(Place {
+        let listener_tasks = vec![serving, forwarding];
+        self.workers.push(HostedWorker {
             worker,
-            gone: false,
+            deleted: false,
             target,
             connection: None,
-            planned: None,
-            listener,
+            wake_at: None,
+            listener_tasks,
         });
         self.counters.workers += 1;
-        self.plan(index, now);
+        self.schedule_wake(index, now);
     }
 
     fn delete(&mut self, id: &MachineId) {
-        if let Some(place) = self.by_id.get(id).and_then(|index| self.places.get_mut(*index))
-            && !place.gone
+        if let Some(hosted) = self.by_id.get(id).and_then(|index| self.workers.get_mut(*index))
+            && !hosted.deleted
         {
-            place.gone = true;
-            place.connection = None;
-            place.listener.drain(..).for_each(|task| task.abort());
-            place.worker.end_all();
+            hosted.deleted = true;
+            hosted.connection = None;
+            hosted.listener_tasks.drain(..).for_each(|task| task.abort());
+            hosted.worker.end_all();
             self.counters.workers -= 1;
-            self.counters.starts += std::mem::take(&mut place.worker.starts);
+            self.counters.starts += std::mem::take(&mut hosted.worker.starts);
             let index = self.by_id[id];
             self.collect(index);
         }
-        // Whoever waits for the answer has to know of the ends before it.
-        self.tell_events();
+        // The run must receive the ends of the tasks before the confirmation of the deletion.
+        self.send_events();
         let _ = self.out.send(FromWorkers::Deleted(id.clone()));
     }
 
-    /// Lets workers act whose time has come.
+    /// Advances the workers that are due and sends their heartbeats.
     fn wake(&mut self, now: Instant) {
         while let Some(Reverse((at, index))) = self.due.peek().copied()
             && at <= now
         {
             self.due.pop();
-            let place = &mut self.places[index];
-            if place.gone || place.planned != Some(at) {
+            let hosted = &mut self.workers[index];
+            if hosted.deleted || hosted.wake_at != Some(at) {
                 continue;
             }
-            place.planned = None;
-            place.worker.advance(now);
-            if let Some(report) = place.worker.take_report(now) {
-                self.send_report(index, &report, now);
+            hosted.wake_at = None;
+            hosted.worker.advance(now);
+            if let Some(heartbeat) = hosted.worker.take_heartbeat(now) {
+                self.send_heartbeat(index, &heartbeat, now);
             }
             self.collect(index);
-            self.plan(index, now);
+            self.schedule_wake(index, now);
         }
     }
 
-    fn plan(&mut self, index: usize, now: Instant) {
-        let place = &mut self.places[index];
-        let due = place.worker.next_due().max(now + Duration::from_millis(1));
-        if place.planned != Some(due) {
-            place.planned = Some(due);
+    /// Queues the worker's next wake-up.
+    fn schedule_wake(&mut self, index: usize, now: Instant) {
+        let hosted = &mut self.workers[index];
+        let due = hosted.worker.next_due().max(now + Duration::from_millis(1));
+        if hosted.wake_at != Some(due) {
+            hosted.wake_at = Some(due);
             self.due.push(Reverse((due, index)));
         }
     }
 
-    fn send_report(&mut self, index: usize, report: &Heartbeat, now: Instant) {
-        let place = &mut self.places[index];
-        let Some((_, address)) = self.settings.controllers.get(place.target) else { return };
-        let (address, kept) = (*address, place.connection.take());
-        let body = wire::encode(report);
+    fn send_heartbeat(&mut self, index: usize, heartbeat: &Heartbeat, now: Instant) {
+        let hosted = &mut self.workers[index];
+        let Some((_, address)) = self.settings.controllers.get(hosted.target) else { return };
+        let (address, idle_connection) = (*address, hosted.connection.take());
+        let body = wire::encode(heartbeat);
         self.counters.reports += 1;
         self.counters.report_bytes += body.len() as u64;
         let request = Request { method: Method::Post, target: "/hello".into(), body };
-        let (to, agent_epoch) = (self.to.clone(), report.agent_epoch);
+        let (to, agent_epoch) = (self.to.clone(), heartbeat.agent_epoch);
         tokio::spawn(async move {
-            let result = http::exchange(kept, address, &request, now + REPORT_TIMEOUT).await;
+            let result =
+                http::exchange(idle_connection, address, &request, now + REPORT_TIMEOUT).await;
             let _ = to.send(Event::Answer(index, (now, agent_epoch), result));
         });
     }
@@ -235,8 +239,8 @@
         result: HeartbeatResult,
         now: Instant,
     ) {
-        let place = &mut self.places[index];
-        if place.gone {
+        let hosted = &mut self.workers[index];
+        if hosted.deleted {
             return;
         }
         match result {
@@ -245,8 +249,8 @@
                 self.counters.answer_bytes += response.body.len() as u64;
                 match response.status {
                     200 => {
-                        place.connection = connection;
-                        self.on_orders(index, sent, &response, now);
+                        hosted.connection = connection;
+                        self.on_commands(index, sent, &response, now);
                     }
                     421 => self.on_redirect(index, &response, now),
                     _ => {
@@ -261,90 +265,101 @@
             }
         }
         self.collect(index);
-        self.plan(index, now);
+        self.schedule_wake(index, now);
     }
 
-    fn on_orders(&mut self, index: usize, sent: (Instant, u64), response: &Response, now: Instant) {
-        let place = &mut self.places[index];
-        let Ok(orders) = wire::decode::<CommandBatch>(&response.body) else {
+    fn on_commands(
+        &mut self,
+        index: usize,
+        sent: (Instant, u64),
+        response: &Response,
+        now: Instant,
+    ) {
+        let hosted = &mut self.workers[index];
+        let Ok(batch) = wire::decode::<CommandBatch>(&response.body) else {
             return self.next_target(index, now);
         };
-        let outcome = place.worker.on_answer(sent, &orders, &self.book, now);
+        let outcome = hosted.worker.on_answer(sent, &batch, &self.catalog, now);
         self.counters.dropped += u64::from(outcome == HeartbeatOutcome::Dropped);
     }
 
     fn on_redirect(&mut self, index: usize, response: &Response, now: Instant) {
         self.counters.redirects += 1;
-        let place = &mut self.places[index];
-        let named = wire::decode::<NotLeader>(&response.body).ok();
-        let named = named.and_then(|to| {
+        let hosted = &mut self.workers[index];
+        let leader_index = wire::decode::<NotLeader>(&response.body).ok();
+        let leader_index = leader_index.and_then(|to| {
             let mut names = self.settings.controllers.iter();
             names.position(|(name, _)| name.as_str() == to.leader)
         });
-        match named.filter(|target| *target != place.target) {
+        match leader_index.filter(|target| *target != hosted.target) {
             Some(target) => {
-                place.target = target;
-                let pause = place.worker.redirect_pause();
-                place.worker.on_refusal(pause, now);
+                hosted.target = target;
+                let pause = hosted.worker.redirect_pause();
+                hosted.worker.on_rejection(pause, now);
             }
             None => self.next_target(index, now),
         }
     }
 
+    /// Directs the next heartbeat to the next controller, after a pause of [`NEXT_NODE_AFTER`].
     fn next_target(&mut self, index: usize, now: Instant) {
-        let place = &mut self.places[index];
-        place.target = (place.target + 1) % self.settings.controllers.len().max(1);
-        place.worker.on_refusal(NEXT_NODE_AFTER, now);
+        let hosted = &mut self.workers[index];
+        hosted.target = (hosted.target + 1) % self.settings.controllers.len().max(1);
+        hosted.worker.on_rejection(NEXT_NODE_AFTER, now);
     }
 
     fn on_command(&mut self, index: usize, incoming: Incoming, now: Instant) {
         let Incoming { request, reply, permit } = incoming;
         drop(permit);
-        let place = &mut self.places[index];
-        if place.gone {
+        let hosted = &mut self.workers[index];
+        if hosted.deleted {
             return;
         }
-        place.worker.advance(now);
+        hosted.worker.advance(now);
         self.counters.commands += 1;
         self.counters.command_bytes += request.body.len() as u64;
         let status = match (request.method, request.target.as_str()) {
             (Method::Get, "/status") => 200,
             (Method::Post, "/do") => match wire::decode::<CommandBatch>(&request.body) {
-                Ok(orders) if orders.agent_epoch.is_some() => {
-                    if place.worker.on_command(&orders, &self.book, now) { 200 } else { 409 }
+                Ok(batch) if batch.agent_epoch.is_some() => {
+                    if hosted.worker.on_command(&batch, &self.catalog, now) { 200 } else { 409 }
                 }
                 _ => 400,
             },
             _ => 404,
         };
         let response = match status {
-            200 | 409 => Response::with(status, wire::encode(&place.worker.report())),
+            200 | 409 => Response::with(status, wire::encode(&hosted.worker.heartbeat())),
             _ => Response::empty(status),
         };
         self.counters.command_answer_bytes += response.body.len() as u64;
         let _ = reply.send(response);
         self.collect(index);
-        self.plan(index, now);
+        self.schedule_wake(index, now);
     }
 
-    /// Takes over what the worker has to tell the judge.
+    /// Collects the worker's counters and its events for the judge.
     fn collect(&mut self, index: usize) {
-        let worker = &mut self.places[index].worker;
+        let worker = &mut self.workers[index].worker;
         self.counters.starts += std::mem::take(&mut worker.starts);
         self.counters.leases_lost += std::mem::take(&mut worker.leases_lost);
         let machine = &worker.facts().id.clone();
         let at_us = now_us();
-        let found = worker.events.drain(..);
-        self.events.extend(found.map(|what| WorkerEvent { at_us, machine: machine.clone(), what }));
+        let drained = worker.events.drain(..);
+        self.events.extend(drained.map(|what| WorkerEvent {
+            at_us,
+            machine: machine.clone(),
+            what,
+        }));
     }
 
-    fn tell_events(&mut self) {
+    fn send_events(&mut self) {
         if !self.events.is_empty() {
             let _ = self.out.send(FromWorkers::Events(std::mem::take(&mut self.events)));
         }
     }
 
-    fn tell_counters(&mut self) {
+    fn send_counters(&mut self) {
         let _ = self.out.send(FromWorkers::Counters(self.counters));
     }
 }
--- a/crates/scale-test/src/worker_tests.rs
+++ b/crates/scale-test/src/worker_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the emulated worker against PROTOCOL's sentences.
+//! Tests of the emulated worker against the rules of PROTOCOL.
 
 use super::*;
 
@@ -23,7 +23,7 @@
     Worker::new(facts, settings, 1, now)
 }
 
-fn book() -> JobCatalog {
+fn catalog() -> JobCatalog {
     let job = |id: &str, service: bool| JobFacts {
         id: JobId::new(id),
         tasks: 4,
@@ -45,48 +45,48 @@
     WorkerCommand::Start { task: task(text), attempt: Attempt(attempt) }
 }
 
-fn orders(token: u64, orders: Vec<WorkerCommand>) -> CommandBatch {
-    CommandBatch { token: FencingToken(token), agent_epoch: Some(1), commands: orders }
+fn batch(token: u64, commands: Vec<WorkerCommand>) -> CommandBatch {
+    CommandBatch { token: FencingToken(token), agent_epoch: Some(1), commands }
 }
 
 #[test]
-fn a_lease_counts_from_when_the_answered_report_was_sent() {
+fn lease_is_measured_from_sending_of_answered_heartbeat() {
     let now = Instant::now();
     let mut worker = worker(now);
-    worker.take_report(now).unwrap();
-    let answered = now + Duration::from_secs(3);
-    worker.on_answer((now, 1), &orders(1, vec![start("wk-2/0", 1)]), &book(), answered);
+    worker.take_heartbeat(now).unwrap();
+    let answered_at = now + Duration::from_secs(3);
+    worker.on_answer((now, 1), &batch(1, vec![start("wk-2/0", 1)]), &catalog(), answered_at);
     worker.advance(now + Duration::from_secs(31));
     assert_eq!(worker.agent_epoch(), 1);
     worker.advance(now + Duration::from_millis(31_001));
     assert_eq!((worker.agent_epoch(), worker.leases_lost), (2, 1));
-    assert!(worker.report().tasks.is_empty());
+    assert!(worker.heartbeat().tasks.is_empty());
 }
 
 #[test]
-fn lower_tokens_and_other_sessions_are_refused() {
+fn commands_with_lower_token_or_other_agent_epoch_are_rejected() {
     let now = Instant::now();
-    let (mut worker, book) = (worker(now), book());
-    assert!(worker.on_command(&orders(5, vec![start("wk-1/0", 1)]), &book, now));
-    assert!(!worker.on_command(&orders(4, vec![start("wk-1/1", 2)]), &book, now));
-    let other = CommandBatch { agent_epoch: Some(2), ..orders(6, vec![]) };
-    assert!(!worker.on_command(&other, &book, now));
-    worker.take_report(now).unwrap();
-    let outcome = worker.on_answer((now, 1), &orders(4, vec![]), &book, now);
+    let (mut worker, catalog) = (worker(now), catalog());
+    assert!(worker.on_command(&batch(5, vec![start("wk-1/0", 1)]), &catalog, now));
+    assert!(!worker.on_command(&batch(4, vec![start("wk-1/1", 2)]), &catalog, now));
+    let other_epoch = CommandBatch { agent_epoch: Some(2), ..batch(6, vec![]) };
+    assert!(!worker.on_command(&other_epoch, &catalog, now));
+    worker.take_heartbeat(now).unwrap();
+    let outcome = worker.on_answer((now, 1), &batch(4, vec![]), &catalog, now);
     assert_eq!(outcome, HeartbeatOutcome::Dropped);
-    assert_eq!(worker.report().tasks.len(), 1);
+    assert_eq!(worker.heartbeat().tasks.len(), 1);
 }
 
 #[test]
-fn tasks_fetch_run_end_and_are_forgotten() {
+fn task_fetches_runs_completes_and_is_forgotten() {
     let now = Instant::now();
-    let (mut worker, book) = (worker(now), book());
-    let twice =
+    let (mut worker, catalog) = (worker(now), catalog());
+    let starts =
         vec![start("wk-1/0", 1), start("wk-1/0", 1), start("wk-1/1", 2), start("wk-1/2", 3)];
-    assert!(worker.on_command(&orders(1, twice), &book, now));
-    let states: Vec<TaskState> = worker.report().tasks.iter().map(|task| task.state).collect();
+    assert!(worker.on_command(&batch(1, starts), &catalog, now));
+    let states: Vec<TaskState> = worker.heartbeat().tasks.iter().map(|task| task.state).collect();
     assert_eq!(states, [TaskState::Fetching, TaskState::Fetching, TaskState::Exited]);
-    assert_eq!(worker.report().tasks[2].exit_cause.as_deref(), Some("no_room"));
+    assert_eq!(worker.heartbeat().tasks[2].exit_cause.as_deref(), Some("no_room"));
     worker.advance(now + Duration::from_secs(2));
     let ready = worker.events.iter().filter(|event| matches!(event, Happening::Ready(..)));
     assert_eq!(ready.count(), 2);
@@ -94,18 +94,18 @@
     let done = worker.events.iter().filter(|event| matches!(event, Happening::Ended(.., true)));
     assert_eq!(done.count(), 2);
     let forget = WorkerCommand::Forget { task: task("wk-1/0"), attempt: Attempt(1) };
-    worker.on_command(&orders(1, vec![forget]), &book, now + Duration::from_secs(20));
-    assert_eq!(worker.report().tasks.len(), 2);
+    worker.on_command(&batch(1, vec![forget]), &catalog, now + Duration::from_secs(20));
+    assert_eq!(worker.heartbeat().tasks.len(), 2);
 }
 
 #[test]
-fn changes_are_reported_after_half_a_second_and_one_at_a_time() {
+fn changes_wait_half_a_second_and_for_the_heartbeat_in_flight() {
     let now = Instant::now();
-    let (mut worker, book) = (worker(now), book());
-    worker.take_report(now).unwrap();
-    worker.on_command(&orders(1, vec![start("wk-2/0", 1)]), &book, now);
-    assert!(worker.take_report(now + Duration::from_secs(3)).is_none());
-    worker.on_answer((now, 1), &orders(1, vec![]), &book, now + Duration::from_millis(100));
-    assert!(worker.take_report(now + Duration::from_millis(400)).is_none());
-    assert!(worker.take_report(now + Duration::from_millis(500)).is_some());
+    let (mut worker, catalog) = (worker(now), catalog());
+    worker.take_heartbeat(now).unwrap();
+    worker.on_command(&batch(1, vec![start("wk-2/0", 1)]), &catalog, now);
+    assert!(worker.take_heartbeat(now + Duration::from_secs(3)).is_none());
+    worker.on_answer((now, 1), &batch(1, vec![]), &catalog, now + Duration::from_millis(100));
+    assert!(worker.take_heartbeat(now + Duration::from_millis(400)).is_none());
+    assert!(worker.take_heartbeat(now + Duration::from_millis(500)).is_some());
 }
