--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud by PROTOCOL over HTTP: it rents emulated machines, each in one of the worker processes.
+//! The cloud of the protocol over HTTP: rents emulated machines, each of which runs in one of the worker processes.
 
 use crate::constants::*;
 use crate::judge::JudgeEvent;
@@ -22,79 +22,99 @@
     MachineTypes, RentalRequest,
 };
 
-/// Name of the one machine type.
+/// Name of the only machine type.
 pub const FLAVOR: &str = "standard";
-/// Price of a machine by the hour, and of a spot machine.
+/// Price per hour of an on-demand machine and of a spot machine.
 const PRICES: (f64, f64) = (1.0, 0.3);
-/// Count. Connections, and requests read ahead.
+/// Maximum number of connections to the cloud.
 const CONNECTIONS: usize = 200;
+/// Maximum number of requests read ahead on all connections.
 const READ_AHEAD: usize = 64;
-/// How long a machine that failed stays listed as running.
-const FAILED_SHOWS_AFTER: Duration = Duration::from_secs(30);
+/// Time for which a failed machine is still listed in its state before the failure.
+const FAILURE_LIST_DELAY: Duration = Duration::from_secs(30);
 
-/// What the run tells the cloud.
+/// Faults that the run injects into the cloud, and notifications from worker processes.
 #[derive(Debug)]
 pub enum CloudInput {
-    /// A worker process has ended everything on the machine.
+    /// A worker process has ended all tasks on the machine.
     Deleted(MachineId),
-    /// A worker process is gone, and its machines with it.
+    /// The worker process with this index has terminated, and all its machines with it.
     ProcessEnded(usize),
-    /// All machines of a zone are taken away.
+    /// All machines of the zone with this index fail.
     EndZone(usize),
+    /// The cloud answers all requests with 503 for this duration.
     Out(Duration),
 }
 
-/// Requests since the start, and machines now.
+/// Requests and machines since the start, and the number of machines now.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct CloudCounters {
+    /// Number of requests by kind.
     pub requests: BTreeMap<&'static str, u64>,
+    /// Number of answers with status 429 or 503.
     pub refused: u64,
+    /// Bytes of requests, with an estimate of their heads.
     pub bytes_in: u64,
+    /// Bytes of answers, with an estimate of their heads.
     pub bytes_out: u64,
+    /// Number of machines rented by request; initial machines don't count.
     pub rented: u64,
+    /// Number of machines deleted by request.
     pub deleted: u64,
+    /// Number of machines that are starting or running now.
     pub machines: u64,
 }
 
+/// State of a machine, with the time of its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Life {
+enum MachineState {
     Starting,
     Running,
     Failed(Instant),
-    Gone(Instant),
+    Deleted(Instant),
 }
 
+/// A rented machine.
 struct Rented {
     facts: MachineFacts,
     zone: usize,
     process: usize,
     rented: Instant,
+    /// Time at which it is up; None if its boot fails.
     up_at: Option<Instant>,
-    life: Life,
+    state: MachineState,
 }
 
+/// A deletion request that is answered once the worker processes confirmed it for all its machines.
 struct PendingDelete {
-    left: usize,
+    unconfirmed: usize,
     reply: oneshot::Sender<Response>,
 }
 
-/// What the cloud is set up with.
+/// Configuration of the cloud.
 pub struct Setup {
+    /// Resources and boot times of every machine.
     pub machine: Machine,
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Maximum number of machines that are starting or running.
     pub capacity: u32,
+    /// Requests per second that the cloud accepts.
     pub rps: f64,
+    /// Delay with which the list of machines reflects changes.
     pub list_lag: Duration,
+    /// Seed of boot times and boot failures.
     pub seed: u64,
-    /// Where machines live: one sender for each worker process.
+    /// Senders to the worker processes, which run the machines.
     pub processes: Vec<mpsc::UnboundedSender<ToWorkers>>,
-    /// How many machines each of them is planned to hold.
+    /// Number of machines planned for each worker process.
     pub shares: Vec<u32>,
+    /// Sender of events to the judge.
     pub judge: mpsc::UnboundedSender<JudgeEvent>,
 }
 
 impl Setup {
-    /// From a scenario.
+    /// Creates the configuration for a scenario, from the senders to the worker processes and their planned shares.
     pub fn new(
         scenario: &Scenario,
         (processes, shares): (Vec<mpsc::UnboundedSender<ToWorkers>>, Vec<u32>),
@@ -119,26 +139,30 @@
     random: StdRng,
     bucket: TokenBucket,
     machines: BTreeMap<MachineId, Rented>,
-    ended: Vec<usize>,
-    /// How many machines each worker process was given.
-    held: Vec<u32>,
-    hires: HashMap<String, Vec<MachineId>>,
+    /// Indices of the worker processes that have terminated.
+    ended_processes: Vec<usize>,
+    /// Number of machines assigned to each worker process so far.
+    assigned: Vec<u32>,
+    /// Machines of each rental by request id, so that a repeated request gets the same answer.
+    rentals: HashMap<String, Vec<MachineId>>,
     boots: BinaryHeap<Reverse<(Instant, MachineId)>>,
     deletes: Vec<PendingDelete>,
-    waiting: HashMap<MachineId, usize>,
-    next: u32,
-    out_until: Option<Instant>,
+    /// Index in `deletes` for each machine whose deletion is not confirmed yet.
+    unconfirmed_deletes: HashMap<MachineId, usize>,
+    /// Number of the last machine.
+    last_number: u32,
+    outage_until: Option<Instant>,
     counters: CloudCounters,
-    shown: watch::Sender<CloudCounters>,
+    published: watch::Sender<CloudCounters>,
 }
 
-/// Serves until its task is ended. `initial` machines are up from the start.
+/// Runs the cloud until its task is aborted. `initial` machines are up from the start.
 pub async fn serve(
     listener: TcpListener,
     setup: Setup,
     initial: u32,
     mut inputs: mpsc::UnboundedReceiver<CloudInput>,
-    shown: watch::Sender<CloudCounters>,
+    published: watch::Sender<CloudCounters>,
 ) {
     let (to, mut requests) = mpsc::channel::<Incoming>(READ_AHEAD);
     let (count, _) = watch::channel(0usize);
@@ -148,48 +172,48 @@
         random: StdRng::seed_from_u64(setup.seed),
         bucket: TokenBucket::new(setup.rps, 2.0, now),
         machines: BTreeMap::new(),
-        ended: Vec::new(),
-        held: vec![0; setup.shares.len()],
-        hires: HashMap::new(),
+        ended_processes: Vec::new(),
+        assigned: vec![0; setup.shares.len()],
+        rentals: HashMap::new(),
         boots: BinaryHeap::new(),
         deletes: Vec::new(),
-        waiting: HashMap::new(),
-        next: 0,
-        out_until: None,
+        unconfirmed_deletes: HashMap::new(),
+        last_number: 0,
+        outage_until: None,
         counters: CloudCounters::default(),
-        shown,
+        published,
         setup,
     };
     for n in 0..initial {
         let zone = n as usize % cloud.setup.zones.len();
-        cloud.rent(zone, false, now, Some(now));
+        cloud.add_machine(zone, false, now, Some(now));
     }
     loop {
         cloud.boot(Instant::now());
-        cloud.show();
+        cloud.publish();
         let wake = cloud.boots.peek().map(|Reverse((at, _))| *at);
         let wake = wake.unwrap_or_else(|| Instant::now() + Duration::from_secs(1));
         tokio::select! {
-            Some(incoming) = requests.recv() => cloud.take(incoming),
+            Some(incoming) = requests.recv() => cloud.handle(incoming),
             Some(input) = inputs.recv() => cloud.on_input(input),
             _ = tokio::time::sleep_until(wake) => {}
         }
     }
 }
 
-/// The loopback address of a machine by its number.
+/// Returns the loopback address of the machine with this number.
 pub fn address_of(number: u32) -> SocketAddr {
     let [_, b, c, d] = (number + 256).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, 10 + b, c, d), WORKER_PORT))
 }
 
 impl Cloud {
-    fn take(&mut self, incoming: Incoming) {
+    fn handle(&mut self, incoming: Incoming) {
         let Incoming { request, reply, permit } = incoming;
         drop(permit);
         let now = Instant::now();
         self.counters.bytes_in += request.body.len() as u64 + HEAD_BYTES;
-        if self.out_until.is_some_and(|until| now < until) {
+        if self.outage_until.is_some_and(|until| now < until) {
             let body = wire::encode(&CloudError { error: "trouble".into() });
             return self.send(reply, Response::with(503, body));
         }
@@ -200,11 +224,11 @@
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         match (request.method, path) {
             (Method::Get, "/flavors") => {
-                let response = self.flavors();
+                let response = self.machine_types();
                 self.send(reply, response);
             }
             (Method::Post, "/hosts") => {
-                let response = self.hire(&request, now);
+                let response = self.rent_machines(&request, now);
                 self.send(reply, response);
             }
             (Method::Post, "/hosts/delete") => self.delete(&request, reply, now),
@@ -226,20 +250,21 @@
         *self.counters.requests.entry(kind).or_default() += 1;
     }
 
-    fn show(&mut self) {
+    fn publish(&mut self) {
         self.counters.machines = self.alive() as u64;
-        self.shown.send_replace(self.counters.clone());
+        self.published.send_replace(self.counters.clone());
     }
 
     fn alive(&self) -> usize {
-        let lives = |m: &&Rented| matches!(m.life, Life::Starting | Life::Running);
-        self.machines.values().filter(lives).count()
+        let is_alive =
+            |m: &&Rented| matches!(m.state, MachineState::Starting | MachineState::Running);
+        self.machines.values().filter(is_alive).count()
     }
 
-    fn flavors(&mut self) -> Response {
+    fn machine_types(&mut self) -> Response {
         self.count("types");
         let machine = &self.setup.machine;
-        let flavor = MachineType {
+        let machine_type = MachineType {
             name: FLAVOR.into(),
             cpus: machine.cpus,
             gpus: 0.0,
@@ -251,89 +276,97 @@
             boot_s: machine.boot_s,
             zones: self.setup.zones.clone(),
         };
-        Response::with(200, wire::encode(&MachineTypes { types: vec![flavor] }))
+        Response::with(200, wire::encode(&MachineTypes { types: vec![machine_type] }))
     }
 
-    fn hire(&mut self, request: &Request, now: Instant) -> Response {
+    fn rent_machines(&mut self, request: &Request, now: Instant) -> Response {
         self.count("rental");
-        let Ok(hire) = wire::decode::<RentalRequest>(&request.body) else {
+        let Ok(rental) = wire::decode::<RentalRequest>(&request.body) else {
             return Response::empty(400);
         };
-        let Some(zone) = self.setup.zones.iter().position(|zone| *zone == hire.zone) else {
+        let Some(zone) = self.setup.zones.iter().position(|zone| *zone == rental.zone) else {
             return Response::empty(400);
         };
-        if let Some(machines) = self.hires.get(&hire.request_id) {
+        if let Some(machines) = self.rentals.get(&rental.request_id) {
             return Response::with(200, wire::encode(&MachineIds { machines: machines.clone() }));
         }
-        let room = (self.setup.capacity as usize).saturating_sub(self.alive());
-        let count = room.min(hire.count as usize);
-        if count == 0 || hire.spot {
+        let free_capacity = (self.setup.capacity as usize).saturating_sub(self.alive());
+        let count = free_capacity.min(rental.count as usize);
+        if count == 0 || rental.spot {
             let error = "no capacity".into();
             return Response::with(503, wire::encode(&CloudError { error }));
         }
         let machines: Vec<MachineId> = (0..count)
             .map(|_| {
                 let up_at = self.boot_time(now);
-                self.rent(zone, false, now, up_at)
+                self.add_machine(zone, false, now, up_at)
             })
             .collect();
         self.counters.rented += count as u64;
-        self.hires.insert(hire.request_id, machines.clone());
+        self.rentals.insert(rental.request_id, machines.clone());
         Response::with(200, wire::encode(&MachineIds { machines }))
     }
 
-    /// When a machine that is rented now comes up, if ever.
+    /// Draws the time at which a machine rented now is up; None if its boot fails.
     fn boot_time(&mut self, now: Instant) -> Option<Instant> {
         let machine = &self.setup.machine;
-        let luck: f64 = self.random.random();
-        if luck < machine.failed_boots {
+        let draw: f64 = self.random.random();
+        if draw < machine.failed_boots {
             return None;
         }
-        let late = luck < machine.failed_boots + machine.late_boots;
-        let factor = self.random.random_range(0.6..1.5) * if late { 3.0 } else { 1.0 };
+        let is_late = draw < machine.failed_boots + machine.late_boots;
+        let factor = self.random.random_range(0.6..1.5) * if is_late { 3.0 } else { 1.0 };
         Some(now + Duration::from_secs_f64(machine.boot_s * factor))
     }
 
-    fn rent(&mut self, zone: usize, spot: bool, now: Instant, up_at: Option<Instant>) -> MachineId {
-        self.next += 1;
-        let id = MachineId::new(&format!("i-{:06}", self.next));
+    fn add_machine(
+        &mut self,
+        zone: usize,
+        spot: bool,
+        now: Instant,
+        up_at: Option<Instant>,
+    ) -> MachineId {
+        self.last_number += 1;
+        let id = MachineId::new(&format!("i-{:06}", self.last_number));
         let facts = MachineFacts {
             id: id.clone(),
-            address: address_of(self.next),
+            address: address_of(self.last_number),
             zone: self.setup.zones[zone].clone(),
             spot,
         };
-        let process = self.place();
-        self.held[process] += 1;
-        let life = Life::Starting;
-        self.machines.insert(id.clone(), Rented { facts, zone, process, rented: now, up_at, life });
+        let process = self.choose_process();
+        self.assigned[process] += 1;
+        let state = MachineState::Starting;
+        self.machines
+            .insert(id.clone(), Rented { facts, zone, process, rented: now, up_at, state });
         if let Some(at) = up_at {
             self.boots.push(Reverse((at, id.clone())));
         }
         id
     }
 
-    /// The worker process for a new machine: one with room in its share, else the least full of those that hold many.
-    fn place(&self) -> usize {
+    /// Returns the worker process for a new machine: the least filled one below its planned share, otherwise the one
+    /// with the largest share.
+    fn choose_process(&self) -> usize {
         let shares = &self.setup.shares;
-        let alive = (0..shares.len()).filter(|process| !self.ended.contains(process));
-        let fullness = |process: &usize| (self.held[*process] * 1000) / shares[*process].max(1);
-        let has_room = |process: &usize| self.held[*process] < shares[*process];
-        let with_room = alive.clone().filter(has_room).min_by_key(fullness);
-        with_room.or_else(|| alive.max_by_key(|process| shares[*process])).unwrap_or(0)
+        let alive = (0..shares.len()).filter(|process| !self.ended_processes.contains(process));
+        let fullness = |process: &usize| (self.assigned[*process] * 1000) / shares[*process].max(1);
+        let is_below_share = |process: &usize| self.assigned[*process] < shares[*process];
+        let below_share = alive.clone().filter(is_below_share).min_by_key(fullness);
+        below_share.or_else(|| alive.max_by_key(|process| shares[*process])).unwrap_or(0)
     }
 
-    /// Brings machines up whose time has come.
+    /// Starts the workers of the machines whose boot time is over.
     fn boot(&mut self, now: Instant) {
         while let Some(Reverse((at, _))) = self.boots.peek()
             && *at <= now
         {
             let Some(Reverse((_, id))) = self.boots.pop() else { return };
             let Some(machine) = self.machines.get_mut(&id) else { continue };
-            if machine.life != Life::Starting {
+            if machine.state != MachineState::Starting {
                 continue;
             }
-            machine.life = Life::Running;
+            machine.state = MachineState::Running;
             let _ = self.setup.judge.send(JudgeEvent::Machine(id, machine.facts.spot));
             let boot = ToWorkers::Boot(machine.facts.clone());
             let _ = self.setup.processes[machine.process].send(boot);
@@ -342,56 +375,58 @@
 
     fn delete(&mut self, request: &Request, reply: oneshot::Sender<Response>, now: Instant) {
         self.count("deletion");
-        let Ok(names) = wire::decode::<MachineIds>(&request.body) else {
+        let Ok(request) = wire::decode::<MachineIds>(&request.body) else {
             return self.send(reply, Response::empty(400));
         };
         let index = self.deletes.len();
-        let mut left = 0;
-        for id in names.machines {
+        let mut unconfirmed = 0;
+        for id in request.machines {
             let Some(machine) = self.machines.get_mut(&id) else { continue };
-            let was = machine.life;
-            machine.life = Life::Gone(now);
+            let state_before = machine.state;
+            machine.state = MachineState::Deleted(now);
             self.counters.deleted += 1;
-            if was == Life::Running && !self.ended.contains(&machine.process) {
-                // The answer says that nothing runs there any more, so its process is asked first.
+            if state_before == MachineState::Running
+                && !self.ended_processes.contains(&machine.process)
+            {
+                // The answer promises that nothing runs there any more, so the worker process must confirm it first.
                 let _ = self.setup.processes[machine.process].send(ToWorkers::Delete(id.clone()));
-                self.waiting.insert(id, index);
-                left += 1;
+                self.unconfirmed_deletes.insert(id, index);
+                unconfirmed += 1;
             }
         }
-        if left == 0 {
+        if unconfirmed == 0 {
             return self.send(reply, Response::empty(200));
         }
-        self.deletes.push(PendingDelete { left, reply });
+        self.deletes.push(PendingDelete { unconfirmed, reply });
     }
 
     fn on_input(&mut self, input: CloudInput) {
         let now = Instant::now();
         match input {
             CloudInput::Deleted(id) => self.on_deleted(&id),
-            CloudInput::Out(time) => self.out_until = Some(now + time),
+            CloudInput::Out(time) => self.outage_until = Some(now + time),
             CloudInput::ProcessEnded(process) => {
-                self.ended.push(process);
+                self.ended_processes.push(process);
                 let lost = self.machines.values().filter(|machine| machine.process == process);
                 let lost: Vec<MachineId> = lost.map(|machine| machine.facts.id.clone()).collect();
                 for id in lost {
                     let _ = self.setup.judge.send(JudgeEvent::MachineEnded(id.clone(), now_us()));
                     self.on_deleted(&id);
                     if let Some(machine) = self.machines.get_mut(&id)
-                        && matches!(machine.life, Life::Starting | Life::Running)
+                        && matches!(machine.state, MachineState::Starting | MachineState::Running)
                     {
-                        machine.life = Life::Failed(now);
+                        machine.state = MachineState::Failed(now);
                     }
                 }
             }
             CloudInput::EndZone(zone) => {
                 for machine in self.machines.values_mut().filter(|m| m.zone == zone) {
-                    if machine.life == Life::Running {
+                    if machine.state == MachineState::Running {
                         let delete = ToWorkers::Delete(machine.facts.id.clone());
                         let _ = self.setup.processes[machine.process].send(delete);
                     }
-                    if matches!(machine.life, Life::Starting | Life::Running) {
-                        machine.life = Life::Failed(now);
+                    if matches!(machine.state, MachineState::Starting | MachineState::Running) {
+                        machine.state = MachineState::Failed(now);
                     }
                 }
             }
@@ -399,10 +434,10 @@
     }
 
     fn on_deleted(&mut self, id: &MachineId) {
-        let Some(index) = self.waiting.remove(id) else { return };
+        let Some(index) = self.unconfirmed_deletes.remove(id) else { return };
         let Some(pending) = self.deletes.get_mut(index) else { return };
-        pending.left = pending.left.saturating_sub(1);
-        if pending.left == 0 {
+        pending.unconfirmed = pending.unconfirmed.saturating_sub(1);
+        if pending.unconfirmed == 0 {
             let (unused, _) = oneshot::channel();
             let reply = std::mem::replace(&mut pending.reply, unused);
             self.send(reply, Response::empty(200));
@@ -415,23 +450,25 @@
         let after = pairs.find(|(key, _)| *key == "after").map_or("", |(_, value)| value);
         let as_of = now.checked_sub(self.setup.list_lag).unwrap_or(now);
         let after = MachineId::new(after);
-        let shown = self.machines.range(after.clone()..).filter(|(id, _)| **id > after);
-        let mut shown = shown.filter_map(|(_, machine)| machine.listed(as_of));
-        let machines: Vec<ListedMachine> = shown.by_ref().take(LIST_ROWS).collect();
-        let truncated = shown.next().is_some();
+        let listed_machines = self.machines.range(after.clone()..).filter(|(id, _)| **id > after);
+        let mut listed_machines = listed_machines.filter_map(|(_, machine)| machine.listed(as_of));
+        let machines: Vec<ListedMachine> = listed_machines.by_ref().take(LIST_ROWS).collect();
+        let truncated = listed_machines.next().is_some();
         Response::with(200, wire::encode(&MachinePage { machines, truncated }))
     }
 }
 
 impl Rented {
-    /// As the list described it at that time; None: not listed.
+    /// Returns the list entry for the machine as of a past time; None if the list doesn't contain it.
     fn listed(&self, as_of: Instant) -> Option<ListedMachine> {
         if self.rented > as_of {
             return None;
         }
-        let status = match self.life {
-            Life::Gone(at) if at <= as_of => return None,
-            Life::Failed(at) if at + FAILED_SHOWS_AFTER <= as_of => ListedMachineState::Failed,
+        let status = match self.state {
+            MachineState::Deleted(at) if at <= as_of => return None,
+            MachineState::Failed(at) if at + FAILURE_LIST_DELAY <= as_of => {
+                ListedMachineState::Failed
+            }
             _ if self.up_at.is_some_and(|at| at <= as_of) => ListedMachineState::Running,
             _ => ListedMachineState::Starting,
         };
--- a/crates/scale-test/src/state_service.rs
+++ b/crates/scale-test/src/state_service.rs
@@ -26,7 +26,7 @@
 /// Faults that the run injects into the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateFault {
-    /// Rejects all requests for this duration; watches stay open until it ends.
+    /// Rejects all requests for this duration; watches with a wait time stay open until it ends.
     Out(Duration),
 }
 
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -1,4 +1,4 @@
-//! Users behind a load balancer: they submit the jobs of a scenario, poll them, and cancel some.
+//! Emulated users behind a load balancer: they submit the jobs of a scenario, poll their status and cancel some.
 
 use crate::constants::*;
 use crate::judge::{JobRules, JudgeEvent, Told};
@@ -16,41 +16,51 @@
 use troutspindle_protocol::ids::JobId;
 use troutspindle_protocol::wire::{self, JobKind, JobSpec, JobStatus, JobView, Priority};
 
-/// Count. Idle connections of all users together.
+/// Maximum number of idle connections of all users together.
 const IDLE_CONNECTIONS: usize = 400;
-/// How often the arrivals of a class are looked at.
+/// Interval between two checks for new arrivals of each class.
 const ARRIVALS_EVERY: Duration = Duration::from_millis(50);
-/// Count. First job number, so that all names are of one length.
+/// Number before that of the first job, large enough that all job ids have the same length.
 const FIRST_JOB: u64 = 100_000;
 
-/// What a user's request came to.
+/// Outcome of a user's request or job.
 #[derive(Debug, Clone, Copy)]
 pub enum UserNote {
-    /// A submission was accepted so long after its first attempt.
+    /// A submission was accepted, this long after its first attempt.
     Accepted(Duration),
-    /// It was never accepted.
+    /// A submission was rejected for good or not accepted in time.
     GivenUp,
-    /// Any answer, by its status; 0: none came.
+    /// Status of the answer to any request; 0 if there was no answer.
     Answer(u16),
+    /// The user saw the job completed.
     Done,
+    /// The user saw the job cancelled.
     Cancelled,
 }
 
-/// What users told of their requests since the start.
+/// Totals of all users' notes since the start.
 #[derive(Debug, Clone)]
 pub struct UserCounters {
+    /// Number of submissions accepted.
     pub accepted: u64,
+    /// Number of submissions given up.
     pub given_up: u64,
+    /// Number of requests that were answered.
     pub answers: u64,
+    /// Number of answers with a status other than 200, 201 and 404.
     pub refused: u64,
+    /// Number of requests without an answer.
     pub unanswered: u64,
+    /// Number of jobs that users saw completed.
     pub done: u64,
+    /// Number of jobs that users saw cancelled.
     pub cancelled: u64,
+    /// Time from the first attempt to acceptance of a submission, in milliseconds.
     pub submission_ms: Histogram<u64>,
 }
 
 impl UserCounters {
-    /// None so far.
+    /// Creates counters that are all zero.
     pub fn new() -> UserCounters {
         UserCounters {
             accepted: 0,
@@ -64,7 +74,7 @@
         }
     }
 
-    /// Takes one note in.
+    /// Adds one note to the totals.
     pub fn take(&mut self, note: UserNote) {
         match note {
             UserNote::Accepted(after) => {
@@ -89,18 +99,18 @@
     }
 }
 
-/// What each user needs.
+/// Connections and channels that all users share.
 #[derive(Clone)]
-struct Reach {
+struct UserContext {
     client: Client,
     healthy: watch::Receiver<Vec<SocketAddr>>,
     judge: mpsc::UnboundedSender<JudgeEvent>,
     notes: mpsc::UnboundedSender<UserNote>,
 }
 
-impl Reach {
-    /// Sends a request to a healthy controller; None: no answer.
-    async fn ask(&self, request: Request, salt: u64, within: Duration) -> Option<Response> {
+impl UserContext {
+    /// Sends a request to a healthy controller chosen by `salt`; returns None if there is no answer within the deadline.
+    async fn send(&self, request: Request, salt: u64, within: Duration) -> Option<Response> {
         let address = {
             let healthy = self.healthy.borrow();
             let index = salt as usize % healthy.len().max(1);
@@ -115,13 +125,14 @@
         result
     }
 
-    fn tell(&self, job: &JobId, told: Told) {
-        let _ = self.judge.send(JudgeEvent::Told(job.clone(), told, now_us()));
+    /// Notifies the judge of the status that a controller answered for a job.
+    fn notify_judge(&self, job: &JobId, status: Told) {
+        let _ = self.judge.send(JudgeEvent::Told(job.clone(), status, now_us()));
     }
 }
 
-/// Probes all controllers and shows which are healthy.
-pub async fn balance(controllers: Vec<SocketAddr>, shown: watch::Sender<Vec<SocketAddr>>) {
+/// Probes all controllers and publishes the healthy ones; keeps the last list while none is healthy.
+pub async fn balance(controllers: Vec<SocketAddr>, published: watch::Sender<Vec<SocketAddr>>) {
     let client = Client::start(controllers.len(), Vec::new());
     loop {
         let probes = controllers.iter().map(|address| {
@@ -138,55 +149,60 @@
             healthy.extend(probe.await.ok().flatten());
         }
         if !healthy.is_empty() {
-            shown.send_replace(healthy);
+            published.send_replace(healthy);
         }
         tokio::time::sleep(PROBE_EVERY).await;
     }
 }
 
-/// Everything that users are started with.
+/// Configuration of the users.
 pub struct Setup {
+    /// Scenario that defines the job classes and teams.
     pub scenario: Arc<Scenario>,
+    /// Addresses of the healthy controllers.
     pub healthy: watch::Receiver<Vec<SocketAddr>>,
+    /// Senders to the worker processes, which must know every job.
     pub processes: Vec<mpsc::UnboundedSender<ToWorkers>>,
+    /// Sender of events to the judge.
     pub judge: mpsc::UnboundedSender<JudgeEvent>,
+    /// Sender of the outcomes of requests.
     pub notes: mpsc::UnboundedSender<UserNote>,
-    /// When the peak begins.
+    /// Start of the peak, from which arrival rates are multiplied by the class's peak factor.
     pub peak_at: Instant,
 }
 
-/// Submits jobs class by class until its task is ended.
+/// Submits jobs class by class until its task is aborted.
 pub async fn submit_all(setup: Setup) {
     let client = Client::start(IDLE_CONNECTIONS, Vec::new());
     let Setup { scenario, healthy, processes, judge, notes, peak_at } = setup;
-    let reach = Reach { client, healthy, judge, notes };
+    let context = UserContext { client, healthy, judge, notes };
     let mut random = StdRng::seed_from_u64(scenario.seed);
     let mut number = FIRST_JOB;
-    let mut owed: Vec<f64> = scenario.classes.iter().map(|c| f64::from(c.initial)).collect();
+    let mut due_jobs: Vec<f64> = scenario.classes.iter().map(|c| f64::from(c.initial)).collect();
     let mut last = Instant::now();
     loop {
         let now = Instant::now();
-        let passed = now.saturating_duration_since(last).as_secs_f64();
+        let elapsed_s = now.saturating_duration_since(last).as_secs_f64();
         last = now;
         for (index, class) in scenario.classes.iter().enumerate() {
             let factor = if now >= peak_at { class.peak } else { 1.0 };
-            owed[index] += class.per_s * factor * passed;
-            while owed[index] >= 1.0 {
-                owed[index] -= 1.0;
+            due_jobs[index] += class.per_s * factor * elapsed_s;
+            while due_jobs[index] >= 1.0 {
+                due_jobs[index] -= 1.0;
                 number += 1;
                 let user = User::new(&scenario, index, number, &mut random);
                 for process in &processes {
                     let _ = process.send(ToWorkers::Job(user.facts(class)));
                 }
-                let _ = reach.judge.send(JudgeEvent::Submitted(user.rules(class, index)));
-                tokio::spawn(user.run(reach.clone()));
+                let _ = context.judge.send(JudgeEvent::Submitted(user.rules(class, index)));
+                tokio::spawn(user.run(context.clone()));
             }
         }
         tokio::time::sleep(ARRIVALS_EVERY).await;
     }
 }
 
-/// One job and its user.
+/// One job and the user who submits it.
 struct User {
     spec: JobSpec,
     team: usize,
@@ -195,7 +211,7 @@
     random: StdRng,
 }
 
-fn urgency(priority: ScenarioPriority) -> Priority {
+fn wire_priority(priority: ScenarioPriority) -> Priority {
     match priority {
         ScenarioPriority::Production => Priority::Production,
         ScenarioPriority::High => Priority::High,
@@ -204,7 +220,7 @@
     }
 }
 
-/// Name of a team by its number.
+/// Returns the name of the team with this number.
 pub fn team_name(number: usize) -> String {
     format!("team-{number:02}")
 }
@@ -214,15 +230,16 @@
         let class = &scenario.classes[index];
         let team = number as usize % scenario.teams.count as usize;
         let image = random.random_range(0..class.images);
-        let cancels = random.random_bool(class.cancelled);
-        let life = Duration::from_secs_f64(class.run_s.max(5.0) * random.random_range(0.1..1.0));
+        let is_cancelled = random.random_bool(class.cancelled);
+        let cancel_delay =
+            Duration::from_secs_f64(class.run_s.max(5.0) * random.random_range(0.1..1.0));
         let service = class.kind == Kind::Service;
         let spec = JobSpec {
             id: JobId::new(&format!("wk-{number:06}")),
             class: class.name.clone(),
             team: team_name(team),
             kind: if service { JobKind::Service } else { JobKind::Array },
-            priority: urgency(class.priority),
+            priority: wire_priority(class.priority),
             tasks: u64::from(class.tasks),
             cpus: class.cpus,
             gpus: 0.0,
@@ -241,7 +258,7 @@
             depends_on: None,
         };
         let random = StdRng::seed_from_u64(scenario.seed ^ number);
-        let cancel_after = cancels.then_some(life);
+        let cancel_after = is_cancelled.then_some(cancel_delay);
         User { spec, team, submitted_us: now_us(), cancel_after, random }
     }
 
@@ -271,36 +288,38 @@
         }
     }
 
-    async fn run(mut self, reach: Reach) {
-        if !self.submit(&reach).await {
-            let _ = reach.notes.send(UserNote::GivenUp);
+    async fn run(mut self, context: UserContext) {
+        if !self.submit(&context).await {
+            let _ = context.notes.send(UserNote::GivenUp);
             return;
         }
         let accepted = Instant::now();
         loop {
             let jitter = self.random.random_range(0.8..1.2);
             tokio::time::sleep(POLL_EVERY.mul_f64(jitter)).await;
-            let over = match self.cancel_after {
-                Some(after) if accepted.elapsed() >= after => self.cancel(&reach).await,
-                _ => self.poll(&reach).await,
+            let is_finished = match self.cancel_after {
+                Some(after) if accepted.elapsed() >= after => self.cancel(&context).await,
+                _ => self.poll(&context).await,
             };
-            if over {
+            if is_finished {
                 return;
             }
         }
     }
 
-    async fn submit(&mut self, reach: &Reach) -> bool {
-        let began = Instant::now();
-        while began.elapsed() < SUBMIT_FOR {
+    /// Submits the job until it is accepted, rejected for good, or [`SUBMIT_FOR`] has passed. Returns whether it was
+    /// accepted.
+    async fn submit(&mut self, context: &UserContext) -> bool {
+        let started = Instant::now();
+        while started.elapsed() < SUBMIT_FOR {
             let body = wire::encode(&self.spec);
             let request = Request { method: Method::Post, target: "/api/jobs".into(), body };
             let salt = self.random.random();
-            let response = reach.ask(request, salt, SUBMIT_TIMEOUT).await;
+            let response = context.send(request, salt, SUBMIT_TIMEOUT).await;
             match response.as_ref().map(|response| response.status) {
                 Some(200 | 201) => {
-                    let _ = reach.notes.send(UserNote::Accepted(began.elapsed()));
-                    reach.tell(&self.spec.id, Told::Accepted);
+                    let _ = context.notes.send(UserNote::Accepted(started.elapsed()));
+                    context.notify_judge(&self.spec.id, Told::Accepted);
                     return true;
                 }
                 Some(400 | 422) => return false,
@@ -313,43 +332,47 @@
         false
     }
 
-    /// Asks for the state of the job; whether it is over.
-    async fn poll(&mut self, reach: &Reach) -> bool {
+    /// Polls the status of the job. Returns true if the job has finished.
+    async fn poll(&mut self, context: &UserContext) -> bool {
         let target = format!("/api/jobs/{}", self.spec.id);
         let request = Request { method: Method::Get, target, body: Vec::new() };
         let salt = self.random.random();
-        let Some(response) = reach.ask(request, salt, POLL_TIMEOUT).await else { return false };
-        self.on_view(&response, reach)
+        let Some(response) = context.send(request, salt, POLL_TIMEOUT).await else { return false };
+        self.on_view(&response, context)
     }
 
-    async fn cancel(&mut self, reach: &Reach) -> bool {
+    /// Cancels the job. Returns true if the job has finished.
+    async fn cancel(&mut self, context: &UserContext) -> bool {
         let target = format!("/api/jobs/{}/abort", self.spec.id);
         let request = Request { method: Method::Post, target, body: Vec::new() };
         let salt = self.random.random();
-        let Some(response) = reach.ask(request, salt, SUBMIT_TIMEOUT).await else { return false };
-        self.on_view(&response, reach)
+        let Some(response) = context.send(request, salt, SUBMIT_TIMEOUT).await else {
+            return false;
+        };
+        self.on_view(&response, context)
     }
 
-    fn on_view(&mut self, response: &Response, reach: &Reach) -> bool {
+    /// Handles the answer with the job's status. Returns true if the job has finished.
+    fn on_view(&mut self, response: &Response, context: &UserContext) -> bool {
         if response.status == 404 {
-            reach.tell(&self.spec.id, Told::Unknown);
+            context.notify_judge(&self.spec.id, Told::Unknown);
             return false;
         }
         let view = (response.status == 200).then(|| wire::decode::<JobView>(&response.body).ok());
         let Some(view) = view.flatten() else { return false };
         match view.status {
             JobStatus::Done => {
-                reach.tell(&self.spec.id, Told::Done);
-                let _ = reach.notes.send(UserNote::Done);
+                context.notify_judge(&self.spec.id, Told::Done);
+                let _ = context.notes.send(UserNote::Done);
                 true
             }
             JobStatus::Cancelled => {
-                reach.tell(&self.spec.id, Told::Cancelled);
-                let _ = reach.notes.send(UserNote::Cancelled);
+                context.notify_judge(&self.spec.id, Told::Cancelled);
+                let _ = context.notes.send(UserNote::Cancelled);
                 true
             }
             JobStatus::Queued | JobStatus::Running => {
-                reach.tell(&self.spec.id, Told::Accepted);
+                context.notify_judge(&self.spec.id, Told::Accepted);
                 false
             }
         }
