--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -345,7 +345,7 @@
         id
     }
 
-    /// Returns the worker process for a new machine: the least filled one below its planned share, otherwise the one
+    /// Returns the live worker process for a new machine: the least filled one below its planned share, otherwise the one
     /// with the largest share.
     fn choose_process(&self) -> usize {
         let shares = &self.setup.shares;
--- a/crates/scale-test/src/link.rs
+++ b/crates/scale-test/src/link.rs
@@ -1,5 +1,5 @@
-//! Messages between the run and its worker processes: postcard frames with their length over standard input
-//! and output. A worker process ends when its input ends, so none outlives the run.
+//! Messages between the run and its worker processes: length-prefixed postcard frames over standard input and output.
+//! A worker process exits when its input ends, so none outlives the run.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -8,99 +8,136 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use troutspindle_protocol::ids::{Attempt, ControllerId, FencingToken, JobId, MachineId, TaskId};
 
-/// Bytes. A frame larger than this is a fault of its sender.
+/// Maximum size of a frame in bytes; a larger length is an error of the sender.
 const FRAME_MAX: usize = 4 * 1024 * 1024;
 
-/// What workers have to know of a job; PROTOCOL's workers fetch it from its users.
+/// Description of a job for the workers. In PROTOCOL workers get it from the job's users instead.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobFacts {
+    /// Id of the job.
     pub id: JobId,
+    /// Number of tasks.
     pub tasks: u64,
+    /// CPUs per task.
     pub cpus: f64,
+    /// Memory per task in GB.
     pub ram_gb: f64,
+    /// Name of the image that a task needs before it runs.
     pub image: String,
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// Runs until it is stopped.
+    /// The tasks run until they are stopped.
     pub service: bool,
-    /// Mean run time of its tasks.
+    /// Mean run time of the tasks in seconds.
     pub run_s: f64,
 }
 
-/// What all workers have in common.
+/// Settings that all workers of a process share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSettings {
+    /// Ids and addresses of the controllers.
     pub controllers: Vec<(ControllerId, SocketAddr)>,
+    /// Interval between heartbeats in seconds, before jitter.
     pub report_s: f64,
+    /// Duration of a worker's lease in seconds.
     pub lease_s: f64,
+    /// Name of the machine type.
     pub flavor: String,
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// Memory of a machine in GB.
     pub ram_gb: f64,
+    /// Size of the image cache in GB.
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images.
     pub fetch_gb_per_s: f64,
+    /// Base of the random seeds of the workers.
     pub seed: u64,
 }
 
-/// One machine that is up.
+/// Description of one machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineFacts {
+    /// Id of the machine.
     pub id: MachineId,
+    /// Address on which its worker accepts direct calls.
     pub address: SocketAddr,
+    /// Name of its zone.
     pub zone: String,
+    /// The machine is a spot machine.
     pub spot: bool,
 }
 
-/// From the run to a worker process.
+/// Messages from the run to a worker process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToWorkers {
+    /// Settings of all workers; the first message.
     Settings(WorkerSettings),
+    /// A job whose tasks may be started from now on.
     Job(JobFacts),
+    /// The machine is up, and its worker starts.
     Boot(MachineFacts),
     /// The machine is deleted or lost; answered by [`FromWorkers::Deleted`].
     Delete(MachineId),
 }
 
-/// What happened to a task, or to a worker's token.
+/// Event of a task, or change of a worker's fencing token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Happening {
-    /// It has its image and is on the machine from here on.
+    /// The attempt has its image and runs on the machine from now on.
     Ready(TaskId, Attempt),
-    /// It is not on the machine any more; whether it completed.
+    /// The attempt does not run on the machine any more; true if it completed.
     Ended(TaskId, Attempt, bool),
-    /// The highest token seen in this process rose.
+    /// The worker saw a higher fencing token.
     FencingToken(FencingToken),
 }
 
-/// With the microseconds since 1970 at which it happened.
+/// Event of a worker, with its machine and time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerEvent {
+    /// Time of the event in microseconds since 1970.
     pub at_us: u64,
+    /// Machine of the worker.
     pub machine: MachineId,
+    /// Event.
     pub what: Happening,
 }
 
 /// Messages and bytes of all workers of a process since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCounters {
+    /// Workers that run now.
     pub workers: u64,
+    /// Heartbeats sent.
     pub reports: u64,
+    /// Bytes of the bodies of heartbeats.
     pub report_bytes: u64,
+    /// Heartbeats that were answered, with any status.
     pub answers: u64,
+    /// Bytes of the bodies of these answers.
     pub answer_bytes: u64,
-    /// Answers 421, other refusals, and reports without any answer.
+    /// Answers with status 421, which name another controller as leader.
     pub redirects: u64,
+    /// Answers with any status other than 200 and 421.
     pub refusals: u64,
+    /// Heartbeats without an answer.
     pub unanswered: u64,
+    /// Requests to workers, among them direct calls.
     pub commands: u64,
+    /// Bytes of the bodies of these requests.
     pub command_bytes: u64,
+    /// Bytes of the bodies of the answers to these requests.
     pub command_answer_bytes: u64,
+    /// Tasks started.
     pub starts: u64,
+    /// Leases that expired at a worker.
     pub leases_lost: u64,
-    /// Answers that a worker had to drop since they carried a lower token.
+    /// Answers that a worker dropped because of a lower fencing token or an earlier agent epoch.
     pub dropped: u64,
 }
 
 impl WorkerCounters {
-    /// The sum or difference of two, field by field.
+    /// Combines two sets of counters field by field, for their sum or difference.
     pub fn combine(
         &self,
         other: &WorkerCounters,
@@ -124,7 +161,7 @@
         }
     }
 
-    /// All bytes that workers sent and received.
+    /// Returns all bytes that workers sent and received, with an estimate of the message heads.
     pub fn bytes(&self) -> u64 {
         let heads =
             (self.reports + self.answers + self.commands * 2) * crate::constants::HEAD_BYTES;
@@ -133,17 +170,20 @@
     }
 }
 
-/// From a worker process to the run.
+/// Messages from a worker process to the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromWorkers {
+    /// Events since the last such message.
     Events(Vec<WorkerEvent>),
+    /// All tasks on the machine have ended, and their events were sent before.
     Deleted(MachineId),
+    /// Totals since the start of the process.
     Counters(WorkerCounters),
-    /// A machine could not be set up: its address is taken.
+    /// A worker could not listen on its address, with the reason.
     Failed(String),
 }
 
-/// Microseconds since 1970: the processes of a run share one machine and so one clock.
+/// Returns the microseconds since 1970. They compare across the processes of a run, which share one machine and clock.
 pub fn now_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
@@ -158,7 +198,7 @@
     to.write_all(&body).await
 }
 
-/// Reads one frame; an error stands for the end as well.
+/// Reads one frame. Returns an error at the end of the input as well.
 pub async fn read_frame<T: DeserializeOwned>(
     from: &mut (impl AsyncReadExt + Unpin),
 ) -> std::io::Result<T> {
--- a/crates/scale-test/src/roles.rs
+++ b/crates/scale-test/src/roles.rs
@@ -1,25 +1,31 @@
-//! The capacity page's table of roles: what each spends at the planned size, measured, beside what it may spend.
+//! Table of roles on the capacity page: measured resource use of each role at the planned size, next to its budget.
 
 use crate::report::Report;
 use std::fmt::Write;
 
-/// Labels of the runs that the columns are taken from.
+/// Label of the runs for the column of ordinary load.
 const ORDINARY: &str = "after, size";
+/// Label of the runs for the column of peak load.
 const PEAK: &str = "after, rate";
+/// Label of the runs in which the leader fails.
 const LEADER_ENDS: &str = "after, leader ends";
+/// Label of the runs in which a zone fails.
 const ZONE_ENDS: &str = "after, zone ends";
 
-/// A figure of a report.
+/// Function that reads one figure from a report.
 type Value = fn(&Report) -> f64;
 
-/// One figure of a role.
+/// Row of the table: one figure of a role.
 struct Row {
     role: &'static str,
     figure: &'static str,
-    /// In the mean while it was measured, and at its peak, which counts where something fails.
+    /// Mean over the measurement, for the columns of ordinary and peak load.
     mean: Value,
+    /// Highest value during the measurement, for the columns of runs with a failure.
     peak: Value,
+    /// Upper limit of the figure.
     budget: Option<f64>,
+    /// Source file or document that defines the mechanism behind the figure.
     mechanism: &'static str,
 }
 
@@ -33,29 +39,30 @@
     Row { role, figure, mean, peak, budget, mechanism }
 }
 
-fn both(value: Value) -> (Value, Value) {
+fn same_mean_and_peak(value: Value) -> (Value, Value) {
     (value, value)
 }
 
-fn sum(rates: &crate::report::Rates) -> f64 {
+fn total_rate(rates: &crate::report::Rates) -> f64 {
     rates.values().sum()
 }
 
-fn kind(rates: &crate::report::Rates, name: &str) -> f64 {
+fn rate(rates: &crate::report::Rates, name: &str) -> f64 {
     rates.get(name).copied().unwrap_or(0.0)
 }
 
-fn each(report: &Report, all: f64) -> f64 {
-    all / f64::from(report.workers)
+fn per_worker(report: &Report, total: f64) -> f64 {
+    total / f64::from(report.workers)
 }
 
-fn urgent(report: &Report) -> f64 {
+/// Returns the 99th percentile of the first start of class `urgent`, in milliseconds.
+fn urgent_start_p99_ms(report: &Report) -> f64 {
     report.first_start.get("urgent").map_or(0.0, |times| times.p99_ms as f64)
 }
 
-/// Every figure, with its budget and the mechanism that carries it.
+/// Returns all rows of the table, in their order on the page.
 fn rows() -> Vec<Row> {
-    let decides = "`src/scheduler.rs`";
+    let scheduler = "`src/scheduler.rs`";
     let relays = "`src/peers/heartbeat_relay.rs`, `src/workers/command_delivery.rs`";
     let members = "`src/peers/membership.rs`, `src/controller/relayed_heartbeats.rs`";
     let limits = "`src/admission.rs`";
@@ -67,7 +74,7 @@
             "share of a core",
             (|r| r.leader.cpu_mean, |r| r.leader.cpu_peak),
             Some(1.0),
-            decides,
+            scheduler,
         ),
         row(
             "leader",
@@ -76,9 +83,27 @@
             Some(8000.0),
             members,
         ),
-        row("leader", "memory, MB", both(|r| r.leader.memory_mb), Some(512.0), limits),
-        row("leader", "frames to controllers a second", both(|r| r.leader_mesh.0), None, relays),
-        row("leader", "bytes to controllers a second", both(|r| r.leader_mesh.1), None, relays),
+        row(
+            "leader",
+            "memory, MB",
+            same_mean_and_peak(|r| r.leader.memory_mb),
+            Some(512.0),
+            limits,
+        ),
+        row(
+            "leader",
+            "frames to controllers a second",
+            same_mean_and_peak(|r| r.leader_mesh.0),
+            None,
+            relays,
+        ),
+        row(
+            "leader",
+            "bytes to controllers a second",
+            same_mean_and_peak(|r| r.leader_mesh.1),
+            None,
+            relays,
+        ),
         row(
             "another controller",
             "share of a core",
@@ -96,120 +121,145 @@
         row(
             "another controller",
             "memory, MB",
-            both(|r| r.follower_mean.memory_mb),
+            same_mean_and_peak(|r| r.follower_mean.memory_mb),
             Some(512.0),
             limits,
         ),
-        row("another controller", "frames a second", both(|r| r.follower_mesh.0), None, relays),
-        row("another controller", "bytes a second", both(|r| r.follower_mesh.1), None, relays),
+        row(
+            "another controller",
+            "frames a second",
+            same_mean_and_peak(|r| r.follower_mesh.0),
+            None,
+            relays,
+        ),
+        row(
+            "another controller",
+            "bytes a second",
+            same_mean_and_peak(|r| r.follower_mesh.1),
+            None,
+            relays,
+        ),
         row(
             "a worker",
             "thousandths of a core, among 700",
-            both(|r| each(r, r.workers_cpu * 1000.0)),
+            same_mean_and_peak(|r| per_worker(r, r.workers_cpu * 1000.0)),
             Some(44.0),
             worker,
         ),
         row(
             "a worker",
             "the same in a process of its own",
-            both(|r| r.real_worker.map_or(0.0, |usage| usage.cpu_mean * 1000.0)),
+            same_mean_and_peak(|r| r.real_worker.map_or(0.0, |usage| usage.cpu_mean * 1000.0)),
             Some(44.0),
             worker,
         ),
         row(
             "a worker",
             "memory of a process of its own, MB",
-            both(|r| r.real_worker.map_or(0.0, |usage| usage.memory_mb)),
+            same_mean_and_peak(|r| r.real_worker.map_or(0.0, |usage| usage.memory_mb)),
             Some(32.0),
             worker,
         ),
         row(
             "a worker",
             "bytes a second, both ways",
-            both(|r| each(r, r.worker_bytes_per_s)),
+            same_mean_and_peak(|r| per_worker(r, r.worker_bytes_per_s)),
             Some(7000.0),
             worker,
         ),
         row(
             "a worker",
             "reports a second",
-            both(|r| each(r, kind(&r.worker_rates, "reports"))),
+            same_mean_and_peak(|r| per_worker(r, rate(&r.worker_rates, "reports"))),
             Some(2.0),
             worker,
         ),
         row(
             "a worker",
             "leases lost, all workers",
-            both(|r| r.leases_lost as f64),
+            same_mean_and_peak(|r| r.leases_lost as f64),
             None,
             "`src/leadership/delegation.rs`",
         ),
         row(
             "state service",
             "requests a second",
-            both(|r| sum(&r.state_rates)),
+            same_mean_and_peak(|r| total_rate(&r.state_rates)),
             Some(800.0),
             state,
         ),
-        row("state service", "bytes a second", both(|r| r.state_bytes_per_s), None, state),
+        row(
+            "state service",
+            "bytes a second",
+            same_mean_and_peak(|r| r.state_bytes_per_s),
+            None,
+            state,
+        ),
         row(
             "state service",
             "keys",
-            both(|r| r.state_keys as f64),
+            same_mean_and_peak(|r| r.state_keys as f64),
             None,
             "`src/schema/records.rs`",
         ),
         row(
             "cloud",
             "requests a second",
-            both(|r| sum(&r.cloud_rates)),
+            same_mean_and_peak(|r| total_rate(&r.cloud_rates)),
             Some(5.0),
             "`src/cloud.rs`",
         ),
         row(
             "users' way in",
             "answers a second",
-            both(|r| kind(&r.user_rates, "answers")),
+            same_mean_and_peak(|r| rate(&r.user_rates, "answers")),
             None,
             "`src/api.rs`",
         ),
         row(
             "users' way in",
             "submission, 99%, ms",
-            both(|r| r.submission.p99_ms as f64),
+            same_mean_and_peak(|r| r.submission.p99_ms as f64),
             Some(200.0),
             "`src/api.rs`",
         ),
-        row("users' way in", "urgent start, 99%, ms", both(urgent), Some(2300.0), decides),
+        row(
+            "users' way in",
+            "urgent start, 99%, ms",
+            same_mean_and_peak(urgent_start_p99_ms),
+            Some(2300.0),
+            scheduler,
+        ),
         row(
             "users' way in",
             "first start after a leader's end, ms",
-            both(|r| r.recovery_ms.iter().copied().max().unwrap_or(0) as f64),
+            same_mean_and_peak(|r| r.recovery_ms.iter().copied().max().unwrap_or(0) as f64),
             Some(2300.0),
             "`src/leadership/election.rs`; warm standby `missing`",
         ),
     ]
 }
 
-/// The table, in Markdown; empty where the runs that it is made of are not among the reports.
+/// Returns the table in Markdown, or an empty text if there is no report of ordinary load or of peak load.
 pub fn table(reports: &[Report]) -> String {
-    let largest = |label: &str, place: Value| {
+    let largest = |label: &str, sort_key: Value| {
         let found = reports.iter().filter(|report| report.label == label);
-        found.max_by(|a, b| place(a).total_cmp(&place(b)))
+        found.max_by(|a, b| sort_key(a).total_cmp(&sort_key(b)))
     };
     let ordinary = largest(ORDINARY, |report| f64::from(report.workers));
     let peak = largest(PEAK, |report| report.starts_asked_per_s);
     let (Some(ordinary), Some(peak)) = (ordinary, peak) else { return String::new() };
-    let failing = [LEADER_ENDS, ZONE_ENDS].map(|label| largest(label, |r| f64::from(r.workers)));
+    let failure_reports =
+        [LEADER_ENDS, ZONE_ENDS].map(|label| largest(label, |r| f64::from(r.workers)));
     let mut out = String::new();
-    let _ = write_table(&mut out, (ordinary, peak), failing);
+    let _ = write_table(&mut out, (ordinary, peak), failure_reports);
     out
 }
 
 fn write_table(
     out: &mut String,
     (ordinary, peak): (&Report, &Report),
-    failing: [Option<&Report>; 2],
+    failure_reports: [Option<&Report>; 2],
 ) -> std::fmt::Result {
     writeln!(
         out,
@@ -218,20 +268,21 @@
     writeln!(out, "|---|---|---|---|---|---|---|---|---|---|")?;
     for row in rows() {
         let text = |report: Option<&Report>, value: Value| {
-            report.map_or("`missing`".into(), |report| short(value(report)))
+            report.map_or("`missing`".into(), |report| format_short(value(report)))
         };
-        let [leader_ends, zone_ends] = failing;
-        let budget = row.budget.map_or("-".into(), short);
-        let failed = failing.iter().flatten().map(|report| (row.peak)(report));
-        let used = failed.fold((row.mean)(peak).max((row.mean)(ordinary)), f64::max);
-        let headroom = row.budget.map_or("-".into(), |budget| short(1.0 - used / budget));
+        let [leader_ends, zone_ends] = failure_reports;
+        let budget = row.budget.map_or("-".into(), format_short);
+        let failure_values = failure_reports.iter().flatten().map(|report| (row.peak)(report));
+        let max_used = failure_values.fold((row.mean)(peak).max((row.mean)(ordinary)), f64::max);
+        let headroom =
+            row.budget.map_or("-".into(), |budget| format_short(1.0 - max_used / budget));
         writeln!(
             out,
             "| {} | {} | {} | {} | {} | {} | `missing` | {budget} | {headroom} | {} |",
             row.role,
             row.figure,
-            short((row.mean)(ordinary)),
-            short((row.mean)(peak)),
+            format_short((row.mean)(ordinary)),
+            format_short((row.mean)(peak)),
             text(leader_ends, row.peak),
             text(zone_ends, row.peak),
             row.mechanism
@@ -243,13 +294,13 @@
     )
 }
 
-/// A number with three digits that count, or whole.
-fn short(value: f64) -> String {
-    let size = value.abs();
-    if size >= 100.0 || size == 0.0 {
+/// Formats a number with three significant digits, or as an integer from 100 on.
+fn format_short(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 100.0 || magnitude == 0.0 {
         format!("{value:.0}")
     } else {
-        let digits = (2.0 - size.log10().floor()).clamp(0.0, 4.0) as usize;
+        let digits = (2.0 - magnitude.log10().floor()).clamp(0.0, 4.0) as usize;
         format!("{value:.digits$}")
     }
 }
--- a/crates/scale-test/tests/capacity_page.rs
+++ b/crates/scale-test/tests/capacity_page.rs
@@ -1,10 +1,10 @@
-//! The capacity page holds just what the reports beside it give.
+//! Checks that the tables of the capacity page match the reports.
 
 use std::path::PathBuf;
 use troutspindle_scale_test::capacity::{read, tables};
 
 #[test]
-fn the_capacity_page_agrees_with_its_reports() {
+fn capacity_page_contains_the_tables_of_its_reports() {
     let docs = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs"));
     let found = std::fs::read_dir(docs.join("scale/reports")).unwrap();
     let mut paths: Vec<PathBuf> = found.map(|entry| entry.unwrap().path()).collect();
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,12 +1,12 @@
-//! A small run with real processes, judged by counts and never by times: whatever it is about, a slow machine gives
-//! the same verdict. It uses the ports of every scale run, so the tests here are one.
+//! A small run with real processes. It is judged by counts and never by times, so a slow machine gives the same verdict.
+//! All scale runs use the same ports, so both runs are in one test.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use troutspindle_scale_test::report::Report;
 use troutspindle_scale_test::scenario::Scenario;
 
-/// The controllers' program that was built beside this test.
+/// Returns the path of the controller binary in the target folder of this test.
 fn controller() -> PathBuf {
     let scale = Path::new(env!("CARGO_BIN_EXE_troutspindle-scale-test"));
     let path = scale.with_file_name("troutspindle");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_small_run_breaks_no_rule_and_a_planted_fault_is_found() {
+fn small_run_breaks_no_rule_and_planted_fault_is_detected() {
     let operator = Path::new(env!("CARGO_TARGET_TMPDIR")).join("share.yaml");
     std::fs::write(&operator, "share_reports: always\n").unwrap();
     let operator = operator.to_str().unwrap();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_with_what_to_do() {
+fn invalid_scenario_and_missing_controller_are_reported_with_remedy() {
     for name in ["small.yaml", "planned-size.yaml"] {
         assert!(Scenario::read(&scenario(name)).is_ok(), "{name}");
     }
