--- a/crates/scale-test/src/cloud.rs
+++ b/crates/scale-test/src/cloud.rs
@@ -388,7 +388,7 @@
             if state_before == MachineState::Running
                 && !self.ended_processes.contains(&machine.process)
             {
-                // The answer promises that nothing runs there any more, so the worker process must confirm it first.
+                // The answer promises that nothing runs there any more, so the worker process has to confirm first.
                 let _ = self.setup.processes[machine.process].send(ToWorkers::Delete(id.clone()));
                 self.unconfirmed_deletes.insert(id, index);
                 unconfirmed += 1;
--- a/crates/scale-test/src/users.rs
+++ b/crates/scale-test/src/users.rs
@@ -109,7 +109,7 @@
 }
 
 impl UserContext {
-    /// Sends a request to a healthy controller chosen by `salt`; returns None if there is no answer within the deadline.
+    /// Sends a request to a healthy controller chosen by `salt`. Returns None if there is no answer in time.
     async fn send(&self, request: Request, salt: u64, within: Duration) -> Option<Response> {
         let address = {
             let healthy = self.healthy.borrow();
--- a/crates/scale-test/src/worker.rs
+++ b/crates/scale-test/src/worker.rs
@@ -336,8 +336,8 @@
         }
         self.starts += 1;
         self.fetch(&job.image, job.image_gb, now);
-        let spread = self.random.random_range(0.5..1.5);
-        let run = (!job.service).then(|| Duration::from_secs_f64(job.run_s * spread));
+        let run_factor = self.random.random_range(0.5..1.5);
+        let run = (!job.service).then(|| Duration::from_secs_f64(job.run_s * run_factor));
         let task = Task {
             attempt,
             state: TaskState::Fetching,
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,5 +1,5 @@
-//! A small run with real processes. It is judged by counts and never by times, so a slow machine gives the same verdict.
-//! All scale runs use the same ports, so both runs are in one test.
+//! Small scale runs with real processes. They are judged by counts and never by times, so a slow machine gives the same
+//! verdict. All scale runs use the same ports, so the runs that start processes share one test.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
