--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -38,19 +38,10 @@
 
 /// Returns the number of terms as leader in a controller's log in which it sharded heartbeats.
 fn count_sharded_terms(log: &str) -> usize {
-    let mut terms = 0;
-    let mut is_term_counted = true;
-    for line in log.lines() {
-        if line.contains("leadership started") {
-            is_term_counted = false;
-        }
-        let sharded = line.contains("heartbeat sharding changed") && line.contains("sharded=true");
-        if sharded && !is_term_counted {
-            terms += 1;
-            is_term_counted = true;
-        }
-    }
-    terms
+    let is_sharded =
+        |line: &str| line.contains("heartbeat sharding changed") && line.contains("sharded=true");
+    let terms = log.split("leadership started").skip(1);
+    terms.filter(|term| term.lines().any(is_sharded)).count()
 }
 
 #[test]
